--- a/internal/member/arena/arena.go
+++ b/internal/member/arena/arena.go
@@ -1,9 +1,10 @@
-// Package arena plays protocols that tell who lives in simulated time: many members in one process, a network that
-// loses, doubles, delays and cuts, processes that are stopped, killed and started again. It holds what each member
-// said against what was so. Tests of internal/member and lemonctl use it; it models no real machine.
+// Package arena simulates failure detectors in virtual time: many members in one process, a network that
+// loses, duplicates, delays and cuts, and processes that are stopped, killed and restarted. It compares the
+// states that members report with the true ones. Tests of internal/member and lemonctl use it; it does not
+// model real machines.
 //
-// One goroutine plays one arena. The same seed gives the same run: events of one instant come in the order in which
-// they were put in.
+// An Arena is not safe for concurrent use. The same seed gives the same run: events of the same instant are handled in
+// the order in which they were queued.
 package arena
 
 import (
@@ -13,65 +14,65 @@
 	"time"
 )
 
-// Verdict is what a member comes to hold another for.
-type Verdict uint8
+// Status is the state in which a member sees another one.
+type Status uint8
 
 const (
-	Lives Verdict = iota
-	Suspected
-	Died
+	StatusAlive Status = iota
+	StatusSuspect
+	StatusDead
 )
 
-// Judgement is a change of what a member holds another for.
-type Judgement struct {
-	Of int
-	Is Verdict
+// StatusChange is a change of the state in which a member sees another one.
+type StatusChange struct {
+	Member int
+	Status Status
 }
 
-// Packet is a datagram on its way. Size is in bytes.
+// Packet is a datagram in transit. Size is in bytes.
 type Packet struct {
 	To   int
 	Data any
 	Size int
 }
 
-// Node is one member of a protocol. Time is the arena's, from 0.
+// Node is one member that runs a protocol. Times are the simulated ones, from 0.
 type Node interface {
-	Wake() time.Duration // when it wants its next Tick
+	Wake() time.Duration // time of the next Tick
 	Tick(now time.Duration)
 	Receive(now time.Duration, from int, data any)
-	Refused(now time.Duration, to int) // the machine of to says that nobody listens there
+	Refused(now time.Duration, to int) // the host of to reported that no process listens
 	Out() []Packet
-	Judged() []Judgement // since the last call
+	StatusChanges() []StatusChange // since the last call
 }
 
-// Maker starts member i of n. life counts its starts, from 0.
-type Maker func(i, n, life int, now time.Duration, seed uint64) Node
+// NodeFactory starts member i of n. life counts its starts, from 0.
+type NodeFactory func(i, n, life int, now time.Duration, seed uint64) Node
 
-// Net is what the network does. The functions may be nil.
+// Net is the behaviour of the network. The functions may be nil.
 type Net struct {
-	Loss    func(from, to int) float64 // share of datagrams lost
-	Cut     func(from, to int) bool
-	Delay   func(from, to int, rng *rand.Rand) time.Duration // beside Base
-	Base    [2]time.Duration                                 // least and most time on the way
-	Doubled float64                                          // share that comes twice
-	Refuses bool                                             // a machine whose process is gone says so
+	Loss       func(from, to int) float64 // share of datagrams lost
+	Cut        func(from, to int) bool
+	Delay      func(from, to int, rng *rand.Rand) time.Duration // added to the latency
+	Latency    [2]time.Duration                                 // minimum and maximum transit time
+	Duplicated float64                                          // share of datagrams delivered twice
+	Refuses    bool                                             // the host of a killed process refuses datagrams
 }
 
 const (
-	socketBuffer  = 256 // datagrams that wait for a stopped process; later ones are lost
-	refusalsBurst = 6   // refusals that a machine sends another at once ...
-	refusalsEvery = time.Second
+	socketBuffer  = 256         // datagrams buffered for a stopped process; later ones are lost
+	refusalsBurst = 6           // maximum burst of refusals from one host to another
+	refusalsEvery = time.Second // then one refusal per this time
 )
 
-type seat struct {
+type process struct {
 	node    Node
 	life    int
 	up      bool
-	noisy   bool // its machine answers for it when it is down
+	refuses bool // its host refuses datagrams while it is down
 	stopped bool
-	waits   []delivery
-	wakeAt  time.Duration // of the wake-up that is on the queue; 0: none
+	backlog []delivery
+	wakeAt  time.Duration // time of the queued wake-up; 0: none
 }
 
 type delivery struct {
@@ -79,42 +80,43 @@
 	data any
 }
 
-// Arena is one run.
+// Arena is one simulation run.
 type Arena struct {
 	Net Net
 	Now time.Duration
 
-	make    Maker
-	rng     *rand.Rand
-	seed    uint64
-	members []*seat
-	queue   events
-	order   uint64
-	up      int // members that run
-	refused map[[2]int]*allowance
+	newNode        NodeFactory
+	rng            *rand.Rand
+	seed           uint64
+	members        []*process
+	queue          events
+	sequence       uint64
+	runningCount   int // running members
+	refusalBuckets map[[2]int]*tokenBucket
 
-	Sent, Bytes uint64
-	downAt      map[int]time.Duration
-	knows       map[[2]int]bool // that one holds another for dead
-	notices     map[[2]int]bool // that it has come to suspect it at the least
-	Score       Score
-	Watch       func(by int, j Judgement) // nil: nobody
+	Sent, Bytes    uint64
+	downAt         map[int]time.Duration
+	knownDead      map[[2]int]bool // pairs of observer and member: the observer sees the member as dead
+	noticed        map[[2]int]bool // the observer has suspected an ended member or seen it as dead
+	Score          Score
+	OnStatusChange func(by int, j StatusChange) // may be nil
 }
 
-type allowance struct {
-	left float64
-	at   time.Duration
+type tokenBucket struct {
+	tokens float64
+	at     time.Duration
 }
 
-// Score is what was said against what was so.
+// Score compares reported states with the true ones.
 type Score struct {
-	FalseDeaths     int // a member held one that ran for dead
+	FalseDeaths     int // a running member was seen as dead
 	FalseSuspicions int
-	Judgements      int
+	Changes         int
 	MemberSeconds   float64
-	// By the one that died: when each other came to suspect it and to hold it for dead, after its end.
+	// By the member that ended: the times from its end until each other member suspected it, and saw it as
+	// dead.
 	Noticed, Known map[int][]time.Duration
-	firstNotice    map[int][]time.Duration // whichever came first
+	firstNotice    map[int][]time.Duration // time until the first of both
 }
 
 func newScore() Score {
@@ -122,24 +124,24 @@
 }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
-	to    int // with no do: a delivery or, with from -1, a wake-up
-	from  int
-	life  int
-	data  any
+	at       time.Duration
+	sequence uint64
+	do       func()
+	to       int // if do is nil: the receiver of a delivery or refusal, or the member to wake
+	from     int // sender; wakeUp; or the refusing member plus the number of members
+	life     int
+	data     any
 }
 
-// events is a heap by time, then by the order in which they were put in. It is written out, since container/heap
-// would put each event on the heap by itself, which costs as much as all the rest.
+// events is a heap by time, then by the order of queueing. It doesn't use container/heap, which allocates
+// for each event it pushes; that took as much time as all the rest.
 type events []event
 
 func (q events) less(i, j int) bool {
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].order < q[j].order
+	return q[i].sequence < q[j].sequence
 }
 
 func (q *events) push(e event) {
@@ -162,34 +164,34 @@
 	h = h[:last]
 	*q = h
 	for i := 0; ; {
-		least := i
+		smallest := i
 		for c := 2*i + 1; c <= 2*i+2 && c < last; c++ {
-			if h.less(c, least) {
-				least = c
+			if h.less(c, smallest) {
+				smallest = c
 			}
 		}
-		if least == i {
+		if smallest == i {
 			return first
 		}
-		h[i], h[least] = h[least], h[i]
-		i = least
+		h[i], h[smallest] = h[smallest], h[i]
+		i = smallest
 	}
 }
 
 // New returns an arena of n members, none of which has started.
-func New(n int, seed uint64, net Net, maker Maker) *Arena {
-	a := &Arena{Net: net, make: maker, rng: rand.New(rand.NewPCG(seed, 77)), seed: seed, refused: map[[2]int]*allowance{},
-		downAt: map[int]time.Duration{}, knows: map[[2]int]bool{}, notices: map[[2]int]bool{}, Score: newScore()}
+func New(n int, seed uint64, net Net, maker NodeFactory) *Arena {
+	a := &Arena{Net: net, newNode: maker, rng: rand.New(rand.NewPCG(seed, 77)), seed: seed, refusalBuckets: map[[2]int]*tokenBucket{},
+		downAt: map[int]time.Duration{}, knownDead: map[[2]int]bool{}, noticed: map[[2]int]bool{}, Score: newScore()}
 	for range n {
-		a.members = append(a.members, &seat{noisy: net.Refuses})
+		a.members = append(a.members, &process{refuses: net.Refuses})
 	}
 	return a
 }
 
-// Size is how many members there are.
+// Size returns the number of members.
 func (a *Arena) Size() int { return len(a.members) }
 
-// Node is the present life of member i; nil: it isn't up.
+// Node returns the current life of member i; nil if it is not running.
 func (a *Arena) Node(i int) Node {
 	if m := a.members[i]; m.up {
 		return m.node
@@ -198,87 +200,87 @@
 }
 
 func (a *Arena) push(e event) {
-	a.order++
-	e.order = a.order
+	a.sequence++
+	e.sequence = a.sequence
 	a.queue.push(e)
 }
 
-// At has something happen at a time.
+// At runs do at time t, or now if t has passed.
 func (a *Arena) At(t time.Duration, do func()) { a.push(event{at: max(t, a.Now), do: do}) }
 
-// Start starts member i, again or for the first time.
+// Start starts or restarts member i.
 func (a *Arena) Start(i int) {
 	m := a.members[i]
 	if m.up {
 		return
 	}
-	m.node = a.make(i, len(a.members), m.life, a.Now, mixSeed(a.seed, uint64(i), uint64(m.life)))
+	m.node = a.newNode(i, len(a.members), m.life, a.Now, mixSeed(a.seed, uint64(i), uint64(m.life)))
 	m.life++
-	a.up++
-	m.up, m.stopped, m.waits, m.wakeAt = true, false, nil, 0
+	a.runningCount++
+	m.up, m.stopped, m.backlog, m.wakeAt = true, false, nil, 0
 	delete(a.downAt, i)
-	a.after(i)
+	a.flush(i)
 }
 
-// StartAll starts all within a span, in random order.
+// StartAll starts all members at random times within a span.
 func (a *Arena) StartAll(within time.Duration) {
 	for i := range a.members {
 		a.At(a.Now+time.Duration(a.rng.Float64()*float64(within)), func() { a.Start(i) })
 	}
 }
 
-// Kill ends member i. Where its machine goes too, nobody answers for it.
+// Kill ends member i. With machine its host ends too and refuses nothing.
 func (a *Arena) Kill(i int, machine bool) {
 	m := a.members[i]
 	if !m.up {
 		return
 	}
-	a.up--
-	m.up, m.stopped, m.waits, m.noisy = false, false, nil, a.Net.Refuses && !machine
+	a.runningCount--
+	m.up, m.stopped, m.backlog, m.refuses = false, false, nil, a.Net.Refuses && !machine
 	a.downAt[i] = a.Now
 }
 
-// Stop stops member i, as SIGSTOP does; Cont lets it go on.
+// Stop suspends member i, as SIGSTOP does; Resume continues it.
 func (a *Arena) Stop(i int) {
 	if a.members[i].up {
 		a.members[i].stopped = true
 	}
 }
 
-// Cont lets a stopped member go on: what waits for it comes first.
-func (a *Arena) Cont(i int) {
+// Resume continues a stopped member, which first receives the buffered datagrams.
+func (a *Arena) Resume(i int) {
 	m := a.members[i]
 	if !m.up || !m.stopped {
 		return
 	}
 	m.stopped = false
-	waits := m.waits
-	m.waits = nil
+	waits := m.backlog
+	m.backlog = nil
 	for _, d := range waits {
 		m.node.Receive(a.Now, d.from, d.data)
 	}
 	m.node.Tick(a.Now)
 	m.wakeAt = 0
-	a.after(i)
+	a.flush(i)
 }
 
-// Pause stops member i for a while.
+// Pause stops member i for a time.
 func (a *Arena) Pause(i int, d time.Duration) {
 	a.Stop(i)
 	life := a.members[i].life
 	a.At(a.Now+d, func() {
 		if a.members[i].life == life {
-			a.Cont(i)
+			a.Resume(i)
 		}
 	})
 }
 
-// Until plays to a time.
-func (a *Arena) Until(end time.Duration) {
+// RunUntil runs the simulation until a time.
+func (a *Arena) RunUntil(end time.Duration) {
 	for len(a.queue) > 0 && a.queue[0].at <= end {
 		e := a.queue.pop()
-		a.pass(e.at)
-		m := (*seat)(nil)
+		a.advance(e.at)
+		m := (*process)(nil)
 		if e.do == nil {
 			m = a.members[e.to]
 		}
@@ -294,43 +296,43 @@
 				continue
 			}
 			m.node.Tick(a.Now)
-			a.after(e.to)
-		case e.from >= len(a.members): // a refusal by the machine of another
+			a.flush(e.to)
+		case e.from >= len(a.members): // a refusal by the host of another member
 			if m.up && !m.stopped {
 				m.node.Refused(a.Now, e.from-len(a.members))
-				a.after(e.to)
+				a.flush(e.to)
 			}
 		case !m.up:
 			a.refuse(e.to, e.from)
 		case m.stopped:
-			if len(m.waits) < socketBuffer {
-				m.waits = append(m.waits, delivery{e.from, e.data})
+			if len(m.backlog) < socketBuffer {
+				m.backlog = append(m.backlog, delivery{e.from, e.data})
 			}
 		default:
 			m.node.Receive(a.Now, e.from, e.data)
-			a.after(e.to)
+			a.flush(e.to)
 		}
 	}
-	a.pass(end)
+	a.advance(end)
 }
 
 const wakeUp = -1
 
-func (a *Arena) pass(to time.Duration) {
-	a.Score.MemberSeconds += (to - a.Now).Seconds() * float64(a.up)
+func (a *Arena) advance(to time.Duration) {
+	a.Score.MemberSeconds += (to - a.Now).Seconds() * float64(a.runningCount)
 	a.Now = to
 }
 
-// after sends what a member has to send and notes what it said.
-func (a *Arena) after(i int) {
+// flush sends the queued datagrams of member i, records its state changes and queues its next wake-up.
+func (a *Arena) flush(i int) {
 	m := a.members[i]
 	for _, p := range m.node.Out() {
 		a.Sent++
 		a.Bytes += uint64(p.Size)
-		a.carry(i, p)
+		a.transmit(i, p)
 	}
-	for _, j := range m.node.Judged() {
-		a.judged(i, j)
+	for _, j := range m.node.StatusChanges() {
+		a.recordChange(i, j)
 	}
 	if at := max(m.node.Wake(), a.Now+time.Microsecond); m.wakeAt == 0 || at < m.wakeAt {
 		m.wakeAt = at
@@ -338,51 +340,51 @@
 	}
 }
 
-func (a *Arena) judged(by int, j Judgement) {
-	a.Score.Judgements++
-	if a.Watch != nil {
-		a.Watch(by, j)
+func (a *Arena) recordChange(by int, j StatusChange) {
+	a.Score.Changes++
+	if a.OnStatusChange != nil {
+		a.OnStatusChange(by, j)
 	}
-	downAt, down := a.downAt[j.Of]
-	pair := [2]int{by, j.Of}
-	delete(a.knows, pair)
-	if j.Is == Died {
-		a.knows[pair] = true
+	downAt, down := a.downAt[j.Member]
+	pair := [2]int{by, j.Member}
+	delete(a.knownDead, pair)
+	if j.Status == StatusDead {
+		a.knownDead[pair] = true
 	}
-	if down && j.Is != Lives && !a.notices[pair] {
-		a.notices[pair] = true
-		a.Score.firstNotice[j.Of] = append(a.Score.firstNotice[j.Of], a.Now-downAt)
+	if down && j.Status != StatusAlive && !a.noticed[pair] {
+		a.noticed[pair] = true
+		a.Score.firstNotice[j.Member] = append(a.Score.firstNotice[j.Member], a.Now-downAt)
 	}
 	switch {
-	case !down && j.Is == Died:
+	case !down && j.Status == StatusDead:
 		a.Score.FalseDeaths++
-	case !down && j.Is == Suspected:
+	case !down && j.Status == StatusSuspect:
 		a.Score.FalseSuspicions++
-	case down && j.Is == Suspected:
-		a.Score.Noticed[j.Of] = append(a.Score.Noticed[j.Of], a.Now-downAt)
-	case down && j.Is == Died:
-		a.Score.Known[j.Of] = append(a.Score.Known[j.Of], a.Now-downAt)
+	case down && j.Status == StatusSuspect:
+		a.Score.Noticed[j.Member] = append(a.Score.Noticed[j.Member], a.Now-downAt)
+	case down && j.Status == StatusDead:
+		a.Score.Known[j.Member] = append(a.Score.Known[j.Member], a.Now-downAt)
 	}
 }
 
 func (a *Arena) transit(from, to int) time.Duration {
-	d := a.Net.Base[0] + time.Duration(a.rng.Float64()*float64(a.Net.Base[1]-a.Net.Base[0]))
+	d := a.Net.Latency[0] + time.Duration(a.rng.Float64()*float64(a.Net.Latency[1]-a.Net.Latency[0]))
 	if a.Net.Delay != nil {
 		d += a.Net.Delay(from, to, a.rng)
 	}
 	return d
 }
 
-func (a *Arena) loses(from, to int) bool {
+func (a *Arena) drops(from, to int) bool {
 	return a.Net.Cut != nil && a.Net.Cut(from, to) || a.Net.Loss != nil && a.rng.Float64() < a.Net.Loss(from, to)
 }
 
-func (a *Arena) carry(from int, p Packet) {
-	if a.loses(from, p.To) {
+func (a *Arena) transmit(from int, p Packet) {
+	if a.drops(from, p.To) {
 		return
 	}
 	n := 1
-	if a.rng.Float64() < a.Net.Doubled {
+	if a.rng.Float64() < a.Net.Duplicated {
 		n = 2
 	}
 	for range n {
@@ -390,23 +392,23 @@
 	}
 }
 
-// refuse has the machine of a member that isn't up say so.
+// refuse sends a refusal from the host of a member that is not running.
 func (a *Arena) refuse(at, to int) {
 	m := a.members[at]
-	if !m.noisy || a.loses(at, to) {
+	if !m.refuses || a.drops(at, to) {
 		return
 	}
-	w := a.refused[[2]int{at, to}]
+	w := a.refusalBuckets[[2]int{at, to}]
 	if w == nil {
-		w = &allowance{left: refusalsBurst, at: a.Now}
-		a.refused[[2]int{at, to}] = w
+		w = &tokenBucket{tokens: refusalsBurst, at: a.Now}
+		a.refusalBuckets[[2]int{at, to}] = w
 	}
-	w.left = min(refusalsBurst, w.left+(a.Now-w.at).Seconds()/refusalsEvery.Seconds())
+	w.tokens = min(refusalsBurst, w.tokens+(a.Now-w.at).Seconds()/refusalsEvery.Seconds())
 	w.at = a.Now
-	if w.left < 1 {
+	if w.tokens < 1 {
 		return
 	}
-	w.left--
+	w.tokens--
 	a.push(event{at: a.Now + a.transit(at, to), to: to, from: at + len(a.members)})
 }
 
@@ -414,7 +416,7 @@
 	return rand.New(rand.NewPCG(seed, i<<20|life)).Uint64()
 }
 
-// Percentile is the share q of sorted or unsorted spans; 0 where there are none.
+// Percentile returns the quantile q, from 0 to 1, of d, which need not be sorted; 0 if d is empty.
 func Percentile(d []time.Duration, q float64) time.Duration {
 	if len(d) == 0 {
 		return 0
--- a/internal/member/arena/compare.go
+++ b/internal/member/arena/compare.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Protocols are those that are compared, by name.
+// Protocols returns the protocols to compare.
 func Protocols() []Protocol {
 	return []Protocol{
 		{"heartbeats, 3 s", Heartbeats(time.Second, 3*time.Second), 300},
@@ -22,43 +22,43 @@
 	}
 }
 
-// Protocol is one way to tell who lives. Largest is the fleet beyond which it isn't played for longer than a
-// death takes; 0: none.
+// Protocol is a failure detector. In fleets of more than MaxMembers members (0: no limit) only the time
+// until one death is known is simulated.
 type Protocol struct {
-	Name    string
-	Make    Maker
-	Largest int
+	Name       string
+	Make       NodeFactory
+	MaxMembers int
 }
 
-// Case is what is played with each protocol, once its members have met.
+// Case is a scenario that runs with each protocol once its members know each other.
 type Case struct {
 	Name    string
 	Members int
 	Span    time.Duration
 	Loss    float64
-	Pauses  bool // each minute one in ten members is stopped for 1 to 5 s
-	Kills   int  // so many processes are killed, evenly over Span
-	Vanish  bool // with their machines
+	Pauses  bool // each minute one member in ten is stopped for 1 to 5 s
+	Kills   int  // processes to kill, evenly over Span
+	Vanish  bool // kill their hosts too
 	Cut     func(n int) func(from, to int) bool
-	Runs    int // seeds; 0: 1
+	Runs    int // number of seeds; 0: 1
 }
 
 const (
-	startSpan  = 10 * time.Second // in which up to startSize members meet; larger fleets take longer in proportion
-	startSize  = 300
-	killedFor  = 30 * time.Second // after the last kill of a run
-	largestFor = 10 * time.Second // the same for a protocol that isn't played longer at that size
+	startSpan       = 10 * time.Second // time to meet for up to startSize members; proportionally more for larger fleets
+	startSize       = 300
+	settleAfterKill = 30 * time.Second // run time after the last kill
+	settleBeyondMax = 10 * time.Second // the same for a fleet larger than the protocol's MaxMembers
 )
 
-// begin is how long the members of a case have to meet before it is played.
-func (c *Case) begin(p *Protocol) time.Duration {
-	if p.Largest > 0 && c.Members > p.Largest { // it meets at once
+// warmUp returns the time that the members of a case get to know each other.
+func (c *Case) warmUp(p *Protocol) time.Duration {
+	if p.MaxMembers > 0 && c.Members > p.MaxMembers { // its members know each other at once
 		return startSpan / 2
 	}
 	return time.Duration(float64(startSpan) * max(1, float64(c.Members)/startSize))
 }
 
-// Row is what came out of a case with a protocol, all runs together.
+// Row is the result of a case with a protocol, over all runs.
 type Row struct {
 	Protocol     string  `json:"protocol"`
 	Case         string  `json:"case"`
@@ -68,27 +68,28 @@
 	PerHour      float64 `json:"false_deaths_a_member_hour"`
 	Suspicions   int     `json:"false_suspicions"`
 	Changes      float64 `json:"changes_a_member_minute"` // of a member's view
-	Noticed      Spread  `json:"noticed"`                 // a death suspected or known, by each other one
-	Known        Spread  `json:"known"`                   // a death known
-	Untold       int     `json:"untold"`                  // pairs of a death and one that has not come to know it
+	Noticed      Spread  `json:"noticed"`                 // time until a death was suspected or known, per other member
+	Known        Spread  `json:"known"`                   // time until a death was known
+	Untold       int     `json:"untold"`                  // pairs of a death and a running member that doesn't know it
 	Datagrams    float64 `json:"datagrams_a_member_second"`
 	Bytes        float64 `json:"bytes_a_member_second"`
 	RealSeconds  float64 `json:"real_seconds"`
 	SimulatedHrs float64 `json:"simulated_hours"`
 }
 
-// Spread tells how long something took, in seconds.
+// Spread is the distribution of a duration, in seconds.
 type Spread struct {
 	P50  float64 `json:"p50_s"`
 	P99  float64 `json:"p99_s"`
 	Last float64 `json:"last_s"`
 }
 
-func spreadOf(d []time.Duration) Spread {
+func newSpread(d []time.Duration) Spread {
 	return Spread{Percentile(d, 0.5).Seconds(), Percentile(d, 0.99).Seconds(), Percentile(d, 1).Seconds()}
 }
 
-// Cases are those of docs/measurements/membership.md. Full plays the long ones in full.
+// Cases returns the cases of docs/measurements/membership.md. hours is the simulated
+// member-hours of each long case.
 func Cases(sizes []int, hours float64) (cases []Case) {
 	for _, n := range sizes {
 		kills := 10
@@ -120,14 +121,14 @@
 		if n > 300 {
 			continue
 		}
-		for _, c := range oneSided {
+		for _, c := range partialCuts {
 			cases = append(cases, Case{Name: "for a minute " + c.name, Members: n, Span: time.Minute, Cut: c.cut})
 		}
 	}
 	return cases
 }
 
-var oneSided = []struct {
+var partialCuts = []struct {
 	name string
 	cut  func(n int) func(from, to int) bool
 }{
@@ -140,7 +141,7 @@
 	{"a third is cut off", func(n int) func(int, int) bool { return func(a, b int) bool { return (b%3 == 0) != (a%3 == 0) } }},
 }
 
-// Compare plays cases with protocols, several at a time, and returns a row for each in their order.
+// Compare runs cases with protocols, several at a time, and returns a row for each in their order.
 func Compare(ctx context.Context, cases []Case, protocols []Protocol, seed uint64, progress io.Writer) ([]Row, error) {
 	type job struct {
 		row  int
@@ -152,7 +153,7 @@
 	var rows []Row
 	for _, c := range cases {
 		for _, p := range protocols {
-			if p.Largest > 0 && c.Members > p.Largest {
+			if p.MaxMembers > 0 && c.Members > p.MaxMembers {
 				if c.Kills == 0 {
 					continue
 				}
@@ -164,7 +165,7 @@
 			rows = append(rows, Row{Protocol: p.Name, Case: c.Name, Members: c.Members})
 		}
 	}
-	// The longest first, so that none is left alone at the end.
+	// Longest first, so that no long run is left alone at the end.
 	weight := func(j job) float64 { return float64(j.c.Members) * j.c.Span.Seconds() }
 	slices.SortStableFunc(jobs, func(a, b job) int { return cmp.Compare(weight(b), weight(a)) })
 	type sum struct{ noticed, known []time.Duration }
@@ -184,19 +185,19 @@
 				next++
 				mu.Unlock()
 				begun := time.Now()
-				a, untold := j.c.play(j.p, j.seed)
+				a, unaware := j.c.run(j.p, j.seed)
 				mu.Lock()
 				r, s := &rows[j.row], &sums[j.row]
 				hours := a.Score.MemberSeconds / 3600
 				secs := r.MemberHours * 3600
 				r.Datagrams = (r.Datagrams*secs + float64(a.Sent)) / (secs + a.Score.MemberSeconds)
 				r.Bytes = (r.Bytes*secs + float64(a.Bytes)) / (secs + a.Score.MemberSeconds)
-				r.Changes = (r.Changes*secs + 60*float64(a.Score.Judgements)) / (secs + a.Score.MemberSeconds)
+				r.Changes = (r.Changes*secs + 60*float64(a.Score.Changes)) / (secs + a.Score.MemberSeconds)
 				r.MemberHours += hours
 				r.SimulatedHrs += a.Now.Hours()
 				r.FalseDeaths += a.Score.FalseDeaths
 				r.Suspicions += a.Score.FalseSuspicions
-				r.Untold += untold
+				r.Untold += unaware
 				r.PerHour = float64(r.FalseDeaths) / r.MemberHours
 				r.RealSeconds += time.Since(begun).Seconds()
 				for _, id := range slices.Sorted(mapKeys(a.Score.Known)) {
@@ -214,7 +215,7 @@
 	all.Wait()
 	fmt.Fprintln(progress)
 	for i := range rows {
-		rows[i].Known, rows[i].Noticed = spreadOf(sums[i].known), spreadOf(sums[i].noticed)
+		rows[i].Known, rows[i].Noticed = newSpread(sums[i].known), newSpread(sums[i].noticed)
 	}
 	return rows, ctx.Err()
 }
@@ -229,13 +230,13 @@
 	}
 }
 
-// play runs a case once; untold counts those that did not come to know a death.
-func (c Case) play(p Protocol, seed uint64) (a *Arena, untold int) {
-	a = New(c.Members, seed, Net{Base: [2]time.Duration{time.Millisecond / 4, 2 * time.Millisecond}, Refuses: true}, p.Make)
+// run simulates a case once; unaware counts the pairs of a death and a running member that doesn't know it.
+func (c Case) run(p Protocol, seed uint64) (a *Arena, unaware int) {
+	a = New(c.Members, seed, Net{Latency: [2]time.Duration{time.Millisecond / 4, 2 * time.Millisecond}, Refuses: true}, p.Make)
 	rng := rand.New(rand.NewPCG(seed, 5))
 	a.StartAll(time.Second)
-	start := c.begin(&p)
-	a.Until(start)
+	start := c.warmUp(&p)
+	a.RunUntil(start)
 	a.Score = newScore()
 	a.Sent, a.Bytes = 0, 0
 	if c.Loss > 0 {
@@ -247,40 +248,40 @@
 	if c.Pauses {
 		for at := start; at < start+c.Span; at += time.Minute {
 			for range max(1, c.Members/10) {
-				who, when := rng.IntN(c.Members), at+time.Duration(rng.Float64()*float64(time.Minute))
-				a.At(when, func() { a.Pause(who, time.Second+time.Duration(rng.Float64()*float64(4*time.Second))) })
+				target, when := rng.IntN(c.Members), at+time.Duration(rng.Float64()*float64(time.Minute))
+				a.At(when, func() { a.Pause(target, time.Second+time.Duration(rng.Float64()*float64(4*time.Second))) })
 			}
 		}
 	}
 	var killed []int
 	for i := range c.Kills {
-		a.Until(start + c.Span*time.Duration(i)/time.Duration(c.Kills))
-		who := rng.IntN(c.Members)
-		for slices.Contains(killed, who) {
-			who = rng.IntN(c.Members)
+		a.RunUntil(start + c.Span*time.Duration(i)/time.Duration(c.Kills))
+		target := rng.IntN(c.Members)
+		for slices.Contains(killed, target) {
+			target = rng.IntN(c.Members)
 		}
-		killed = append(killed, who)
-		a.Kill(who, c.Vanish)
+		killed = append(killed, target)
+		a.Kill(target, c.Vanish)
 	}
 	end := start + c.Span
 	switch {
-	case c.Kills > 0 && p.Largest > 0 && c.Members > p.Largest:
-		end += largestFor
+	case c.Kills > 0 && p.MaxMembers > 0 && c.Members > p.MaxMembers:
+		end += settleBeyondMax
 	case c.Kills > 0:
-		end += killedFor
+		end += settleAfterKill
 	}
-	a.Until(end)
-	for _, who := range killed {
+	a.RunUntil(end)
+	for _, dead := range killed {
 		for by := range c.Members {
-			if a.members[by].up && !a.knows[[2]int{by, who}] {
-				untold++
+			if a.members[by].up && !a.knownDead[[2]int{by, dead}] {
+				unaware++
 			}
 		}
 	}
-	return a, untold
+	return a, unaware
 }
 
-// Table writes rows for people.
+// Table writes rows as an aligned text table.
 func Table(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "members\tcase\tprotocol\tmember-hours\tfalse deaths\ta member-hour\tchanges a member-minute\tnoticed p50/p99/last s\tknown p50/p99/last s\tnot known\tdatagrams/s\tbytes/s")
--- a/internal/member/arena/rivals.go
+++ b/internal/member/arena/rivals.go
@@ -9,8 +9,8 @@
 	"lemonrail/internal/member"
 )
 
-// Ours is internal/member, with the settings that a maker's hand may change.
-func Ours(zones int, change func(*member.Config)) Maker {
+// Ours returns the protocol of internal/member; change, if not nil, adjusts each member's settings.
+func Ours(zones int, change func(*member.Config)) NodeFactory {
 	return func(i, n, life int, now time.Duration, seed uint64) Node {
 		cfg := member.DefaultConfig()
 		cfg.Self, cfg.Seed, cfg.Start = member.ID(i), seed, uint32(1+life)
@@ -23,7 +23,7 @@
 		}
 		m, err := member.New(cfg, now)
 		if err != nil {
-			panic(err) // the arena's own settings
+			panic(err) // the settings are the arena's own
 		}
 		return &Member{m}
 	}
@@ -36,7 +36,7 @@
 	return string(rune('a' + i%zones))
 }
 
-// Member is internal/member's as a Node.
+// Member adapts member.Member to Node.
 type Member struct{ *member.Member }
 
 func (m *Member) Receive(now time.Duration, from int, data any) {
@@ -52,18 +52,18 @@
 	return out
 }
 
-// Judged leaves out changes of the member's own standing.
-func (m *Member) Judged() (out []Judgement) {
+// StatusChanges leaves out changes of the member's own standing.
+func (m *Member) StatusChanges() (out []StatusChange) {
 	for _, c := range m.Member.Changes() {
-		if c.Of == member.Nobody {
+		if c.Member == member.Nobody {
 			continue
 		}
-		j := Judgement{Of: int(c.Of), Is: Lives}
+		j := StatusChange{Member: int(c.Member), Status: StatusAlive}
 		switch c.To {
 		case member.Suspect:
-			j.Is = Suspected
+			j.Status = StatusSuspect
 		case member.Dead, member.Left:
-			j.Is = Died
+			j.Status = StatusDead
 		case member.Unseen:
 			continue
 		}
@@ -72,16 +72,17 @@
 	return out
 }
 
-// ---- Heartbeats of all to all ----
+// ---- All-to-all heartbeats ----
 
-// Heartbeats has each member send to each every interval; one from which nothing comes for timeout is dead.
-func Heartbeats(interval, timeout time.Duration) Maker {
+// Heartbeats makes each member send to every other once per interval; a member from which nothing came for timeout is
+// dead.
+func Heartbeats(interval, timeout time.Duration) NodeFactory {
 	return func(i, n, _ int, now time.Duration, seed uint64) Node {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		h := &heartbeats{self: i, interval: interval, timeout: timeout, last: make([]time.Duration, n), dead: make([]bool, n),
+		h := &heartbeats{self: i, interval: interval, timeout: timeout, lastHeard: make([]time.Duration, n), dead: make([]bool, n),
 			next: now + time.Duration(rng.Float64()*float64(interval))}
-		for j := range h.last {
-			h.last[j] = now
+		for j := range h.lastHeard {
+			h.lastHeard[j] = now
 		}
 		return h
 	}
@@ -91,10 +92,10 @@
 	self              int
 	interval, timeout time.Duration
 	next              time.Duration
-	last              []time.Duration
+	lastHeard         []time.Duration
 	dead              []bool
 	out               []Packet
-	judged            []Judgement
+	changes           []StatusChange
 }
 
 const heartbeatBytes = 9
@@ -106,23 +107,23 @@
 		return
 	}
 	h.next = max(h.next+h.interval, now+h.interval/2)
-	for j := range h.last {
+	for j := range h.lastHeard {
 		if j == h.self {
 			continue
 		}
 		h.out = append(h.out, Packet{To: j, Data: nil, Size: heartbeatBytes})
-		if !h.dead[j] && now-h.last[j] > h.timeout {
+		if !h.dead[j] && now-h.lastHeard[j] > h.timeout {
 			h.dead[j] = true
-			h.judged = append(h.judged, Judgement{j, Died})
+			h.changes = append(h.changes, StatusChange{j, StatusDead})
 		}
 	}
 }
 
 func (h *heartbeats) Receive(now time.Duration, from int, _ any) {
-	h.last[from] = now
+	h.lastHeard[from] = now
 	if h.dead[from] {
 		h.dead[from] = false
-		h.judged = append(h.judged, Judgement{from, Lives})
+		h.changes = append(h.changes, StatusChange{from, StatusAlive})
 	}
 }
 
@@ -134,33 +135,33 @@
 	return out
 }
 
-func (h *heartbeats) Judged() []Judgement {
-	out := h.judged
-	h.judged = nil
+func (h *heartbeats) StatusChanges() []StatusChange {
+	out := h.changes
+	h.changes = nil
 	return out
 }
 
 // ---- SWIM ----
 
 // SWIM is the protocol of the paper with its suspicion mechanism and round-robin probing: period 1 s, 3 helpers, an
-// answer within a third of a period, suspicion for 3 log2 n periods, news on probes and answers.
-func SWIM() Maker {
+// ack timeout of a third of a period, suspicion for 3 log2 n periods, updates piggybacked on probes and acks.
+func SWIM() NodeFactory {
 	return func(i, n, _ int, now time.Duration, seed uint64) Node {
 		s := &swim{self: i, n: n, rng: rand.New(rand.NewPCG(seed, 2)), peers: make([]swimPeer, n), target: -1}
 		s.next = now + time.Duration(s.rng.Float64()*float64(swimPeriod))
 		s.suspicion = time.Duration(3*math.Ceil(math.Log2(float64(n+1)))) * swimPeriod
-		s.tell(swimNews{i, swimAlive, 0})
+		s.queueUpdate(swimUpdate{i, swimAlive, 0})
 		return s
 	}
 }
 
 const (
-	swimPeriod  = time.Second
-	swimDirect  = swimPeriod / 3
-	swimHelpers = 3
-	swimNewsMax = 6
-	swimHead    = 10
-	swimNewsLen = 7
+	swimPeriod      = time.Second
+	swimAckTimeout  = swimPeriod / 3
+	swimHelpers     = 3
+	swimMaxUpdates  = 6
+	swimHeaderBytes = 10
+	swimUpdateBytes = 7
 )
 
 const (
@@ -169,50 +170,50 @@
 	swimDead
 )
 
-type swimNews struct{ of, state, inc int }
+type swimUpdate struct{ member, state, inc int }
 
 type swimPeer struct {
-	state, inc int
-	till       time.Duration // of its suspicion
+	state, inc   int
+	suspectUntil time.Duration // end of the suspicion
 }
 
 type swimMsg struct {
-	kind, target, asker int // 0 ping, 1 ack, 2 ask; a ping for asker, an ack for it
+	kind, target, asker int // kind: 0 ping, 1 ack, 2 ping request; asker is the member that gets the ack
 	seq                 int
-	news                []swimNews
+	updates             []swimUpdate
 }
 
 type swim struct {
-	self, n   int
-	rng       *rand.Rand
-	inc       int
-	peers     []swimPeer
-	next      time.Duration
-	suspicion time.Duration
-	turn      []int
-	target    int
-	acked     bool
-	seq       int
-	asked     bool
-	began     time.Duration
-	news      []swimQueued
-	out       []Packet
-	judged    []Judgement
+	self, n      int
+	rng          *rand.Rand
+	inc          int
+	peers        []swimPeer
+	next         time.Duration
+	suspicion    time.Duration
+	probeOrder   []int
+	target       int
+	acked        bool
+	seq          int
+	indirectSent bool
+	probeStarted time.Duration
+	updates      []swimQueued
+	out          []Packet
+	changes      []StatusChange
 }
 
 type swimQueued struct {
-	swimNews
-	left int
+	swimUpdate
+	remaining int
 }
 
 func (s *swim) Wake() time.Duration {
 	at := s.next
-	if s.target >= 0 && !s.acked && !s.asked {
-		at = min(at, s.began+swimDirect)
+	if s.target >= 0 && !s.acked && !s.indirectSent {
+		at = min(at, s.probeStarted+swimAckTimeout)
 	}
 	for i := range s.peers {
 		if s.peers[i].state == swimSuspect {
-			at = min(at, s.peers[i].till)
+			at = min(at, s.peers[i].suspectUntil)
 		}
 	}
 	return at
@@ -220,12 +221,12 @@
 
 func (s *swim) Tick(now time.Duration) {
 	for i := range s.peers {
-		if p := &s.peers[i]; p.state == swimSuspect && p.till <= now {
-			s.learn(now, swimNews{i, swimDead, p.inc})
+		if p := &s.peers[i]; p.state == swimSuspect && p.suspectUntil <= now {
+			s.apply(now, swimUpdate{i, swimDead, p.inc})
 		}
 	}
-	if s.target >= 0 && !s.acked && !s.asked && now >= s.began+swimDirect {
-		s.asked = true
+	if s.target >= 0 && !s.acked && !s.indirectSent && now >= s.probeStarted+swimAckTimeout {
+		s.indirectSent = true
 		for range swimHelpers {
 			if h := s.rng.IntN(s.n); h != s.self && h != s.target && s.peers[h].state != swimDead {
 				s.send(h, swimMsg{kind: 2, target: s.target, asker: s.self, seq: s.seq})
@@ -237,42 +238,42 @@
 	}
 	s.next = max(s.next+swimPeriod, now+swimPeriod/2)
 	if s.target >= 0 && !s.acked && s.peers[s.target].state == swimAlive {
-		s.learn(now, swimNews{s.target, swimSuspect, s.peers[s.target].inc})
+		s.apply(now, swimUpdate{s.target, swimSuspect, s.peers[s.target].inc})
 	}
-	s.target = s.pick()
-	s.acked, s.asked, s.began = false, false, now
+	s.target = s.nextTarget()
+	s.acked, s.indirectSent, s.probeStarted = false, false, now
 	s.seq++
 	if s.target >= 0 {
 		s.send(s.target, swimMsg{kind: 0, target: s.target, asker: s.self, seq: s.seq})
 	}
 }
 
-func (s *swim) pick() int {
+func (s *swim) nextTarget() int {
 	for range 2 {
-		for len(s.turn) > 0 {
-			t := s.turn[len(s.turn)-1]
-			s.turn = s.turn[:len(s.turn)-1]
+		for len(s.probeOrder) > 0 {
+			t := s.probeOrder[len(s.probeOrder)-1]
+			s.probeOrder = s.probeOrder[:len(s.probeOrder)-1]
 			if s.peers[t].state != swimDead {
 				return t
 			}
 		}
 		for i := range s.n {
 			if i != s.self && s.peers[i].state != swimDead {
-				s.turn = append(s.turn, i)
+				s.probeOrder = append(s.probeOrder, i)
 			}
 		}
-		s.rng.Shuffle(len(s.turn), func(i, j int) { s.turn[i], s.turn[j] = s.turn[j], s.turn[i] })
+		s.rng.Shuffle(len(s.probeOrder), func(i, j int) { s.probeOrder[i], s.probeOrder[j] = s.probeOrder[j], s.probeOrder[i] })
 	}
 	return -1
 }
 
 func (s *swim) Receive(now time.Duration, from int, data any) {
 	m := data.(swimMsg)
-	for _, w := range m.news {
-		s.learn(now, w)
+	for _, w := range m.updates {
+		s.apply(now, w)
 	}
-	if s.peers[from].state == swimDead { // tells it
-		s.tell(swimNews{from, swimDead, s.peers[from].inc})
+	if s.peers[from].state == swimDead { // lets it learn of its death, so that it can refute it
+		s.queueUpdate(swimUpdate{from, swimDead, s.peers[from].inc})
 	}
 	switch m.kind {
 	case 0:
@@ -288,44 +289,44 @@
 	}
 }
 
-func (s *swim) learn(now time.Duration, w swimNews) {
-	if w.of == s.self {
+func (s *swim) apply(now time.Duration, w swimUpdate) {
+	if w.member == s.self {
 		if w.state != swimAlive && w.inc >= s.inc {
 			s.inc = w.inc + 1
-			s.tell(swimNews{s.self, swimAlive, s.inc})
+			s.queueUpdate(swimUpdate{s.self, swimAlive, s.inc})
 		}
 		return
 	}
-	p := &s.peers[w.of]
-	// Beyond the paper a death may be taken back by a later incarnation: members come back in these runs.
+	p := &s.peers[w.member]
+	// Unlike in the paper, a later incarnation refutes a death: members restart in these runs.
 	if newer := w.inc > p.inc || w.inc == p.inc && w.state > p.state; !newer {
 		return
 	}
-	was := p.state
+	previous := p.state
 	p.state, p.inc = w.state, w.inc
 	if w.state == swimSuspect {
-		p.till = now + s.suspicion
+		p.suspectUntil = now + s.suspicion
 	}
-	s.tell(w)
-	if was != w.state {
-		s.judged = append(s.judged, Judgement{w.of, Verdict(w.state)})
+	s.queueUpdate(w)
+	if previous != w.state {
+		s.changes = append(s.changes, StatusChange{w.member, Status(w.state)})
 	}
 }
 
-func (s *swim) tell(w swimNews) {
-	s.news = slices.DeleteFunc(s.news, func(q swimQueued) bool { return q.of == w.of })
-	s.news = append(s.news, swimQueued{w, int(3 * math.Ceil(math.Log2(float64(s.n+1))))})
+func (s *swim) queueUpdate(w swimUpdate) {
+	s.updates = slices.DeleteFunc(s.updates, func(q swimQueued) bool { return q.member == w.member })
+	s.updates = append(s.updates, swimQueued{w, int(3 * math.Ceil(math.Log2(float64(s.n+1))))})
 }
 
 func (s *swim) send(to int, m swimMsg) {
-	slices.SortStableFunc(s.news, func(a, b swimQueued) int { return b.left - a.left })
-	m.news = nil
-	for i := 0; i < len(s.news) && i < swimNewsMax; i++ {
-		s.news[i].left--
-		m.news = append(m.news, s.news[i].swimNews)
+	slices.SortStableFunc(s.updates, func(a, b swimQueued) int { return b.remaining - a.remaining })
+	m.updates = nil
+	for i := 0; i < len(s.updates) && i < swimMaxUpdates; i++ {
+		s.updates[i].remaining--
+		m.updates = append(m.updates, s.updates[i].swimUpdate)
 	}
-	s.news = slices.DeleteFunc(s.news, func(q swimQueued) bool { return q.left <= 0 })
-	s.out = append(s.out, Packet{To: to, Data: m, Size: swimHead + swimNewsLen*len(m.news)})
+	s.updates = slices.DeleteFunc(s.updates, func(q swimQueued) bool { return q.remaining <= 0 })
+	s.out = append(s.out, Packet{To: to, Data: m, Size: swimHeaderBytes + swimUpdateBytes*len(m.updates)})
 }
 
 func (s *swim) Refused(time.Duration, int) {}
@@ -336,8 +337,8 @@
 	return out
 }
 
-func (s *swim) Judged() []Judgement {
-	out := s.judged
-	s.judged = nil
+func (s *swim) StatusChanges() []StatusChange {
+	out := s.changes
+	s.changes = nil
 	return out
 }
--- a/internal/member/export_test.go
+++ b/internal/member/export_test.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Audit holds what a member keeps as things change against a plain count over all members.
+// Audit compares the indexes and counts of m with a full scan of all members.
 func (m *Member) Audit() error {
-	var want tallies
+	var want peerCounts
 	accused := map[*peer]int{}
 	eligible := 0
 	for _, p := range m.order {
@@ -23,63 +23,63 @@
 				}
 			}
 		}
-		if m.heeds(p) {
+		if m.trusts(p) {
 			eligible++
 			for _, e := range p.rec.list {
-				if t := m.peers[e.id]; t != nil && t != p && e.mark&lost != 0 && e.tag == t.rec.tag() {
+				if t := m.peers[e.id]; t != nil && t != p && e.mark&markUnreachable != 0 && e.lifeTag == t.rec.lifeTag() {
 					accused[t]++
 				}
 			}
 		}
-		if len(p.rec.list) > 0 && !slices.Contains(m.listers, p) {
-			return fmt.Errorf("%d has a list and is not among those that do", p.id)
+		if len(p.rec.list) > 0 && !slices.Contains(m.reporters, p) {
+			return fmt.Errorf("member %d has a list and is not in reporters", p.id)
 		}
 	}
-	if want != m.count {
-		return fmt.Errorf("counted %+v, are %+v", m.count, want)
+	if want != m.counts {
+		return fmt.Errorf("counts are %+v, want %+v", m.counts, want)
 	}
 	if n := m.eligible(); n != eligible {
-		return fmt.Errorf("%d observers counted, are %d", n, eligible)
+		return fmt.Errorf("eligible returns %d, want %d", n, eligible)
 	}
 	for _, p := range m.order {
-		if (accused[p] > 0 || p.state == Suspect || p.state == Unseen && p.known) && !p.ended() && p != m.self && !p.attended && !m.dirty {
-			return fmt.Errorf("%d (%v, accused by %d) is not attended to", p.id, p.state, accused[p])
+		if (accused[p] > 0 || p.state == Suspect || p.state == Unseen && p.known) && !p.ended() && p != m.self && !p.pending && !m.dirty {
+			return fmt.Errorf("member %d (%v, accused by %d) is not pending", p.id, p.state, accused[p])
 		}
 		if !slices.Contains(m.buckets[p.id%buckets], p) {
-			return fmt.Errorf("%d is in no bucket", p.id)
+			return fmt.Errorf("member %d is in no bucket", p.id)
 		}
 	}
 	for r := range m.rings {
 		if len(m.rings[r]) != len(m.order) || !slices.IsSortedFunc(m.rings[r], func(a, b *peer) int {
-			if a.ring[r] < b.ring[r] {
+			if a.ringPositions[r] < b.ringPositions[r] {
 				return -1
 			}
 			return 1
 		}) {
-			return fmt.Errorf("ring %d is out of order", r)
+			return fmt.Errorf("ring %d is not sorted or not complete", r)
 		}
-		for _, from := range m.order { // the next on the ring, found by looking at all
+		for _, from := range m.order { // find the successor by a scan of all members
 			var next *peer
 			for _, p := range m.order {
-				if p != m.self && !p.ended() && p != from && (next == nil || p.ring[r]-from.ring[r] < next.ring[r]-from.ring[r]) {
+				if p != m.self && !p.ended() && p != from && (next == nil || p.ringPositions[r]-from.ringPositions[r] < next.ringPositions[r]-from.ringPositions[r]) {
 					next = p
 				}
 			}
-			if got := m.after(r, from.ring[r], from.ring[r]); got != next {
-				return fmt.Errorf("ring %d: another one follows %d", r, from.id)
+			if got := m.successor(r, from.ringPositions[r], from.ringPositions[r]); got != next {
+				return fmt.Errorf("ring %d: wrong successor of member %d", r, from.id)
 			}
 		}
 	}
 	n := 0
-	for tier, news := range m.news.tiers {
+	for tier, news := range m.updates.tiers {
 		for at, p := range news {
-			if n++; !p.queued || p.tier != tier || p.place != at || p.sent >= p.spreads {
-				return fmt.Errorf("news of %d stand in the wrong place", p.id)
+			if n++; !p.queued || p.tier != tier || p.tierIndex != at || p.sendCount >= p.sendLimit {
+				return fmt.Errorf("update of member %d is at the wrong place in the queue", p.id)
 			}
 		}
 	}
-	if n != m.news.n {
-		return fmt.Errorf("%d pieces of news counted, are %d", m.news.n, n)
+	if n != m.updates.n {
+		return fmt.Errorf("%d updates counted, the queue holds %d", m.updates.n, n)
 	}
 	return nil
 }
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -7,30 +7,31 @@
 	"time"
 )
 
-// spread has what is known of p told on.
-func (m *Member) spread(p *peer) {
-	m.news.remove(p)
-	p.sent, p.spreads = 0, int(math.Ceil(spreadFactor*math.Log2(float64(len(m.peers)+1))))
-	m.news.add(p)
-	m.nextGossip = min(m.nextGossip, m.now+time.Duration(gossipPart*float64(m.cfg.Period)))
+// queueUpdate queues the record of p for gossip.
+func (m *Member) queueUpdate(p *peer) {
+	m.updates.remove(p)
+	p.sendCount, p.sendLimit = 0, int(math.Ceil(spreadFactor*math.Log2(float64(len(m.peers)+1))))
+	m.updates.add(p)
+	m.nextGossip = min(m.nextGossip, m.now+time.Duration(gossipInterval*float64(m.cfg.Period)))
 }
 
-// packet is a datagram for p that takes along what still spreads. One whose own end is known here is told so.
-func (m *Member) packet(p *peer, kind byte, seq uint32) *packet {
+// newPacket returns a datagram for p that carries queued updates. If p's life has ended, p's end record
+// comes first, so that p learns of it.
+func (m *Member) newPacket(p *peer, kind byte, seq uint32) *packet {
 	pk := &packet{kind: kind, seq: seq}
-	room := MaxDatagram - headBytes
+	room := MaxDatagram - headerBytes
 	switch kind {
 	case kindPing:
 		room -= 2 * buckets
 		for i, d := range m.digests {
 			pk.digests[i] = uint16(d)
 		}
-	case kindAsk, kindCall:
+	case kindPingRequest, kindRelayPing:
 		room -= 4
-	case kindAnswer, kindVouch:
+	case kindRelayAck, kindIndirectAck:
 		room -= 5
 	}
-	take := func(q *peer) bool {
+	include := func(q *peer) bool {
 		if n := q.rec.size(); n <= room {
 			room -= n
 			pk.records = append(pk.records, q.rec)
@@ -39,116 +40,120 @@
 		return false
 	}
 	if p.ended() {
-		take(p)
+		include(p)
 	}
-	var took [MaxDatagram / recordLeast]*peer
-	n, passed := 0, 0
-	for q := range m.news.all {
-		if q != p && take(q) {
-			took[n] = q
+	var included [MaxDatagram / minRecordBytes]*peer
+	n, skipped := 0, 0
+	for q := range m.updates.all {
+		if q != p && include(q) {
+			included[n] = q
 			n++
 		} else {
-			passed++
+			skipped++
 		}
-		if room < recordLeast || passed >= passedMost {
+		if room < minRecordBytes || skipped >= maxSkipped {
 			break
 		}
 	}
-	for _, q := range took[:n] {
-		m.news.told(q, 1)
+	for _, q := range included[:n] {
+		m.updates.countSends(q, 1)
 	}
 	return pk
 }
 
-// gossip tells news to a few agents, in rounds.
+// gossip sends queued updates to a few random agents, in rounds.
 func (m *Member) gossip() {
 	m.publish()
-	if m.news.n == 0 || m.now < m.nextGossip {
+	if m.updates.n == 0 || m.now < m.nextGossip {
 		return
 	}
-	m.nextGossip = m.now + time.Duration(gossipPart*float64(m.cfg.Period))
+	m.nextGossip = m.now + time.Duration(gossipInterval*float64(m.cfg.Period))
 	n, size := fanout, 0
-	for q := range m.news.all {
-		if size += q.rec.size(); size > 2*MaxDatagram { // many changes at once
+	for q := range m.updates.all {
+		if size += q.rec.size(); size > 2*MaxDatagram { // many changes at once: send to twice as many
 			n *= 2
 			break
 		}
 	}
-	for _, p := range m.pick(n, nil) {
-		if m.news.n == 0 || m.tokens < probesKeep*burst(m.cfg.Rate) { // before it counts as told
+	for _, p := range m.pickPeers(n, nil) {
+		if m.updates.n == 0 || m.tokens < probeReserve*burst(m.cfg.Rate) { // checked first, since newPacket counts the updates as sent
 			return
 		}
-		m.send(p, m.packet(p, kindGossip, 0), rest)
+		m.send(p, m.newPacket(p, kindGossip, 0), prioritySync)
 	}
 }
 
-// publish writes this agent's own record anew where what it holds of others has changed, not more often than
-// news go out.
+// publish rewrites this agent's own record if its list, doubt or note has changed, but not more often than
+// gossip rounds take place.
 func (m *Member) publish() {
-	if m.leaving || !m.listChanged && m.self.rec.doubt == m.doubt && m.self.rec.note == m.note || m.now < m.listAt {
+	if m.leaving || !m.listChanged && m.self.rec.doubt == m.doubt && m.self.rec.note == m.note || m.now < m.nextPublish {
 		return
 	}
 	m.listChanged = false
 	next := m.self.rec
 	next.list, next.doubt, next.note = nil, m.doubt, m.note
-	for _, s := range m.slotOrder {
+	for _, s := range m.slotList {
 		if s.mark != 0 {
-			next.list = append(next.list, entry{s.p.id, s.mark, s.p.rec.tag()})
+			next.list = append(next.list, entry{s.p.id, s.mark, s.p.rec.lifeTag()})
 		}
 	}
-	// Where there is no room for all, those that stand there already stay, so that nobody's state hangs on who else
-	// is lost; then those lost come first, since their lives hang on it.
-	stood := func(e entry) int {
+	// If the list has to be cut, entries that are published already stay, so that the state of one agent
+	// doesn't depend on how many others fail. Unreachable agents come next, since the list decides on their
+	// death.
+	alreadyListed := func(e entry) int {
 		if slices.ContainsFunc(m.self.rec.list, func(o entry) bool { return o.id == e.id }) {
 			return 1
 		}
 		return 0
 	}
 	slices.SortFunc(next.list, func(a, b entry) int {
-		return cmp.Or(cmp.Compare(stood(b), stood(a)), cmp.Compare(b.mark&(lost|ripe), a.mark&(lost|ripe)), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(alreadyListed(b), alreadyListed(a)), cmp.Compare(b.mark&(markUnreachable|markConfirmable), a.mark&(markUnreachable|markConfirmable)), cmp.Compare(a.id, b.id))
 	})
-	fits := (MaxDatagram - headBytes - 2*buckets - next.size() + 6*len(next.list)) / 6
-	most := listMost
-	if m.doubt { // others leave it aside, and those who share its fate say the same
-		most = listDoubt
+	fits := (MaxDatagram - headerBytes - 2*buckets - next.size() + 6*len(next.list)) / 6
+	maxEntries := maxListEntries
+	if m.doubt { // the list of an agent in doubt counts only for others in doubt, which list the same
+		maxEntries = maxListInDoubt
 	}
-	next.list = next.list[:min(len(next.list), most, fits)]
+	next.list = next.list[:min(len(next.list), maxEntries, fits)]
 	if slices.Equal(next.list, m.self.rec.list) && next.doubt == m.self.rec.doubt && next.note == m.self.rec.note {
 		return
 	}
-	m.listAt = m.now + time.Duration(gossipPart*float64(m.cfg.Period))
-	if len(next.list) > listLong {
-		m.listAt = m.now + 2*m.cfg.Period
+	m.nextPublish = m.now + time.Duration(gossipInterval*float64(m.cfg.Period))
+	if len(next.list) > longList {
+		m.nextPublish = m.now + 2*m.cfg.Period
 	}
-	next.ver++
-	m.put(m.self, next)
+	next.version++
+	m.setRecord(m.self, next)
 }
 
-// compare sends p what it may lack, by its digests. What differs both ways comes back as a correction.
-func (m *Member) compare(p *peer, theirs [buckets]uint16) {
-	var differ []int
+// reconcile sends p records that it may lack, by a comparison of digests. p returns newer records as a
+// correction.
+func (m *Member) reconcile(p *peer, theirs [buckets]uint16) {
+	var differing []int
 	for b := range buckets {
 		if uint16(m.digests[b]) != theirs[b] {
-			differ = append(differ, b)
+			differing = append(differing, b)
 		}
 	}
-	if len(differ) == 0 {
+	if len(differing) == 0 {
 		return
 	}
-	most := 1
-	if len(differ) > buckets/2 && m.now-m.began > hushFor*m.cfg.Period { // p has just begun; not the whole fleet
-		most = syncMost
-	} else if m.news.n > 0 && m.rng.IntN(syncOdds) > 0 { // most of it is on its way
+	maxBuckets := 1
+	// p has just started, and this agent hasn't: after a start of the whole fleet all would sync at once.
+	if len(differing) > buckets/2 && m.now-m.startedAt > endHoldOff*m.cfg.Period {
+		maxBuckets = maxSyncBuckets
+	} else if m.updates.n > 0 && m.rng.IntN(syncOdds) > 0 { // most differences are covered by updates on their way
 		return
 	}
-	m.rng.Shuffle(len(differ), func(i, j int) { differ[i], differ[j] = differ[j], differ[i] })
-	for _, b := range differ[:min(most, len(differ))] {
-		m.sync(p, b)
+	m.rng.Shuffle(len(differing), func(i, j int) { differing[i], differing[j] = differing[j], differing[i] })
+	for _, b := range differing[:min(maxBuckets, len(differing))] {
+		m.syncBucket(p, b)
 	}
 }
 
-// sync sends p what is known of a bucket, as much as a datagram takes: chance makes it another part each time.
-func (m *Member) sync(p *peer, bucket int) {
+// syncBucket sends p the records of a bucket, as many as fit into a datagram, in random order, so that
+// repeated syncs cover all.
+func (m *Member) syncBucket(p *peer, bucket int) {
 	var all []*peer
 	for _, q := range m.buckets[bucket] {
 		if q.known {
@@ -157,7 +162,7 @@
 	}
 	m.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	pk := &packet{kind: kindSync}
-	room := MaxDatagram - headBytes
+	room := MaxDatagram - headerBytes
 	for _, q := range all {
 		if n := q.rec.size(); n <= room {
 			room -= n
@@ -165,29 +170,29 @@
 		}
 	}
 	if len(pk.records) > 0 {
-		m.send(p, pk, rest)
+		m.send(p, pk, prioritySync)
 	}
 }
 
-// urgency says which datagrams go first where Config.Rate binds.
-type urgency uint8
+// priority orders datagrams when Config.Rate limits sending.
+type priority uint8
 
 const (
-	rest   urgency = iota // what makes up for differences: leaves part of the rate to the others
-	finds                 // probes, and what they need
-	answer                // may run into debt
+	prioritySync  priority = iota // gossip and sync: leave part of the burst to probes
+	priorityProbe                 // probes and indirect probes
+	priorityReply                 // replies and own announcements: may overdraw the rate
 )
 
-// send puts a datagram out, within Config.Rate.
-func (m *Member) send(p *peer, pk *packet, u urgency) bool {
-	least := 1.0
+// send queues a datagram for p if Config.Rate allows it, and reports whether it did.
+func (m *Member) send(p *peer, pk *packet, u priority) bool {
+	minTokens := 1.0
 	switch u {
-	case rest:
-		least = probesKeep * burst(m.cfg.Rate)
-	case answer:
-		least = 1 - burst(m.cfg.Rate)
+	case prioritySync:
+		minTokens = probeReserve * burst(m.cfg.Rate)
+	case priorityReply:
+		minTokens = 1 - burst(m.cfg.Rate)
 	}
-	if m.tokens < least {
+	if m.tokens < minTokens {
 		m.counters.Held++
 		return false
 	}
--- a/internal/member/index.go
+++ b/internal/member/index.go
@@ -5,24 +5,25 @@
 	"slices"
 )
 
-// What is kept as things change, so that no datagram and no tick costs time that grows with the fleet: the members by
-// ring and by bucket, how many are in which state, whom evaluate has to look at, and the news by how often they were
-// sent. order stays the list of all, for what is done once in a while.
+// The indexes and counts here are kept up to date on every change, so that no datagram and no tick costs
+// time that grows with the fleet: members by ring and by bucket, counts by state, the peers that evaluate
+// has to examine, and the updates by how often they were sent. Rare operations scan order, the list of all
+// members.
 
-// index holds the orders of all members.
+// index holds all members in several orders.
 type index struct {
-	order   []*peer        // by ID, so that nothing hangs on a map's order
-	rings   [rings][]*peer // by place on each ring
+	order   []*peer        // by ID, for a deterministic iteration
+	rings   [rings][]*peer // by position on each ring
 	buckets [buckets][]*peer
 }
 
 func byID(p *peer, id ID) int { return cmp.Compare(p.id, id) }
 
-// fill makes the index of many at once.
-func (x *index) fill(all []*peer) {
+// build fills the index with all members at once.
+func (x *index) build(all []*peer) {
 	x.order = slices.SortedFunc(slices.Values(all), func(a, b *peer) int { return cmp.Compare(a.id, b.id) })
 	for r := range x.rings {
-		x.rings[r] = slices.SortedFunc(slices.Values(all), func(a, b *peer) int { return cmp.Compare(a.ring[r], b.ring[r]) })
+		x.rings[r] = slices.SortedFunc(slices.Values(all), func(a, b *peer) int { return cmp.Compare(a.ringPositions[r], b.ringPositions[r]) })
 	}
 	for b := range x.buckets {
 		x.buckets[b] = nil
@@ -37,7 +38,7 @@
 	at, _ := slices.BinarySearchFunc(x.order, p.id, byID)
 	x.order = slices.Insert(x.order, at, p)
 	for r := range x.rings {
-		x.rings[r] = slices.Insert(x.rings[r], x.seek(r, p.ring[r]), p)
+		x.rings[r] = slices.Insert(x.rings[r], x.ringIndex(r, p.ringPositions[r]), p)
 	}
 	b := &x.buckets[p.id%buckets]
 	at, _ = slices.BinarySearchFunc(*b, p.id, byID)
@@ -54,90 +55,91 @@
 	*b = slices.DeleteFunc(*b, same)
 }
 
-// seek is where on a ring the first member stands that is not before at.
-func (x *index) seek(r int, at uint64) int {
-	i, _ := slices.BinarySearchFunc(x.rings[r], at, func(p *peer, at uint64) int { return cmp.Compare(p.ring[r], at) })
+// ringIndex returns the index of the first member on ring r at or after position at.
+func (x *index) ringIndex(r int, at uint64) int {
+	i, _ := slices.BinarySearchFunc(x.rings[r], at, func(p *peer, at uint64) int { return cmp.Compare(p.ringPositions[r], at) })
 	return i
 }
 
-// tallies count members by what is known of them, this agent left out.
-type tallies struct {
-	open     int // whose life has not ended, as far as is known
-	known    int // of these, those that were heard of
-	doubting int // of these, those that doubt themselves
-	alive    int // held for alive, by state; this agent among them
+// peerCounts holds counts of members. All but alive leave this agent out.
+type peerCounts struct {
+	open     int // life has not ended, as far as known
+	known    int // of open: a record was received
+	doubting int // of known: doubts itself
+	alive    int // in state Alive, this agent included
 }
 
-// tally counts p in with 1, before a change out with -1.
-func (m *Member) tally(p *peer, n int) {
+// adjustCounts adds n times p to the counts: -1 before a change of p, 1 after it.
+func (m *Member) adjustCounts(p *peer, n int) {
 	if p.state == Alive {
-		m.count.alive += n
+		m.counts.alive += n
 	}
 	if p == m.self || p.ended() {
 		return
 	}
-	m.count.open += n
+	m.counts.open += n
 	if p.known {
-		m.count.known += n
+		m.counts.known += n
 		if p.rec.doubt {
-			m.count.doubting += n
+			m.counts.doubting += n
 		}
 	}
 }
 
-// attend has evaluate look at p.
-func (m *Member) attend(p *peer) {
-	if !p.attended {
-		p.attended = true
-		m.attended = append(m.attended, p)
+// markPending makes the next evaluate examine p.
+func (m *Member) markPending(p *peer) {
+	if !p.pending {
+		p.pending = true
+		m.pending = append(m.pending, p)
 	}
 }
 
-// queue holds news by how often each was sent, the least often sent first. An item is in one tier.
-type queue struct {
+// updateQueue holds peers whose records are gossiped, in tiers by number of sends. A peer is in one tier at
+// most.
+type updateQueue struct {
 	tiers [][]*peer
 	n     int
 }
 
-// tiersMost bounds how often a piece of news is counted as sent.
-const tiersMost = 96
+// maxTiers bounds the send counts that are told apart.
+const maxTiers = 96
 
-func (q *queue) add(p *peer) {
-	tier := min(p.sent, tiersMost-1)
+func (q *updateQueue) add(p *peer) {
+	tier := min(p.sendCount, maxTiers-1)
 	for len(q.tiers) <= tier {
 		q.tiers = append(q.tiers, nil)
 	}
-	p.queued, p.tier, p.place = true, tier, len(q.tiers[tier])
+	p.queued, p.tier, p.tierIndex = true, tier, len(q.tiers[tier])
 	q.tiers[tier] = append(q.tiers[tier], p)
 	q.n++
 }
 
-func (q *queue) remove(p *peer) {
+func (q *updateQueue) remove(p *peer) {
 	if !p.queued {
 		return
 	}
 	tier := q.tiers[p.tier]
 	last := tier[len(tier)-1]
-	tier[p.place], last.place = last, p.place
+	tier[p.tierIndex], last.tierIndex = last, p.tierIndex
 	tier[len(tier)-1] = nil
 	q.tiers[p.tier] = tier[:len(tier)-1]
 	p.queued = false
 	q.n--
 }
 
-// told counts so many more sends of p, and drops it where they are enough.
-func (q *queue) told(p *peer, n int) {
+// countSends adds n to the sends of p, and removes p once it has been sent often enough.
+func (q *updateQueue) countSends(p *peer, n int) {
 	q.remove(p)
-	if p.sent += n; p.sent < p.spreads {
+	if p.sendCount += n; p.sendCount < p.sendLimit {
 		q.add(p)
 	}
 }
 
-// all yields the news, the least often sent first. What it yields may not change the queue meanwhile.
-func (q *queue) all(yield func(*peer) bool) {
+// all yields the queued peers, the least often sent first. yield must not change the queue.
+func (q *updateQueue) all(yield func(*peer) bool) {
 	for _, tier := range q.tiers {
 		for i := range tier {
-			if !yield(tier[len(tier)-1-i]) { // the last that came first: what is new is what others lack
+			if !yield(tier[len(tier)-1-i]) { // newest first: other agents most likely lack it
 				return
 			}
 		}
--- a/internal/member/link/config.go
+++ b/internal/member/link/config.go
@@ -12,36 +12,36 @@
 	"lemonrail/internal/strict"
 )
 
-// Settings are what deploy/members.toml says.
+// Settings are the contents of deploy/members.toml.
 type Settings struct {
-	Fleet     string  `toml:"fleet"`     // agents of another fleet are not heeded
-	Zone      string  `toml:"zone"`      // of this agent; empty: as in the agent's settings
-	Expected  int     `toml:"expected"`  // agents when all is well; 0: as many as are listed
+	Fleet     string  `toml:"fleet"`     // datagrams of agents with another fleet name are dropped
+	Zone      string  `toml:"zone"`      // of this agent; empty: from the agent's settings
+	Expected  int     `toml:"expected"`  // size of the complete fleet; 0: the listed agents
 	PeriodMs  int     `toml:"period_ms"` // between two probes
-	PauseMs   int     `toml:"pause_ms"`  // silence after which an agent may be held for dead
-	Rate      float64 `toml:"rate"`      // datagrams a second at the most, sent
-	Folder    string  `toml:"folder"`    // keeps the start counter; empty: it follows the clock
-	Strangers bool    `toml:"strangers"` // agents that nobody lists may join
-	Listen    string  `toml:"listen"`    // where the platform gives the agent no address for its peers
-	Advertise string  `toml:"advertise"` // where others reach an agent that they don't list; empty: listen
+	PauseMs   int     `toml:"pause_ms"`  // silence after which an agent may be declared dead
+	Rate      float64 `toml:"rate"`      // maximum datagrams sent per second
+	Folder    string  `toml:"folder"`    // stores the start counter; empty: derived from the clock only
+	Strangers bool    `toml:"strangers"` // agents that are not listed may join
+	Listen    string  `toml:"listen"`    // address for peer traffic if the platform gives none
+	Advertise string  `toml:"advertise"` // address announced to agents that don't list this one; empty: listen
 	Members   []struct {
 		Name    string `toml:"name"`
 		Zone    string `toml:"zone"`
 		Address string `toml:"address"`
-	} `toml:"member"` // the fleet, where the platform gives no list of peers; this agent among them
+	} `toml:"member"` // the fleet if the platform gives no peer list; this agent included
 
-	list   []Listed
-	listen netip.AddrPort
-	tell   netip.AddrPort
+	listed     []Listed
+	listenAddr netip.AddrPort
+	advertised netip.AddrPort
 }
 
-// Listed is an agent of the file's list.
+// Listed is an agent in the list of the settings file.
 type Listed struct {
 	member.Peer
 	Address netip.AddrPort
 }
 
-// ReadSettings reads and checks a file.
+// ReadSettings reads and checks the settings file at path.
 func ReadSettings(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -50,62 +50,62 @@
 	return ParseSettings(path, raw)
 }
 
-// ParseSettings is ReadSettings for text; file is what errors call it.
+// ParseSettings parses and checks settings; file is the name used in errors.
 func ParseSettings(file string, raw []byte) (*Settings, error) {
 	d := member.DefaultConfig()
 	s := &Settings{PeriodMs: int(d.Period / time.Millisecond), PauseMs: int(d.Pause / time.Millisecond), Rate: d.Rate}
 	if err := strict.Decode(file, raw, s); err != nil {
 		return nil, err
 	}
-	wrong := func(key string, err error) error {
+	keyError := func(key string, err error) error {
 		if line := strict.Key(raw, key); line > 0 {
 			return fmt.Errorf("%s: line %d: %s: %w", file, line, key, err)
 		}
 		return fmt.Errorf("%s: %s: %w", file, key, err)
 	}
 	var err error
-	if s.listen, err = address(s.Listen); err != nil {
-		return nil, wrong("listen", err)
+	if s.listenAddr, err = address(s.Listen); err != nil {
+		return nil, keyError("listen", err)
 	}
-	if s.tell, err = address(s.Advertise); err != nil {
-		return nil, wrong("advertise", err)
+	if s.advertised, err = address(s.Advertise); err != nil {
+		return nil, keyError("advertise", err)
 	}
-	if !s.tell.IsValid() {
-		s.tell = s.listen
+	if !s.advertised.IsValid() {
+		s.advertised = s.listenAddr
 	}
-	ids, at := map[member.ID]string{}, map[netip.AddrPort]string{}
+	ids, addresses := map[member.ID]string{}, map[netip.AddrPort]string{}
 	for i, m := range s.Members {
-		bad := func(key string, err error) error {
+		memberError := func(key string, err error) error {
 			return fmt.Errorf("%s: line %d: member.%s: %w", file, strict.Table(raw, "member", i), key, err)
 		}
 		a, err := address(m.Address)
 		id := member.NameID(m.Name)
 		switch {
 		case m.Name == "":
-			return nil, bad("name", errors.New("missing"))
+			return nil, memberError("name", errors.New("missing"))
 		case err != nil:
-			return nil, bad("address", err)
+			return nil, memberError("address", err)
 		case !a.IsValid():
-			return nil, bad("address", errors.New("missing"))
+			return nil, memberError("address", errors.New("missing"))
 		case ids[id] != "":
-			return nil, bad("name", fmt.Errorf("%q is %q again, or their numbers are the same", m.Name, ids[id]))
-		case at[a] != "":
-			return nil, bad("address", fmt.Errorf("%v is that of %q", a, at[a]))
+			return nil, memberError("name", fmt.Errorf("%q is a duplicate of %q, or their name hashes collide", m.Name, ids[id]))
+		case addresses[a] != "":
+			return nil, memberError("address", fmt.Errorf("%v is already used by %q", a, addresses[a]))
 		}
-		ids[id], at[a] = m.Name, m.Name
-		s.list = append(s.list, Listed{member.Peer{ID: id, Name: m.Name, Zone: m.Zone}, a})
+		ids[id], addresses[a] = m.Name, m.Name
+		s.listed = append(s.listed, Listed{member.Peer{ID: id, Name: m.Name, Zone: m.Zone}, a})
 	}
-	if len(s.list) > 0 && !s.listen.IsValid() {
-		return nil, wrong("listen", errors.New("missing, though members are listed"))
+	if len(s.listed) > 0 && !s.listenAddr.IsValid() {
+		return nil, keyError("listen", errors.New("required if members are listed"))
 	}
-	if s.Strangers && !s.tell.IsValid() {
-		return nil, wrong("strangers", errors.New("they need advertise or listen, to be told where this agent is"))
+	if s.Strangers && !s.advertised.IsValid() {
+		return nil, keyError("strangers", errors.New("requires advertise or listen, which give the address to announce"))
 	}
 	if s.Folder != "" {
 		if st, err := os.Stat(s.Folder); err != nil {
-			return nil, wrong("folder", err)
+			return nil, keyError("folder", err)
 		} else if !st.IsDir() {
-			return nil, wrong("folder", fmt.Errorf("%s is no folder", s.Folder))
+			return nil, keyError("folder", fmt.Errorf("%s is not a directory", s.Folder))
 		}
 	}
 	for key, check := range map[string]func(*member.Config){
@@ -116,7 +116,7 @@
 		check(&c)
 		c.Pause, c.Rate = max(c.Pause, time.Minute), 1e6
 		if err := c.Check(); err != nil {
-			return nil, wrong(key, err)
+			return nil, keyError(key, err)
 		}
 	}
 	c := s.config()
@@ -125,14 +125,14 @@
 		if c.Rate < 4/c.Period.Seconds() || !(c.Rate >= 0) {
 			key = "rate"
 		}
-		return nil, wrong(key, err)
+		return nil, keyError(key, err)
 	}
 	return s, nil
 }
 
 func (s *Settings) period() time.Duration { return time.Duration(s.PeriodMs) * time.Millisecond }
 
-// config is what the file says, without who this agent is.
+// config returns the member settings, without the agent's identity.
 func (s *Settings) config() member.Config {
 	c := member.DefaultConfig()
 	c.Expected, c.Period, c.Pause, c.Rate, c.Strangers = s.Expected, s.period(), time.Duration(s.PauseMs)*time.Millisecond, s.Rate, s.Strangers
@@ -145,11 +145,11 @@
 	return c
 }
 
-// List is the file's list of agents; empty where the platform's is used.
-func (s *Settings) List() []Listed { return s.list }
+// List returns the agents listed in the file; empty if the platform's list is used.
+func (s *Settings) List() []Listed { return s.listed }
 
-// ListenAt is where to listen, with a list of the file's; invalid: as the platform says.
-func (s *Settings) ListenAt() netip.AddrPort { return s.listen }
+// ListenAt returns the address to listen on if the file lists the agents; invalid: use the platform's.
+func (s *Settings) ListenAt() netip.AddrPort { return s.listenAddr }
 
 func address(text string) (netip.AddrPort, error) {
 	if text == "" {
@@ -160,7 +160,7 @@
 		return a, err
 	}
 	if !a.Addr().Is4() || a.Port() == 0 {
-		return a, fmt.Errorf("%v: an IPv4 address with a port is wanted", a)
+		return a, fmt.Errorf("%v is not an IPv4 address with a port", a)
 	}
 	return a, nil
 }
--- a/internal/member/link/link.go
+++ b/internal/member/link/link.go
@@ -1,8 +1,6 @@
-// Package link drives a member.Member: it owns its clock and goroutine, passes datagrams to and fro, and shows its
-// view. Sockets belong to the agent: link gets what came and says what is to be sent.
-//
-// One goroutine, Run's, owns the Member. Others hand it functions on a bounded inbox; what comes from the network
-// while that is full is lost, as on the way, and counted.
+// Package link runs a member.Member: it owns the clock and the goroutine, passes datagrams in and out, and
+// reports the view. The agent owns the sockets: it passes received datagrams to a Link, which sends through
+// Options.Send.
 package link
 
 import (
@@ -21,58 +19,59 @@
 )
 
 const (
-	inboxSize  = 512 // datagrams and calls that wait
-	quietEvery = time.Second
-	goodbyes   = 300 * time.Millisecond // for which an agent that leaves says so
+	inboxSize       = 512 // datagrams and calls in the queue
+	maxTickInterval = time.Second
+	leaveWait       = 300 * time.Millisecond // time given to leave announcements
 )
 
-// ErrEnded says that the membership has ended, or never began.
+// ErrEnded is returned by calls on a membership that is not running.
 var ErrEnded = errors.New("membership: not running")
 
-// Options are what a Link is made from.
+// Options holds the settings and callbacks of a Link.
 type Options struct {
 	Settings *Settings
 	Name     string
-	Zone     string           // where the settings name none
-	Self     member.ID        // Nobody: a hash of the name
-	Peers    []netip.AddrPort // by the agents' numbers, this one's among them; none: the settings' list
+	Zone     string           // used if the settings have none
+	Self     member.ID        // Nobody: derived from a hash of the name
+	Peers    []netip.AddrPort // indexed by agent number, this agent included; empty: use the settings' list
 	Seed     uint64
-	Send     func(to netip.AddrPort, data []byte) // must not wait; may lose it
-	Counted  func(member.Count)                   // called when it has changed; must not wait long
+	Send     func(to netip.AddrPort, data []byte) // must not block; may drop the datagram
+	Counted  func(member.Count)                   // called on changes; must not block for long
 	Log      *slog.Logger
 }
 
-// Link is a running membership.
+// Link is a running membership. One goroutine, Run's, owns the member.Member; others pass it functions on a
+// bounded inbox. Datagrams that arrive while the inbox is full are dropped and counted.
 type Link struct {
-	o     Options
-	m     *member.Member
-	addrs map[member.ID]netip.AddrPort
-	ids   map[netip.AddrPort]member.ID
-	start time.Time
-	inbox chan func()
-	ended chan struct{}
+	options   Options
+	member    *member.Member
+	addrs     map[member.ID]netip.AddrPort
+	ids       map[netip.AddrPort]member.ID
+	startedAt time.Time
+	inbox     chan func()
+	ended     chan struct{}
 
-	muted atomic.Bool // another process of this agent is the member
-	lost  atomic.Int64
-	alive atomic.Int64
-	major atomic.Int64
-	moved atomic.Int64
-	count member.Count
+	muted     atomic.Bool // another process of this agent takes part instead
+	dropped   atomic.Int64
+	alive     atomic.Int64
+	majority  atomic.Int64
+	changes   atomic.Int64
+	lastCount member.Count
 }
 
-// New makes a membership that has not begun.
+// New creates a membership; Run starts it.
 func New(o Options) (*Link, error) {
 	c := o.Settings.config()
 	c.Name, c.Self, c.Seed = o.Name, o.Self, o.Seed
 	if c.Zone == "" {
 		c.Zone = o.Zone
 	}
-	l := &Link{o: o, addrs: map[member.ID]netip.AddrPort{}, ids: map[netip.AddrPort]member.ID{}, start: time.Now(),
+	l := &Link{options: o, addrs: map[member.ID]netip.AddrPort{}, ids: map[netip.AddrPort]member.ID{}, startedAt: time.Now(),
 		inbox: make(chan func(), inboxSize), ended: make(chan struct{})}
-	if len(o.Settings.list) > 0 {
+	if len(o.Settings.listed) > 0 {
 		c.Self = member.NameID(o.Name)
 		listed := false
-		for _, p := range o.Settings.list {
+		for _, p := range o.Settings.listed {
 			c.Peers = append(c.Peers, p.Peer)
 			l.addrs[p.ID], l.ids[p.Address] = p.Address, p.ID
 			if p.ID == c.Self {
@@ -82,13 +81,13 @@
 				}
 			}
 		}
-		if !listed { // the others have to be told where it is
-			c.Addr = o.Settings.tell
+		if !listed { // the others need its address to reply
+			c.Addr = o.Settings.advertised
 		}
 	} else {
 		if c.Self == member.Nobody {
 			c.Self = member.NameID(o.Name)
-			c.Addr = o.Settings.tell
+			c.Addr = o.Settings.advertised
 		}
 		for i, a := range o.Peers {
 			c.Peers = append(c.Peers, member.Peer{ID: member.ID(i)})
@@ -102,17 +101,18 @@
 		c.Name = c.Name[:member.MaxName]
 	}
 	var err error
-	if c.Start, err = nextLife(o.Settings.Folder, o.Name, time.Now()); err != nil {
-		// Guards against a disk that is full or lies: the clock's counter, or what others remember, does.
-		o.Log.Warn("the start counter is not kept", "err", err)
+	if c.Start, err = nextStartCounter(o.Settings.Folder, o.Name, time.Now()); err != nil {
+		// Not fatal: the clock's counter is used, and an outdated one is corrected by the records of other
+		// agents.
+		o.Log.Warn("cannot store the start counter", "err", err)
 	}
-	if l.m, err = member.New(c, 0); err != nil {
+	if l.member, err = member.New(c, 0); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-// post hands f to Run without waiting; false: there is no room.
+// post queues f for Run without blocking, and reports whether there was room.
 func (l *Link) post(f func()) bool {
 	select {
 	case l.inbox <- f:
@@ -122,7 +122,8 @@
 	}
 }
 
-// Received takes a datagram that came from an address. It never waits.
+// Received processes a datagram received from an address. It doesn't block; a full inbox drops the
+// datagram.
 func (l *Link) Received(from netip.AddrPort, data []byte) {
 	id, known := l.ids[from]
 	if !known {
@@ -130,34 +131,35 @@
 	}
 	if !l.post(func() {
 		if !l.muted.Load() {
-			l.m.Receive(l.now(), id, data)
+			l.member.Receive(l.now(), id, data)
 		}
 	}) {
-		l.lost.Add(1)
+		l.dropped.Add(1)
 	}
 }
 
-// Refused takes that the machine at an address said that nobody listens there. It never waits.
+// Refused reports that the host at an address answered that no process listens there. It doesn't block.
 func (l *Link) Refused(to netip.AddrPort) {
 	if id, known := l.ids[to]; known {
 		l.post(func() {
 			if !l.muted.Load() {
-				l.m.Refused(l.now(), id)
+				l.member.Refused(l.now(), id)
 			}
 		})
 	}
 }
 
-// Mute has this process say and hear nothing, while another process of the same agent is the member.
+// Mute suspends or resumes sending and receiving, while another process of the same agent takes part
+// instead.
 func (l *Link) Mute(mute bool) { l.muted.Store(mute) }
 
-func (l *Link) now() time.Duration { return time.Since(l.start) }
+func (l *Link) now() time.Duration { return time.Since(l.startedAt) }
 
-// Run drives the membership until ctx ends.
+// Run runs the membership until ctx ends.
 func (l *Link) Run(ctx context.Context) error {
 	defer close(l.ended)
-	l.start = time.Now()
-	l.turn()
+	l.startedAt = time.Now()
+	l.step()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -171,71 +173,72 @@
 		for queued := len(l.inbox); queued > 0; queued-- {
 			(<-l.inbox)()
 		}
-		l.turn()
-		wait := quietEvery
+		l.step()
+		wait := maxTickInterval
 		if !l.muted.Load() {
-			wait = min(wait, max(0, l.m.Wake()-l.now()))
+			wait = min(wait, max(0, l.member.Wake()-l.now()))
 		}
 		timer.Reset(wait)
 	}
 }
 
-// turn does what is due, sends what is to be sent and shows what has changed.
-func (l *Link) turn() {
+// step does all work that is due, sends datagrams, logs changes and publishes the counts.
+func (l *Link) step() {
 	if !l.muted.Load() {
-		l.m.Tick(l.now())
+		l.member.Tick(l.now())
 	}
-	for _, d := range l.m.Out() {
+	for _, d := range l.member.Out() {
 		to := l.addrs[d.To]
 		if !to.IsValid() {
 			to = d.Addr
 		}
 		if to.IsValid() && !l.muted.Load() {
-			l.o.Send(to, d.Data)
+			l.options.Send(to, d.Data)
 		}
 	}
-	for _, c := range l.m.Changes() {
-		l.tell(c)
+	for _, c := range l.member.Changes() {
+		l.logChange(c)
 	}
-	v := l.m.Brief()
+	v := l.member.Brief()
 	l.alive.Store(int64(v.Alive))
-	l.moved.Store(int64(v.Moved))
-	l.major.Store(0)
+	l.changes.Store(int64(v.Changes))
+	l.majority.Store(0)
 	if v.Standing == member.Majority {
-		l.major.Store(1)
+		l.majority.Store(1)
 	}
-	if c := l.m.Count(); c.Living != l.count.Living || c.Possible != l.count.Possible || len(c.Away) != len(l.count.Away) {
-		l.count = c
-		if l.o.Counted != nil {
-			l.o.Counted(c)
+	if c := l.member.Count(); c.Living != l.lastCount.Living || c.Possible != l.lastCount.Possible || len(c.Away) != len(l.lastCount.Away) {
+		l.lastCount = c
+		if l.options.Counted != nil {
+			l.options.Counted(c)
 		}
 	}
 }
 
-// tell logs a change.
-func (l *Link) tell(c member.Change) {
-	if c.Of == member.Nobody {
-		l.o.Log.Info("membership", "standing", c.Standing, "moved", c.Moved)
+// logChange logs a state change of a member or a change of this agent's standing.
+func (l *Link) logChange(c member.Change) {
+	if c.Member == member.Nobody {
+		l.options.Log.Info("membership", "standing", c.Standing, "moved", c.Sequence)
 		return
 	}
-	l.o.Log.Info("membership", "member", l.m.Name(c.Of), "was", c.From, "is", c.To, "proved", c.Proved, "moved", c.Moved)
+	l.options.Log.Info("membership", "member", l.member.Name(c.Member), "was", c.From, "is", c.To, "proved", c.Proved, "moved", c.Sequence)
 }
 
-// Leave tells the others that this agent goes, for a moment; nothing where another process of it is the member.
+// Leave announces to the others that this agent leaves, and waits for a short time within the limit. It
+// does nothing while muted.
 func (l *Link) Leave(within time.Duration) {
 	if l.muted.Load() {
 		return
 	}
-	if l.post(func() { l.m.Leave(l.now()) }) {
+	if l.post(func() { l.member.Leave(l.now()) }) {
 		select {
-		case <-time.After(min(goodbyes, max(0, within))):
+		case <-time.After(min(leaveWait, max(0, within))):
 		case <-l.ended:
 		}
 	}
 }
 
-// ask has Run do something, and waits for it while ctx lasts.
-func (l *Link) ask(ctx context.Context, do func()) error {
+// call runs do on Run's goroutine and waits until it has returned or ctx ends.
+func (l *Link) call(ctx context.Context, do func()) error {
 	done := make(chan struct{})
 	select {
 	case l.inbox <- func() { do(); close(done) }:
@@ -254,7 +257,7 @@
 	}
 }
 
-// Report is a view as it is shown.
+// Report is a view in the form of the control API.
 type Report struct {
 	Name        string          `json:"name"`
 	Zone        string          `json:"zone"`
@@ -273,10 +276,10 @@
 	At          time.Time       `json:"at"`
 	Members     []Row           `json:"members"`
 	Counters    member.Counters `json:"counters"`
-	Lost        int64           `json:"lost"` // datagrams that came while the inbox was full
+	Lost        int64           `json:"lost"` // datagrams dropped because the inbox was full
 }
 
-// Row is one member in a Report.
+// Row describes one member in a Report.
 type Row struct {
 	Name            string    `json:"name"`
 	Zone            string    `json:"zone"`
@@ -290,22 +293,22 @@
 	UnreachableFrom []string  `json:"unreachable_from,omitempty"`
 }
 
-// Report returns the present view.
+// Report returns the current view.
 func (l *Link) Report(ctx context.Context) (r *Report, err error) {
-	err = l.ask(ctx, func() { r = l.report() })
+	err = l.call(ctx, func() { r = l.report() })
 	return r, err
 }
 
 func (l *Link) report() *Report {
-	v, c := l.m.View(), l.m.Count()
-	r := &Report{Number: v.Number, Digest: fmt.Sprintf("%016x", v.Digest), Moved: v.Moved, Standing: v.Standing.String(), Majority: v.Majority(),
+	v, c := l.member.View(), l.member.Count()
+	r := &Report{Number: v.Number, Digest: fmt.Sprintf("%016x", v.Digest), Moved: v.Changes, Standing: v.Standing.String(), Majority: v.Majority(),
 		Expected: v.Expected, Alive: v.Alive, Living: c.Living, Possible: c.Possible, Muted: l.muted.Load(), At: time.Now(),
-		Counters: l.m.Counters(), Lost: l.lost.Load()}
+		Counters: l.member.Counters(), Lost: l.dropped.Load()}
 	for _, s := range v.Members {
-		row := Row{Name: l.m.Name(s.ID), Zone: s.Zone, State: s.State.String(), Proved: s.Proved, Start: s.Start, Incarnation: s.Incarnation,
-			Since: l.start.Add(s.Since), Accused: s.Accused, Doubts: s.Doubts}
+		row := Row{Name: l.member.Name(s.ID), Zone: s.Zone, State: s.State.String(), Proved: s.Proved, Start: s.Start, Incarnation: s.Incarnation,
+			Since: l.startedAt.Add(s.Since), Accused: s.Accused, Doubts: s.Doubts}
 		for _, id := range s.UnreachableFrom {
-			row.UnreachableFrom = append(row.UnreachableFrom, l.m.Name(id))
+			row.UnreachableFrom = append(row.UnreachableFrom, l.member.Name(id))
 		}
 		if s.ID == v.Self {
 			r.Name, r.Zone, r.Start, r.Incarnation = row.Name, s.Zone, s.Start, s.Incarnation
@@ -315,22 +318,23 @@
 	return r
 }
 
-// Look hands the present view to f, on the membership's goroutine, without waiting; nothing where it is behind or muted.
+// Look passes the current view to f, on Run's goroutine, without blocking. f is not called if the inbox is
+// full or the link is muted.
 func (l *Link) Look(f func(member.View)) {
 	l.post(func() {
 		if !l.muted.Load() {
-			f(l.m.View())
+			f(l.member.View())
 		}
 	})
 }
 
-// Say has the other members know a few bytes; see member.Say. It never waits: where the membership is behind the
-// bytes are lost, and false comes back.
+// Say publishes a note of a few bytes to the other members; see member.SetNote. It doesn't block; false:
+// the inbox is full and the note was dropped.
 func (l *Link) Say(note []byte) bool {
-	return l.post(func() { l.m.Say(l.now(), note) })
+	return l.post(func() { l.member.SetNote(l.now(), note) })
 }
 
-// Routes are the calls at the control listener.
+// Routes returns the routes of the control listener.
 func (l *Link) Routes() []control.Route {
 	return []control.Route{control.Text("GET /api/members", "application/json", func(ctx context.Context) ([]byte, error) {
 		r, err := l.Report(ctx)
@@ -341,8 +345,8 @@
 	})}
 }
 
-// Gauges are the figures.
+// Gauges returns the metrics of the membership.
 func (l *Link) Gauges() []figures.Gauge {
-	return []figures.Gauge{{Name: "members_alive", Value: l.alive.Load}, {Name: "members_majority", Value: l.major.Load},
-		{Name: "members_changes", Value: l.moved.Load}}
+	return []figures.Gauge{{Name: "members_alive", Value: l.alive.Load}, {Name: "members_majority", Value: l.majority.Load},
+		{Name: "members_changes", Value: l.changes.Load}}
 }
--- a/internal/member/link/link_test.go
+++ b/internal/member/link/link_test.go
@@ -42,34 +42,34 @@
 		}
 	}
 	if _, err := ReadSettings("../../../deploy/members.toml"); err != nil {
-		t.Errorf("the file that is shipped: %v", err)
+		t.Errorf("deploy/members.toml: %v", err)
 	}
 }
 
 func TestStartCounters(t *testing.T) {
 	dir := t.TempDir()
-	now := lifeEpoch.Add(time.Hour)
-	a, err := nextLife(dir, "n0", now)
+	now := startCounterEpoch.Add(time.Hour)
+	a, err := nextStartCounter(dir, "n0", now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := nextLife(dir, "n0", now.Add(-30*time.Minute)) // the clock went back
+	b, err := nextStartCounter(dir, "n0", now.Add(-30*time.Minute)) // the clock went back
 	if err != nil || b <= a {
-		t.Errorf("%d after %d, %v", b, a, err)
+		t.Errorf("counter %d after %d, error %v", b, a, err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "n0.life"), []byte("garbage"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if c, err := nextLife(dir, "n0", now); err == nil || c == 0 {
-		t.Errorf("%d, %v: a file that lies is said, and a counter comes all the same", c, err)
+	if c, err := nextStartCounter(dir, "n0", now); err == nil || c == 0 {
+		t.Errorf("counter %d, error %v; want a counter and an error for a damaged file", c, err)
 	}
-	if c, err := nextLife(filepath.Join(dir, "none"), "n0", now); err == nil || c == 0 {
-		t.Errorf("%d, %v", c, err)
+	if c, err := nextStartCounter(filepath.Join(dir, "none"), "n0", now); err == nil || c == 0 {
+		t.Errorf("counter %d, error %v; want a counter and an error for a missing folder", c, err)
 	}
 }
 
-// Two links that hand each other their datagrams meet, and one that leaves is known to have left.
-func TestTwoMeetAndOneLeaves(t *testing.T) {
+// Two links that exchange datagrams see each other, and a link that leaves is seen as left.
+func TestJoinAndLeave(t *testing.T) {
 	at := []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")}
 	var links [2]*Link
 	counted := make(chan member.Count, 100)
@@ -104,18 +104,18 @@
 			close(done[i])
 		}()
 	}
-	until := func(what string, so func(*Report) bool) {
+	until := func(what string, met func(*Report) bool) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 			r, err := links[0].Report(ctx)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if so(r) {
+			if met(r) {
 				return
 			}
 			if time.Now().After(end) {
-				t.Fatalf("never: %s; %+v", what, r)
+				t.Fatalf("timed out waiting for %s; last report: %+v", what, r)
 			}
 		}
 	}
@@ -132,6 +132,6 @@
 		<-done[i]
 	}
 	if _, err := links[0].Report(context.Background()); err == nil {
-		t.Error("a membership that has ended reports")
+		t.Error("a membership that has ended returned a report")
 	}
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,27 +1,29 @@
-// Package member decides which agents of a fleet live, which are suspected, dead or gone, who can't reach whom,
-// and whether the agent that asks is itself the one that is cut off. It performs no I/O, has no clock and starts
-// no goroutine: time and datagrams are handed in, datagrams and changes of the view come out. A Member belongs to
-// one goroutine.
+// Package member implements the failure detector and membership of a fleet: which agents are alive, suspected, dead
+// or gone, which agents cannot reach each other, and whether this agent itself is cut off. The package performs no
+// I/O, reads no clock and starts no goroutine: the caller passes in the time and the received datagrams, and collects
+// the datagrams to send and the changes of the view. A Member is not safe for concurrent use.
 //
-// Each agent writes one record, its own: name, zone, start counter, incarnation, and the list of those that it
-// can't hear or reach, and in which way. Records spread by gossip, the newest of each agent counts, and whoever
-// holds the same records comes to the same view. Beside the records there are ends: that a life (start counter
-// and incarnation) has ended, as dead or as left. An agent that learns of its own end takes another incarnation.
+// Each agent publishes one record about itself: name, zone, start counter, incarnation, and the list of the agents
+// that it cannot hear or reach, with the kind of failure. Records spread by gossip. The newest record of each agent
+// counts, so agents that hold the same records compute the same view. A life of an agent is identified by its start
+// counter and incarnation; an end record states that a life has ended, as dead or as left. An agent that learns of
+// its own end starts a new incarnation.
 //
-//	unseen ──heard──> alive <──── suspect ────> dead ──new life──> alive
-//	                    └──────────────── left ──new life──> alive
+//	unseen ──record──> alive <──── suspect ────> dead ──new life──> alive
+//	                     └──────────────── left ──new life──> alive
 //
-// Who watches whom follows from rings, after Rapid (Suresh and others, 2018): on each of rings orders of the
-// fleet an agent probes the next one that may live, so that each has as many observers. Beside that it probes the
-// others in turn, one now and then, after SWIM (Das, Gupta, Motivala 2002), with probes by way of others where an
-// answer doesn't come. What an observer makes of silence is widened while its own probes fail or its own clock
-// jumps, after Lifeguard (Dadgar, Phillips, Currey 2017). docs/design/membership.md weighs the ways.
+// The observers of an agent follow from hash rings, after Rapid (Suresh and others, 2018): on each of several rings
+// an agent probes its nearest successor whose life has not ended, so every agent has that many observers. It also
+// probes the other agents round-robin, after SWIM (Das, Gupta, Motivala 2002), with indirect probes where the direct
+// one fails. An observer allows more silence while its own probes fail or its own clock jumps, after Lifeguard
+// (Dadgar, Phillips, Currey 2017). docs/design/membership.md compares the alternatives.
 //
-// Files: rings.go who observes whom; probe.go what an agent finds out itself; record.go and table.go what is
-// known of all, index.go how it is found again; gossip.go how it spreads; view.go what follows from it; packet.go datagrams.
+// Files: rings.go assigns observers; probe.go holds direct and indirect probes; record.go and table.go the records of
+// all agents, index.go their indexes; gossip.go spreads them; view.go derives states and views; packet.go encodes
+// datagrams.
 //
-// Bounds: Config.Most members of some 300 bytes each; listMost of them on one list and probed beside the rings;
-// Config.Rate datagrams a second; 256 bytes a datagram.
+// Bounds: Config.MaxMembers members of about 300 bytes each; maxListEntries entries on a list, and twice as many agents
+// with probe state; Config.Rate datagrams a second; 256 bytes a datagram.
 package member
 
 import (
@@ -33,39 +35,41 @@
 	"time"
 )
 
-// ID is an agent's number: its place in the settings' list, or a hash of its name (see NameID).
+// ID is an agent's number: its index in the configured list of peers, or a hash of its name (see NameID).
 type ID uint32
 
-// Nobody is the ID of no agent.
+// Nobody is the reserved ID that no agent has.
 const Nobody ID = 0xffffffff
 
 // Peer is an agent that the configuration names.
 type Peer struct {
 	ID   ID
-	Name string // empty: learned from itself
+	Name string // empty: taken from the agent's own record
 	Zone string
 }
 
-// Config is what a Member is made from. DefaultConfig fills all but Self, Name, Zone, Start, Peers and Seed.
+// Config holds the settings of a Member. DefaultConfig fills all but Self, Name, Zone, Start, Peers and
+// Seed.
 type Config struct {
 	Self  ID
 	Name  string // at most MaxName bytes
 	Zone  string // at most MaxZone bytes
-	Start uint32 // start counter: over that of any earlier life of this name, as far as it is known
+	Start uint32 // start counter; greater than in every earlier life of this name, as far as known
 	Addr  netip.AddrPort
-	Peers []Peer // the expected fleet, this agent among them or not
+	Peers []Peer // the expected fleet, with or without this agent
 	Seed  uint64
 
-	Fleet     uint16        // datagrams of another fleet are dropped
-	Expected  int           // how many agents the fleet has when all is well; 0: as many as Peers and this one
-	Period    time.Duration // between two probes
-	Pause     time.Duration // silence after which an agent that was stopped may be held for dead
-	Rate      float64       // datagrams a second at the most, sent
-	Strangers bool          // agents that Peers doesn't name may join
-	Most      int           // members that are known at the most
+	Fleet      uint16        // datagrams of another fleet are dropped
+	Expected   int           // size of the complete fleet; 0: Peers and this agent
+	Period     time.Duration // between two probes
+	Pause      time.Duration // silence after which an agent may be declared dead
+	Rate       float64       // maximum datagrams sent per second
+	Strangers  bool          // agents that are not in Peers may join
+	MaxMembers int           // maximum known members, this agent included
 }
 
-// MaxName and MaxZone bound names, in bytes; MaxNote what Say has the others know; MaxExpected the fleet.
+// Bounds of names and notes, in bytes, and of the expected fleet, in agents. SetNote cuts a note to
+// MaxNote.
 const (
 	MaxName     = 31
 	MaxZone     = 15
@@ -73,12 +77,12 @@
 	MaxExpected = 1 << 16
 )
 
-// DefaultConfig are the times and bounds for agents of one region.
+// DefaultConfig returns the times and bounds for agents of one region.
 func DefaultConfig() Config {
-	return Config{Period: 250 * time.Millisecond, Pause: 8 * time.Second, Rate: 40, Most: 4096}
+	return Config{Period: 250 * time.Millisecond, Pause: 8 * time.Second, Rate: 40, MaxMembers: 4096}
 }
 
-// Check names the first value that makes no sense.
+// Check returns an error that names the first invalid value.
 func (c *Config) Check() error {
 	switch {
 	case c.Self == Nobody:
@@ -89,15 +93,15 @@
 		return fmt.Errorf("zone %q: longer than %d bytes", c.Zone, MaxZone)
 	case c.Period < 20*time.Millisecond || c.Period > 10*time.Second:
 		return fmt.Errorf("period: %v is not within 20 ms and 10 s", c.Period)
-	case c.Pause < suspectTries*c.Period:
-		return fmt.Errorf("pause: %v is under %d periods of %v", c.Pause, suspectTries, c.Period)
+	case c.Pause < suspectFailures*c.Period:
+		return fmt.Errorf("pause: %v is under %d periods of %v", c.Pause, suspectFailures, c.Period)
 	case !(c.Rate >= 4/c.Period.Seconds()):
 		return fmt.Errorf("rate: %v datagrams a second are too few for a probe every %v and its answers: %v at the least",
 			c.Rate, c.Period, 4/c.Period.Seconds())
 	case c.Expected < 0 || c.Expected > MaxExpected:
-		return fmt.Errorf("expected: %d agents make no sense", c.Expected)
-	case c.Most < len(c.Peers)+1:
-		return fmt.Errorf("most: %d members are fewer than the %d that are listed and this one", c.Most, len(c.Peers))
+		return fmt.Errorf("expected: %d is negative or exceeds the maximum fleet size", c.Expected)
+	case c.MaxMembers < len(c.Peers)+1:
+		return fmt.Errorf("max members: %d is fewer than the %d listed members and this one", c.MaxMembers, len(c.Peers))
 	}
 	seen := map[ID]bool{}
 	for _, p := range c.Peers {
@@ -112,181 +116,189 @@
 	return nil
 }
 
-// Constants of the protocol, in periods or plain numbers. docs/design/membership.md has their reasons.
+// Constants of the protocol. A duration without a unit is in probe periods. docs/design/membership.md has
+// the reasons.
 const (
-	rings         = 5                // observers of each
-	randomEvery   = 6                // every so many probes one goes to another than those observed
-	alarmTries    = 3                // probes in a row without an answer, of two agents, that make this one doubt itself
-	needMost      = 3                // observers that have to agree
-	suspectTries  = 6                // probes in a row without an answer before an observer lists an agent
-	pairTries     = 24               // the same where others vouch for it: loss alone must not name a cut
-	helpers       = 3                // of which each is asked to probe for this one
-	listMost      = 32               // entries on a list, and probes in hand
-	listDoubt     = 12               // the same of one that doubts itself
-	listLong      = 6                // entries above which a list is written anew less often
-	probesKeep    = 0.4              // of what may be sent at once, that gossip leaves
-	refusedApart  = 1                // periods between two refusals that count as two
-	slowestProbe  = 2                // periods between probes of one that is listed for long, at the least
-	failingShare  = 1                // probes a period of all that are listed for long together
-	healthMost    = 3                // by which silence is widened: 1 + so much
-	wokeAfter     = 4                // periods without a tick after which this agent has been stopped itself
-	hushFor       = 12               // periods for which it ends no life then, nor after its start
-	settleFor     = 4                // periods for which fewer accusers than needed end a suspicion
-	sureFor       = 8                // periods without a reason after which an agent ceases to doubt itself
-	vouchFor      = 12               // periods for which a vouch holds, or that something came straight
-	vouchLong     = 36               // the same once a pair is listed: a steady cut must not flicker
-	sampleFor     = 32               // periods for which a probe's result counts for whether this agent is cut off
-	sampleLeast   = 12               // results that it takes, or all others
-	sweepFirst    = 4                // probes of others at once when two observed agents don't answer; then one a period
-	sampleMost    = 24               // of the others, by whose answers an agent judges itself; where there are more
-	doubtBelow    = 0.4              // it doubts itself at this share that answer, or less,
-	sureAbove     = 0.55             // and no longer from this one on: chance must not make it waver
-	observersBack = 5                // agents on each ring that may observe this one: the next, and behind those in doubt
-	callsEach     = 2                // of them, that are called in a period of doubt
-	correctMost   = 8                // records that are sent back to one whose own are older
-	favoursMost   = 64               // probes in hand for others
-	syncOdds      = 4                // while news spread, a difference is made up for by every so manyth ping
-	syncMost      = 4                // buckets that are sent at once to one that lacks most
-	healthStep    = 0.5              // by which silence is widened with each sign that this agent is slow or deaf
-	healthHeal    = 0.1              // and narrowed with each probe that is answered
-	pickDraws     = 4                // for each agent that is to be picked, before all are gone through
-	passedMost    = 32               // records in a row that don't fit, before a datagram goes as it is
-	spreadFactor  = 3                // times the logarithm of the fleet that one piece of news is sent
-	heardCounts   = 4                // sends that it counts for when others tell it too
-	gossipPart    = 0.4              // of a period between two rounds of gossip
-	fanout        = 2                // datagrams a round
-	forgetStray   = 24 * time.Hour   // an ended stranger's place is kept for so long
-	tickSlack     = time.Millisecond // below it the clock's grain
-	leaveRepeats  = 3                // times that a goodbye is told
-	leaveReceives = 8                // and to how many
+	rings       = 5 // rings, and so observers of each agent
+	randomEvery = 6 // one in this many probes goes to an agent outside the observed ones
+	// Consecutive failed probes of each of two agents (or of the only other one) that trigger the
+	// self-check.
+	alarmFailures     = 3
+	requiredObservers = 3 // observers that must agree on a suspicion or a death
+	suspectFailures   = 6 // consecutive failed probes before an observer lists an agent
+	// The same for a broken link to an agent that others can reach: packet loss alone must not reach this
+	// count.
+	linkFailures           = 24
+	maxHelpers             = 3    // helpers asked for an indirect probe after a failed probe
+	maxListEntries         = 32   // maximum entries on a list
+	maxListInDoubt         = 12   // maximum entries on the list of an agent that doubts itself
+	longList               = 6    // a list with more entries is published less often
+	probeReserve           = 0.4  // share of the send burst that gossip and sync leave to probes
+	refusalSpacing         = 1    // minimum periods between two refusals that count separately
+	slowProbeInterval      = 2    // minimum periods between probes of an agent that has failed for long
+	failingProbesPerPeriod = 1    // probes per period shared by all agents that have failed for long
+	maxLocalHealth         = 3    // the probe timeout is extended to at most 1 + this many periods
+	stallPeriods           = 4    // periods without a tick after which this agent was stalled itself
+	endHoldOff             = 12   // periods after a start or a stall in which this agent declares no death
+	clearSuspicionAfter    = 4    // periods with too few accusers that clear a suspicion
+	clearDoubtAfter        = 8    // periods without a reason for doubt that clear the doubt
+	evidenceTTL            = 12   // periods for which a direct contact or an indirect ack counts
+	listedEvidenceTTL      = 36   // the same once a broken link is listed, so that a steady cut doesn't flap
+	sampleTTL              = 32   // periods for which a probe result counts in the self-check
+	minSample              = 12   // minimum results for the self-check, or one of each other agent if fewer
+	firstSweep             = 4    // probes outside the observed agents when the self-check starts; then one per period
+	maxSample              = 24   // maximum agents in the self-check
+	doubtThreshold         = 0.4  // an agent doubts itself when this share of the sample or less answers
+	clearDoubtThreshold    = 0.55 // doubt ends from this share on; the gap absorbs random loss
+	// Maximum observers of this agent on a ring: the nearest predecessor, and those behind it while it is in
+	// doubt.
+	maxObserversPerRing = 5
+	contactsPerPeriod   = 2                // observers contacted per period while this agent doubts itself
+	maxCorrections      = 8                // newer records returned to a sender of outdated ones
+	maxRelays           = 64               // maximum pending indirect probes for other agents
+	syncOdds            = 4                // while updates spread, one in this many pings with a different digest starts a sync
+	maxSyncBuckets      = 4                // buckets sent at once to an agent that lacks most records
+	healthStep          = 0.5              // extension of the probe timeout per sign of local slowness, in periods
+	healthRecovery      = 0.1              // reduction of that extension per answered probe
+	drawsPerPick        = 4                // random draws per agent to pick, before scanning all members
+	maxSkipped          = 32               // records that don't fit, after which a datagram is sent as it is
+	spreadFactor        = 3                // an update is sent this factor times log2 of the fleet size
+	duplicateSends      = 4                // sends credited to an update when another agent repeats it
+	gossipInterval      = 0.4              // periods between two gossip rounds
+	fanout              = 2                // datagrams per gossip round
+	strangerRetention   = 24 * time.Hour   // how long an ended agent outside Peers is remembered when space runs out
+	minTickGap          = time.Millisecond // minimum delay returned by Wake; the clock is not finer
+	leaveRepeats        = 3                // rounds of leave messages
+	leaveReceivers      = 8                // receivers of each round
 )
 
-// Datagram is one to send.
+// Datagram is a datagram to send.
 type Datagram struct {
 	To   ID
-	Addr netip.AddrPort // where a stranger said that it is; invalid: as listed
+	Addr netip.AddrPort // address that an unlisted agent announced; invalid: use the configured one
 	Data []byte
 }
 
-// Counters count what came, since the start.
+// Counters count datagrams and stalls since the start.
 type Counters struct {
 	Sent, Received   uint64
-	Bytes            uint64 // sent
-	Held             uint64 // not sent, since Rate was reached
-	Foreign, Garbled uint64 // of another fleet or version; cut or senseless
-	Strange          uint64 // from nobody that is known, or under another's number
-	Wakes            uint64 // times that this agent found itself to have been stopped
+	Bytes            uint64 // bytes sent
+	Held             uint64 // datagrams not sent because of Config.Rate
+	Foreign, Garbled uint64 // other fleet or protocol version; truncated or malformed
+	Strange          uint64 // unknown sender, or a sender ID that doesn't match the address
+	Wakes            uint64 // times that this agent noticed that it had been stalled
 }
 
-// Member is one agent's knowledge of the fleet.
+// Member holds what one agent knows of the fleet.
 type Member struct {
 	cfg Config
 	rng *rand.Rand
 
-	now, began time.Duration
-	lastTick   time.Duration
-	hushUntil  time.Duration
-	seq        uint32
-	tokens     float64
-	tokensAt   time.Duration
-	peers      map[ID]*peer
+	now, startedAt time.Duration
+	lastTick       time.Duration
+	noEndsUntil    time.Duration
+	seq            uint32
+	tokens         float64
+	tokensAt       time.Duration
+	peers          map[ID]*peer
 	index
-	count         tallies
-	attended      []*peer // whom evaluate has to look at
-	spareAttended []*peer // its memory, for the next time
-	listers       []*peer // with lists, maybe empty by now
-	self          *peer
-	leaving       bool
-	leftTold      int
-	digests       [buckets]uint32
-	nextProbe     time.Duration
-	heardAny      time.Duration
-	nextGossip    time.Duration
-	probes        int
-	slots         map[ID]*slot
-	slotOrder     []*slot
-	turn          []ID    // of the agents that are probed beside those observed
-	health        float64 // 0: well, to healthMost
-	wasAlarmed    bool
-	sample        [2 * sampleMost]outcome
-	samples       int
-	news          queue // records that still spread
-	helped        []favour
-	listChanged   bool
-	note          string // that others are to know
-	listAt        time.Duration
-	dirty         bool // something that the view follows from has changed
-	evalAt        time.Duration
-	doubt         bool
-	sureAt        time.Duration // since when there is no reason to doubt; -1: there is one
-	told          Standing
-	reorder       bool    // who is to be observed has to be worked out anew
-	subjects      []*peer // those observed, by ring
-	observers     []*peer // those that observe this agent, as far as it knows
-	called        int
-	out           []Datagram
-	changes       []Change
-	number        uint64
-	moved         uint64 // changes of this member's view so far
-	counters      Counters
+	counts       peerCounts
+	pending      []*peer // peers that the next evaluate examines
+	sparePending []*peer // spare backing array for pending
+	reporters    []*peer // peers with entries on their lists; entries may have gone since
+	self         *peer
+	leaving      bool
+	leaveRounds  int
+	digests      [buckets]uint32
+	nextProbe    time.Duration
+	lastReceived time.Duration
+	nextGossip   time.Duration
+	probes       int
+	slots        map[ID]*slot
+	slotList     []*slot
+	probeOrder   []ID    // remaining round-robin order of probes outside the observed agents
+	localHealth  float64 // 0: healthy, up to maxLocalHealth; extends timeouts by as many periods
+	wasAlarmed   bool
+	sample       [2 * maxSample]outcome
+	sampleCount  int
+	updates      updateQueue // records that are still gossiped
+	relays       []relay
+	listChanged  bool
+	note         string // published in this agent's record
+	nextPublish  time.Duration
+	dirty        bool // an input of evaluate has changed
+	nextEvaluate time.Duration
+	doubt        bool
+	noDoubtSince time.Duration // start of the time without a reason for doubt; -1: there is a reason
+	lastStanding Standing
+	ringsChanged bool    // assignObservers must run again
+	subjects     []*peer // agents that this one observes, in ring order
+	observers    []*peer // agents that observe this one, as far as known
+	contactIndex int
+	out          []Datagram
+	changes      []Change
+	number       uint64
+	changeCount  uint64 // changes of this member's view so far
+	counters     Counters
 }
 
-// New returns a member that knows the listed agents and has heard of none.
+// New returns a member that knows the listed agents and has received nothing from them.
 func New(cfg Config, now time.Duration) (*Member, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
-	m := &Member{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))), now: now, began: now, lastTick: now, tokens: burst(cfg.Rate),
+	m := &Member{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))), now: now, startedAt: now, lastTick: now, tokens: burst(cfg.Rate),
 		tokensAt: now, peers: map[ID]*peer{}, slots: map[ID]*slot{}, dirty: true}
 	all := make([]*peer, 0, len(cfg.Peers)+1)
 	for _, p := range cfg.Peers {
 		if p.ID != cfg.Self {
-			all = append(all, m.make(p.ID, p.Name, p.Zone))
+			all = append(all, m.newPeer(p.ID, p.Name, p.Zone))
 			all[len(all)-1].listed = true
 		}
 	}
-	m.count.open = len(all)
-	m.self = m.make(cfg.Self, cfg.Name, cfg.Zone)
-	m.fill(append(all, m.self))
-	m.self.rec = record{id: cfg.Self, kind: kindFull, start: cfg.Start, ver: 1, name: cfg.Name, zone: cfg.Zone, addr: cfg.Addr}
+	m.counts.open = len(all)
+	m.self = m.newPeer(cfg.Self, cfg.Name, cfg.Zone)
+	m.build(append(all, m.self))
+	m.self.rec = record{id: cfg.Self, kind: kindFull, start: cfg.Start, version: 1, name: cfg.Name, zone: cfg.Zone, addr: cfg.Addr}
 	m.self.state = Alive
-	m.count.alive++
-	m.put(m.self, m.self.rec)
+	m.counts.alive++
+	m.setRecord(m.self, m.self.rec)
 	if m.cfg.Expected == 0 {
 		m.cfg.Expected = len(m.peers)
 	}
-	m.hushUntil = now + hushFor*cfg.Period
+	m.noEndsUntil = now + endHoldOff*cfg.Period
 	m.nextProbe = now + m.fraction(cfg.Period)
-	m.spread(m.self)
-	m.observe()
+	m.queueUpdate(m.self)
+	m.assignObservers()
 	return m, nil
 }
 
+// burst returns the maximum number of datagrams sent at once at a rate of so many datagrams a second.
 func burst(rate float64) float64 { return max(8, rate/2) }
 
-// fraction is a random part of d: what starts together must not go on together.
+// fraction returns a random part of d, so that agents started together don't act in step.
 func (m *Member) fraction(d time.Duration) time.Duration {
 	return time.Duration(m.rng.Float64() * float64(d))
 }
 
-// make puts one together that no order holds yet.
-func (m *Member) make(id ID, name, zone string) *peer {
-	p := &peer{id: id, state: Unseen, since: m.now, heardAt: -1, okAt: -1, failAt: -1}
+// newPeer creates a peer and adds it to peers, but not to the indexes.
+func (m *Member) newPeer(id ID, name, zone string) *peer {
+	p := &peer{id: id, state: Unseen, since: m.now, heardAt: -1, lastAckAt: -1, lastFailAt: -1}
 	p.rec.name, p.rec.zone = name, zone
-	for r := range p.ring {
-		p.ring[r] = ringHash(r, id)
+	for r := range p.ringPositions {
+		p.ringPositions[r] = ringPosition(r, id)
 	}
 	m.peers[id] = p
 	return p
 }
 
-// Wake is when Tick wants to be called next, at the latest; sooner does no harm.
+// Wake returns the latest time for the next Tick. Calling Tick earlier is harmless.
 func (m *Member) Wake() time.Duration {
 	at := m.nextProbe
-	if m.news.n > 0 {
+	if m.updates.n > 0 {
 		at = min(at, m.nextGossip)
 	}
-	for _, s := range m.slotOrder {
+	for _, s := range m.slotList {
 		switch {
 		case s.waiting:
 			at = min(at, s.due)
@@ -294,18 +306,18 @@
 			at = min(at, s.nextAt)
 		}
 	}
-	if m.evalAt > 0 {
-		at = min(at, m.evalAt)
+	if m.nextEvaluate > 0 {
+		at = min(at, m.nextEvaluate)
 	}
-	return max(at, m.now+tickSlack)
+	return max(at, m.now+minTickGap)
 }
 
-// Tick does what is due by now. A gap of several periods since the last one means that this agent was stopped:
-// what it then finds unanswered is its own doing.
+// Tick does all work that is due at now. A gap of several periods since the last Tick means that this agent
+// was stalled; unanswered probes are then attributed to the stall.
 func (m *Member) Tick(now time.Duration) {
 	m.advance(now)
 	if m.leaving {
-		m.sayLeft()
+		m.sendLeave()
 		return
 	}
 	m.probe()
@@ -313,42 +325,44 @@
 	m.evaluate()
 }
 
+// advance moves the clock to now, detects a stall and refills the send budget.
 func (m *Member) advance(now time.Duration) {
 	m.now = max(now, m.now)
-	if gap := m.now - m.lastTick; gap > wokeAfter*m.cfg.Period {
-		m.woke()
+	if gap := m.now - m.lastTick; gap > stallPeriods*m.cfg.Period {
+		m.resetAfterStall()
 	}
 	m.lastTick = m.now
 	m.tokens = min(burst(m.cfg.Rate), m.tokens+m.cfg.Rate*(m.now-m.tokensAt).Seconds())
 	m.tokensAt = m.now
 }
 
-// woke is for an agent that did not listen: what it holds against others is its own doing, and what waits in its
-// socket may be old.
-func (m *Member) woke() {
+// resetAfterStall discards evidence that this agent gathered while it did not read its socket: the missing
+// answers are its own fault, and datagrams still in the socket may be old.
+func (m *Member) resetAfterStall() {
 	m.counters.Wakes++
-	m.health = healthMost
-	m.startOver()
+	m.localHealth = maxLocalHealth
+	m.discardEvidence()
 	for _, p := range m.order {
-		p.okAt, p.failAt = -1, -1
+		p.lastAckAt, p.lastFailAt = -1, -1
 	}
-	m.samples = 0
+	m.sampleCount = 0
 	m.nextProbe = m.now
 }
 
-// startOver drops all that this agent held against others, and has it end no life for a while, also on others'
-// word: they may have to start over too.
-func (m *Member) startOver() {
-	m.hushUntil = m.now + hushFor*m.cfg.Period
-	for _, s := range m.slotOrder {
-		if s.refusals == 0 { // what a machine says does not hang on who could hear it
-			s.rest()
+// discardEvidence drops what this agent holds against others, except refusals, and makes it declare no death for a
+// while, not even one that the lists of others support: those agents may have to discard their evidence too.
+func (m *Member) discardEvidence() {
+	m.noEndsUntil = m.now + endHoldOff*m.cfg.Period
+	for _, s := range m.slotList {
+		if s.refusals == 0 { // a refusal by the host is valid even if this agent was deaf
+			s.reset()
 		}
 	}
 	m.dirty, m.listChanged = true, true
 }
 
-// Receive takes a datagram. from is the agent whose address it came from; Nobody: none that is listed.
+// Receive processes a datagram. from is the agent that owns the sender's address; Nobody: the address is
+// not listed.
 func (m *Member) Receive(now time.Duration, from ID, data []byte) {
 	m.advance(now)
 	m.counters.Received++
@@ -372,93 +386,96 @@
 			return
 		}
 	}
-	m.take(p, pk)
+	m.handle(p, pk)
 }
 
-// admit makes room for a stranger that sends its own record.
+// admit adds the sender of a datagram that is not in Config.Peers, if it sent its own record with an
+// address.
 func (m *Member) admit(pk *packet) *peer {
 	if !m.cfg.Strangers {
 		return nil
 	}
 	for i := range pk.records {
 		if r := &pk.records[i]; r.id == pk.from && r.kind == kindFull && r.addr.IsValid() {
-			return m.place(r.id)
+			return m.addStranger(r.id)
 		}
 	}
 	return nil
 }
 
-// place finds room for one more; nil where there is none.
-func (m *Member) place(id ID) *peer {
-	if len(m.peers) >= m.cfg.Most {
+// addStranger adds a peer that is not in Config.Peers; nil if MaxMembers is reached and no peer can be
+// removed.
+func (m *Member) addStranger(id ID) *peer {
+	if len(m.peers) >= m.cfg.MaxMembers {
 		var oldest *peer
 		for _, p := range m.order {
-			if !p.listed && p != m.self && p.ended() && m.now-p.since > forgetStray && (oldest == nil || p.since < oldest.since) {
+			if !p.listed && p != m.self && p.ended() && m.now-p.since > strangerRetention && (oldest == nil || p.since < oldest.since) {
 				oldest = p
 			}
 		}
 		if oldest == nil {
 			return nil
 		}
-		m.forget(oldest)
+		m.removePeer(oldest)
 	}
-	p := m.make(id, "", "")
+	p := m.newPeer(id, "", "")
 	m.insert(p)
-	m.tally(p, 1)
-	m.turn = nil
+	m.adjustCounts(p, 1)
+	m.probeOrder = nil
 	return p
 }
 
-func (m *Member) forget(p *peer) {
-	m.lift(p)
-	m.tally(p, -1)
+// removePeer removes all that is known of p.
+func (m *Member) removePeer(p *peer) {
+	m.removeFromDigest(p)
+	m.adjustCounts(p, -1)
 	delete(m.peers, p.id)
 	m.remove(p)
-	m.news.remove(p)
-	m.attended = slices.DeleteFunc(m.attended, func(o *peer) bool { return o == p })
-	m.listers = slices.DeleteFunc(m.listers, func(o *peer) bool { return o == p })
-	m.drop(p.id)
-	m.turn, m.dirty = nil, true
-	m.reorder = true
+	m.updates.remove(p)
+	m.pending = slices.DeleteFunc(m.pending, func(o *peer) bool { return o == p })
+	m.reporters = slices.DeleteFunc(m.reporters, func(o *peer) bool { return o == p })
+	m.dropSlot(p.id)
+	m.probeOrder, m.dirty = nil, true
+	m.ringsChanged = true
 }
 
-// take does what a datagram asks for.
-func (m *Member) take(p *peer, pk *packet) {
-	m.hear(p)
-	var behind []record // what p should know by now
+// handle processes a datagram from p.
+func (m *Member) handle(p *peer, pk *packet) {
+	m.recordContact(p)
+	var behind []record // records that p should know by now
 	for i := range pk.records {
-		if newer := m.merge(&pk.records[i], pk.kind == kindSync); newer != nil && len(behind) < correctMost {
+		if newer := m.merge(&pk.records[i], pk.kind == kindSync); newer != nil && len(behind) < maxCorrections {
 			behind = append(behind, newer.rec)
 		}
 	}
 	if len(behind) > 0 && (pk.kind == kindGossip || pk.kind == kindSync) {
-		m.send(p, &packet{kind: kindGossip, records: behind}, rest)
+		m.send(p, &packet{kind: kindGossip, records: behind}, prioritySync)
 	}
 	switch pk.kind {
 	case kindPing:
-		m.send(p, m.packet(p, kindAck, pk.seq), answer)
-		m.compare(p, pk.digests)
+		m.send(p, m.newPacket(p, kindAck, pk.seq), priorityReply)
+		m.reconcile(p, pk.digests)
 	case kindAck:
-		m.answered(p, pk.seq)
-	case kindAsk:
-		m.favour(p, pk)
-	case kindCall: // for another, which is to be answered straight too
+		m.handleAck(p, pk.seq)
+	case kindPingRequest:
+		m.handlePingRequest(p, pk)
+	case kindRelayPing: // from a helper, for target, which must get a direct answer too
 		if other := m.peers[pk.target]; other != nil && other != m.self {
-			reply := m.packet(p, kindAnswer, pk.seq)
-			reply.target, reply.hears = pk.target, m.heardLately(other)
-			m.send(p, reply, answer)
-			m.send(other, m.packet(other, kindGossip, 0), answer)
+			reply := m.newPacket(p, kindRelayAck, pk.seq)
+			reply.target, reply.hears = pk.target, m.heardRecently(other)
+			m.send(p, reply, priorityReply)
+			m.send(other, m.newPacket(other, kindGossip, 0), priorityReply)
 		}
-	case kindAnswer:
-		m.passOn(p, pk)
-	case kindVouch:
-		m.vouched(pk, m.now, pk.hears)
-	case kindHeard:
-		m.vouched(pk, m.now-time.Duration(pk.age)*ageUnit, false)
+	case kindRelayAck:
+		m.forwardRelayAck(p, pk)
+	case kindIndirectAck:
+		m.recordEvidence(pk, m.now, pk.hears)
+	case kindLastHeard:
+		m.recordEvidence(pk, m.now-time.Duration(pk.age)*ageUnit, false)
 	}
 }
 
-// Refused says that the machine of an agent answered that nobody listens where the agent should.
+// Refused reports that the host of an agent answered that no process listens on the agent's port.
 func (m *Member) Refused(now time.Duration, to ID) {
 	m.advance(now)
 	p := m.peers[to]
@@ -466,18 +483,18 @@
 		return
 	}
 	if s := m.slotFor(p); s != nil {
-		m.refused(s)
+		m.handleRefusal(s)
 	}
 }
 
-// Say has the others know a few bytes, MaxNote at the most, that mean something to the users of the view: they stand
-// beside this member's name there. Each change of them is told to the whole fleet.
-func (m *Member) Say(now time.Duration, note []byte) {
+// SetNote publishes a few bytes, MaxNote at most, that have a meaning only to users of the view, in
+// MemberInfo.Note. Each change is gossiped to the whole fleet.
+func (m *Member) SetNote(now time.Duration, note []byte) {
 	m.advance(now)
 	m.note = string(note[:min(len(note), MaxNote)])
 }
 
-// Leave tells the others that this agent goes. Afterwards Tick repeats the goodbye a few times, and nothing else.
+// Leave announces that this agent leaves. Afterwards Tick only repeats the announcement a few times.
 func (m *Member) Leave(now time.Duration) {
 	m.advance(now)
 	if m.leaving {
@@ -486,27 +503,28 @@
 	m.leaving = true
 	end := m.self.rec
 	end.kind, end.list = kindLeft, nil
-	m.put(m.self, end)
-	m.sayLeft()
+	m.setRecord(m.self, end)
+	m.sendLeave()
 }
 
-func (m *Member) sayLeft() {
+// sendLeave sends the next round of leave messages, leaveRepeats rounds at most.
+func (m *Member) sendLeave() {
 	m.nextProbe = m.now + m.cfg.Period/4
-	if m.leftTold >= leaveRepeats {
+	if m.leaveRounds >= leaveRepeats {
 		return
 	}
-	m.leftTold++
-	for _, p := range m.pick(leaveReceives, nil) {
-		m.send(p, &packet{kind: kindGossip, records: []record{m.self.rec}}, answer)
+	m.leaveRounds++
+	for _, p := range m.pickPeers(leaveReceivers, nil) {
+		m.send(p, &packet{kind: kindGossip, records: []record{m.self.rec}}, priorityReply)
 	}
 }
 
-// Out hands over what is to be sent.
+// Out returns the datagrams to send and empties the queue.
 func (m *Member) Out() []Datagram {
 	out := m.out
 	m.out = nil
 	return out
 }
 
-// Counters returns what came so far.
+// Counters returns the counters since the start.
 func (m *Member) Counters() Counters { return m.counters }
--- a/internal/member/packet.go
+++ b/internal/member/packet.go
@@ -7,51 +7,52 @@
 	"time"
 )
 
-// Tag begins each datagram of this protocol. What agents tell each other of their demands begins otherwise, and
-// agents that know only that drop what begins so.
+// Tag is the first byte of each datagram of this protocol. The demand exchange between agents shares the
+// socket and starts with other bytes; agents that know only that exchange drop datagrams with this tag.
 const Tag = 0xd2
 
-// MaxDatagram is the most bytes that agents may send one another at a time.
+// MaxDatagram is the maximum size of a datagram between agents, in bytes.
 const MaxDatagram = 256
 
 const version = 1
 
-// Kinds of datagram.
+// Kinds of datagram. The numbers are part of the wire format.
 const (
 	kindGossip byte = iota
-	kindPing        // answered by an ack
+	kindPing        // answered by kindAck
 	kindAck
-	kindAsk    // please probe target for me
-	kindCall   // a probe for target, which asked for it
-	kindAnswer // to a call
-	kindVouch  // target answered the call that you asked for
-	kindSync   // what one seems to lack: nothing new to others
-	kindHeard  // to an ask: something of target came here straight, so long ago
-	kinds
+	kindPingRequest // asks for an indirect probe of target
+	kindRelayPing   // indirect probe on behalf of target, the agent that asked for it
+	kindRelayAck    // answers kindRelayPing
+	kindIndirectAck // target answered the requested indirect probe
+	kindSync        // records that the receiver seems to lack; not gossiped on
+	kindLastHeard   // answers kindPingRequest: the age of the last direct contact with target
+	kindCount
 )
 
 const ageUnit = 10 * time.Millisecond
 
 const (
-	buckets     = 16
-	headBytes   = 1 + 1 + 2 + 1 + 4 + 4
-	recordLeast = 1 + 4 + 4 + 2 // an end
+	buckets        = 16
+	headerBytes    = 1 + 1 + 2 + 1 + 4 + 4
+	minRecordBytes = 1 + 4 + 4 + 2 // an end record
 )
 
 var (
-	errForeign = errors.New("another fleet or version")
+	errForeign = errors.New("datagram of another fleet or protocol version")
 	errGarbled = errors.New("garbled")
 )
 
-// packet is a datagram's content. Integers are big-endian.
+// packet is the content of a datagram. Integers are big-endian; numbers are lengths in bytes.
 //
 //	tag 1, version 1, fleet 2, kind 1, from 4, seq 4
-//	ping:           16 digests of 2
-//	ask, call:      target 4
-//	answer, vouch:  target 4, hears 1
-//	heard:          target 4, age 2 in units of 10 ms
-//	then records: kind 1, id 4, start 4, inc 2
-//	  full:      ver 4, flags 1 (1 doubt, 2 address, 4 note), [IPv4 4, port 2], [note 1+n], zone 1+n, name 1+n, entries 1, each id 4, mark 1, tag 1
+//	ping:                       16 digests of 2
+//	ping request, relay ping:   target 4
+//	relay ack, indirect ack:    target 4, hears 1
+//	last heard:                 target 4, age 2 in units of 10 ms
+//	then records: kind 1, id 4, start 4, incarnation 2
+//	  full: version 4, flags 1 (1 doubt, 2 address, 4 note), [IPv4 4, port 2], [note 1+n],
+//	        zone 1+n, name 1+n, entries 1, each id 4, mark 1, life tag 1
 type packet struct {
 	kind    byte
 	from    ID
@@ -81,11 +82,11 @@
 	b = append(b, r.kind)
 	b = binary.BigEndian.AppendUint32(b, uint32(r.id))
 	b = binary.BigEndian.AppendUint32(b, r.start)
-	b = binary.BigEndian.AppendUint16(b, r.inc)
+	b = binary.BigEndian.AppendUint16(b, r.incarnation)
 	if r.kind != kindFull {
 		return b
 	}
-	b = binary.BigEndian.AppendUint32(b, r.ver)
+	b = binary.BigEndian.AppendUint32(b, r.version)
 	var flags byte
 	if r.doubt {
 		flags |= 1
@@ -110,12 +111,12 @@
 	b = append(b, byte(len(r.list)))
 	for _, e := range r.list {
 		b = binary.BigEndian.AppendUint32(b, uint32(e.id))
-		b = append(b, byte(e.mark), e.tag)
+		b = append(b, byte(e.mark), e.lifeTag)
 	}
 	return b
 }
 
-// encode writes p; records that don't fit are left out, the last first.
+// encode returns the datagram. Records that don't fit are left out.
 func (p *packet) encode(fleet uint16) []byte {
 	b := make([]byte, 0, MaxDatagram)
 	b = append(b, Tag, version)
@@ -128,12 +129,12 @@
 		for _, d := range p.digests {
 			b = binary.BigEndian.AppendUint16(b, d)
 		}
-	case kindAsk, kindCall, kindAnswer, kindVouch, kindHeard:
+	case kindPingRequest, kindRelayPing, kindRelayAck, kindIndirectAck, kindLastHeard:
 		b = binary.BigEndian.AppendUint32(b, uint32(p.target))
-		if p.kind == kindAnswer || p.kind == kindVouch {
-			b = append(b, bit(p.hears))
+		if p.kind == kindRelayAck || p.kind == kindIndirectAck {
+			b = append(b, boolByte(p.hears))
 		}
-		if p.kind == kindHeard {
+		if p.kind == kindLastHeard {
 			b = binary.BigEndian.AppendUint16(b, p.age)
 		}
 	}
@@ -145,22 +146,23 @@
 	return b
 }
 
-func bit(b bool) byte {
+func boolByte(b bool) byte {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// reader takes a datagram apart; after a cut all it gives is zero and bad is set.
+// reader parses a datagram. After a read past the end or a bad value invalid is set; later reads return
+// zeros.
 type reader struct {
-	b   []byte
-	bad bool
+	b       []byte
+	invalid bool
 }
 
 func (r *reader) bytes(n int) []byte {
-	if r.bad || len(r.b) < n {
-		r.bad, r.b = true, nil
+	if r.invalid || len(r.b) < n {
+		r.invalid, r.b = true, nil
 		return make([]byte, n)
 	}
 	out := r.b[:n]
@@ -172,18 +174,18 @@
 func (r *reader) u16() uint16 { return binary.BigEndian.Uint16(r.bytes(2)) }
 func (r *reader) u32() uint32 { return binary.BigEndian.Uint32(r.bytes(4)) }
 
-func (r *reader) text(most int) string {
+func (r *reader) text(maxLen int) string {
 	n := int(r.u8())
-	if n > most {
-		r.bad = true
+	if n > maxLen {
+		r.invalid = true
 		return ""
 	}
 	return string(r.bytes(n))
 }
 
-// decode reads a datagram whole, or not at all.
+// decode parses a complete datagram; it returns no partial result.
 func decode(data []byte, fleet uint16) (*packet, error) {
-	if len(data) < headBytes || len(data) > MaxDatagram || data[0] != Tag {
+	if len(data) < headerBytes || len(data) > MaxDatagram || data[0] != Tag {
 		return nil, errGarbled
 	}
 	if data[1] != version {
@@ -199,33 +201,33 @@
 		for i := range p.digests {
 			p.digests[i] = r.u16()
 		}
-	case kindAsk, kindCall, kindAnswer, kindVouch, kindHeard:
+	case kindPingRequest, kindRelayPing, kindRelayAck, kindIndirectAck, kindLastHeard:
 		p.target = ID(r.u32())
-		if p.kind == kindAnswer || p.kind == kindVouch {
+		if p.kind == kindRelayAck || p.kind == kindIndirectAck {
 			p.hears = r.u8() == 1
 		}
-		if p.kind == kindHeard {
+		if p.kind == kindLastHeard {
 			p.age = r.u16()
 		}
 	}
-	for len(r.b) > 0 && !r.bad {
+	for len(r.b) > 0 && !r.invalid {
 		p.records = append(p.records, r.record())
 	}
-	if r.bad || p.kind >= kinds || p.from == Nobody {
+	if r.invalid || p.kind >= kindCount || p.from == Nobody {
 		return nil, errGarbled
 	}
 	return p, nil
 }
 
 func (r *reader) record() (rec record) {
-	rec.kind, rec.id, rec.start, rec.inc = r.u8(), ID(r.u32()), r.u32(), r.u16()
+	rec.kind, rec.id, rec.start, rec.incarnation = r.u8(), ID(r.u32()), r.u32(), r.u16()
 	if rec.kind > kindLeft || rec.id == Nobody {
-		r.bad = true
+		r.invalid = true
 	}
-	if rec.kind != kindFull || r.bad {
+	if rec.kind != kindFull || r.invalid {
 		return rec
 	}
-	rec.ver = r.u32()
+	rec.version = r.u32()
 	flags := r.u8()
 	rec.doubt = flags&1 != 0
 	if flags&2 != 0 {
@@ -237,12 +239,12 @@
 	}
 	rec.zone, rec.name = r.text(MaxZone), r.text(MaxName)
 	n := int(r.u8())
-	if n > listMost {
-		r.bad = true
+	if n > maxListEntries {
+		r.invalid = true
 		return rec
 	}
 	for range n {
-		rec.list = append(rec.list, entry{id: ID(r.u32()), mark: mark(r.u8()), tag: r.u8()})
+		rec.list = append(rec.list, entry{id: ID(r.u32()), mark: mark(r.u8()), lifeTag: r.u8()})
 	}
 	return rec
 }
--- a/internal/member/packet_test.go
+++ b/internal/member/packet_test.go
@@ -9,25 +9,25 @@
 )
 
 func samples() []*packet {
-	full := record{id: 7, kind: kindFull, start: 12, inc: 3, ver: 9, doubt: true, note: "\x01\x02", zone: "a", name: "n7",
-		addr: netip.MustParseAddrPort("127.0.0.9:7946"), list: []entry{{4, lost | ripe, 8}, {5, unheard, 1}}}
+	full := record{id: 7, kind: kindFull, start: 12, incarnation: 3, version: 9, doubt: true, note: "\x01\x02", zone: "a", name: "n7",
+		addr: netip.MustParseAddrPort("127.0.0.9:7946"), list: []entry{{4, markUnreachable | markConfirmable, 8}, {5, markNoInbound, 1}}}
 	return []*packet{
 		{kind: kindGossip, from: 1, records: []record{full, {id: 4, kind: kindDead, start: 2}}},
 		{kind: kindPing, from: 1, seq: 5, digests: [buckets]uint16{1, 2, 3}, records: []record{full}},
 		{kind: kindAck, from: 1, seq: 5},
-		{kind: kindAsk, from: 1, seq: 5, target: 9},
-		{kind: kindCall, from: 1, seq: 5, target: 9},
-		{kind: kindAnswer, from: 1, seq: 5, target: 9, hears: true},
-		{kind: kindHeard, from: 1, seq: 5, target: 9, age: 44},
-		{kind: kindVouch, from: 1, seq: 5, target: 9, records: []record{{id: 4, kind: kindLeft, start: 2, inc: 1}}},
+		{kind: kindPingRequest, from: 1, seq: 5, target: 9},
+		{kind: kindRelayPing, from: 1, seq: 5, target: 9},
+		{kind: kindRelayAck, from: 1, seq: 5, target: 9, hears: true},
+		{kind: kindLastHeard, from: 1, seq: 5, target: 9, age: 44},
+		{kind: kindIndirectAck, from: 1, seq: 5, target: 9, records: []record{{id: 4, kind: kindLeft, start: 2, incarnation: 1}}},
 	}
 }
 
-func TestPacketsComeBackAsTheyWere(t *testing.T) {
+func TestPacketRoundTrip(t *testing.T) {
 	for _, p := range samples() {
 		got, err := decode(p.encode(3), 3)
 		if err != nil || !reflect.DeepEqual(got, p) {
-			t.Errorf("%+v came back as %+v, %v", p, got, err)
+			t.Errorf("%+v decoded as %+v, %v", p, got, err)
 		}
 	}
 }
@@ -45,7 +45,8 @@
 	return m
 }
 
-// What is cut, of another version or fleet, or senseless is dropped whole and counted, and nothing is believed.
+// Truncated or malformed datagrams, and those of another version or fleet, are dropped whole and counted,
+// and don't change the view.
 func TestBadDatagramsAreDroppedAndCounted(t *testing.T) {
 	for _, p := range samples() {
 		whole := p.encode(3)
@@ -58,7 +59,7 @@
 				if v := m.View(); v.Digest != before.Digest || v.Number != before.Number {
 					t.Fatalf("kind %d cut at %d changed the view", p.kind, cut)
 				}
-			} else if cut < headBytes {
+			} else if cut < headerBytes {
 				t.Fatalf("kind %d cut at %d: %+v", p.kind, cut, c)
 			}
 		}
@@ -69,28 +70,28 @@
 	other[1]++
 	m.Receive(0, 1, other)
 	m.Receive(0, 1, samples()[2].encode(4))
-	m.Receive(0, 2, ok) // under another's number
+	m.Receive(0, 2, ok) // the sender ID doesn't match the address
 	m.Receive(0, Nobody, ok)
 	if c := m.Counters(); c.Foreign != 2 || c.Strange != 2 || c.Garbled != 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters: %+v", c)
 	}
 }
 
-func TestRecordsOfAnyLengthFit(t *testing.T) {
+func TestLongestOwnRecordFits(t *testing.T) {
 	m := newMember(t)
 	m.self.rec.name, m.self.rec.zone = strings.Repeat("n", MaxName), strings.Repeat("z", MaxZone)
 	m.self.rec.addr, m.note = netip.MustParseAddrPort("127.0.0.9:7946"), strings.Repeat("x", MaxNote)
 	for i := 1; i < 10; i++ {
-		m.slotFor(m.peers[ID(i)]).mark = lost
+		m.slotFor(m.peers[ID(i)]).mark = markUnreachable
 	}
 	m.listChanged = true
 	m.now = time.Second
 	m.publish()
-	if n := len(m.packet(m.peers[1], kindPing, 1).encode(3)); n > MaxDatagram || len(m.self.rec.list) == 0 {
+	if n := len(m.newPacket(m.peers[1], kindPing, 1).encode(3)); n > MaxDatagram || len(m.self.rec.list) == 0 {
 		t.Errorf("%d bytes, %d entries", n, len(m.self.rec.list))
 	}
-	if got, err := decode(m.packet(m.peers[1], kindPing, 1).encode(3), 3); err != nil || len(got.records) == 0 {
-		t.Errorf("its own record doesn't fit: %v", err)
+	if got, err := decode(m.newPacket(m.peers[1], kindPing, 1).encode(3), 3); err != nil || len(got.records) == 0 {
+		t.Errorf("the own record doesn't fit: %v", err)
 	}
 }
 
@@ -110,10 +111,10 @@
 				t.Fatalf("%d bytes", len(d.Data))
 			}
 			if _, err := decode(d.Data, 3); err != nil {
-				t.Fatalf("sends what nobody reads: %v", err)
+				t.Fatalf("sent a datagram that can't be decoded: %v", err)
 			}
 		}
-		if len(m.peers) > 10 || len(m.slots) > 2*listMost {
+		if len(m.peers) > 10 || len(m.slots) > 2*maxListEntries {
 			t.Fatalf("%d peers, %d slots", len(m.peers), len(m.slots))
 		}
 		m.View()
@@ -122,15 +123,15 @@
 
 func TestConfigIsChecked(t *testing.T) {
 	for name, change := range map[string]func(*Config){
-		"name":     func(c *Config) { c.Name = strings.Repeat("n", MaxName+1) },
-		"zone":     func(c *Config) { c.Zone = strings.Repeat("n", MaxZone+1) },
-		"period":   func(c *Config) { c.Period = 0 },
-		"pause":    func(c *Config) { c.Pause = time.Second },
-		"rate":     func(c *Config) { c.Rate = 1 },
-		"expected": func(c *Config) { c.Expected = -1 },
-		"most":     func(c *Config) { c.Most = 0 },
-		"peer":     func(c *Config) { c.Peers = []Peer{{ID: 1}, {ID: 1}} },
-		"self":     func(c *Config) { c.Self = Nobody },
+		"name":        func(c *Config) { c.Name = strings.Repeat("n", MaxName+1) },
+		"zone":        func(c *Config) { c.Zone = strings.Repeat("n", MaxZone+1) },
+		"period":      func(c *Config) { c.Period = 0 },
+		"pause":       func(c *Config) { c.Pause = time.Second },
+		"rate":        func(c *Config) { c.Rate = 1 },
+		"expected":    func(c *Config) { c.Expected = -1 },
+		"max members": func(c *Config) { c.MaxMembers = 0 },
+		"peer":        func(c *Config) { c.Peers = []Peer{{ID: 1}, {ID: 1}} },
+		"self":        func(c *Config) { c.Self = Nobody },
 	} {
 		c := DefaultConfig()
 		change(&c)
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -6,76 +6,78 @@
 	"time"
 )
 
-// slot is a probe in hand, or what the last ones told of an agent that this one observes.
+// slot holds the probe state of an agent: of one that this agent observes, or of one with a probe pending
+// or failed.
 type slot struct {
-	p       *peer
-	subject bool // observed; else it goes once it has answered
-	hurried bool // others list it: probe it now
-	sample  bool // its probe is one that this agent judges itself by
-	mark    mark
+	p        *peer
+	subject  bool // observed; otherwise the slot is dropped after an answer
+	probeNow bool // another observer lists the agent: probe at the next tick
+	sample   bool // the result counts in the self-check
+	mark     mark
 
-	waiting  bool // for an answer
+	waiting  bool // for an answer to seq until due
 	seq      uint32
-	firstSeq uint32 // of the first probe that failed
-	sentAt   time.Duration
-	due      time.Duration
-	nextAt   time.Duration
+	firstSeq uint32        // sequence number of the first failed probe
+	sentAt   time.Duration // when the last probe was sent
+	due      time.Duration // timeout of the pending probe
+	nextAt   time.Duration // when a failing agent is probed again
 
-	failing   bool
-	failSince time.Duration // when the first of the failing probes was sent
-	tries     int           // that failed in a row
-	vouchAt   time.Duration // when others last reached it, since then; -1: they haven't
-	hearsMe   bool          // and it said that it hears this agent straight
-	refusals  int
-	refusedAt time.Duration
+	failing         bool
+	failSince       time.Duration // when the first failed probe was sent
+	failures        int           // consecutive failed probes
+	evidenceAt      time.Duration // last indirect contact since failSince; -1: none
+	targetHearsSelf bool          // the indirect ack says that the agent hears this one directly
+	refusals        int
+	refusedAt       time.Duration
 }
 
-// rest forgets what probes told.
-func (s *slot) rest() {
-	*s = slot{p: s.p, subject: s.subject, vouchAt: -1}
+// reset discards all probe results.
+func (s *slot) reset() {
+	*s = slot{p: s.p, subject: s.subject, evidenceAt: -1}
 }
 
-// slotFor is the slot of p; nil where there is no room for one more.
+// slotFor returns the slot of p, a new one if needed; nil if there are too many.
 func (m *Member) slotFor(p *peer) *slot {
 	if p.slot != nil {
 		return p.slot
 	}
-	if len(m.slotOrder) >= 2*listMost {
+	if len(m.slotList) >= 2*maxListEntries {
 		return nil
 	}
-	s := &slot{p: p, vouchAt: -1}
+	s := &slot{p: p, evidenceAt: -1}
 	p.slot, m.slots[p.id] = s, s
-	m.slotOrder = append(m.slotOrder, s)
+	m.slotList = append(m.slotList, s)
 	return s
 }
 
-func (m *Member) drop(id ID) {
+// dropSlot removes the probe state of an agent, if there is any.
+func (m *Member) dropSlot(id ID) {
 	s := m.slots[id]
 	if s == nil {
 		return
 	}
 	s.p.slot = nil
 	delete(m.slots, id)
-	m.slotOrder = slices.DeleteFunc(m.slotOrder, func(o *slot) bool { return o == s })
+	m.slotList = slices.DeleteFunc(m.slotList, func(o *slot) bool { return o == s })
 	m.listChanged = m.listChanged || s.mark != 0
 }
 
-// probe sends the probes that are due and notes those that were not answered.
+// probe sends the probes that are due and handles timeouts.
 func (m *Member) probe() {
-	if m.reorder {
-		m.observe()
+	if m.ringsChanged {
+		m.assignObservers()
 	}
-	for i := len(m.slotOrder) - 1; i >= 0; i-- { // from behind, since one may go
-		s := m.slotOrder[i]
+	for i := len(m.slotList) - 1; i >= 0; i-- { // backwards, since handleTimeout may remove the slot
+		s := m.slotList[i]
 		if s.waiting && s.due <= m.now {
-			m.missed(s)
+			m.handleTimeout(s)
 			if s.p.slot != s {
 				continue
 			}
 		}
-		if !s.waiting && (s.failing && s.nextAt <= m.now || s.hurried) {
-			s.hurried = false
-			m.ping(s)
+		if !s.waiting && (s.failing && s.nextAt <= m.now || s.probeNow) {
+			s.probeNow = false
+			m.sendPing(s)
 		}
 	}
 	if m.now < m.nextProbe {
@@ -84,36 +86,37 @@
 	m.nextProbe = m.now + time.Duration((0.9+0.2*m.rng.Float64())*float64(m.cfg.Period))
 	m.probes++
 	alarmed := m.alarmed()
-	s := m.oldest()
+	s := m.leastRecentSubject()
 	if !alarmed && (s == nil || m.probes%randomEvery == 0) {
-		s = cmp.Or(m.other(), s)
+		s = cmp.Or(m.nextSampleSlot(), s)
 	}
 	if s != nil {
-		m.ping(s)
+		m.sendPing(s)
 	}
 	if m.doubt {
-		m.call()
+		m.contactObservers()
 	}
 	if !alarmed {
 		m.wasAlarmed = false
 		return
 	}
 	n := 1
-	if !m.wasAlarmed { // at once: others may be about to believe what this one lists
-		n, m.wasAlarmed = sweepFirst, true
+	if !m.wasAlarmed { // all at once, before others act on this agent's list
+		n, m.wasAlarmed = firstSweep, true
 	}
 	for range n {
-		if s := m.other(); s != nil {
-			m.ping(s)
+		if s := m.nextSampleSlot(); s != nil {
+			m.sendPing(s)
 		}
 	}
 }
 
-// other is a slot for the one whose turn it is among all, failing or not: what comes of these probes is what this
-// agent judges itself by. Where there is no room for more, who is listed must not change with each turn.
-func (m *Member) other() *slot {
-	p := m.next()
-	if p == nil || p.slot == nil && m.failing() >= listMost {
+// nextSampleSlot returns the slot of the next agent in round-robin order, whether failing or not. The
+// results of these probes are the sample of the self-check. If too many agents fail already it adds no
+// slot, so that the entries on the list don't change with each probe.
+func (m *Member) nextSampleSlot() *slot {
+	p := m.nextInOrder()
+	if p == nil || p.slot == nil && m.failingCount() >= maxListEntries {
 		return nil
 	}
 	s := m.slotFor(p)
@@ -121,34 +124,34 @@
 		return nil
 	}
 	s.sample = true
-	if s.waiting { // its probe is on its way
+	if s.waiting { // a probe is pending
 		return nil
 	}
 	return s
 }
 
-// outcome is what came of one of those probes.
+// outcome is the result of a sample probe.
 type outcome struct {
 	id ID
 	ok bool
 	at time.Duration
 }
 
-// sampled notes what came of a probe.
-func (m *Member) sampled(s *slot, ok bool) {
+// recordOutcome adds the result of a probe to the sample, if it belongs there.
+func (m *Member) recordOutcome(s *slot, ok bool) {
 	if s.sample {
 		s.sample = false
-		m.sample[m.samples%len(m.sample)] = outcome{s.p.id, ok, m.now}
-		m.samples++
+		m.sample[m.sampleCount%len(m.sample)] = outcome{s.p.id, ok, m.now}
+		m.sampleCount++
 	}
 }
 
-// judgeSelf counts the last outcomes of different agents, sampleMost at the most.
-func (m *Member) judgeSelf() (ok, all int) {
-	var seen [sampleMost]ID
-	for i := 1; i <= min(m.samples, len(m.sample)) && all < sampleMost; i++ {
-		o := m.sample[(m.samples-i)%len(m.sample)]
-		if m.now-o.at >= sampleFor*m.cfg.Period {
+// recentOutcomes counts the latest results, one per agent and maxSample at most; ok of them were answered.
+func (m *Member) recentOutcomes() (ok, all int) {
+	var seen [maxSample]ID
+	for i := 1; i <= min(m.sampleCount, len(m.sample)) && all < maxSample; i++ {
+		o := m.sample[(m.sampleCount-i)%len(m.sample)]
+		if m.now-o.at >= sampleTTL*m.cfg.Period {
 			break
 		}
 		if p := m.peers[o.id]; p == nil || p.ended() || slices.Contains(seen[:all], o.id) {
@@ -163,12 +166,12 @@
 	return ok, all
 }
 
-// rested reports whether one may be probed out of turn.
-func (m *Member) rested(s *slot) bool { return !s.waiting && m.now-s.sentAt >= 2*m.cfg.Period }
+// mayProbeEarly reports whether the agent of s may be probed before its regular time.
+func (m *Member) mayProbeEarly(s *slot) bool { return !s.waiting && m.now-s.sentAt >= 2*m.cfg.Period }
 
-// oldest is the observed agent whose last probe is longest ago, of those that answer.
-func (m *Member) oldest() (best *slot) {
-	for _, s := range m.slotOrder {
+// leastRecentSubject returns the observed agent, of those not failing, whose last probe is the oldest.
+func (m *Member) leastRecentSubject() (best *slot) {
+	for _, s := range m.slotList {
 		if s.subject && !s.waiting && !s.failing && (best == nil || s.sentAt < best.sentAt) {
 			best = s
 		}
@@ -176,89 +179,93 @@
 	return best
 }
 
-// next is the agent whose turn it is among all that may live; nil: there is none.
-func (m *Member) next() *peer {
+// nextInOrder returns the next agent in a random round-robin order of all whose life has not ended; nil if
+// none.
+func (m *Member) nextInOrder() *peer {
 	for range 2 {
-		for len(m.turn) > 0 {
-			p := m.peers[m.turn[len(m.turn)-1]]
-			m.turn = m.turn[:len(m.turn)-1]
+		for len(m.probeOrder) > 0 {
+			p := m.peers[m.probeOrder[len(m.probeOrder)-1]]
+			m.probeOrder = m.probeOrder[:len(m.probeOrder)-1]
 			if p != nil && p != m.self && !p.ended() {
 				return p
 			}
 		}
 		for _, p := range m.order {
 			if p != m.self && !p.ended() {
-				m.turn = append(m.turn, p.id)
+				m.probeOrder = append(m.probeOrder, p.id)
 			}
 		}
-		m.rng.Shuffle(len(m.turn), func(i, j int) { m.turn[i], m.turn[j] = m.turn[j], m.turn[i] })
+		m.rng.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
 	}
 	return nil
 }
 
-// ping probes straight.
-func (m *Member) ping(s *slot) {
+// sendPing sends a direct probe.
+func (m *Member) sendPing(s *slot) {
 	m.seq++
 	s.seq, s.sentAt, s.waiting = m.seq, m.now, true
-	s.due = m.now + time.Duration((1+m.health)*float64(m.cfg.Period))
-	if !m.send(s.p, m.packet(s.p, kindPing, m.seq), finds) {
+	s.due = m.now + time.Duration((1+m.localHealth)*float64(m.cfg.Period))
+	if !m.send(s.p, m.newPacket(s.p, kindPing, m.seq), priorityProbe) {
 		s.waiting = false
 		s.nextAt = m.now + m.cfg.Period
-		if !s.subject && !s.failing { // another time
-			m.drop(s.p.id)
+		if !s.subject && !s.failing { // not sent: the round-robin order comes back to it
+			m.dropSlot(s.p.id)
 		}
 	}
 }
 
-// missed takes that a probe was not answered in time.
-func (m *Member) missed(s *slot) {
+// handleTimeout records that a probe was not answered in time and starts indirect probes.
+func (m *Member) handleTimeout(s *slot) {
 	s.waiting = false
-	s.p.failAt = m.now
-	m.sampled(s, false)
-	if m.heardAny < s.sentAt { // nothing of anybody: rather this agent's ears than theirs
-		m.health = min(healthMost, m.health+healthStep)
+	s.p.lastFailAt = m.now
+	m.recordOutcome(s, false)
+	if m.lastReceived < s.sentAt { // nothing from any agent since then: a sign of a local fault
+		m.localHealth = min(maxLocalHealth, m.localHealth+healthStep)
 	}
-	m.fails(s)
+	m.recordFailure(s)
 	n := 0
 	switch {
-	case s.tries%2 == 0, m.doubt && s.tries > suspectTries:
-	case s.tries > suspectTries:
+	case s.failures%2 == 0, m.doubt && s.failures > suspectFailures:
+	case s.failures > suspectFailures:
 		n = 1
 	default:
-		n = helpers
+		n = maxHelpers
 	}
-	if m.tokens < float64(2*n) { // its own probes come first
+	if m.tokens < float64(2*n) { // keep the tokens for this agent's own probes
 		n = 0
 	}
-	asked := m.pick(n, s.p)
-	if len(asked) > 0 { // one of them one that it observes itself, which hears it even if it hears nobody
-		if h := m.after(s.tries/2%rings, s.p.ring[s.tries/2%rings], s.p.ring[s.tries/2%rings]); h != nil && h != s.p {
+	asked := m.pickPeers(n, s.p)
+	// One helper is the failed agent's successor on a ring, which the failed agent itself probes: it hears
+	// an agent that sends but receives nothing.
+	if len(asked) > 0 {
+		if h := m.successor(s.failures/2%rings, s.p.ringPositions[s.failures/2%rings], s.p.ringPositions[s.failures/2%rings]); h != nil && h != s.p {
 			asked[len(asked)-1] = h
 		}
 	}
 	for _, h := range asked {
-		m.send(h, &packet{kind: kindAsk, seq: s.seq, target: s.p.id}, finds)
+		m.send(h, &packet{kind: kindPingRequest, seq: s.seq, target: s.p.id}, priorityProbe)
 	}
-	m.relist(s)
+	m.updateMark(s)
 }
 
-// fails notes one more probe in a row without an answer.
-func (m *Member) fails(s *slot) {
+// recordFailure counts one more consecutive failed probe and sets the time of the next one.
+func (m *Member) recordFailure(s *slot) {
 	if !s.failing {
-		s.failing, s.failSince, s.firstSeq, s.vouchAt, s.tries = true, s.sentAt, s.seq, -1, 0
+		s.failing, s.failSince, s.firstSeq, s.evidenceAt, s.failures = true, s.sentAt, s.seq, -1, 0
 	}
-	s.tries++
+	s.failures++
 	s.nextAt = m.now
-	if s.tries > suspectTries || !s.subject { // of those not observed it wants to know of itself alone
-		// All together get no more probes than a few would.
-		slow := max(slowestProbe, float64(m.failing())/failingShare) - 1
+	if s.failures > suspectFailures || !s.subject { // unobserved agents are probed only for the self-check
+		// All failing agents together get failingProbesPerPeriod, so that many failures don't raise the
+		// traffic.
+		slow := max(slowProbeInterval, float64(m.failingCount())/failingProbesPerPeriod) - 1
 		s.nextAt += time.Duration(slow * float64(m.cfg.Period) * (0.8 + 0.4*m.rng.Float64()))
 	}
 }
 
-// failing is how many agents don't answer now.
-func (m *Member) failing() (n int) {
-	for _, s := range m.slotOrder {
+// failingCount returns the number of agents that don't answer at present.
+func (m *Member) failingCount() (n int) {
+	for _, s := range m.slotList {
 		if s.failing {
 			n++
 		}
@@ -266,124 +273,126 @@
 	return n
 }
 
-// alarmed reports whether so many don't answer that this agent has to ask itself whether it is the one.
+// alarmed reports whether enough agents don't answer that this agent has to check whether it is cut off
+// itself.
 func (m *Member) alarmed() bool {
 	n := 0
-	for _, s := range m.slotOrder {
-		if s.failing && s.tries >= alarmTries {
+	for _, s := range m.slotList {
+		if s.failing && s.failures >= alarmFailures {
 			n++
 		}
 	}
-	return n > 1 || n == 1 && m.count.open == 1
+	return n > 1 || n == 1 && m.counts.open == 1
 }
 
-// hear takes that something came straight from p.
-func (m *Member) hear(p *peer) {
-	p.heardAt, m.heardAny = m.now, m.now
+// recordContact records that a datagram came directly from p.
+func (m *Member) recordContact(p *peer) {
+	p.heardAt, m.lastReceived = m.now, m.now
 	if p.slot != nil && p.slot.refusals > 0 {
 		p.slot.refusals = 0
 	}
 	if s := p.slot; s != nil && s.mark != 0 {
-		if s.mark&lost != 0 && m.rested(s) {
+		if s.mark&markUnreachable != 0 && m.mayProbeEarly(s) {
 			s.nextAt = m.now
 		}
-		m.relist(s)
+		m.updateMark(s)
 	}
 }
 
-// heardLately reports whether something of p came straight, and it is not that probes of it began to fail since.
-func (m *Member) heardLately(p *peer) bool {
+// heardRecently reports whether a datagram of p came directly within evidenceTTL and, if probes of p fail, after they
+// began to fail.
+func (m *Member) heardRecently(p *peer) bool {
 	if p.slot != nil && p.slot.failing && p.heardAt < p.slot.failSince {
 		return false
 	}
-	return p.heardAt >= 0 && m.now-p.heardAt < vouchFor*m.cfg.Period
+	return p.heardAt >= 0 && m.now-p.heardAt < evidenceTTL*m.cfg.Period
 }
 
-// answered takes an ack: both ways are open.
-func (m *Member) answered(p *peer, seq uint32) {
+// handleAck processes the answer to a direct probe, which proves that the link works in both directions.
+func (m *Member) handleAck(p *peer, seq uint32) {
 	s := p.slot
-	if s == nil || !s.meant(seq) {
+	if s == nil || !s.matchesProbe(seq) {
 		return
 	}
-	p.okAt = m.now
-	m.sampled(s, true)
-	m.health = max(0, m.health-healthHeal)
+	p.lastAckAt = m.now
+	m.recordOutcome(s, true)
+	m.localHealth = max(0, m.localHealth-healthRecovery)
 	listed := s.mark != 0
-	was := *s
-	s.rest()
-	s.sentAt = was.sentAt
+	previous := *s
+	s.reset()
+	s.sentAt = previous.sentAt
 	m.listChanged = m.listChanged || listed
 	m.dirty = m.dirty || listed
 	if !s.subject {
-		m.drop(p.id)
+		m.dropSlot(p.id)
 	}
 }
 
-// meant reports whether seq is of a probe that still counts.
-func (s *slot) meant(seq uint32) bool {
+// matchesProbe reports whether seq belongs to the pending probe or to the current series of failed ones.
+func (s *slot) matchesProbe(seq uint32) bool {
 	if s.failing {
 		return int32(seq-s.firstSeq) >= 0 && int32(s.seq-seq) >= 0
 	}
 	return s.waiting && seq == s.seq
 }
 
-// refused takes that the agent's machine said that nobody listens.
-func (m *Member) refused(s *slot) {
-	if s.refusals > 0 && m.now-s.refusedAt < refusedApart*m.cfg.Period {
+// handleRefusal records that the agent's host reported that no process listens on the port.
+func (m *Member) handleRefusal(s *slot) {
+	if s.refusals > 0 && m.now-s.refusedAt < refusalSpacing*m.cfg.Period {
 		return
 	}
-	if !s.waiting && !s.failing { // what was refused was no probe
+	if !s.waiting && !s.failing { // the refused datagram was no probe
 		m.seq++
 		s.seq, s.sentAt = m.seq, m.now
 	}
 	s.waiting = false
-	s.p.failAt = m.now
-	m.sampled(s, false)
-	m.fails(s)
-	s.nextAt = m.now + refusedApart*m.cfg.Period
-	if s.tries > suspectTries {
+	s.p.lastFailAt = m.now
+	m.recordOutcome(s, false)
+	m.recordFailure(s)
+	s.nextAt = m.now + refusalSpacing*m.cfg.Period
+	if s.failures > suspectFailures {
 		s.nextAt += m.cfg.Period
 	}
 	s.refusals, s.refusedAt = s.refusals+1, m.now
-	m.heardAny = m.now // this agent's ears and voice are well
-	m.relist(s)
+	m.lastReceived = m.now // the refusal proves that this agent can send and receive
+	m.updateMark(s)
 }
 
-// relist works out what this agent holds of one that doesn't answer.
-func (m *Member) relist(s *slot) {
+// updateMark recomputes what this agent's list says of an agent that may not answer.
+func (m *Member) updateMark(s *slot) {
 	now, period := m.now, m.cfg.Period
-	hold := time.Duration(vouchFor) * period
-	if s.mark&(unheard|unhearing) != 0 && s.mark&lost == 0 {
-		hold = vouchLong * period
+	ttl := time.Duration(evidenceTTL) * period
+	if s.mark&(markNoInbound|markNoOutbound) != 0 && s.mark&markUnreachable == 0 {
+		ttl = listedEvidenceTTL * period
 	}
-	heard := s.p.heardAt >= s.failSince && now-s.p.heardAt < hold
-	vouched := s.vouchAt >= 0 && now-s.vouchAt < hold
+	heard := s.p.heardAt >= s.failSince && now-s.p.heardAt < ttl
+	vouched := s.evidenceAt >= 0 && now-s.evidenceAt < ttl
 	next := s.mark
 	switch {
 	case !s.failing:
 		next = 0
-	case s.refusals > 0 && !heard && !(vouched && s.vouchAt > s.refusedAt):
-		next = lost | refusing
+	case s.refusals > 0 && !heard && !(vouched && s.evidenceAt > s.refusedAt):
+		next = markUnreachable | markRefused
 		if s.refusals > 1 {
-			next |= ripe
+			next |= markConfirmable
 		}
 	case heard || vouched:
-		next &= unheard | unhearing
-		if s.tries >= pairTries {
+		next &= markNoInbound | markNoOutbound
+		if s.failures >= linkFailures {
 			next = 0
 			if !heard {
-				next |= unheard
+				next |= markNoInbound
 			}
-			if !vouched || !s.hearsMe {
-				next |= unhearing
+			if !vouched || !s.targetHearsSelf {
+				next |= markNoOutbound
 			}
 		}
-	case !s.subject: // observers accuse; one in doubt makes itself heard by them, not by all
-		next &= unheard | unhearing
-	case float64(s.tries) >= suspectTries*(1+m.health) || s.mark&lost != 0:
-		next = lost
-		if now-max(s.failSince, s.vouchAt, s.p.heardAt) >= m.cfg.Pause {
-			next |= ripe
+	case !s.subject: // only observers accuse
+		next &= markNoInbound | markNoOutbound
+	case float64(s.failures) >= suspectFailures*(1+m.localHealth) || s.mark&markUnreachable != 0:
+		next = markUnreachable
+		if now-max(s.failSince, s.evidenceAt, s.p.heardAt) >= m.cfg.Pause {
+			next |= markConfirmable
 		}
 	}
 	if next != s.mark {
@@ -391,63 +400,65 @@
 	}
 }
 
-// favour is a probe for another agent.
-type favour struct {
+// relay is an indirect probe on behalf of another agent.
+type relay struct {
 	asker, target ID
 	seq           uint32
-	till          time.Duration
+	expiresAt     time.Duration
 }
 
-// favour probes for p.
-func (m *Member) favour(p *peer, pk *packet) {
+// handlePingRequest sends an indirect probe for p, and reports the last direct contact with the target at
+// once.
+func (m *Member) handlePingRequest(p *peer, pk *packet) {
 	target := m.peers[pk.target]
 	if target == nil || target == m.self || target == p {
 		return
 	}
-	if target.heardAt >= 0 && m.now-target.heardAt < vouchFor*m.cfg.Period { // it may hear nobody, and live
-		m.send(p, &packet{kind: kindHeard, seq: pk.seq, target: target.id, age: uint16((m.now - target.heardAt) / ageUnit)}, finds)
+	if target.heardAt >= 0 && m.now-target.heardAt < evidenceTTL*m.cfg.Period { // the target may be alive and unable to receive
+		m.send(p, &packet{kind: kindLastHeard, seq: pk.seq, target: target.id, age: uint16((m.now - target.heardAt) / ageUnit)}, priorityProbe)
 	}
-	m.helped = slices.DeleteFunc(m.helped, func(f favour) bool { return f.till <= m.now })
-	if len(m.helped) >= favoursMost {
+	m.relays = slices.DeleteFunc(m.relays, func(f relay) bool { return f.expiresAt <= m.now })
+	if len(m.relays) >= maxRelays {
 		return
 	}
-	m.helped = append(m.helped, favour{p.id, target.id, pk.seq, m.now + vouchFor*m.cfg.Period})
-	m.send(target, &packet{kind: kindCall, seq: pk.seq, target: p.id}, finds)
+	m.relays = append(m.relays, relay{p.id, target.id, pk.seq, m.now + evidenceTTL*m.cfg.Period})
+	m.send(target, &packet{kind: kindRelayPing, seq: pk.seq, target: p.id}, priorityProbe)
 }
 
-// passOn tells the one that asked that the other has answered.
-func (m *Member) passOn(p *peer, pk *packet) {
-	at := slices.IndexFunc(m.helped, func(f favour) bool { return f.asker == pk.target && f.target == p.id && f.seq == pk.seq })
+// forwardRelayAck tells the agent that asked for an indirect probe that the target has answered.
+func (m *Member) forwardRelayAck(p *peer, pk *packet) {
+	at := slices.IndexFunc(m.relays, func(f relay) bool { return f.asker == pk.target && f.target == p.id && f.seq == pk.seq })
 	if at < 0 {
 		return
 	}
-	m.helped = slices.Delete(m.helped, at, at+1)
+	m.relays = slices.Delete(m.relays, at, at+1)
 	if asker := m.peers[pk.target]; asker != nil {
-		m.send(asker, &packet{kind: kindVouch, seq: pk.seq, target: p.id, hears: pk.hears}, finds)
+		m.send(asker, &packet{kind: kindIndirectAck, seq: pk.seq, target: p.id, hears: pk.hears}, priorityProbe)
 	}
 }
 
-// vouched takes that another has reached, or at a time heard, an agent that doesn't answer here.
-func (m *Member) vouched(pk *packet, at time.Duration, hears bool) {
+// recordEvidence records that another agent had contact at a time with an agent that fails here; hears is
+// whether that agent hears this one directly.
+func (m *Member) recordEvidence(pk *packet, at time.Duration, hears bool) {
 	s := m.slots[pk.target]
-	if s == nil || !s.failing || !s.meant(pk.seq) || at < s.failSince || at <= s.vouchAt {
+	if s == nil || !s.failing || !s.matchesProbe(pk.seq) || at < s.failSince || at <= s.evidenceAt {
 		return
 	}
-	s.vouchAt, s.hearsMe = at, hears
-	m.relist(s)
+	s.evidenceAt, s.targetHearsSelf = at, hears
+	m.updateMark(s)
 }
 
-// pick is up to n agents that probably live, but for one, in random order.
-func (m *Member) pick(n int, not *peer) (picked []*peer) {
+// pickPeers returns up to n agents that probably live, without exclude, in random order.
+func (m *Member) pickPeers(n int, exclude *peer) (picked []*peer) {
 	if n == 0 {
 		return nil
 	}
-	fits := func(p *peer) bool {
-		return p != m.self && p != not && !p.ended() && !(p.slot != nil && p.slot.failing && p.slot.tries > 1) && (p.state == Alive || p.state == Unseen)
+	suitable := func(p *peer) bool {
+		return p != m.self && p != exclude && !p.ended() && !(p.slot != nil && p.slot.failing && p.slot.failures > 1) && (p.state == Alive || p.state == Unseen)
 	}
-	// Nearly all do, as a rule: a few draws find enough of them.
-	for range pickDraws * n {
-		if p := m.order[m.rng.IntN(len(m.order))]; fits(p) && !slices.Contains(picked, p) {
+	// Usually nearly all are suitable, and a few draws are enough.
+	for range drawsPerPick * n {
+		if p := m.order[m.rng.IntN(len(m.order))]; suitable(p) && !slices.Contains(picked, p) {
 			if picked = append(picked, p); len(picked) == n {
 				return picked
 			}
@@ -456,7 +467,7 @@
 	picked = picked[:0]
 	seen := 0
 	for _, p := range m.order {
-		if !fits(p) {
+		if !suitable(p) {
 			continue
 		}
 		seen++ // reservoir sampling
--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -5,72 +5,73 @@
 	"time"
 )
 
-// Kinds of record.
+// Kinds of record. The numbers are part of the wire format and order the ends of a life.
 const (
-	kindFull byte = iota // an agent says it of itself
-	kindDead             // this life has ended: its observers heard nothing for Config.Pause
-	kindGone             // this life has ended: its machine says that nobody listens
-	kindLeft             // this life has ended, by its own word
+	kindFull    byte = iota // published by the agent itself
+	kindDead                // life ended: enough observers had no contact for Config.Pause
+	kindRefused             // life ended: the host reported that no process listens
+	kindLeft                // life ended: announced by the agent itself
 )
 
-// mark says in which way an agent can't be reached or heard by the one that lists it.
+// mark is a bit set that says how an agent is unreachable for the agent that lists it.
 type mark uint8
 
 const (
-	unheard   mark = 1 << iota // nothing of it comes here straight
-	unhearing                  // nothing from here comes there straight
-	lost                       // nobody who was asked reaches it
-	refusing                   // its machine says that nobody listens
-	ripe                       // for so long, or so often, that it may be held for dead
+	markNoInbound   mark = 1 << iota // the listing agent receives nothing directly from it
+	markNoOutbound                   // it receives nothing directly from the listing agent
+	markUnreachable                  // neither a direct nor an indirect probe reaches it
+	markRefused                      // its host reported that no process listens
+	markConfirmable                  // unreachable for long enough, or refused often enough, for a death
 )
 
-// entry is one agent on another's list.
+// entry is one agent on the list in another agent's record.
 type entry struct {
-	id   ID
-	mark mark
-	tag  uint8 // of the life that is meant: a new one starts with a clean slate
+	id      ID
+	mark    mark
+	lifeTag uint8 // hash of the life that is meant, so that the entry doesn't apply to a later life
 }
 
-// record is what is known of one life of an agent. Of one agent the highest rank counts, of one rank the
-// highest version.
+// record is what is known of one life of an agent. Of the records of an agent the one with the highest rank
+// counts, and at equal rank the one with the highest version.
 type record struct {
-	id    ID
-	kind  byte
-	start uint32
-	inc   uint16
-	// The rest stands in full records only.
-	ver   uint32
-	doubt bool // it may itself be the one that is cut off
-	zone  string
-	name  string
-	addr  netip.AddrPort // IPv4; of a stranger
-	note  string         // what the agent has the others know, of no meaning here
-	list  []entry
+	id          ID
+	kind        byte
+	start       uint32
+	incarnation uint16
+	// The following fields are set in full records only.
+	version uint32
+	doubt   bool // the agent may be cut off itself
+	zone    string
+	name    string
+	addr    netip.AddrPort // IPv4; set if the agent is not in Config.Peers
+	note    string         // opaque to this package; see SetNote
+	list    []entry
 }
 
 // rank orders the lives of one agent and their ends.
 func (r *record) rank() uint64 {
-	rank := uint64(r.start)<<18 | uint64(r.inc)<<2
+	rank := uint64(r.start)<<18 | uint64(r.incarnation)<<2
 	if r.kind != kindFull {
 		rank |= uint64(r.kind)
 	}
 	return rank
 }
 
-// newer reports whether r counts before o.
-func (r *record) newer(o *record) bool {
+// supersedes reports whether r replaces o.
+func (r *record) supersedes(o *record) bool {
 	if a, b := r.rank(), o.rank(); a != b {
 		return a > b
 	}
-	return r.kind == kindFull && int32(r.ver-o.ver) > 0
+	return r.kind == kindFull && int32(r.version-o.version) > 0
 }
 
-func (r *record) tag() uint8 { return uint8(r.start) ^ uint8(r.start>>8) ^ uint8(r.inc)*31 }
+// lifeTag returns a short hash of the life that r describes.
+func (r *record) lifeTag() uint8 { return uint8(r.start) ^ uint8(r.start>>8) ^ uint8(r.incarnation)*31 }
 
-// hash is over all in which two copies of a record that counts can differ.
+// hash covers every field in which two current copies of a record can differ.
 func (r *record) hash() uint32 {
 	h := mix(uint64(r.id)<<32 | uint64(r.start))
-	h = mix(h ^ uint64(r.inc)<<40 ^ uint64(r.kind)<<32 ^ uint64(r.ver))
+	h = mix(h ^ uint64(r.incarnation)<<40 ^ uint64(r.kind)<<32 ^ uint64(r.version))
 	return uint32(h)
 }
 
@@ -84,28 +85,29 @@
 
 // peer is what this agent knows of one member.
 type peer struct {
-	id     ID
-	listed bool // by the configuration
-	known  bool // a record of it has come
-	rec    record
-	ring   [rings]uint64
-
-	state   State
-	since   time.Duration
-	fewAt   time.Duration // suspect: since when too few accuse it; 0: enough do
-	heardAt time.Duration // straight, by whatever came; -1: never
-	okAt    time.Duration // last probe that it answered, and last one that it didn't; -1: none
-	failAt  time.Duration
-	spreads int   // times that its record is still to be sent
-	sent    int   // times that it has been
-	slot    *slot // nil: not probed now
-
-	accused, ripe, refused int // observers that list it; evaluate's
-
-	attended    bool // stands in Member.attended
-	lists       bool // and in Member.listers
-	queued      bool // is news, and where it stands among them
-	tier, place int
+	id            ID
+	listed        bool // in Config.Peers
+	known         bool // a record was received
+	rec           record
+	ringPositions [rings]uint64
+
+	state         State
+	since         time.Duration
+	clearingSince time.Duration // suspect: since when too few observers accuse it; 0: enough do
+	heardAt       time.Duration // last direct datagram; -1: none
+	lastAckAt     time.Duration // last answered probe; -1: none
+	lastFailAt    time.Duration // last failed probe; -1: none
+	sendLimit     int           // sends after which its update is no longer gossiped
+	sendCount     int           // sends so far
+	slot          *slot         // nil: no probe state
+
+	accusers, confirmers, refusers int // counts of observers that list it, as of the last evaluate
+
+	pending         bool // in Member.pending
+	reporting       bool // in Member.reporters
+	queued          bool // in Member.updates, at the following tier and index
+	tier, tierIndex int
 }
 
+// ended reports whether the latest known life of p has ended.
 func (p *peer) ended() bool { return p.rec.kind != kindFull }
--- a/internal/member/rings.go
+++ b/internal/member/rings.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// NameID is the number of an agent that no settings number: a hash of its name, with the highest bit set so that
-// it is none of theirs.
+// NameID returns the number of an agent that the configuration doesn't number: a hash of its name with the
+// highest bit set, so that it differs from all configured numbers.
 func NameID(name string) ID {
 	h := fnv.New32a()
 	h.Write([]byte(name))
@@ -17,19 +17,20 @@
 	return id
 }
 
-// ringHash is an agent's place on a ring. Places are the same at all agents.
-func ringHash(ring int, id ID) uint64 { return mix(uint64(ring)<<32 | uint64(id)) }
+// ringPosition returns an agent's position on a ring, which is the same at all agents.
+func ringPosition(ring int, id ID) uint64 { return mix(uint64(ring)<<32 | uint64(id)) }
 
-// observe works out whom this agent observes: on each ring the next agent that lives, and those in doubt before it,
-// which may not observe for themselves. In a fleet of a few agents that is all of them.
-func (m *Member) observe() {
-	m.reorder = false
+// assignObservers computes which agents this one observes: on each ring the nearest successor that is alive
+// and not in doubt, and the agents before it, which can't be relied on to observe. In a small fleet this is
+// every other agent. It also computes the observers of this agent.
+func (m *Member) assignObservers() {
+	m.ringsChanged = false
 	m.subjects = m.subjects[:0]
 	for r := range rings {
-		from := m.self.ring[r]
+		from := m.self.ringPositions[r]
 		at := from
-		for range listMost / rings {
-			next := m.after(r, at, from)
+		for range maxListEntries / rings {
+			next := m.successor(r, at, from)
 			if next == nil {
 				break
 			}
@@ -39,29 +40,29 @@
 			if next.state == Alive && !next.rec.doubt {
 				break
 			}
-			at = next.ring[r]
+			at = next.ringPositions[r]
 		}
 	}
 	m.observers = m.observers[:0]
 	for r := range rings {
-		at := m.self.ring[r]
-		for range observersBack {
-			before := m.before(r, at)
-			if before == nil || before.ring[r] == at {
+		at := m.self.ringPositions[r]
+		for range maxObserversPerRing {
+			before := m.predecessor(r, at)
+			if before == nil || before.ringPositions[r] == at {
 				break
 			}
 			if !slices.Contains(m.observers, before) {
 				m.observers = append(m.observers, before)
 			}
-			at = before.ring[r]
+			at = before.ringPositions[r]
 			if !before.rec.doubt && !before.ended() {
 				break
 			}
 		}
 	}
-	for _, s := range slices.Clone(m.slotOrder) {
+	for _, s := range slices.Clone(m.slotList) {
 		if s.subject = slices.Contains(m.subjects, s.p); !s.subject && !s.failing && !s.waiting {
-			m.drop(s.p.id)
+			m.dropSlot(s.p.id)
 		}
 	}
 	for _, p := range m.subjects {
@@ -71,19 +72,19 @@
 	}
 }
 
-// after is the agent that follows a place on a ring, among those whose life hasn't ended; nil where the way there
-// comes past from.
-func (m *Member) after(r int, at, from uint64) *peer {
+// successor returns the first agent after position at on ring r whose life has not ended; nil if there is
+// none before position from is reached.
+func (m *Member) successor(r int, at, from uint64) *peer {
 	ring := m.rings[r]
-	i := m.seek(r, at)
+	i := m.ringIndex(r, at)
 	for range ring {
 		p := ring[i%len(ring)]
 		i++
-		if p == m.self || p.ended() || p.ring[r] == at {
+		if p == m.self || p.ended() || p.ringPositions[r] == at {
 			continue
 		}
-		// Distances go round: one that is farther than from has come past it.
-		if at != from && p.ring[r]-at >= from-at {
+		// Distances wrap around: one not smaller than the distance to from means that from was passed.
+		if at != from && p.ringPositions[r]-at >= from-at {
 			return nil
 		}
 		return p
@@ -91,27 +92,28 @@
 	return nil
 }
 
-// before is the agent that goes before a place on a ring, among those whose life hasn't ended.
-func (m *Member) before(r int, at uint64) *peer {
+// predecessor returns the last agent before position at on ring r whose life has not ended; nil if there is
+// none.
+func (m *Member) predecessor(r int, at uint64) *peer {
 	ring := m.rings[r]
-	i := m.seek(r, at) + len(ring)
+	i := m.ringIndex(r, at) + len(ring)
 	for range ring {
 		i--
-		if p := ring[i%len(ring)]; p != m.self && !p.ended() && p.ring[r] != at {
+		if p := ring[i%len(ring)]; p != m.self && !p.ended() && p.ringPositions[r] != at {
 			return p
 		}
 	}
 	return nil
 }
 
-// call has those that observe this agent hear it while it doubts itself: one that hears nobody is answered by nobody,
-// and still lives.
-func (m *Member) call() {
-	for range min(callsEach, len(m.observers)) {
-		p := m.observers[m.called%len(m.observers)]
-		m.called++
+// contactObservers sends a datagram to some observers of this agent while it doubts itself: an agent that
+// receives nothing answers no probe, but is alive.
+func (m *Member) contactObservers() {
+	for range min(contactsPerPeriod, len(m.observers)) {
+		p := m.observers[m.contactIndex%len(m.observers)]
+		m.contactIndex++
 		if !p.ended() {
-			m.send(p, m.packet(p, kindGossip, 0), answer)
+			m.send(p, m.newPacket(p, kindGossip, 0), priorityReply)
 		}
 	}
 }
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -1,40 +1,41 @@
 package member
 
-// What is known of all. A digest for each bucket of members tells two agents at a glance whether they know the same.
+// This file keeps the records of all members. A digest per bucket of members shows two agents whether they
+// hold the same records.
 
-func (m *Member) toggle(p *peer) { m.digests[p.id%buckets] ^= p.rec.hash() }
+func (m *Member) toggleDigest(p *peer) { m.digests[p.id%buckets] ^= p.rec.hash() }
 
-// lift takes what is known of p out of digests and number.
-func (m *Member) lift(p *peer) {
+// removeFromDigest removes the record of p from the digest of its bucket and from number.
+func (m *Member) removeFromDigest(p *peer) {
 	if p.known {
-		m.toggle(p)
+		m.toggleDigest(p)
 		m.number -= p.rec.rank()
 	}
 }
 
-// put makes r what is known of p.
-func (m *Member) put(p *peer, r record) {
-	m.lift(p)
-	m.tally(p, -1)
-	if r.kind != kindFull { // an end says no more than that
-		r.ver, r.name, r.zone, r.addr, r.doubt, r.note, r.list = 0, p.rec.name, p.rec.zone, p.rec.addr, false, "", nil
+// setRecord replaces the record of p with r and queues it for gossip.
+func (m *Member) setRecord(p *peer, r record) {
+	m.removeFromDigest(p)
+	m.adjustCounts(p, -1)
+	if r.kind != kindFull { // an end record has no other fields
+		r.version, r.name, r.zone, r.addr, r.doubt, r.note, r.list = 0, p.rec.name, p.rec.zone, p.rec.addr, false, "", nil
 	}
-	if len(r.list) > 0 && !p.lists {
-		m.listers = append(m.listers, p)
-		p.lists = true
+	if len(r.list) > 0 && !p.reporting {
+		m.reporters = append(m.reporters, p)
+		p.reporting = true
 	}
 	p.rec, p.known = r, true
-	m.tally(p, 1)
-	m.attend(p)
-	m.toggle(p)
+	m.adjustCounts(p, 1)
+	m.markPending(p)
+	m.toggleDigest(p)
 	m.number += r.rank()
 	m.dirty = true
-	m.spread(p)
+	m.queueUpdate(p)
 }
 
-// merge takes a record that came, and returns the peer if what is known of it is newer. What one is sent since it
-// seems to lack it is no news to others.
-func (m *Member) merge(r *record, lacked bool) *peer {
+// merge processes a received record and returns the peer if the record held here is newer. With fromSync
+// the first record of a peer is not gossiped on: this agent only lacked it, others have it.
+func (m *Member) merge(r *record, fromSync bool) *peer {
 	if r.id == m.cfg.Self {
 		return m.mergeSelf(r)
 	}
@@ -43,46 +44,46 @@
 		if !m.cfg.Strangers || r.kind != kindFull || !r.addr.IsValid() {
 			return nil
 		}
-		if p = m.place(r.id); p == nil {
+		if p = m.addStranger(r.id); p == nil {
 			return nil
 		}
-		m.reorder = true
+		m.ringsChanged = true
 	}
 	switch {
-	case p.known && p.rec.newer(r):
+	case p.known && p.rec.supersedes(r):
 		return p
-	case p.known && !r.newer(&p.rec): // others tell it too: it has spread
+	case p.known && !r.supersedes(&p.rec): // others gossip it too, so it has spread
 		if p.queued {
-			m.news.told(p, heardCounts)
+			m.updates.countSends(p, duplicateSends)
 		}
 		return nil
 	}
-	before, was := p.rec, p.known
-	m.put(p, *r)
-	if lacked && !was {
-		p.spreads = 0
-		m.news.remove(p)
+	before, wasKnown := p.rec, p.known
+	m.setRecord(p, *r)
+	if fromSync && !wasKnown {
+		p.sendLimit = 0
+		m.updates.remove(p)
 	}
-	life := !was || before.start != r.start || before.inc != r.inc
-	if life && p.slot != nil { // what was found out is of the life before
-		p.slot.rest()
+	newLife := !wasKnown || before.start != r.start || before.incarnation != r.incarnation
+	if newLife && p.slot != nil { // the probe results are of the earlier life
+		p.slot.reset()
 		m.listChanged = true
 	}
-	if life || before.kind != r.kind || before.doubt != r.doubt {
-		m.settle(p, life)
+	if newLife || before.kind != r.kind || before.doubt != r.doubt {
+		m.applyRecordState(p, newLife)
 	}
-	if m.heeds(p) {
-		for _, e := range r.list { // others that observe it find out sooner whether it is so
-			if t := m.peers[e.id]; t != nil && t.slot != nil && e.mark&lost != 0 && t.slot.subject && !t.slot.failing && m.rested(t.slot) {
-				t.slot.hurried = true
+	if m.trusts(p) {
+		for _, e := range r.list { // probe early what another observer lists, to confirm or refute it sooner
+			if t := m.peers[e.id]; t != nil && t.slot != nil && e.mark&markUnreachable != 0 && t.slot.subject && !t.slot.failing && m.mayProbeEarly(t.slot) {
+				t.slot.probeNow = true
 			}
 		}
 	}
 	return nil
 }
 
-// mergeSelf takes what others hold of this agent. Who learns of its own end, or of an earlier life that seems later
-// than its own (a start counter that was lost), takes the next life.
+// mergeSelf processes a record about this agent. If it states the end of this agent's life, or a later life
+// than its own (after the loss of the start counter), this agent starts a new life.
 func (m *Member) mergeSelf(r *record) *peer {
 	mine := &m.self.rec
 	if m.leaving {
@@ -92,40 +93,41 @@
 	case theirs < own:
 		return m.self
 	case theirs == own:
-		if int32(r.ver-mine.ver) > 0 { // the same life, before a memory that was lost
+		if int32(r.version-mine.version) > 0 { // published by this life before its process lost its state
 			next := *mine
-			next.ver = r.ver + 1
-			m.put(m.self, next)
+			next.version = r.version + 1
+			m.setRecord(m.self, next)
 		}
 		return nil
 	}
 	next := *mine
 	switch {
 	case r.start > mine.start:
-		next.start, next.inc = r.start+1, 0
-	case r.inc == ^uint16(0):
-		next.start, next.inc = r.start+1, 0
+		next.start, next.incarnation = r.start+1, 0
+	case r.incarnation == ^uint16(0):
+		next.start, next.incarnation = r.start+1, 0
 	default:
-		next.inc = r.inc + 1
+		next.incarnation = r.incarnation + 1
 	}
-	next.ver++
-	m.put(m.self, next)
+	next.version++
+	m.setRecord(m.self, next)
 	return nil
 }
 
-// settle brings a member's state in line with a record of another rank.
-func (m *Member) settle(p *peer, life bool) {
+// applyRecordState sets the state of p after its record has changed in rank or doubt; newLife is whether p
+// has a new life.
+func (m *Member) applyRecordState(p *peer, newLife bool) {
 	switch {
 	case p.rec.kind == kindLeft:
-		m.become(p, Left)
+		m.setState(p, Left)
 	case p.ended():
-		m.become(p, Dead)
-	case life || p.state == Dead || p.state == Left:
-		p.fewAt = 0
-		m.become(p, Alive)
+		m.setState(p, Dead)
+	case newLife || p.state == Dead || p.state == Left:
+		p.clearingSince = 0
+		m.setState(p, Alive)
 	}
 	if p.ended() {
-		m.drop(p.id)
+		m.dropSlot(p.id)
 	}
-	m.reorder = true
+	m.ringsChanged = true
 }
