--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// State is what a member is held for.
+// State is the state of a member in a view.
 type State uint8
 
 const (
-	Unseen  State = iota // listed, and never heard of since this agent started
-	Alive                // it lives
-	Suspect              // enough observers get no answer, and nobody that they ask does
-	Dead                 // its life has ended, by the word of its observers
-	Left                 // its life has ended, by its own word
+	Unseen  State = iota // configured, and not heard of since this agent started
+	Alive                // running
+	Suspect              // enough observers cannot reach it directly or indirectly
+	Dead                 // its life has ended: declared by its observers
+	Left                 // its life has ended: announced by itself
 )
 
 var stateNames = [...]string{"unseen", "alive", "suspect", "dead", "left"}
@@ -27,14 +27,14 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// Standing is what an agent makes of itself.
+// Standing says how much of the fleet an agent sees, in its own judgement.
 type Standing uint8
 
 const (
-	Minority Standing = iota // it sees half of the expected fleet at the most, or can't be sure of more
-	Majority                 // it sees more than half
-	OwnZone                  // a minority, all of it of its own zone though the fleet has others
-	Alone                    // nobody answers it
+	Minority Standing = iota // sees half of the expected fleet or less, or is in doubt
+	Majority                 // sees more than half
+	OwnZone                  // a minority whose reachable members are all of its own zone, in a fleet with several
+	Alone                    // no other agent answers it
 )
 
 var standingNames = [...]string{"minority", "majority", "own zone", "alone"}
@@ -46,57 +46,57 @@
 	return fmt.Sprintf("standing %d", uint8(s))
 }
 
-// Change is one step of a view: a member's state, or who can't reach it, or this agent's own standing.
+// Change is a change of a member's state or of this agent's own standing.
 type Change struct {
 	At       time.Duration
-	Moved    uint64 // this agent's changes so far, this one included
-	Of       ID     // Nobody: of this agent's standing
+	Sequence uint64 // number of this agent's changes so far, this one included
+	Member   ID     // Nobody: the change is of this agent's standing
 	From, To State
-	Proved   bool // Dead: its machine said that nobody listens
+	Proved   bool // Dead: its host reported that no process listens
 	Standing Standing
 }
 
-// Seen is one member in a view.
-type Seen struct {
+// MemberInfo describes one member in a view.
+type MemberInfo struct {
 	ID          ID
 	Name, Zone  string
 	State       State
-	Proved      bool // Dead: its machine said that nobody listens
+	Proved      bool // Dead: its host reported that no process listens
 	Start       uint32
 	Incarnation uint16
-	Since       time.Duration
-	Accused     int // observers that get no answer, nor does anybody for them
-	Doubts      bool
-	Note        string // what it has the others know; see Say
-	// Living members from which nothing comes to it, by its own word or theirs, in the order of their numbers.
+	Since       time.Duration // when it entered State
+	Accused     int           // observers that cannot reach it directly or indirectly
+	Doubts      bool          // the member believes that it may be cut off itself
+	Note        string        // published by the member; see SetNote
+	// Members whose datagrams don't reach it directly, according to its list or theirs, sorted by ID.
 	UnreachableFrom []ID
 }
 
-// View is what an agent holds of the fleet. Two agents with the same digest hold the same of every life and its end,
-// and of who reaches whom; who is suspected follows from that and from each one's own standing.
+// View is what an agent knows of the fleet. Agents with the same digest agree on every life, its end, and
+// who can reach whom. Suspicions follow from these records and from the agent's own standing.
 type View struct {
 	Self     ID
-	Number   uint64 // grows with each life and each end, at all agents to the same sum
+	Number   uint64 // grows with each new life and each end; the same at all agents with the same records
 	Digest   uint64
-	Moved    uint64 // changes that this agent has seen since it started
+	Changes  uint64 // changes that this agent has seen since its start
 	Standing Standing
 	Expected int
 	Alive    int
 	Zones    int
-	Members  []Seen // by their numbers, this agent among them
+	Members  []MemberInfo // sorted by ID, this agent included
 }
 
 // Majority reports whether the agent sees more than half of the expected fleet.
 func (v *View) Majority() bool { return v.Standing == Majority }
 
-// View returns the present one.
+// View returns the current view.
 func (m *Member) View() View {
-	v := View{Self: m.cfg.Self, Number: m.number, Moved: m.moved, Standing: m.standing(), Expected: m.cfg.Expected}
+	v := View{Self: m.cfg.Self, Number: m.number, Changes: m.changeCount, Standing: m.standing(), Expected: m.cfg.Expected}
 	for _, d := range m.digests {
 		v.Digest = mix(v.Digest ^ uint64(d))
 	}
 	zones := map[string]bool{}
-	blocked := map[ID][]ID{} // by the one that isn't reached
+	blocked := map[ID][]ID{} // by the agent that can't be reached
 	for _, p := range m.order {
 		if p.state == Alive {
 			v.Alive++
@@ -109,13 +109,13 @@
 		}
 		for _, e := range p.rec.list {
 			t := m.peers[e.id]
-			if t == nil || t.ended() || e.tag != t.rec.tag() {
+			if t == nil || t.ended() || e.lifeTag != t.rec.lifeTag() {
 				continue
 			}
-			if e.mark&(unhearing|lost) != 0 {
+			if e.mark&(markNoOutbound|markUnreachable) != 0 {
 				blocked[e.id] = append(blocked[e.id], p.id)
 			}
-			if e.mark&unheard != 0 {
+			if e.mark&markNoInbound != 0 {
 				blocked[p.id] = append(blocked[p.id], e.id)
 			}
 		}
@@ -124,21 +124,21 @@
 	for _, p := range m.order {
 		from := blocked[p.id]
 		slices.Sort(from)
-		v.Members = append(v.Members, Seen{ID: p.id, Name: p.rec.name, Zone: p.rec.zone, State: p.state, Proved: p.rec.kind == kindGone,
-			Start: p.rec.start, Incarnation: p.rec.inc, Since: p.since, Accused: p.accused, Doubts: p.rec.doubt, Note: p.rec.note,
+		v.Members = append(v.Members, MemberInfo{ID: p.id, Name: p.rec.name, Zone: p.rec.zone, State: p.state, Proved: p.rec.kind == kindRefused,
+			Start: p.rec.start, Incarnation: p.rec.incarnation, Since: p.since, Accused: p.accusers, Doubts: p.rec.doubt, Note: p.rec.note,
 			UnreachableFrom: slices.Compact(from)})
 	}
 	return v
 }
 
-// Brief is a view without its members.
+// Brief returns the current view without Digest, Zones and Members.
 func (m *Member) Brief() (v View) {
-	v = View{Self: m.cfg.Self, Number: m.number, Moved: m.moved, Standing: m.told, Expected: m.cfg.Expected}
-	v.Alive = m.count.alive
+	v = View{Self: m.cfg.Self, Number: m.number, Changes: m.changeCount, Standing: m.lastStanding, Expected: m.cfg.Expected}
+	v.Alive = m.counts.alive
 	return v
 }
 
-// Name is what a member is called; its number where it has not said so yet.
+// Name returns a member's name; "#" and its number if the name is not known yet.
 func (m *Member) Name(id ID) string {
 	if p := m.peers[id]; p != nil && p.rec.name != "" {
 		return p.rec.name
@@ -146,59 +146,62 @@
 	return fmt.Sprintf("#%d", id)
 }
 
-// Changes hands over what has changed since the last call; the earliest are lost beyond changesMost.
+// Changes returns the changes since the last call, the latest maxChanges at most.
 func (m *Member) Changes() []Change {
 	c := m.changes
 	m.changes = nil
 	return c
 }
 
-const changesMost = 4096
+const maxChanges = 4096
 
-func (m *Member) change(c Change) {
-	m.moved++
-	c.At, c.Moved, c.Standing = m.now, m.moved, m.told
-	if len(m.changes) >= changesMost {
+// recordChange queues a change for Changes; the oldest one is dropped beyond maxChanges.
+func (m *Member) recordChange(c Change) {
+	m.changeCount++
+	c.At, c.Sequence, c.Standing = m.now, m.changeCount, m.lastStanding
+	if len(m.changes) >= maxChanges {
 		m.changes = slices.Delete(m.changes, 0, 1)
 	}
 	m.changes = append(m.changes, c)
 }
 
-func (m *Member) become(p *peer, s State) {
+// setState sets the state of p and records the change, if it is one.
+func (m *Member) setState(p *peer, s State) {
 	if p.state == s {
 		return
 	}
 	from := p.state
-	m.tally(p, -1)
+	m.adjustCounts(p, -1)
 	p.state, p.since = s, m.now
-	m.tally(p, 1)
-	m.change(Change{Of: p.id, From: from, To: s, Proved: p.rec.kind == kindGone})
+	m.adjustCounts(p, 1)
+	m.recordChange(Change{Member: p.id, From: from, To: s, Proved: p.rec.kind == kindRefused})
 }
 
-// Count is what users of a view reckon with.
+// Count is the number of agents that users of a view have to allow for.
 type Count struct {
-	Living   int // agents that are to be reckoned with as busy
-	Possible int // agents that may be busy, in the worst case: never under Living
+	Living   int // agents to be counted as serving
+	Possible int // agents that may be serving in the worst case; at least Living
 	Away     []ID
 }
 
-// Count tells how many agents live. Those that left or whose machine says that they are gone don't. One that only
-// fell silent may still serve, cut off: it counts as living until it has been dead for another Pause, and only
-// where this agent is of the majority; it always counts as possible. Those never heard of count as living.
+// Count returns how many agents have to be counted as serving. Agents that left, or whose host reported
+// that no process listens, don't count. An agent declared dead after silence may still serve behind a
+// network cut: it counts in Living until it has been dead for another Config.Pause and this agent is in the
+// majority, and always counts in Possible. Agents never heard of count as living.
 func (m *Member) Count() (c Count) {
 	c.Living, c.Possible = m.cfg.Expected, m.cfg.Expected
 	for _, p := range m.order {
 		switch {
-		case !p.listed && p != m.self: // not among those expected
+		case !p.listed && p != m.self: // joined, not part of Expected
 			if !p.ended() {
 				c.Living++
 				c.Possible++
 			}
-		case p.rec.kind == kindLeft || p.rec.kind == kindGone:
+		case p.rec.kind == kindLeft || p.rec.kind == kindRefused:
 			c.Living--
 			c.Possible--
 			c.Away = append(c.Away, p.id)
-		case p.rec.kind == kindDead && m.told == Majority && m.now-p.since >= m.cfg.Pause:
+		case p.rec.kind == kindDead && m.lastStanding == Majority && m.now-p.since >= m.cfg.Pause:
 			c.Living--
 			c.Away = append(c.Away, p.id)
 		}
@@ -208,231 +211,232 @@
 	return c
 }
 
-// ---- What follows from the records ----
+// ---- States derived from the records ----
 
-// evaluate works out states from what all list.
+// evaluate derives the states of the pending peers from the published lists, and this agent's standing.
 func (m *Member) evaluate() {
 	doubted := m.doubt
-	m.weigh()
+	m.evaluateDoubt()
 	if doubted != m.doubt {
 		m.dirty = true
 	}
 	if doubted && !m.doubt {
-		m.startOver()
+		m.discardEvidence()
 	}
-	if m.evalAt > 0 && m.evalAt <= m.now {
-		m.dirty, m.evalAt = true, 0
+	if m.nextEvaluate > 0 && m.nextEvaluate <= m.now {
+		m.dirty, m.nextEvaluate = true, 0
 	}
 	if !m.dirty {
 		return
 	}
 	m.dirty = false
 	m.publish()
-	for _, p := range m.attended {
-		p.accused, p.ripe, p.refused = 0, 0, 0
+	for _, p := range m.pending {
+		p.accusers, p.confirmers, p.refusers = 0, 0, 0
 	}
 	eligible := m.eligible()
-	for i := 0; i < len(m.listers); i++ {
-		p := m.listers[i]
+	for i := 0; i < len(m.reporters); i++ {
+		p := m.reporters[i]
 		if len(p.rec.list) == 0 {
-			p.lists = false
-			m.listers = slices.Delete(m.listers, i, i+1)
+			p.reporting = false
+			m.reporters = slices.Delete(m.reporters, i, i+1)
 			i--
 			continue
 		}
-		if !m.heeds(p) {
+		if !m.trusts(p) {
 			continue
 		}
 		for _, e := range p.rec.list {
 			t := m.peers[e.id]
-			if t == nil || t == p || e.mark&lost == 0 || e.tag != t.rec.tag() {
+			if t == nil || t == p || e.mark&markUnreachable == 0 || e.lifeTag != t.rec.lifeTag() {
 				continue
 			}
-			t.accused++
-			m.attend(t)
-			if e.mark&ripe != 0 {
-				t.ripe++
-				if e.mark&refusing != 0 {
-					t.refused++
+			t.accusers++
+			m.markPending(t)
+			if e.mark&markConfirmable != 0 {
+				t.confirmers++
+				if e.mark&markRefused != 0 {
+					t.refusers++
 				}
 			}
 		}
 	}
-	if m.doubt { // those that it may still be together with
+	if m.doubt { // only agents that still answer this one can take part in the decision
 		eligible = 1
 		for _, p := range m.order {
-			if m.okLately(p) {
+			if m.ackedRecently(p) {
 				eligible++
 			}
 		}
 	}
-	moved := false
-	slices.SortFunc(m.attended, func(a, b *peer) int { return cmp.Compare(a.id, b.id) })
-	look := m.attended
-	m.attended = m.spareAttended[:0]
-	for _, p := range look {
-		p.attended = false
+	statesChanged := false
+	slices.SortFunc(m.pending, func(a, b *peer) int { return cmp.Compare(a.id, b.id) })
+	toEvaluate := m.pending
+	m.pending = m.sparePending[:0]
+	for _, p := range toEvaluate {
+		p.pending = false
 		if p == m.self || p.ended() {
 			continue
 		}
 		others := eligible
-		if m.doubt && m.okLately(p) || !m.doubt && m.heeds(p) {
+		if m.doubt && m.ackedRecently(p) || !m.doubt && m.trusts(p) {
 			others--
 		}
-		was := p.state
-		m.judge(p, min(needMost, max(1, others)))
-		moved = moved || p.state != was
-		if p.accused > 0 || p.state == Suspect || p.state == Unseen && p.known {
-			m.attend(p)
+		before := p.state
+		m.updateState(p, min(requiredObservers, max(1, others)))
+		statesChanged = statesChanged || p.state != before
+		if p.accusers > 0 || p.state == Suspect || p.state == Unseen && p.known {
+			m.markPending(p)
 		}
 	}
-	m.spareAttended = look
-	if moved {
-		m.reorder = true
+	m.sparePending = toEvaluate
+	if statesChanged {
+		m.ringsChanged = true
 	}
-	if s := m.standing(); s != m.told {
-		m.told = s
-		m.change(Change{Of: Nobody, Standing: s})
+	if s := m.standing(); s != m.lastStanding {
+		m.lastStanding = s
+		m.recordChange(Change{Member: Nobody, Standing: s})
 	}
 }
 
-// eligible counts those that are heeded, this agent among them: see heeds.
+// eligible returns the number of agents that trusts accepts, this one included.
 func (m *Member) eligible() int {
-	n := 1 + m.count.known
+	n := 1 + m.counts.known
 	if !m.doubt {
-		n -= m.count.doubting
+		n -= m.counts.doubting
 	}
-	for _, s := range m.slotOrder {
-		if p := s.p; s.mark&lost != 0 && p.known && !p.ended() && (!p.rec.doubt || m.doubt) {
+	for _, s := range m.slotList {
+		if p := s.p; s.mark&markUnreachable != 0 && p.known && !p.ended() && (!p.rec.doubt || m.doubt) {
 			n--
 		}
 	}
 	return n
 }
 
-// heeds reports whether what p lists counts here. What one says that may itself be cut off counts for those
-// who may be too.
-func (m *Member) heeds(p *peer) bool {
+// trusts reports whether the list of p counts here. The list of an agent in doubt counts only for agents in
+// doubt.
+func (m *Member) trusts(p *peer) bool {
 	if p == m.self {
 		return true
 	}
-	// One that is suspected by others' word is heeded all the same: else two that suspect each other would take turns.
-	// What one says that this agent itself has lost is of before.
-	if p.slot != nil && p.slot.mark&lost != 0 {
+	// The list of a suspected agent counts too; otherwise the states of two agents that suspect each other
+	// would alternate. If this agent itself can't reach p, p's list is outdated.
+	if p.slot != nil && p.slot.mark&markUnreachable != 0 {
 		return false
 	}
 	return p.known && !p.ended() && (!p.rec.doubt || m.doubt)
 }
 
-// judge brings a member's state up to date, with need observers that have to agree.
-func (m *Member) judge(p *peer, need int) {
+// updateState updates the state of p; need is the number of observers that must agree.
+func (m *Member) updateState(p *peer, need int) {
 	if p.state == Unseen {
 		if p.known {
-			m.become(p, Alive)
+			m.setState(p, Alive)
 		}
 		return
 	}
-	straight := p.heardAt >= 0 && m.now-p.heardAt < 2*m.cfg.Period
-	if m.doubt { // rather its own ears than the word of others that may be cut off too
-		straight = straight || m.okLately(p) || m.heardLately(p)
+	heardDirectly := p.heardAt >= 0 && m.now-p.heardAt < 2*m.cfg.Period
+	if m.doubt { // in doubt, own contacts count more than lists of agents that may be cut off too
+		heardDirectly = heardDirectly || m.ackedRecently(p) || m.heardRecently(p)
 	}
-	if m.now >= m.hushUntil && !straight {
+	if m.now >= m.noEndsUntil && !heardDirectly {
 		end := p.rec
 		switch {
-		case p.refused >= need:
-			end.kind = kindGone
-		case p.ripe >= need && m.standing() == Majority:
+		case p.refusers >= need:
+			end.kind = kindRefused
+		case p.confirmers >= need && m.standing() == Majority:
 			end.kind = kindDead
 		}
 		if end.kind != kindFull {
-			m.put(p, end)
-			m.become(p, Dead)
-			m.drop(p.id)
+			m.setRecord(p, end)
+			m.setState(p, Dead)
+			m.dropSlot(p.id)
 			return
 		}
-	} else if p.ripe >= need {
-		m.again(max(m.hushUntil, m.now+m.cfg.Period))
+	} else if p.confirmers >= need {
+		m.scheduleEvaluate(max(m.noEndsUntil, m.now+m.cfg.Period))
 	}
 	switch p.state {
 	case Alive:
-		if p.accused >= need && !straight {
-			p.fewAt = 0
-			m.become(p, Suspect)
-		} else if p.accused >= need {
-			m.again(m.now + 2*m.cfg.Period)
+		if p.accusers >= need && !heardDirectly {
+			p.clearingSince = 0
+			m.setState(p, Suspect)
+		} else if p.accusers >= need {
+			m.scheduleEvaluate(m.now + 2*m.cfg.Period)
 		}
 	case Suspect:
 		switch {
-		case p.accused == 0:
-			m.become(p, Alive)
-		case p.accused > need/2:
-			p.fewAt = 0
-		case p.fewAt == 0:
-			p.fewAt = m.now
-			m.again(m.now + settleFor*m.cfg.Period)
-		case m.now-p.fewAt >= settleFor*m.cfg.Period:
-			m.become(p, Alive)
+		case p.accusers == 0:
+			m.setState(p, Alive)
+		case p.accusers > need/2:
+			p.clearingSince = 0
+		case p.clearingSince == 0:
+			p.clearingSince = m.now
+			m.scheduleEvaluate(m.now + clearSuspicionAfter*m.cfg.Period)
+		case m.now-p.clearingSince >= clearSuspicionAfter*m.cfg.Period:
+			m.setState(p, Alive)
 		default:
-			m.again(p.fewAt + settleFor*m.cfg.Period)
+			m.scheduleEvaluate(p.clearingSince + clearSuspicionAfter*m.cfg.Period)
 		}
 	}
 }
 
-// again has evaluate run at a time at the latest.
-func (m *Member) again(at time.Duration) {
-	if m.evalAt == 0 || at < m.evalAt {
-		m.evalAt = at
+// scheduleEvaluate makes evaluate run at the given time at the latest.
+func (m *Member) scheduleEvaluate(at time.Duration) {
+	if m.nextEvaluate == 0 || at < m.nextEvaluate {
+		m.nextEvaluate = at
 	}
 }
 
-// okLately reports whether p has answered a probe lately: the last one, or one of those that it takes to list it,
-// since under loss one alone says little.
-func (m *Member) okLately(p *peer) bool {
-	if p == m.self || p.ended() || p.okAt < 0 {
+// ackedRecently reports whether p has answered a probe recently: the last probe, or one within the time
+// that it takes to list p, since under packet loss a single failed probe says little.
+func (m *Member) ackedRecently(p *peer) bool {
+	if p == m.self || p.ended() || p.lastAckAt < 0 {
 		return false
 	}
-	ago := m.now - p.okAt
-	return ago < suspectTries*m.cfg.Period || p.okAt >= p.failAt && ago < sampleFor*m.cfg.Period
+	age := m.now - p.lastAckAt
+	return age < suspectFailures*m.cfg.Period || p.lastAckAt >= p.lastFailAt && age < sampleTTL*m.cfg.Period
 }
 
-// weigh decides whether this agent may itself be the one that is cut off: half or more of those that it probed in
-// turn lately don't answer it.
-func (m *Member) weigh() {
+// evaluateDoubt decides whether this agent may be cut off itself: whether too few of the agents in its
+// recent sample answer.
+func (m *Member) evaluateDoubt() {
 	if !m.alarmed() {
-		m.believe(false)
+		m.setDoubt(false)
 		return
 	}
-	others := m.count.open
-	ok, all := m.judgeSelf()
+	others := m.counts.open
+	ok, all := m.recentOutcomes()
 	switch {
-	case all < min(sampleLeast, others):
-	case all >= others: // all of them
-		m.believe(2*(ok+1) <= all+1) // itself among them
-	case float64(ok) <= doubtBelow*float64(all):
-		m.believe(true)
-	case float64(ok) >= sureAbove*float64(all):
-		m.believe(false)
+	case all < min(minSample, others):
+	case all >= others: // every other agent
+		m.setDoubt(2*(ok+1) <= all+1) // counting this agent on the answering side
+	case float64(ok) <= doubtThreshold*float64(all):
+		m.setDoubt(true)
+	case float64(ok) >= clearDoubtThreshold*float64(all):
+		m.setDoubt(false)
 	}
 }
 
-// believe has this agent doubt itself at once, and cease to once it has had no reason for a while: what was answered
-// before a cut still counts for a moment.
-func (m *Member) believe(doubt bool) {
+// setDoubt starts doubt at once, and ends it only after clearDoubtAfter without a reason: answers from
+// before a cut still count for a short time.
+func (m *Member) setDoubt(doubt bool) {
 	switch {
 	case doubt:
-		m.doubt, m.sureAt = true, -1
-	case m.doubt && m.sureAt < 0:
-		m.sureAt = m.now
-	case m.doubt && m.now-m.sureAt >= sureFor*m.cfg.Period:
+		m.doubt, m.noDoubtSince = true, -1
+	case m.doubt && m.noDoubtSince < 0:
+		m.noDoubtSince = m.now
+	case m.doubt && m.now-m.noDoubtSince >= clearDoubtAfter*m.cfg.Period:
 		m.doubt = false
 	}
 }
 
+// standing computes this agent's standing. Only an agent without doubt can be in the majority.
 func (m *Member) standing() Standing {
-	if alive := m.count.alive; !m.doubt && alive > 1 && 2*alive > m.cfg.Expected {
+	if alive := m.counts.alive; !m.doubt && alive > 1 && 2*alive > m.cfg.Expected {
 		return Majority
 	}
-	alive, lately, home := 0, 0, true
+	alive, acked, allOwnZone := 0, 0, true
 	zones := map[string]bool{}
 	for _, p := range m.order {
 		if p.known || p.listed && p.rec.zone != "" {
@@ -440,18 +444,18 @@
 		}
 		if p.state == Alive {
 			alive++
-			if p != m.self && (!m.doubt || m.okLately(p)) {
-				lately++
-				home = home && p.rec.zone == m.self.rec.zone
+			if p != m.self && (!m.doubt || m.ackedRecently(p)) {
+				acked++
+				allOwnZone = allOwnZone && p.rec.zone == m.self.rec.zone
 			}
 		}
 	}
 	switch {
-	case lately == 0 && m.cfg.Expected > 1:
+	case acked == 0 && m.cfg.Expected > 1:
 		return Alone
 	case !m.doubt && 2*alive > m.cfg.Expected:
 		return Majority
-	case home && len(zones) > 1:
+	case allOwnZone && len(zones) > 1:
 		return OwnZone
 	}
 	return Minority
