--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -18,7 +18,7 @@
 // one fails. An observer allows more silence while its own probes fail or its own clock jumps, after Lifeguard
 // (Dadgar, Phillips, Currey 2017). docs/design/membership.md compares the alternatives.
 //
-// Files: rings.go assigns observers; probe.go holds direct and indirect probes; record.go and table.go the records of
+// Files: rings.go assigns observers; probe.go holds direct and indirect probes; record.go and merge.go the records of
 // all agents, index.go their indexes; gossip.go spreads them; view.go derives states and views; packet.go encodes
 // datagrams.
 //
