--- a/balance/state.go
+++ b/balance/state.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// What a balancer knows of classes, backends, attempts and requests. What is made of it stands in balance.go.
+// What a balancer knows of classes, backends, attempts and requests. What is made of it stands in the files that decide.
 
 // terms are the settings that a request is served by. They never change: a request keeps those in force when it came.
 type terms struct {
