--- a/balance/api.go
+++ b/balance/api.go
@@ -1,27 +1,24 @@
-// Package balance decides, for one client-side balancer, where each
-// request goes, when it is tried again, and when it is
-// refused. It performs no I/O: the embedding agent owns the clock, the timers
-// and the connections, passes on what happened as events, and carries out the
-// actions it gets back, in order.
+// Package balance decides, for one client-side load balancer, where each request goes, when it is retried
+// and when it is refused. It performs no I/O: the embedding agent owns the clock, the timers and the
+// connections, passes on what happened as events, and carries out the returned actions in order.
 //
-// A Balancer belongs to one goroutine. All times are durations on the agent's
-// own monotonic clock, whose zero is of no matter; they must not run backwards.
-// Its memory is bounded by the requests and attempts that are open, the timers
-// that are pending and the backends that are listed.
+// A Balancer belongs to one goroutine. All times are durations on the agent's own monotonic clock, whose
+// zero does not matter; they must not run backwards. Memory is bounded by the open requests and attempts,
+// the pending timers and the listed backends.
 package balance
 
 import "time"
 
-// Effect says what repeating a request does.
+// Effect says whether a request may be repeated.
 type Effect uint8
 
 const (
 	Safe   Effect = iota // may be repeated and refused at will
-	Keyed                // backends of one group drop a repeat within a window
+	Keyed                // backends of one group drop a repeat within a time window
 	Unsafe               // may be repeated only when no attempt can have run
 )
 
-// Group says which backends drop repeats of a keyed request.
+// Group says which backends recognise repeats of a keyed request and drop them.
 type Group uint8
 
 const (
@@ -33,30 +30,30 @@
 // Class describes one class of requests.
 type Class struct {
 	Aim       time.Duration // an answer within this time earns the full worth
-	Deadline  time.Duration // the time a client waits, over all its tries
-	Worth     float64       // worth of a request (or of a unit of work, see Settings.ByWork)
-	LateWorth float64       // share of the worth earned between aim and deadline
+	Deadline  time.Duration // the time that a client waits, over all its tries
+	Worth     float64       // worth of a request, or of a unit of work (see Settings.ByWork)
+	LateWorth float64       // share of the worth that an answer between aim and deadline earns
 	Effect    Effect
 	Group     Group         // for Keyed
-	Window    time.Duration // for Keyed: how long a repeat is dropped after the first send
-	Stretch   float64       // the aim grows by so many times the work of a request; nothing reads it yet
-	Stream    bool          // answers are streams; nothing reads it yet, StreamStarted tells
+	Window    time.Duration // for Keyed: repeats are dropped for this time after the first send
+	Stretch   float64       // growth of the aim per work of a request; unused
+	Stream    bool          // answers are streams; unused, StreamStarted tells
 }
 
-// Tenant is one party that shares the backends with others.
+// Tenant is one of several parties that share the backends.
 type Tenant struct {
-	PerSecond float64 // requests a second, over all agents, within its share
-	Portion   float64 // its part of the service; nothing reads it yet
+	PerSecond float64 // requests a second within its share, over all agents
+	Portion   float64 // its share of the service; unused
 }
 
-// WeightMeaning says what Backend.Weight stands for.
+// WeightMeaning says what Backend.Weight means.
 type WeightMeaning uint8
 
 const (
 	WeightsOff     WeightMeaning = iota // always 1
 	WeightsNominal                      // the registered size
-	WeightsRough                        // about the size
-	WeightsLive                         // the size over 1 + requests held a core, some time ago
+	WeightsRough                        // an approximate size
+	WeightsLive                         // the size over (1 + requests held per core), some time ago
 )
 
 // ReportSource says where load reports come from.
@@ -73,78 +70,79 @@
 	Outstanding, Queue, Utilization, Service, Throughput, ErrorsPerSec bool
 }
 
-// Prices are taken off the operator's result, each times its share or rate. The module reads
-// CrossZone; the others are carried for decisions to come.
+// Prices are costs that are subtracted from the operator's result, each multiplied by its share or rate. Only
+// CrossZone is used; the others are reserved for future decisions.
 type Prices struct {
-	Connection float64 // mean open connections over 100 x backends
+	Connection float64 // mean number of open connections over 100 times the number of backends
 	CrossZone  float64 // attempts that cross zones, as a share of first tries
-	Fleet      float64 // backends that run or are on order, as a share of those at the start
-	Handshake  float64 // new connections for each first try
-	LateFail   float64 // worth that ended unserved after its aim
-	List       float64 // list lines sent over 100 x first tries
-	Moves      float64 // moves for each first try
-	Origin     float64 // origin fetches for each first try
-	Peer       float64 // due in full at 256 peer bytes for each first try
-	Probe      float64 // probes for each first try
+	Fleet      float64 // backends that run or are ordered, as a share of those at the start
+	Handshake  float64 // new connections per first try
+	LateFail   float64 // worth of requests that ended unserved after their aim
+	List       float64 // list lines sent over 100 times the number of first tries
+	Moves      float64 // moves per first try
+	Origin     float64 // origin fetches per first try
+	Peer       float64 // peer bytes per first try: due in full at 256
+	Probe      float64 // probes per first try
 	Waste      float64 // backend work that served no answer, as a share of the work offered
 }
 
-// Settings are fixed for the life of a Balancer, but for what Reconfigure may replace. The zero value of a field that
-// may be absent means what its comment says; the zero value of a price, a goal or
-// a span switches off what rests on it. What agents may do at a site and what bounds
-// it are part of the interface even where the present module asks for none of it.
+// Settings are fixed for the life of a Balancer, except for those that Reconfigure may replace. A field that
+// may be absent says in its comment what its zero value means. The zero value of a price, a goal or a
+// duration switches off the feature that depends on it. The settings describe all that agents may do at a
+// site and the bounds on it; those marked as unused have no effect yet.
 type Settings struct {
 	Balancers int // agents that share these backends, this one included; at least 1
 	Self      int // this agent's number, from 0
 	Zone      int // this agent's zone
-	Zones     int // how many zones there are; 0: not told; nothing reads it yet
-	Kinds     int // how many kinds of backend; 0: not told; nothing reads it yet
+	Zones     int // number of zones; 0: unknown; unused
+	Kinds     int // number of kinds of backend; 0: unknown; unused
 	Classes   []Class
-	Tenants   []Tenant      // none: requests belong to nobody in particular
+	Tenants   []Tenant      // none: requests belong to no tenant
 	OverShare float64       // worth of a request beyond its tenant's share, over its class's worth
 	ByWork    bool          // worth counts per unit of work, not per request
-	Subscribe bool          // the list must be asked for; else it is told unasked
-	Tick      time.Duration // shortest gap between two steps; 0: none
-	Marked    bool          // clients mark their repeats; nothing reads it yet
-	WarmKeys  bool          // a backend that served a key lately needs less work for it; unread yet
-	Weights   WeightMeaning // nothing reads it yet
-	Reports   ReportSource  // nothing reads it yet, Load.Valid tells
-	Fields    ReportFields  // nothing reads it yet, negative values tell
-
-	MaxAttempts    int           // attempts one request may get; 0: 1
-	SecondCopies   bool          // two attempts of one request may be out together
+	Subscribe bool          // the agent must subscribe to the list; otherwise it arrives unasked
+	Tick      time.Duration // minimum gap between two steps; 0: none
+	Marked    bool          // clients mark their repeats; unused
+	WarmKeys  bool          // a backend that served a key lately needs less work for it
+	Weights   WeightMeaning // unused
+	Reports   ReportSource
+	Fields    ReportFields // unused, negative values in a Load tell
+
+	MaxAttempts    int           // maximum of attempts per request; 0: 1
+	SecondCopies   bool          // two attempts of one request may be open together
 	MayProbe       bool          // Probe actions are allowed
 	MayCancel      bool          // Cancel actions are allowed
 	Peers          bool          // TellPeer actions are allowed
 	RetryAfter     bool          // clients are shown Refuse.RetryAfter
-	MaxRetryAfter  time.Duration // the longest wait that a client heeds
+	MaxRetryAfter  time.Duration // the longest wait that clients respect
 	ConnectTimeout time.Duration // a connection not made in this time fails
-	IdleClose      time.Duration // an unused connection closes after this time
-	StreamsPerConn int           // attempts that one connection carries; 0: not told; unread yet
-	MaxOpen        int           // open requests an agent may have; 0: no bound; unread yet
-	CPUPerSecond   time.Duration // CPU that an agent may use in a second; 0: no bound; unread yet
-	CPUPerRequest  time.Duration // and for a request, in the mean; 0: no bound; unread yet
+	IdleClose      time.Duration // an unused connection is closed after this time
+	StreamsPerConn int           // attempts that one connection carries; 0: unknown; unused
+	MaxOpen        int           // maximum of open requests of an agent; 0: no bound; unused
+	CPUPerSecond   time.Duration // CPU time that an agent may use per second; 0: no bound; unused
+	CPUPerRequest  time.Duration // mean CPU time per request; 0: no bound; unused
 
 	DrainGrace   time.Duration // how long sends to a draining backend are still tolerated
 	AnswerGrace  time.Duration // how long after its deadline a final answer still counts
-	AskWithin    time.Duration // Subscribe: ask at least this often while not subscribed
-	ColdShare    float64       // a backend starts at this share of its capacity or more; 0: 1
-	RampTime     time.Duration // and is warm no later than this after its start
-	FallMultiple float64       // a cold backend sent more than this multiple of its capacity ...
-	FallWindow   time.Duration // ... over this span falls over
-
-	// What the operator weighs: all, the worst span, the worst class, the worst tenant.
+	AskWithin    time.Duration // with Subscribe: maximum gap between Subscribe actions until subscribed
+	ColdShare    float64       // a backend starts with at least this share of its capacity; 0: 1
+	RampTime     time.Duration // a backend is warm at the latest this long after its start
+	FallMultiple float64       // a cold backend that is sent more than this multiple of its capacity ...
+	FallWindow   time.Duration // ... over this time fails
+
+	// The operator's weights for the overall result, the worst time window, the worst class and the worst
+	// tenant.
 	GoalWhole, GoalWindow, GoalClass, GoalTenant float64
 
 	Prices Prices
 }
 
-// BackendState is what the list says of a backend.
+// BackendState is a backend's state in the list.
 type BackendState uint8
 
 const (
 	Up       BackendState = iota
-	Draining              // finishing its work
+	Draining              // finishes its requests and takes no new ones
 	Gone                  // removed
 )
 
@@ -169,39 +167,39 @@
 	ListDelta  ListKind = iota // changed entries only
 	ListFull                   // all entries; a backend that is missing is gone
 	ListCached                 // all entries as last stored; may be stale
-	ListFailed                 // asking failed or the subscription broke; the old list holds
+	ListFailed                 // fetching failed or the subscription broke; the previous list stays valid
 )
 
 type (
-	// List carries the backends or the failure to get them.
+	// List carries the backends, or the failure to get them.
 	List struct {
 		Kind     ListKind
-		Version  int64 // of the list; nothing reads it yet
+		Version  int64 // of the list; unused
 		Backends []Backend
-		Within   time.Duration // with ListFailed: in which it is to be asked for again; 0: as the settings say
+		Within   time.Duration // with ListFailed: maximum time to the next Subscribe; 0: as AskWithin says
 	}
 	// Request is a client's request. The balancer owes it one final answer.
 	Request struct {
 		ID     string
 		Class  int
-		Tenant int           // place in Settings.Tenants; 0 where there are none
-		Key    string        // the subject; requests with one key go together; may be empty; unread yet
+		Tenant int           // index in Settings.Tenants; 0 if there are none
+		Key    string        // subject; with WarmKeys, one backend is preferred for each; may be empty
 		Left   time.Duration // until this client stops waiting
 		Work   time.Duration // expected work; 0: unknown
-		Repeat bool          // the client says that it tries again
-		Write  bool          // nothing reads it yet
-		Only   string        // the backend that alone may get it; empty: any
+		Repeat bool          // the client says that this is a repeat
+		Write  bool          // unused
+		Only   string        // the ID of the only backend that may get the request; empty: any
 	}
-	// Outcome ends one attempt. The agent passes on exactly one for each Send.
+	// Outcome ends one attempt. The agent passes on exactly one Outcome for each Send.
 	Outcome struct {
 		Request string
-		Attempt int // attempts of a request count from 0 in the order of their Send
+		Attempt int // the number of the attempt: a request's attempts count from 0 in the order of their Send
 		Backend string
 		Result  Result
-		Latency time.Duration // since it was sent
-		Done    bool          // the request has its final answer, by this outcome or before
-		// With Reset and ConnectFailed: other connections to the backend, made before, still stand,
-		// so that its process goes on. false: none stands, or it is not known.
+		Latency time.Duration // since the attempt was sent
+		Done    bool          // the request has its final answer, by this outcome or an earlier one
+		// With Reset and ConnectFailed: other connections to the backend, made earlier, are still open, so
+		// its process goes on. false: none is open, or it is not known.
 		Standing bool
 		Load     Load
 	}
@@ -209,46 +207,49 @@
 	StreamStarted struct {
 		Request string
 		Attempt int
-		Latency time.Duration // since it was sent
+		Latency time.Duration // since the attempt was sent
 	}
-	// Abandoned says that the client left; nothing is owed any longer.
+	// Abandoned says that the client left; the request needs no answer any longer.
 	Abandoned struct{ Request string }
-	// ProbeResult answers a Probe.
+	// ProbeResult is the result of a Probe.
 	ProbeResult struct {
 		Backend string
 		Result  Result
 		Latency time.Duration
 		Load    Load
 	}
-	// TimerFired says that a SetTimer has come due.
+	// TimerFired says that the timer of a SetTimer is due.
 	TimerFired struct{ Token int64 }
-	// Part says which part of this agent's limit and retry tokens is this process's, where one process
-	// replaces another and both serve: over 0, and 1 where it is the only one.
+	// Part is the share of this agent's limit and retry tokens that this process may use, while one process
+	// replaces another and both serve. Of is above 0, and 1 if the process is the only one.
 	Part struct{ Of float64 }
-	// Sites says what becomes of zones of which one is lost or returns: internal/site decides it, the module heeds it
-	// with each request. The latest one counts; the zero value is that all is well.
+	// Sites says how zones are treated of which one is lost or returns. internal/site decides it, and the
+	// Balancer follows it with each request. The latest event holds; the zero value means that all zones are
+	// well.
 	Sites struct {
-		// By zone, what its backends count for in picks; 0: its backends get trials alone, and their places
-		// count for nothing. A zone beyond the end counts for 1.
+		// Share is the weight of a zone's backends in picks, by zone. At 0 they get trial requests only and
+		// don't count in the limit. A zone beyond the end has the weight 1.
 		Share   []float64
-		Planned bool // Share says where load is to go, so that crossing zones is no price
-		// By class, the share that waits for room where there is none at once; the rest is refused at once while
-		// requests of the share wait. A class beyond the end waits as ever. Clients' repeats of a class of which any
-		// is refused are refused first.
+		Planned bool // Share plans where load goes, so that picks ignore the price of crossing zones
+		// Admit is the share of a class, by class, that waits for room if there is none at once. The rest is
+		// refused at once while admitted requests wait. A class beyond the end is admitted in full. If a
+		// class is admitted in part, clients' repeats are the first to be refused.
 		Admit []float64
 		Trial []bool // by zone: one request that may be repeated is to try it
-		// By zone: requests that may not simply be repeated are not begun there yet; they would lose most should it fail.
+		// Gentle bars, by zone, the first attempts of requests that are not Safe: they would lose most if
+		// the zone failed again.
 		Gentle []bool
-		// Back says after how long a client whose request of a class is refused now is to come again; nil: as ever.
+		// Back returns the wait that a client whose request of a class is refused now is advised to make;
+		// nil: the Balancer computes it.
 		Back func(class int) time.Duration
 	}
-	// Reconfigure replaces the settings that may change while a Balancer lives (see Settings.CanBecome, which must have
-	// allowed it). It holds for requests that come after it; those in hand end by the settings that they came with. What
-	// the Balancer has learned stays.
+	// Reconfigure replaces the settings that may change during the life of a Balancer. Settings.CanBecome
+	// must have accepted them. They apply to requests that come later; a request keeps the settings that it
+	// came with. What the Balancer has learned stays.
 	Reconfigure struct{ Settings Settings }
-	// Fleet says how many agents live, where that is known; Settings.Balancers holds until then. Living are
-	// those to reckon with as busy, Possible those that may be in the worst case, and Away the numbers of those
-	// that have left or died, whose wishes are void.
+	// Fleet says how many agents are alive, if that is known; until then Settings.Balancers holds. Living is
+	// the number that counts as sending requests, Possible the maximum that may be alive, and Away the
+	// numbers of those that have left or died, whose demand is dropped.
 	Fleet struct {
 		Living, Possible int
 		Away             []int
@@ -260,19 +261,19 @@
 	}
 )
 
-// Load is what a backend reported of itself, late and with noise. A value that it did not
-// report is negative: none is not nought.
+// Load is a backend's report on itself, late and noisy. A value that the backend did not report is negative,
+// which is not the same as 0.
 type Load struct {
-	Valid        bool          // one came
-	Outstanding  float64       // requests held; negative: not reported, as below
-	Queue        float64       // of these, requests waiting
+	Valid        bool          // there is a report
+	Outstanding  float64       // requests held, waiting ones included
+	Queue        float64       // requests waiting
 	Utilization  float64       // busy share of its cores
 	Service      time.Duration // recent service time without waiting
 	Throughput   float64       // requests served a second
 	ErrorsPerSec float64
 }
 
-// NoLoad is the load of what brought no report.
+// NoLoad returns the Load of an answer without a report.
 func NoLoad() Load {
 	return Load{Outstanding: -1, Queue: -1, Utilization: -1, Service: -1, Throughput: -1, ErrorsPerSec: -1}
 }
@@ -283,13 +284,15 @@
 const (
 	OK            Result = iota // served
 	Errored                     // the backend returned an error; may have run
-	Full                        // turned away unseen; never ran
+	Full                        // rejected by the backend before any processing; never ran
 	TimedOut                    // no answer in time; may have run or be running
 	ConnectFailed               // no connection; never ran
 	Reset                       // the connection broke; may have run
-	Cancelled                   // withdrawn; may have run
-	NotSent                     // never sent
-	Withdrawn                   // never sent: its backend takes nothing new by now, it is too late or nobody waits for it; no fault of the backend
+	Cancelled                   // cancelled by the agent; may have run
+	NotSent                     // the agent could not send it; never ran
+	// Withdrawn: the agent dropped the attempt before sending it, since its backend takes no new requests,
+	// time ran out or the client left. It never ran, and the backend is not at fault.
+	Withdrawn
 )
 
 // NeverRan reports whether the result proves that the attempt had no effect.
@@ -297,12 +300,11 @@
 	return r == Full || r == ConnectFailed || r == NotSent || r == Withdrawn
 }
 
-// EveryPeer as the addressee of a TellPeer means all the other agents.
+// EveryPeer as TellPeer.To addresses all other agents.
 const EveryPeer = -1
 
-// Action is something the agent must do now, in the order given. The present module
-// sends no Cancel, Probe, TellPeer, CloseIdle, FetchList, Unsubscribe or Trace; agents should
-// carry them out all the same.
+// Action is something that the agent must do now, in the order given. The Balancer currently returns no
+// Cancel, Probe, CloseIdle, FetchList, Unsubscribe or Trace; agents should carry them out all the same.
 type Action interface{ action() }
 
 type (
@@ -310,35 +312,35 @@
 	Send struct {
 		Request, Backend string
 		Timeout          time.Duration
-		By               time.Duration // it may not be written later; 0: whenever
+		By               time.Duration // it may not be written after this time; 0: no bound
 	}
-	// Cancel withdraws an attempt; its Outcome still comes.
+	// Cancel cancels an attempt; its Outcome still comes.
 	Cancel struct {
 		Request string
 		Attempt int
 	}
-	// Refuse is a final answer: not done, a new try does no harm.
+	// Refuse is a final answer: the request was not done, and a new try does no harm.
 	Refuse struct {
 		Request    string
 		RetryAfter time.Duration // 0: no advice
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a final answer that leaves open whether the request was done.
 	Fail struct{ Request string }
-	// SetTimer asks for a TimerFired after a while. Timers are never revoked.
+	// SetTimer asks for a TimerFired after the given time. Timers are never cancelled.
 	SetTimer struct {
 		After time.Duration
 		Token int64
 	}
-	// Probe examines a backend outside any request.
+	// Probe examines a backend outside of any request.
 	Probe struct{ Backend string }
-	// TellPeer sends a few bytes to another agent. They may come late or not at all.
+	// TellPeer sends a few bytes to another agent. They may arrive late or not at all.
 	TellPeer struct {
-		To   int // its number, or EveryPeer
+		To   int // the agent's number, or EveryPeer
 		Data []byte
 	}
 	// Subscribe asks that list changes be delivered from now on.
 	Subscribe struct{}
-	// Unsubscribe ends that.
+	// Unsubscribe ends a subscription.
 	Unsubscribe struct{}
 	// FetchList asks for the whole list once.
 	FetchList struct{}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -13,90 +13,93 @@
 
 // Balancer decides for one agent. See the package comment for its use.
 type Balancer struct {
-	s       Settings
-	rng     *rand.Rand
-	advice  *rand.Rand // for what clients are told
-	now     time.Duration
-	actions []Action
+	settings Settings
+	rng      *rand.Rand
+	auxRNG   *rand.Rand // for choices that must not change those drawn from rng, such as advice to clients
+	now      time.Duration
+	actions  []Action // of the current step
 
-	backends []*backend // in the order in which they were first listed, gone ones left out
-	byID     map[string]*backend
-	kinds    map[int]*speed
-	requests map[string]*request
-	held     []*request // waiting for room, oldest first
-	timers   map[int64]*request
-	token    int64 // last timer token given out
+	backends     []*backend // in the order in which they were first listed, without those forgotten
+	byID         map[string]*backend
+	kindSlowness map[int]*slowness // by Backend.Kind
+	requests     map[string]*request
+	held         []*request         // waiting for room within the limit, oldest first
+	timers       map[int64]*request // by token, the pending timers of requests
+	lastToken    int64              // the latest timer token used
 
-	possible  int     // agents that may live, in the worst case; Settings.Balancers are those that do
-	portion   float64 // of what is this agent's, that this process may use
-	tokens    float64 // the retry bucket
-	classes   []classState
-	inFlight  int
-	stuck     int     // of these, on backends that are not counted in capacity
-	perBack   float64 // attempts that all agents may have in flight together, per backend that is up
-	up, warm  int     // backends that the list says are up; of these, those past their cold start
-	capacity  float64 // their number, each counted by its warmth
-	rated     float64 // mean weight that the list gives those that are up
-	delay     float64 // running mean of latency over aim
-	beside    float64 // and of what was out, as these attempts were sent
-	base      float64 // its low: what it is without queues
-	cutAt     time.Duration
-	spare     float64 // attempt time saved up below the limit, ns
-	savedAt   time.Duration
-	roomToken int64
-	pacedAt   time.Duration // when the mean delay last took a sample
+	maxBalancers int     // agents that may be alive at most; Settings.Balancers are those known to be alive
+	processShare float64 // share of this agent's limit and retry tokens that this process may use
+	retryTokens  float64 // tokens left in the retry bucket
+	classes      []classState
+	inFlight     int     // attempts without an outcome
+	stuck        int     // attempts in flight that use no room: at backends out of use, or overdue
+	perBackend   float64 // attempts that all agents together may have in flight, per backend in use
+	up, warm     int     // backends that are up by the list; of these, those past their cold start
+	capacity     float64 // backends in use, each counted by its warmth
+	meanWeight   float64 // mean Backend.Weight of the backends that are up
+	meanDelay    float64 // running mean of latency over aim
+	// Running mean of attempt.concurrency, over the same attempts as meanDelay.
+	meanConcurrency float64
+	baseDelay       float64 // the low of meanDelay: the delay without queues
+	cutAt           time.Duration
+	savedTime       float64 // attempt time that the limit allowed and that was not used, ns
+	savedAt         time.Duration
+	roomTimer       int64         // token of the timer for room that saved time will give; 0: none is pending
+	delaySampledAt  time.Duration // when meanDelay last took a sample
 
-	wanted    float64 // running mean of attempts out and requests held
-	wantAt    time.Duration
-	demands   []demand      // of other agents, by their numbers
-	fraction  float64       // this agent's part of the limit
-	asked     float64       // and their sum over time since it told others
-	toldAt    time.Duration // when it last told others
-	tellAfter float64       // spans until it does again
+	meanDemand         float64 // running mean of attempts in flight plus requests held
+	demandUpdatedAt    time.Duration
+	peerDemands        []demand // by the number of the agent
+	limitShare         float64  // this process's share of the limit of all agents
+	demandSinceSent    float64  // integral over time of the demand since the last message to peers
+	demandSentAt       time.Duration
+	sendIntervalFactor float64 // jitter of the interval before the next message to peers
 
-	workLeft  float64 // running mean of what warm keys leave of the work
-	crowd     float64 // running mean of the attempts that other agents had at a backend, by its reports
-	stale     float64 // running share of reports that are older than the attempt they came with
-	width     float64 // the most attempts that a backend said to work on at once; 0: not told
-	doneWork  float64 // decayed work that warm backends served
-	doneCount float64 // and the requests that it came in
-	doneAt    time.Duration
-	askFails  int
-	askToken  int64
-	sites     Sites      // what becomes of zones
-	notes     func(Note) // nil: nobody asks why
-	noted     time.Duration
+	meanWorkLeft float64 // running mean of the share of work that known keys leave
+	// Running mean of the attempts that other agents had at a backend, by load reports.
+	meanOtherLoad     float64
+	staleShare        float64 // running share of reports older than the attempt they came with
+	parallelism       float64 // most attempts that a backend reported to work on at once; 0: not reported
+	servedWork        float64 // work that warm backends served lately, decaying over the fall window
+	servedCount       float64 // requests that this work came in
+	servedDecayedAt   time.Duration
+	subscribeFailures int   // failed subscriptions in a row
+	subscribeTimer    int64 // token of the timer for the next Subscribe; 0: none is pending
+	sites             Sites
+	onNote            func(Note) // receives the notes; nil: nobody does
+	stateNotedAt      time.Duration
 }
 
-// New returns a balancer with no state. All its random choices come from seed.
+// New returns a Balancer that knows no backends. All its random choices come from seed.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{s: s, rng: rand.New(rand.NewPCG(seed, 0)), advice: rand.New(rand.NewPCG(seed, 1)),
-		portion: 1, tokens: bucketCap, base: aimedDelay / aimedRise, delay: aimedLeast,
-		perBack: startPerBack, stale: 1, workLeft: 1,
-		byID: map[string]*backend{}, kinds: map[int]*speed{}, requests: map[string]*request{},
-		timers: map[int64]*request{}, fraction: 1 / float64(s.Balancers), possible: s.Balancers,
-		demands: make([]demand, s.Balancers), tellAfter: 1}
-	b.s.MaxAttempts = max(1, s.MaxAttempts)
-	b.s.ColdShare = cmp.Or(s.ColdShare, 1)
+	b := &Balancer{settings: s, rng: rand.New(rand.NewPCG(seed, 0)), auxRNG: rand.New(rand.NewPCG(seed, 1)),
+		processShare: 1, retryTokens: maxRetryTokens,
+		baseDelay: maxTargetDelay / targetDelayRise, meanDelay: minTargetDelay,
+		perBackend: initialPerBackend, staleShare: 1, meanWorkLeft: 1,
+		byID: map[string]*backend{}, kindSlowness: map[int]*slowness{}, requests: map[string]*request{},
+		timers: map[int64]*request{}, limitShare: 1 / float64(s.Balancers), maxBalancers: s.Balancers,
+		peerDemands: make([]demand, s.Balancers), sendIntervalFactor: 1}
+	b.settings.MaxAttempts = max(1, s.MaxAttempts)
+	b.settings.ColdShare = cmp.Or(s.ColdShare, 1)
 	for i, c := range s.Classes {
-		b.classes = append(b.classes, classState{terms: b.s.terms(i), latency: float64(c.Aim) / 4})
+		b.classes = append(b.classes, classState{terms: b.settings.terms(i), meanLatency: float64(c.Aim) / 4})
 	}
 	return b, nil
 }
 
-// Step takes what has happened by now, in order, and returns what to do.
+// Step handles the events that have happened by now, in order, and returns the actions to carry out.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
 	b.now, b.actions = max(now, b.now), nil
-	if b.pacedAt == 0 { // Guards against a first answer that alone makes the mean.
-		b.pacedAt, b.wantAt, b.toldAt = b.now, b.now, b.now
+	if b.delaySampledAt == 0 { // the first step: without a start, the first answer alone would make the mean
+		b.delaySampledAt, b.demandUpdatedAt, b.demandSentAt = b.now, b.now, b.now
 	}
-	b.save()
-	b.measure()
-	b.want()
-	b.divide()
+	b.updateSavedTime()
+	b.updateCapacity()
+	b.updateDemand()
+	b.updateLimitShare()
 	for _, e := range events {
 		switch e := e.(type) {
 		case Request:
@@ -106,75 +109,79 @@
 		case TimerFired:
 			b.onTimer(e.Token)
 		case PeerMessage:
-			b.onPeer(e)
-			b.divide()
+			b.onPeerMessage(e)
+			b.updateLimitShare()
 		case Fleet:
 			b.onFleet(e)
 		case Sites:
 			b.sites, b.sites.Trial = e, slices.Clone(e.Trial)
-			b.measure()
+			b.updateCapacity()
 		case Reconfigure:
 			b.reconfigure(e.Settings)
 		case Part:
-			b.portion = min(max(e.Of, leastPart), 1)
-			b.tokens = min(b.tokens, bucketCap*b.portion)
+			b.processShare = min(max(e.Of, minProcessShare), 1)
+			b.retryTokens = min(b.retryTokens, maxRetryTokens*b.processShare)
 		case List:
 			b.onList(e)
-			b.measure()
+			b.updateCapacity()
 		case StreamStarted:
 			if r := b.requests[e.Request]; r != nil {
-				r.stream = true
+				r.streaming = true
 			}
 		case Abandoned:
 			if r := b.requests[e.Request]; r != nil {
-				b.close(r)
+				b.closeRequest(r)
 			}
 		}
 	}
 	b.releaseHeld()
-	b.tell()
-	b.noteState()
+	b.sendDemand()
+	b.emitStateNote()
 	return b.actions
 }
 
+// onRequest registers a request and holds it; releaseHeld sends it in the same step if there is room.
 func (b *Balancer) onRequest(e Request) {
 	if e.Class < 0 || e.Class >= len(b.classes) || b.requests[e.ID] != nil {
 		return
 	}
 	c := &b.classes[e.Class]
-	r := &request{id: e.ID, class: e.Class, terms: c.terms, came: b.now, aim: b.now + min(c.Aim, e.Left),
-		deadline: b.now + e.Left, repeat: e.Repeat, only: e.Only}
-	// A client gives its tries a usual patience, its last one all that is left of its deadline.
-	// A try with any other patience therefore tells how long ago the client began.
-	c.patience = cmp.Or(c.patience, e.Left)
-	off := e.Left - c.patience
-	// Where steps have no least gap, what a machine adds to the way of a request still shows in it.
-	if odd := max(2*b.s.Tick, c.Aim/64); off > odd || off < -odd {
+	r := &request{id: e.ID, class: e.Class, terms: c.terms, arrivedAt: b.now,
+		aimAt:    b.now + min(c.Aim, e.Left),
+		deadline: b.now + e.Left, repeat: e.Repeat, onlyBackend: e.Only}
+	// A client gives each try the same time, but its last try only what is left of its deadline. A try with
+	// an unusual time left is therefore a repeat, and the time left tells when the client began.
+	c.usualTimeLeft = cmp.Or(c.usualTimeLeft, e.Left)
+	off := e.Left - c.usualTimeLeft
+	// Without a minimum gap between steps (Tick) the network's and the machine's delays still vary the time
+	// left.
+	if odd := max(2*b.settings.Tick, c.Aim/64); off > odd || off < -odd {
 		r.repeat = true
-		r.aim -= max(0, c.Deadline-e.Left)
+		r.aimAt -= max(0, c.Deadline-e.Left)
 	}
 	if !e.Repeat {
-		c.patience += min(max(off, -b.s.Tick/4), b.s.Tick/4) // towards the median
+		c.usualTimeLeft += min(max(off, -b.settings.Tick/4), b.settings.Tick/4) // moves towards the median
 	}
-	if b.s.WarmKeys && e.Key != "" {
-		r.key = hashed(e.Key)
+	if b.settings.WarmKeys && e.Key != "" {
+		r.key = hashString(e.Key)
 	}
 	if r.work = float64(e.Work); r.work > 0 {
-		c.work = blend(c.work, r.work)
+		c.meanWork = updateMean(c.meanWork, r.work)
 	}
-	// A class that can't be borne while a site is lost is refused at once, repeats first, unless there
-	// is room.
+	// While a site is lost, part of a class may not be admitted. Those requests are refused at once unless
+	// there is room; repeats are the first not to be admitted.
 	if a := b.sites.Admit; e.Class < len(a) && a[e.Class] < 1 {
-		r.spill = r.repeat || b.advice.Float64() >= a[e.Class]
+		r.shedWithoutRoom = r.repeat || b.auxRNG.Float64() >= a[e.Class]
 	}
 	b.requests[e.ID] = r
-	if t := b.byID[r.only]; r.only != "" && (t == nil || t.State != Up) {
+	if t := b.byID[r.onlyBackend]; r.onlyBackend != "" && (t == nil || t.State != Up) {
 		b.finish(r, NoBackend)
 		return
 	}
 	b.hold(r)
 }
 
+// onOutcome ends an attempt, learns from its result, and ends or retries its request.
 func (b *Balancer) onOutcome(e Outcome) {
 	r := b.requests[e.Request]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].open {
@@ -182,62 +189,65 @@
 	}
 	a := r.attempts[e.Attempt]
 	a.open = false
-	r.open--
+	r.openAttempts--
 	b.inFlight--
-	a.b.out = without(a.b.out, a)
+	a.backend.inFlight = removeFirst(a.backend.inFlight, a)
 	if e.Result.NeverRan() {
-		if r.risky--; r.risky == 0 {
+		if r.mayHaveRun--; r.mayHaveRun == 0 {
 			r.anchor = nil
 		}
 	}
 	if e.Result == OK || e.Result == Errored || e.Result == Full {
-		a.b.usedAt = b.now
+		a.backend.connUsedAt = b.now
 	}
-	b.hear(a.b, e.Load)
-	b.observe(r, a, e)
+	b.recordLoad(a.backend, e.Load)
+	b.recordOutcome(r, a, e)
 	if e.Result == OK && !r.ended {
-		b.tokens = min(bucketCap*b.portion, b.tokens+successRefill)
+		b.retryTokens = min(maxRetryTokens*b.processShare, b.retryTokens+successRefill)
 	}
 	if e.Done || e.Result == OK || r.ended {
-		b.close(r)
+		b.closeRequest(r)
 		return
 	}
-	r.failed = a.b
-	if r.open == 0 && !r.waiting && !r.holding {
+	r.lastFailed = a.backend
+	if r.openAttempts == 0 && !r.backingOff && !r.held {
 		b.retry(r, e.Result)
 	}
 }
 
+// onTimer handles a timer. The timer of a held request only makes the step run; releaseHeld does the rest.
 func (b *Balancer) onTimer(token int64) {
 	switch token {
-	case 0: // never given out
-	case b.askToken:
-		b.askToken = 0
+	case 0: // no timer has this token; it stands for "no timer pending"
+	case b.subscribeTimer:
+		b.subscribeTimer = 0
 		b.actions = append(b.actions, Subscribe{})
 		return
-	case b.roomToken:
-		b.roomToken = 0
+	case b.roomTimer:
+		b.roomTimer = 0
 		return
 	}
 	r := b.timers[token]
 	delete(b.timers, token)
-	if r == nil || r.ended || token != r.timer {
+	if r == nil || r.ended || token != r.timerToken {
 		return
 	}
-	r.timer = 0 // one that is held and not yet given up gets another
-	if r.waiting {
-		r.waiting = false
+	r.timerToken = 0 // releaseHeld sets another one if the request is still held
+	if r.backingOff {
+		r.backingOff = false
 		b.hold(r)
 	}
 }
 
-func (b *Balancer) timer(r *request, at time.Duration) {
-	r.timer = b.alarm(at - b.now)
-	b.timers[r.timer] = r
+// setRequestTimer sets the timer of a request, in place of any earlier one.
+func (b *Balancer) setRequestTimer(r *request, at time.Duration) {
+	r.timerToken = b.setTimer(at - b.now)
+	b.timers[r.timerToken] = r
 }
 
-func (b *Balancer) alarm(wait time.Duration) int64 {
-	b.token++
-	b.actions = append(b.actions, SetTimer{After: wait, Token: b.token})
-	return b.token
+// setTimer asks the agent for a timer and returns its token.
+func (b *Balancer) setTimer(wait time.Duration) int64 {
+	b.lastToken++
+	b.actions = append(b.actions, SetTimer{After: wait, Token: b.lastToken})
+	return b.lastToken
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -19,7 +19,7 @@
 
 const ms = time.Millisecond
 
-// Classes of the test settings, by position.
+// Indices of the classes in the test settings.
 const (
 	safe = iota
 	unsafe
@@ -44,7 +44,7 @@
 	}
 }
 
-// backends makes n backends named a, b, c ...; two per zone and cell.
+// backends returns n backends named a, b, c ..., two in each zone and cell.
 func backends(n int) []balance.Backend {
 	var list []balance.Backend
 	for i := range n {
@@ -53,12 +53,12 @@
 	return list
 }
 
-// rig drives one balancer and keeps what it does.
+// rig drives one Balancer and records its actions.
 type rig struct {
 	t       *testing.T
 	b       *balance.Balancer
 	now     time.Duration
-	sent    map[string][]string // backends of each request's attempts
+	sent    map[string][]string // the backends of each request's attempts, in order
 	timers  []balance.TimerFired
 	due     []time.Duration
 	actions []balance.Action // of the last step
@@ -89,7 +89,7 @@
 	return r.actions
 }
 
-// advance moves the clock and fires the timers on the way; it returns all actions.
+// advance moves the clock by d, fires the timers that come due, and returns all actions.
 func (r *rig) advance(d time.Duration) []balance.Action {
 	var all []balance.Action
 	end := r.now + d
@@ -128,7 +128,7 @@
 		Latency: latency, Done: res == balance.OK})
 }
 
-// serve sends n requests one after the other and answers each at once.
+// serve plays n requests one after the other, each served after latency, and counts them by backend.
 func (r *rig) serve(n int, class int, latency time.Duration) map[string]int {
 	r.t.Helper()
 	counts := map[string]int{}
@@ -142,7 +142,7 @@
 	return counts
 }
 
-// final names the final answer for a request among the actions, or "".
+// final returns the final answer of a request among the actions, "refuse" or "fail", or "" if there is none.
 func final(id string, actions []balance.Action) string {
 	found := ""
 	for _, a := range actions {
@@ -168,7 +168,7 @@
 	}{
 		{"no classes", func(s *balance.Settings) { s.Classes = nil }, "Classes: none"},
 		{"no balancers", func(s *balance.Settings) { s.Balancers = 0 }, "Balancers: 0"},
-		{"own number outside the count", func(s *balance.Settings) { s.Self = 1 }, "Self: 1"},
+		{"own number out of range", func(s *balance.Settings) { s.Self = 1 }, "Self: 1"},
 		{"negative number", func(s *balance.Settings) { s.Self = -1 }, "Self: -1"},
 		{"attempt limit below zero", func(s *balance.Settings) { s.MaxAttempts = -2 }, "MaxAttempts: -2"},
 		{"drain grace below zero", func(s *balance.Settings) { s.DrainGrace = -ms }, "DrainGrace: -0.001"},
@@ -177,8 +177,8 @@
 		{"unknown group", func(s *balance.Settings) { s.Classes[1].Group = 7 }, "Classes[1].Group: 7"},
 		{"no aim", func(s *balance.Settings) { s.Classes[0].Aim = 0 }, "Classes[0].Aim: 0s"},
 		{"tenant below zero", func(s *balance.Settings) { s.Tenants = []balance.Tenant{{PerSecond: -1}} }, "Tenants[0].PerSecond: -1"},
-		{"worth that is no number", func(s *balance.Settings) { s.Classes[1].Worth = math.NaN() }, "Classes[1].Worth: NaN"},
-		{"endless goal", func(s *balance.Settings) { s.GoalTenant = math.Inf(1) }, "GoalTenant: +Inf"},
+		{"worth not a number", func(s *balance.Settings) { s.Classes[1].Worth = math.NaN() }, "Classes[1].Worth: NaN"},
+		{"infinite goal", func(s *balance.Settings) { s.GoalTenant = math.Inf(1) }, "GoalTenant: +Inf"},
 		{"price below zero", func(s *balance.Settings) { s.Prices.Waste = -1 }, "Prices.Waste: -1"},
 		{"unknown report source", func(s *balance.Settings) { s.Reports = 9 }, "Reports: 9"},
 		{"unknown weights", func(s *balance.Settings) { s.Weights = 9 }, "Weights: 9"},
@@ -196,14 +196,14 @@
 	}
 }
 
-// filesWithoutDecisions are the package's files that decide nothing: the interface, state, the check of settings,
-// notes on decisions, and arithmetic.
+// filesWithoutDecisions are the package's files that decide nothing: the interface, state, the check of
+// settings, notes on decisions, and arithmetic.
 var filesWithoutDecisions = []string{
 	"api.go", "ewma.go", "explain.go", "hash.go", "reconfigure.go", "settings.go", "state.go",
 }
 
-// Reviewers read the files that deploy/balancer.toml lists as the policy: they are exactly the files of the package that
-// hold decisions, so a new file fails this test until it is listed there or above. Each is short enough to read at once.
+// The key policy of deploy/balancer.toml lists exactly the files of the package that hold decisions. A new
+// file fails this test until it is listed there or in filesWithoutDecisions.
 func TestPolicyFiles(t *testing.T) {
 	const maxLines, maxColumns = 500, 110 // non-blank lines of a file; columns of a line, a tab counting for four
 	text, err := os.ReadFile("../deploy/balancer.toml")
@@ -253,7 +253,7 @@
 	}
 }
 
-// What an outcome lets each kind of class do: retry on another backend, or end.
+// By class and outcome, a request is retried on another backend, refused or failed.
 func TestOutcomes(t *testing.T) {
 	const retry = "retry"
 	tests := []struct {
@@ -302,7 +302,7 @@
 	}
 }
 
-// A keyed request that may have run goes only to its group and within its window.
+// A keyed request that may have run is retried only within its group and its window.
 func TestKeyedGroup(t *testing.T) {
 	zone := map[string]int{"a": 0, "b": 0, "c": 1, "d": 1, "e": 2, "f": 2}
 	for seed := uint64(0); seed < 40; seed++ {
@@ -323,7 +323,7 @@
 		r.now += 300 * ms
 		acts := r.outcome("q", balance.Errored, 300*ms)
 		if final("q", acts) != "fail" {
-			t.Errorf("after the window: %v, want a failure", acts)
+			t.Errorf("after the window: %v, want it to fail", acts)
 		}
 	})
 	t.Run("never ran", func(t *testing.T) {
@@ -357,13 +357,13 @@
 	}
 }
 
-// The bucket holds 100: 20 retries at 5, or 10 after time-outs. First attempts
-// go out when it is empty; served requests bring one token each, up to the cap.
+// The retry bucket holds 100 tokens: 20 retries at 5 tokens, or 10 after time-outs at 10. First attempts go
+// out even if it is empty. A served request returns one token, up to the maximum.
 func TestRetryBucket(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 2
-	// spend fails n requests and returns how many were retried. The retry is
-	// served, unless it must not refill the bucket.
+	// spend makes n requests fail and returns how many of them were retried. The retries fail too, so that
+	// they don't refill the bucket.
 	spend := func(r *rig, n int, res balance.Result) (retried int) {
 		for range n {
 			id := fmt.Sprintf("spend-%d", len(r.sent))
@@ -386,15 +386,15 @@
 	tests := []struct {
 		name  string
 		res   balance.Result
-		serve int // between emptying and trying again
+		serve int // requests served between the two calls of spend
 		first int
 		then  int
 	}{
 		{"errors cost 5", balance.Errored, 4, 20, 0},
-		{"five served bring one back", balance.Errored, 5, 20, 1},
+		{"five served requests fund one retry", balance.Errored, 5, 20, 1},
 		{"time-outs cost 10", balance.TimedOut, 9, 10, 0},
-		{"ten served bring one back after a time-out", balance.TimedOut, 10, 10, 1},
-		{"the cap holds", balance.Errored, 500, 20, 20},
+		{"ten served requests fund one retry after a time-out", balance.TimedOut, 10, 10, 1},
+		{"the bucket does not overflow", balance.Errored, 500, 20, 20},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -411,8 +411,7 @@
 	}
 }
 
-// Waits are full jitter: between 0 and a unit (a share of the aim) that doubles
-// with each retry up to a ceiling.
+// The backoff has full jitter: it is between 0 and a bound that doubles with each retry up to a maximum.
 func TestBackoff(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 7
@@ -446,7 +445,7 @@
 	}
 }
 
-// A retry whose wait would outlast the time left is not made.
+// A retry whose backoff would outlast the time left is not made.
 func TestBackoffWithinTimeLeft(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(4))
 	r.request("q", safe)
@@ -457,7 +456,7 @@
 }
 
 func TestPicking(t *testing.T) {
-	t.Run("idle ones at random", func(t *testing.T) {
+	t.Run("idle backends at random", func(t *testing.T) {
 		r := newRig(t, settings(), 2, backends(4))
 		counts := r.serve(400, safe, 50*ms)
 		for _, id := range []string{"a", "b", "c", "d"} {
@@ -494,7 +493,7 @@
 			}
 		}
 	})
-	t.Run("a new one counts at the mean", func(t *testing.T) {
+	t.Run("a new backend counts at the mean", func(t *testing.T) {
 		r := newRig(t, settings(), 2, backends(4))
 		r.serve(80, safe, 50*ms)
 		for i := range 8 {
@@ -522,7 +521,7 @@
 			t.Errorf("own zone got %d of 400, want most but not all", own)
 		}
 	})
-	t.Run("slow ones less", func(t *testing.T) {
+	t.Run("slow backends less", func(t *testing.T) {
 		r := newRig(t, settings(), 2, backends(4))
 		late := 0
 		for i := range 600 {
@@ -544,7 +543,7 @@
 	})
 }
 
-// A backend that fails fast is always idle; it must not draw the traffic.
+// A backend that fails fast is always idle. It must not attract the traffic.
 func TestFastFailureIsEjected(t *testing.T) {
 	r := newRig(t, settings(), 4, backends(6))
 	bad := 0
@@ -562,22 +561,22 @@
 	if bad > 6 {
 		t.Errorf("the failing backend got %d of 300", bad)
 	}
-	// Once it works again it comes back, first with requests that may be repeated.
+	// Once it works again it gets traffic again, at first only requests that may be repeated.
 	r.advance(20 * time.Second)
 	if counts := r.serve(400, safe, 30*ms); counts["a"] < 20 {
 		t.Errorf("after healing it got %d of 400", counts["a"])
 	}
 }
 
-// Errors and resets that come from all backends alike eject none, nor make one count as restarted;
-// more of them than come from the others do.
-func TestEvenErrorsEjectNobody(t *testing.T) {
+// Errors and resets that come from all backends alike eject no backend and are no sign of a restart. A
+// backend that returns more of them than the others is ejected.
+func TestCommonErrorsEjectNoBackend(t *testing.T) {
 	for _, res := range []balance.Result{balance.Errored, balance.Reset} {
-		evenErrors(t, res)
+		checkCommonErrors(t, res)
 	}
 }
 
-func evenErrors(t *testing.T, res balance.Result) {
+func checkCommonErrors(t *testing.T, res balance.Result) {
 	s := settings()
 	s.MaxAttempts = 1
 	r := newRig(t, s, 3, backends(4))
@@ -590,7 +589,7 @@
 		for range n {
 			id := fmt.Sprint("q", len(r.sent))
 			r.request(id, safe)
-			if len(r.sent[id]) == 0 { // all are cold, and have had their part
+			if len(r.sent[id]) == 0 { // all backends are cold and have spent their budget
 				r.now += 20 * ms
 				continue
 			}
@@ -612,11 +611,11 @@
 	}
 	even := func(_ string, answer int) bool { return answer%12 == 0 }
 	round(400, even)
-	r.advance(20 * time.Second) // the first ones ejected, as nothing was usual yet
+	r.advance(20 * time.Second) // the first errors ejected backends, since no error share was usual yet
 	round(100, even)
 	round(400, even)
 	for _, b := range []string{"a", "b", "c", "d"} {
-		if soon[b] < 15 { // some 8 errors each, and 4 uses in 300 ms
+		if soon[b] < 15 { // about 8 errors each, and 4 uses within 300 ms of each
 			t.Errorf("%s was used %d times soon after an error", b, soon[b])
 		}
 	}
@@ -625,7 +624,7 @@
 	}
 }
 
-// With no repeatable class at all an ejected backend must still come back.
+// An ejected backend must come back even if no class may be repeated.
 func TestEjectionEndsWithoutRepeatableClass(t *testing.T) {
 	s := settings()
 	s.Classes = s.Classes[unsafe : unsafe+1]
@@ -646,7 +645,7 @@
 	}
 }
 
-// When every backend is ejected, first attempts go out all the same.
+// If every backend is ejected, first attempts still go out.
 func TestAllEjected(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
@@ -668,17 +667,17 @@
 		r.step(balance.List{Kind: balance.ListDelta,
 			Backends: []balance.Backend{{ID: "a", State: state}}})
 		if n := r.serve(100, safe, 20*ms)["a"]; n > 0 {
-			t.Errorf("state %d: %d requests went there", state, n)
+			t.Errorf("state %d: %d requests were sent to the backend", state, n)
 		}
 	}
 	t.Run("missing from a full list", func(t *testing.T) {
 		r := newRig(t, settings(), 1, backends(3))
 		r.step(balance.List{Kind: balance.ListFull, Backends: backends(3)[1:]})
 		if n := r.serve(100, safe, 20*ms)["a"]; n > 0 {
-			t.Errorf("%d requests went there", n)
+			t.Errorf("%d requests were sent to the backend", n)
 		}
 	})
-	t.Run("while waiting out a backoff", func(t *testing.T) {
+	t.Run("during a backoff", func(t *testing.T) {
 		for seed := uint64(0); seed < 20; seed++ {
 			r := newRig(t, settings(), seed, backends(2))
 			r.request("q", safe)
@@ -710,7 +709,7 @@
 	})
 }
 
-// A cold backend gets no more than its warmth times what a warm one serves.
+// A cold backend gets no more than what a warm one serves, times its warmth.
 func TestColdShare(t *testing.T) {
 	list := backends(5)
 	list[0].Started = time.Hour // the rig's clock starts here
@@ -728,8 +727,8 @@
 	}
 }
 
-// Incidents i37feae and i28e3f7: under overload a cold backend gets more than its sure share of
-// what a warm one serves, and stays well below the stated multiple of it.
+// Incidents i37feae and i28e3f7: under overload a cold backend must get more than its certain share of what
+// a warm one serves, and stay well below FallMultiple times that share.
 func TestColdShareUnderOverload(t *testing.T) {
 	list := backends(5)
 	r := newRig(t, settings(), 9, list)
@@ -743,7 +742,7 @@
 			}
 		}
 	}
-	drive := func(n int) { // each 5 ms: all answers of the cold one, one of the others, two requests
+	drive := func(n int) { // every 5 ms: all answers of the cold backend, one of the others, and two requests
 		for range n {
 			r.advance(5 * ms)
 			was := out
@@ -782,7 +781,7 @@
 	}
 }
 
-// A heavy request alone could push a cold backend over.
+// A single heavy request could overload a cold backend.
 func TestColdGetsNoHeavyRequest(t *testing.T) {
 	list := backends(3)
 	r := newRig(t, settings(), 9, list)
@@ -813,8 +812,8 @@
 	}
 }
 
-// A backend that comes back before the list tells counts as cold.
-func TestRevivalIsCold(t *testing.T) {
+// A backend that comes back before the list reports its restart counts as cold.
+func TestRecoveredBackendIsCold(t *testing.T) {
 	r := newRig(t, settings(), 3, backends(3))
 	r.serve(60, safe, 20*ms)
 	for i := 0; ; i++ {
@@ -843,7 +842,7 @@
 	}
 }
 
-// A list that is empty at the start: requests wait, and are refused in time.
+// With an empty list at the start, requests wait and are refused within their aim.
 func TestNoBackend(t *testing.T) {
 	for _, class := range []int{safe, unsafe, keyedZone} {
 		r := newRig(t, settings(), 1, nil)
@@ -864,10 +863,8 @@
 	})
 }
 
-// Latency above the aimed delay cuts what is kept in flight; what does not fit
-// waits and is refused, and a client's repeat is refused first.
-// A refused client is told when to come back, where it is shown that; never later than it heeds.
-func TestRefusalAdvises(t *testing.T) {
+// A refusal carries the advised wait if clients are shown it (RetryAfter), at most MaxRetryAfter.
+func TestRefusalCarriesRetryAfter(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
 		told      bool
@@ -875,8 +872,8 @@
 		low, high time.Duration
 	}{
 		{"not shown", false, time.Hour, 0, 0},
-		{"half to one and a half mean latencies of the class", true, time.Hour, 50 * ms, 150 * ms},
-		{"no longer than is heeded", true, 20 * ms, 20 * ms, 20 * ms},
+		{"half to one and a half mean latencies", true, time.Hour, 50 * ms, 150 * ms},
+		{"at most MaxRetryAfter", true, 20 * ms, 20 * ms, 20 * ms},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			s := settings()
@@ -884,23 +881,25 @@
 			r := newRig(t, s, 1, nil) // the mean latency starts at a quarter of the aim
 			seen := map[time.Duration]bool{}
 			for i := range 50 {
-				r.request(fmt.Sprint(i), safe) // held, for nothing: there is no backend
+				r.request(fmt.Sprint(i), safe) // held in vain: there is no backend
 				for _, a := range r.advance(time.Second) {
 					if a, ok := a.(balance.Refuse); ok {
 						seen[a.RetryAfter] = true
 						if a.RetryAfter < tt.low || a.RetryAfter > tt.high {
-							t.Errorf("come back after %v", a.RetryAfter)
+							t.Errorf("RetryAfter is %v", a.RetryAfter)
 						}
 					}
 				}
 			}
 			if len(seen) == 0 || tt.low < tt.high && len(seen) < 25 {
-				t.Errorf("%d kinds of advice", len(seen))
+				t.Errorf("%d different waits advised", len(seen))
 			}
 		})
 	}
 }
 
+// Latency above the target delay cuts the limit on attempts in flight. Requests beyond it wait and are then
+// refused.
 func TestInFlightLimit(t *testing.T) {
 	s := settings()
 	s.Balancers = 2
@@ -918,13 +917,13 @@
 		all = append(all, r.request(id, safe)...)
 		out += len(r.sent[id])
 	}
-	// 5 a backend, a quarter more for the one other agent on two backends: 6.25, and one that is saved up
+	// 5 per backend, a quarter more for the other agent on two backends: 6.25, and one from saved time.
 	if want := 7; out < want || out > want+1 {
-		t.Errorf("%d in flight, want this agent's share of 6.25 per backend: %d, and one saved up at the most", out, want)
+		t.Errorf("%d in flight, want this agent's share of 6.25 per backend, %d, and at most one from saved time", out, want)
 	}
 	repeat := r.step(balance.Request{ID: "again", Class: safe, Left: 2000 * ms, Repeat: true})
 	if final("again", repeat) != "" {
-		t.Errorf("a client's repeat: %v, want it held while waiting may help", repeat)
+		t.Errorf("a client's repeat: %v, want it held", repeat)
 	}
 	all = append(all, r.advance(400*ms)...)
 	for i := range 20 {
@@ -935,8 +934,8 @@
 	}
 }
 
-// Incident i6c6372: with many agents each one's share must shrink, also on idle backends.
-func TestLimitIsSharedOut(t *testing.T) {
+// Incident i6c6372: with many agents each agent's share of the limit must shrink, also on idle backends.
+func TestLimitIsSharedAmongAgents(t *testing.T) {
 	inFlight := func(balancers int) (n int) {
 		s := settings()
 		s.Balancers = balancers
@@ -953,7 +952,7 @@
 	}
 }
 
-// Incident ia38185: the limit follows the list down.
+// Incident ia38185: the limit must shrink with the list.
 func TestLimitFollowsTheList(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
 	r.step(balance.List{Kind: balance.ListFull, Backends: backends(2)})
@@ -968,9 +967,9 @@
 	}
 }
 
-// Incidents idacc77 and i574e74: what dead backends carried must not land on the
-// living while the list still names the dead.
-func TestLimitLeavesOutTheDead(t *testing.T) {
+// Incidents idacc77 and i574e74: while the list still names dead backends, their part of the limit must not
+// be used at the live ones.
+func TestLimitExcludesDownBackends(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(10))
 	r.serve(50, safe, 5*ms)
 	dead := map[string]bool{}
@@ -992,13 +991,13 @@
 		r.request(id, safe)
 		n += len(r.sent[id])
 	}
-	if n > 28 { // six for each of four, and a few for what the outcomes taught
-		t.Errorf("%d in flight on four living backends", n)
+	if n > 28 { // six for each of four backends, and a few for the growth of the limit
+		t.Errorf("%d in flight on four live backends", n)
 	}
 }
 
-// Incident ieb2a7b: attempts that hang at a backend which answers nothing must not
-// use up the room of the others once it is ejected.
+// Incident ieb2a7b: attempts that hang at a backend without answers must not use up the room of the other
+// backends once it is ejected.
 func TestHangingAttemptsUseNoRoom(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
@@ -1039,9 +1038,9 @@
 	}
 }
 
-// A time-out says at least how slow a backend is: one that answers only its light
-// requests must not keep the good name that these give it.
-func TestTimeOutsTeachSlowness(t *testing.T) {
+// A time-out gives a lower bound of a backend's slowness. A backend that answers only its light requests
+// must not look fast because of those.
+func TestTimeOutsRaiseSlowness(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
 	r := newRig(t, s, 3, backends(3))
@@ -1076,9 +1075,9 @@
 	}
 }
 
-// Incident i37feae: a fleet that grows fivefold is cold; what it cannot take yet must
-// not land on the warm ones, nor all on one.
-func TestGrowthDoesNotLoadWarmOnes(t *testing.T) {
+// Incident i37feae: most of a fleet that has grown fivefold is cold. What it can't take yet must not
+// overload the warm backends, together or one of them.
+func TestGrowthDoesNotOverloadWarmBackends(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(4))
 	r.serve(100, safe, 50*ms)
 	grown := backends(20)
@@ -1106,8 +1105,8 @@
 	}
 }
 
-// Incident ieeee80: chance must not cut the limit of a busy agent whose answers are
-// well within the aim in the mean but vary a lot.
+// Incident ieeee80: chance must not cut the limit of a busy agent whose mean latency is well within the aim
+// but varies a lot.
 func TestBusyAgentIsNotCutByChance(t *testing.T) {
 	s := settings()
 	s.Balancers = 2
@@ -1123,7 +1122,7 @@
 		r.now += ms
 		if len(queue) > 75 {
 			if len(r.sent[queue[0]]) > 0 {
-				// answers in runs, so that twenty in a row can all be slow
+				// latencies come in runs, so that twenty slow answers can follow each other
 				r.outcome(queue[0], balance.OK, seq[(i/25)%10]*ms)
 			}
 			queue = queue[1:]
@@ -1134,8 +1133,8 @@
 	}
 }
 
-// Incident i3ae5f1: backends that slow down when crowded make three times the usual latency
-// long before it nears the aim; the limit must come down then, but not where it was always so.
+// Incident i3ae5f1: backends that slow down under load reach three times their usual latency long before it
+// gets near the aim. The limit must fall then, but not if the latency has always been as high.
 func TestLimitFallsWithRisingLatency(t *testing.T) {
 	inFlight := func(usual time.Duration) (n int) {
 		r := newRig(t, settings(), 1, backends(2))
@@ -1149,11 +1148,11 @@
 		return n
 	}
 	if crowded, slow := inFlight(40*ms), inFlight(98*ms); crowded != 5*2 || slow != 6*2 {
-		t.Errorf("%d in flight after a rise, want the floor of 10; %d where it was so from the start, want 12", crowded, slow)
+		t.Errorf("%d in flight after a rise, want the minimum of 10; %d if latency was as high from the start, want 12", crowded, slow)
 	}
 }
 
-// Incident ieb2a7b: many agents that grow their limits at once must not overshoot together.
+// Incident ieb2a7b: many agents that raise their limits at the same time must not overshoot together.
 func TestLimitGrowsPerBackend(t *testing.T) {
 	total := func(balancers int) int {
 		s := settings()
@@ -1167,7 +1166,7 @@
 				}
 			}
 		}
-		for i := range 200 { // what exceeds the limit is held
+		for i := range 200 { // requests beyond the limit are held
 			sends(r.request(fmt.Sprint("q", i), safe))
 		}
 		for i := range 4 * len(out) { // four rounds of fast answers
@@ -1182,14 +1181,14 @@
 	}
 }
 
-// A try whose patience is cut short by the client's deadline is a late one: it
-// does not wait for room, where a first try does.
-func TestPatienceTellsLateTries(t *testing.T) {
+// A try with less time left than usual is a repeat near the client's deadline. Unlike a first try it does
+// not wait for room.
+func TestShortTimeLeftMarksRepeat(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	submit := func(id string, left time.Duration) []balance.Action {
 		return r.step(balance.Request{ID: id, Class: safe, Left: left})
 	}
-	for i := range 20 { // the usual patience, give or take
+	for i := range 20 { // about the usual time left
 		submit(fmt.Sprint("f", i), 900*ms+time.Duration(i%3)*ms)
 	}
 	if got := final("first", submit("first", 899*ms)); got != "" {
@@ -1216,30 +1215,30 @@
 		r := newRig(t, s, seed, backends(2))
 		delays[r.due[0]-r.now] = true
 		if n := asks(r.advance(s.AskWithin / 10)); n != 1 {
-			t.Fatalf("asked %d times at the start, want once", n)
+			t.Fatalf("subscribed %d times at the start, want once", n)
 		}
-		for range 8 { // every failure is followed by one more try, in time
+		for range 8 { // each failure is followed by one more Subscribe
 			r.step(balance.List{Kind: balance.ListFailed})
 			if n := asks(r.advance(s.AskWithin / 2)); n != 1 {
-				t.Fatalf("asked %d times after a failure, want once", n)
+				t.Fatalf("subscribed %d times after a failure, want once", n)
 			}
 		}
 		r.step(balance.List{Kind: balance.ListFull, Backends: backends(2)})
 		if n := asks(r.advance(time.Minute)); n != 0 {
-			t.Errorf("asked %d times while subscribed", n)
+			t.Errorf("subscribed %d times while subscribed", n)
 		}
 	}
 	if len(delays) < 9 {
-		t.Errorf("10 agents ask after only %d different waits", len(delays))
+		t.Errorf("10 agents subscribe after only %d different waits", len(delays))
 	}
 	r := newRig(t, settings(), 1, backends(2))
 	if n := asks(append(r.step(balance.List{Kind: balance.ListFailed}), r.advance(time.Minute)...)); n != 0 {
-		t.Error("asked although the list comes unasked")
+		t.Error("subscribed although the list arrives unasked")
 	}
 }
 
-// Events about things unknown, late or repeated do nothing.
-func TestStrayEvents(t *testing.T) {
+// Events on unknown objects, late events and repeated events do nothing.
+func TestInvalidEventsAreIgnored(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("done", safe)
 	r.now += 10 * ms
@@ -1273,7 +1272,7 @@
 	}
 }
 
-// An abandoned request gets nothing more, though its attempt is still counted.
+// An abandoned request gets no further actions, though its attempt still counts as in flight.
 func TestAbandoned(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("q", safe)
@@ -1286,7 +1285,7 @@
 	}
 }
 
-// Once an answer has begun to stream the request is the client's.
+// Once an answer has begun to stream, the request is neither retried nor answered by the balancer.
 func TestStream(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("q", safe)
@@ -1322,8 +1321,9 @@
 	}
 }
 
-// The grown ktm-census: a quiet agent hears of nothing between a request's timers, and a mean
-// latency that falls meanwhile puts off the time at which it would give up. Rule 1.
+// A large site (ktm-census): a quiet agent gets no events between a request's timers. If the mean latency
+// falls in between, the time at which the request is given up moves later; it must still be refused before
+// its deadline.
 func TestHeldRequestGivesUpInTime(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	for i := range 3 {
@@ -1339,9 +1339,9 @@
 	}
 }
 
-// The grown deployments: a quiet agent in a large fleet meets most backends for the first time,
-// so what their kind has shown must count.
-func TestKindStandsInForUnknownBackend(t *testing.T) {
+// In large fleets a quiet agent meets most backends for the first time, so the slowness of their kind must
+// count.
+func TestUnknownBackendUsesKindSlowness(t *testing.T) {
 	var list []balance.Backend
 	for i := range 200 {
 		list = append(list, balance.Backend{ID: fmt.Sprint("s", i), Kind: i % 2})
@@ -1372,8 +1372,8 @@
 	}
 }
 
-// The grown deployments: a quiet agent that picks evenly would open a connection for every other
-// request, which costs time, backend work and room in the backends' tables.
+// In large fleets a quiet agent that picked evenly would open a connection for every other request, which
+// costs time, backend work and room in the backends' connection tables.
 func TestOpenConnectionsArePreferred(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
@@ -1384,7 +1384,7 @@
 	}{
 		{"within the idle time", 60, 10 * time.Second, 0, func(n int) bool { return n <= 4 }},
 		{"each closes before the next request", 60, ms, 10 * ms, func(n int) bool { return n > 15 }},
-		{"an agent among a few more than backends", 36, 10 * time.Second, 0, func(n int) bool { return n > 4 && n < 12 }},
+		{"slightly more agents than backends", 36, 10 * time.Second, 0, func(n int) bool { return n > 4 && n < 12 }},
 		{"a busy agent", 2, 10 * time.Second, 0, func(n int) bool { return n > 10 }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -1399,15 +1399,15 @@
 				r.advance(tt.gap)
 			}
 			if !tt.want(len(met)) {
-				t.Errorf("%d backends met", len(met))
+				t.Errorf("%d backends used", len(met))
 			}
 		})
 	}
 }
 
-// The grown deployments: a thousand agents that each round their part of the limit up to one
-// attempt bury the backends.
-func TestQuietAgentKeepsItsPart(t *testing.T) {
+// In large fleets, a thousand agents that each round their share of the limit up to one attempt overload the
+// backends.
+func TestQuietAgentStaysWithinLimitShare(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
 		balancers int
@@ -1416,7 +1416,7 @@
 	}{
 		{"alone, slow", 1, 250 * ms, func(n int) bool { return n == 60 }},
 		{"many, slow", 1000, 250 * ms, func(n int) bool { return n > 3 && n < 25 }},
-		{"ic3355f, a part above one at the start, slow", 60, 250 * ms, func(n int) bool { return n > 20 && n < 55 }},
+		{"ic3355f, a share above one at the start, slow", 60, 250 * ms, func(n int) bool { return n > 20 && n < 55 }},
 		{"many, fast", 1000, 60 * ms, func(n int) bool { return n > 50 }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -1443,9 +1443,9 @@
 	}
 }
 
-// Incidents i5108da, if78252: nothing comes back between a quiet agent's attempts, so that each of
-// its time-outs looks like that of a dead backend; they must lower its limit all the same.
-func TestQuietAgentHeedsTimeOuts(t *testing.T) {
+// Incidents i5108da and if78252: a quiet agent gets no answers between its attempts, so each of its
+// time-outs looks like that of a dead backend. They must lower its limit all the same.
+func TestQuietAgentTimeOutsCutLimit(t *testing.T) {
 	sent := map[balance.Result]int{}
 	for _, res := range []balance.Result{balance.OK, balance.TimedOut} {
 		s := settings()
@@ -1469,9 +1469,9 @@
 	}
 }
 
-// Incident ie3262b: agents that see only their own few attempts crowd some backends while others
-// idle. A report of what others hold there steers the pick, and fades; where none comes nothing does.
-func TestReportsSteerThePick(t *testing.T) {
+// Incident ie3262b: agents that see only their own few attempts overload some backends while others idle. A
+// report of the load of other agents steers picks, and its effect fades; without reports there is none.
+func TestReportsSteerPicks(t *testing.T) {
 	report := func(held float64) balance.Load {
 		return balance.Load{Valid: held >= 0, Outstanding: held, Queue: -1, Utilization: -1, Service: -1,
 			Throughput: -1, ErrorsPerSec: -1}
@@ -1480,7 +1480,7 @@
 		name  string
 		held  func(backend string) float64
 		later time.Duration
-		want  func(a int) bool // of 400 attempts over four backends, those at a
+		want  func(a int) bool // the number of attempts at backend a, of 400 over four backends
 	}{
 		{"one crowded", func(id string) float64 { return map[string]float64{"a": 7}[id] + 1 }, 0, func(a int) bool { return a < 10 }},
 		{"one empty", func(id string) float64 { return map[string]float64{"a": -3}[id] + 4 }, 0, func(a int) bool { return a > 380 }},
@@ -1514,9 +1514,9 @@
 	}
 }
 
-// The limit's floor follows how much a backend works on at once: five attempts on each of many
-// backends with one core are a queue that outlasts the aim and chokes them (almaty-harvest big-1).
-func TestFloorFollowsWidth(t *testing.T) {
+// The minimum of the limit follows the parallelism of backends: five attempts at each of many single-core
+// backends form queues that outlast the aim and overload them (site almaty-harvest, day big-1).
+func TestMinimumLimitFollowsParallelism(t *testing.T) {
 	for _, tt := range []struct {
 		name          string
 		held, waiting float64
@@ -1524,7 +1524,7 @@
 	}{
 		{"one at a time", 5, 4, 15},
 		{"many at a time", 9, 1, 50},
-		{"not told", -1, -1, 50},
+		{"not reported", -1, -1, 50},
 	} {
 		r := newRig(t, settings(), 1, backends(10))
 		for i := range 200 {
@@ -1546,9 +1546,10 @@
 	}
 }
 
-// Lost answers (brno-forecast big-2): where answers bring reports, a time-out of a quiet agent says
-// nothing of crowds and must not cut its limit; without reports it must (see the test above).
-func TestLostAnswersAreNoCrowd(t *testing.T) {
+// Lost answers (site brno-forecast, day big-2): if answers bring load reports, a quiet agent's time-out is
+// no sign of overload and must not cut its limit. Without reports it must (see
+// TestQuietAgentTimeOutsCutLimit).
+func TestTimeOutsWithReportsKeepLimit(t *testing.T) {
 	sent := map[balance.ReportSource]int{}
 	for _, reports := range []balance.ReportSource{balance.ReportsOff, balance.ReportsInline} {
 		s := settings()
@@ -1571,28 +1572,28 @@
 		}
 	}
 	if crowd, lost := sent[balance.ReportsOff], sent[balance.ReportsInline]; lost < crowd*5/4 {
-		t.Errorf("%d of 200 sent where reports come, %d where none do", lost, crowd)
+		t.Errorf("%d of 200 sent with load reports, %d without", lost, crowd)
 	}
 }
 
-// The dearer crossing zones is, the fewer attempts cross.
+// The higher the price of crossing zones, the fewer attempts cross.
 func TestCrossingByPrice(t *testing.T) {
 	crossed := func(price float64) int {
 		s := settings()
 		s.Prices.CrossZone = price
 		r := newRig(t, s, 2, backends(4)) // two in this zone, two in another
-		r.serve(40, safe, 300*ms)         // cuts the limit, as chance does: no reason to cross for long
+		r.serve(40, safe, 300*ms)         // cuts the limit, as chance may do, which must not cause crossing for long
 		counts := r.serve(400, safe, 50*ms)
 		return counts["c"] + counts["d"]
 	}
 	if none, low, high := crossed(0), crossed(0.01), crossed(0.1); none < 160 || low > 180 || low < 60 || high > 50 {
-		t.Errorf("%d of 400 cross where it is free, %d at a price of 0.01, %d at 0.1", none, low, high)
+		t.Errorf("%d of 400 cross at no price, %d at a price of 0.01, %d at 0.1", none, low, high)
 	}
 }
 
-// A backend never met counts by the weight that the list gives its kind (kohad-tallinn big-1: slow
-// machines got as much as fast ones and choked within two seconds of the start).
-func TestWeightStandsInForUnknownBackend(t *testing.T) {
+// A backend without answers counts by its weight in the list. Otherwise slow machines get as much as fast
+// ones and are overloaded within two seconds of the start (site kohad-tallinn, day big-1).
+func TestUnknownBackendUsesListWeight(t *testing.T) {
 	list := backends(4)
 	for i := range list {
 		list[i].Kind, list[i].Weight, list[i].Zone = i%2, float64(1+7*(i%2)), 0
@@ -1600,7 +1601,7 @@
 	big := 0
 	for seed := uint64(0); seed < 400; seed++ {
 		s := settings()
-		s.Balancers = 100 // quiet: one answer teaches it little
+		s.Balancers = 100 // a quiet agent learns little from one answer
 		r := newRig(t, s, seed, list)
 		r.request("q", safe)
 		if id := r.sent["q"][0]; id == "b" || id == "d" {
@@ -1612,7 +1613,7 @@
 	}
 }
 
-// Incident i42971b, brno-forecast big-2: the room of a quiet agent is not held by lost answers.
+// Incident i42971b, also site brno-forecast, day big-2: lost answers must not use up a quiet agent's room.
 func TestOverdueAttemptsUseNoRoom(t *testing.T) {
 	for _, tt := range []struct {
 		reports balance.ReportSource
@@ -1625,7 +1626,7 @@
 		s.Balancers, s.Reports = 200, tt.reports
 		r := newRig(t, s, 1, backends(20))
 		r.serve(1, safe, 20*ms)
-		for i := range 16 { // none is answered; each leaves time for far more than one
+		for i := range 16 { // none is answered; the time between two is enough for several attempts
 			r.request(fmt.Sprint("q", i), safe)
 			r.advance(400 * ms)
 		}
@@ -1635,8 +1636,8 @@
 	}
 }
 
-// Where no backend is warm there is nothing to measure a cold one's budget by; an agent that
-// starts then must not send nothing until the whole warm-up has passed.
+// Without a warm backend there is nothing to compute the budget of a cold one from. An agent must still send
+// some requests before the ramp has passed.
 func TestWholeFleetCold(t *testing.T) {
 	list := backends(4)
 	for i := range list {
@@ -1654,12 +1655,12 @@
 		}
 	}
 	if sent < 5 || sent > 40 {
-		t.Errorf("%d of 100 sent to a cold fleet within half its warm-up, want a trickle", sent)
+		t.Errorf("%d of 100 sent to a cold fleet within half its warm-up, want a few", sent)
 	}
 }
 
-// A report that does not even hold the attempt it came with is old, and must not steer.
-func TestOldReportsDoNotSteer(t *testing.T) {
+// A report that does not count the attempt that it came with is stale and must not steer picks.
+func TestStaleReportsDoNotSteerPicks(t *testing.T) {
 	r := newRig(t, settings(), 2, backends(4))
 	at := 0
 	for i := range 400 {
@@ -1667,7 +1668,7 @@
 		r.request(id, safe)
 		held := 6.0
 		if r.sent[id][0] == "a" {
-			held = 0 // as before the attempt came
+			held = 0 // as before the attempt arrived
 			at++
 		}
 		r.now += 20 * ms
@@ -1675,12 +1676,13 @@
 			Load: balance.Load{Valid: true, Outstanding: held, Queue: -1}})
 	}
 	if at > 180 {
-		t.Errorf("%d of 400 attempts went to the backend with old reports, want about a quarter", at)
+		t.Errorf("%d of 400 attempts went to the backend with stale reports, want about a quarter", at)
 	}
 }
 
-// Incident ibd8710: what has timed out is still at work, so that a quiet agent's room stays used.
-func TestTimeOutsUseRoomForLonger(t *testing.T) {
+// Incident ibd8710: an attempt that has timed out still runs at the backend, so it must keep using a quiet
+// agent's room.
+func TestTimeOutsUseSavedTime(t *testing.T) {
 	next := map[balance.Result]int{}
 	for _, res := range []balance.Result{balance.OK, balance.TimedOut} {
 		s := settings()
@@ -1690,7 +1692,7 @@
 		r.request("q", unsafe)
 		r.advance(400 * ms)
 		r.outcome("q", res, 400*ms)
-		for i := 0; i < 400; i++ { // fill the room that is left, then see when there is some again
+		for i := 0; i < 400; i++ { // counts the attempts for which there is still room
 			id := fmt.Sprint("fill", i)
 			if r.request(id, unsafe); len(r.sent[id]) == 0 {
 				break
@@ -1704,9 +1706,9 @@
 	}
 }
 
-// Incident ibd8710: the more agents there are for a backend, the longer each leaves an ejected one
-// alone, or their trials together never let it rest.
-func TestEjectionByAgents(t *testing.T) {
+// Incident ibd8710: ejections must last longer the more agents there are per backend, or the agents' trials
+// together never let the backend rest.
+func TestEjectionGrowsWithAgents(t *testing.T) {
 	back := func(balancers int) time.Duration {
 		s := settings()
 		s.Balancers = balancers
@@ -1742,17 +1744,18 @@
 	}
 }
 
-// The small twins of kohad-tallinn choked at a mean delay of 0.55 of the aim: only where fresh
-// reports keep crowds apart may the limit let latency rise that far. Without them the floor still leaves
-// one attempt more than a backend of four cores works on: on a day with two of eight backends out or
-// crawling, four each refused a sixth of all while half of the answers came within a sixth of the aim.
-func TestAimedDelayNeedsFreshReports(t *testing.T) {
+// Small versions of site kohad-tallinn were overloaded at a mean delay of 0.55 of the aim. The limit may let
+// latency rise that far only if fresh load reports keep agents from crowding at a backend. Without reports
+// the minimum of the limit still allows one attempt more than a backend's four cores: with a minimum of
+// four, on a day with two of eight backends down or very slow, a sixth of all requests was refused while
+// half of the answers came within a sixth of the aim.
+func TestTargetDelayNeedsFreshReports(t *testing.T) {
 	inFlight := func(load balance.Load) (n int) {
 		r := newRig(t, settings(), 1, backends(4))
 		for i := range 300 {
 			id := fmt.Sprint("s", i)
 			r.request(id, safe)
-			latency := 80 * ms // until reports have shown to be fresh: under what either aims at
+			latency := 80 * ms // below both targets, until the reports count as fresh
 			if i >= 60 {
 				latency = 180 * ms // 0.45 of the aim
 			}
@@ -1769,12 +1772,12 @@
 	fresh := inFlight(balance.Load{Valid: true, Outstanding: 5, Queue: -1})
 	none := inFlight(balance.Load{Outstanding: -1, Queue: -1})
 	if none != 5*4 || fresh < 6*4 {
-		t.Errorf("%d in flight without reports, want the floor of 20; %d with fresh ones, want 24 or more", none, fresh)
+		t.Errorf("%d in flight without reports, want the minimum of 20; %d with fresh ones, want 24 or more", none, fresh)
 	}
 }
 
-// A backend that turns one class away for seconds is soon spared it, and goes on with the others.
-func TestBackendThatTurnsAClassAwayIsSparedIt(t *testing.T) {
+// A backend that rejects one class for seconds soon gets little of it, and still gets the other classes.
+func TestRejectedClassAvoidsBackend(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(4))
 	turned, others := 0, 0
 	for i := range 600 {
@@ -1795,13 +1798,13 @@
 				Load: balance.Load{Outstanding: -1, Queue: -1}})
 		}
 	}
-	if turned > 45 || others < 40 { // an even part is 75 of each
-		t.Errorf("it was sent %d of the class that it turns away, %d of the other", turned, others)
+	if turned > 45 || others < 40 { // an even share is 75 of each class
+		t.Errorf("backend a got %d of the class that it rejects, %d of the other", turned, others)
 	}
 }
 
-// brno-forecast's small twin of big-2: a busy agent that loses answers keeps its limit too.
-func TestBusyAgentKeepsItsLimitAmongLostAnswers(t *testing.T) {
+// Lost answers must not cut a busy agent's limit either (a small version of site brno-forecast, day big-2).
+func TestBusyAgentKeepsLimitWithLostAnswers(t *testing.T) {
 	inFlight := map[balance.ReportSource]int{}
 	for _, reports := range []balance.ReportSource{balance.ReportsOff, balance.ReportsInline} {
 		s := settings()
@@ -1826,6 +1829,6 @@
 		}
 	}
 	if crowd, lost := inFlight[balance.ReportsOff], inFlight[balance.ReportsInline]; lost < crowd*3/2 {
-		t.Errorf("%d more in flight where reports come, %d where none do", lost, crowd)
+		t.Errorf("%d more in flight with load reports, %d without", lost, crowd)
 	}
 }
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -9,8 +9,8 @@
 	"lemonrail/balance"
 )
 
-// BenchmarkStep plays a request, its outcome and now and then an error and a
-// retry. State must not grow with the requests played: see the heap metric.
+// BenchmarkStep plays requests to their end, one in fifty with an error and a retry. The metric
+// heap-growth-B shows whether state grows with the requests played.
 func BenchmarkStep(b *testing.B) {
 	lb, err := balance.New(settings(), 1)
 	if err != nil {
@@ -31,7 +31,7 @@
 	runtime.KeepAlive(lb)
 }
 
-// playOne plays request i to its end.
+// playOne plays request i to its end and moves now.
 func playOne(lb *balance.Balancer, now *time.Duration, i int) {
 	id := fmt.Sprint("q", i)
 	events := []balance.Event{balance.Request{ID: id, Class: safe, Left: time.Second}}
@@ -56,7 +56,7 @@
 	}
 }
 
-// Memory and allocations per request stay bounded over a long run.
+// Memory and the allocations per request stay bounded over a long run.
 func TestStateIsBounded(t *testing.T) {
 	lb, err := balance.New(settings(), 1)
 	if err != nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// A fleet that is replaced whole, time and again, leaves nothing behind.
+// Memory stays bounded if the whole fleet is replaced again and again.
 func TestChurnIsBounded(t *testing.T) {
 	lb, err := balance.New(settings(), 1)
 	if err != nil {
@@ -111,6 +111,6 @@
 	late := heap(20, 1000)
 	runtime.KeepAlive(lb)
 	if late > early+256<<10 {
-		t.Errorf("the heap grew from %d to %d bytes over 980 fleets", early, late)
+		t.Errorf("the heap grew from %d to %d bytes over 980 replacements of the fleet", early, late)
 	}
 }
--- a/balance/ewma.go
+++ b/balance/ewma.go
@@ -1,10 +1,9 @@
 package balance
 
-// What follows decides nothing.
-
-func blend(mean, sample float64) float64 {
+// updateMean moves an exponentially weighted mean towards a sample; 0 means that there is no sample yet.
+func updateMean(mean, sample float64) float64 {
 	if mean == 0 {
 		return sample
 	}
-	return mean + smooth*(sample-mean)
+	return mean + meanStep*(sample-mean)
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,8 +7,8 @@
 	"lemonrail/balance"
 )
 
-// One balancer through a first attempt, a failure, a retry and an answer. The
-// agent owns the clock, the timers and the connections.
+// A request with a first attempt that fails and a retry that is served. The agent owns the clock, the timers
+// and the connections.
 func Example() {
 	b, err := balance.New(balance.Settings{
 		Balancers:   1,
@@ -27,10 +27,10 @@
 	step := func(events ...balance.Event) {
 		for _, action := range b.Step(now, events) {
 			switch a := action.(type) {
-			case balance.Send: // start the attempt; pass its Outcome on later
+			case balance.Send: // start the attempt and pass its Outcome to Step when it ends
 				fmt.Println("send", a.Request)
 				backend = a.Backend
-			case balance.SetTimer: // pass TimerFired on when it is due
+			case balance.SetTimer: // pass TimerFired to Step when the timer is due
 				fmt.Println("set a timer")
 				timer = a.Token
 			case balance.Refuse:
--- a/balance/explain.go
+++ b/balance/explain.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Reason says why a request was ended without an answer, as the module saw it.
+// Reason says why a request ended without an answer.
 type Reason uint8
 
 const (
 	NoReason     Reason = iota
 	RepeatNoRoom        // a client's repeat found no room and is not held
-	TooLate             // held for room until an answer in time was out of reach
-	NoBackend           // there was room, but no backend that may take it, until then
+	TooLate             // held for room until an answer within the aim was out of reach
+	NoBackend           // there was room, but no backend that may take the request in time
 	NoTokens            // the retry bucket can't pay for another attempt
 	NoTime              // the wait before the next attempt would outlast the time left
-	NoAttempt           // no further attempt is allowed, by number, group or window
-	NeverSent           // the agent could not send it
-	SiteLost            // a site is lost, and its class can't be borne without room
+	NoAttempt           // no further attempt is allowed by number, group or window
+	NeverSent           // the agent could not send the attempt
+	SiteLost            // a site is lost, the request is not admitted by Sites.Admit, and there was no room
 )
 
 var reasonNames = [...]string{"", "repeat-no-room", "too-late", "no-backend", "no-tokens", "no-time", "no-attempt", "never-sent", "site-lost"}
 
-// String returns the reason's name as notes carry it.
+// String returns the reason's name as it appears in notes.
 func (r Reason) String() string {
 	if int(r) < len(reasonNames) {
 		return reasonNames[r]
@@ -31,125 +31,126 @@
 type NoteKind uint8
 
 const (
-	NoteState   NoteKind = iota // how things stand, once in a while
+	NoteState   NoteKind = iota // the state of the balancer, at intervals
 	NoteRefused                 // a request was refused
 	NoteFailed                  // a request was failed
 	NoteCut                     // the limit on attempts in flight was cut
 )
 
-var noteNames = [...]string{"state", "refused", "failed", "cut"}
+var noteKindNames = [...]string{"state", "refused", "failed", "cut"}
 
-// String returns the kind's name as notes carry it.
+// String returns the kind's name as it appears in notes.
 func (k NoteKind) String() string {
-	if int(k) < len(noteNames) {
-		return noteNames[k]
+	if int(k) < len(noteKindNames) {
+		return noteKindNames[k]
 	}
 	return "unknown"
 }
 
-// Note tells what the module decided and what it went by. It is told while Explain is on.
+// Note reports a decision and the state that it was based on. Notes are made while Explain is on.
 type Note struct {
 	At   time.Duration // the step's time
 	Kind NoteKind
 
-	// Of the request that was refused or failed.
+	// The request that was refused or failed.
 	Request  string
 	Class    int
 	Why      Reason
-	Waited   time.Duration // since it came
+	Waited   time.Duration // since the request came
 	Left     time.Duration // until its client stops waiting
-	Aim      time.Duration // until an answer earns less; negative: past
+	Aim      time.Duration // until an answer earns less; negative: in the past
 	Repeat   bool          // it counts as a client's repeat
-	Attempts int           // made for it
-
-	// The limit on attempts in flight and what it rests on.
-	PerBackend float64       // attempts that all agents may have out, for each backend in use
-	Part       float64       // this agent's part of the limit
-	Fraction   float64       // its share of what all agents may have out
-	InFlight   int           // attempts out
-	Stuck      int           // of these, on backends that are not in use, or overdue
-	Overdue    int           // of the stuck ones, those on backends in use
+	Attempts int           // attempts made for it
+
+	// The limit on attempts in flight and its inputs.
+	PerBackend float64       // attempts that all agents may have in flight, per backend in use
+	Part       float64       // this agent's limit, before rounding
+	Fraction   float64       // this agent's share of the limit of all agents
+	InFlight   int           // attempts in flight
+	Stuck      int           // of these, those at backends out of use, and overdue ones
+	Overdue    int           // of the stuck ones, those at backends in use
 	Held       int           // requests that wait for room
-	Up, Used   int           // backends that the list says are up; of these, neither ejected nor down
-	Idle       int           // of those used, the ones with nothing of this agent's
-	Capacity   float64       // those used, each by its warmth
+	Up, Used   int           // backends that are up by the list; of these, those neither ejected nor down
+	Idle       int           // backends in use where this agent has no attempt
+	Capacity   float64       // backends in use, each counted by its warmth
 	Delay      float64       // running mean of latency over aim
-	Base       float64       // its low
-	Aimed      float64       // what the mean is kept to
+	Base       float64       // the low of Delay: the delay without queues
+	Aimed      float64       // the target that the limit keeps Delay to
 	Usual      time.Duration // mean latency over the classes
-	Spare      time.Duration // attempt time saved up below the limit
-	Errors     float64       // running share of errors
-	Tokens     float64       // of the retry bucket
-	Free       int           // backends that could take an attempt now, by strikes and their own bound
+	Spare      time.Duration // saved attempt time below the limit
+	Errors     float64       // recent share of errors over all backends
+	Tokens     float64       // tokens in the retry bucket
+	Free       int           // backends that could take an attempt now, by their strikes and their own bound
 
-	Backends []BackendNote // with NoteState
+	Backends []BackendNote // with NoteState only
 }
 
-// BackendNote is what the module thinks of one backend that the list says is up.
+// BackendNote is the state of one backend that is up by the list.
 type BackendNote struct {
 	ID      string
 	Out     int           // this agent's attempts there
-	Down    bool          // looks gone
-	Ejected time.Duration // for so long yet; 0: not
-	Strikes float64
-	Warmth  float64 // share of its full capacity that it surely has
-	Slow    float64 // latency over the mean of all; 0: no answer yet
+	Down    bool          // its process looks gone
+	Ejected time.Duration // remaining time of its ejection; 0: it is not ejected
+	Strikes float64       // count of recent ejections, reduced by served attempts
+	Warmth  float64       // share of its full capacity that it has by now at least
+	Slow    float64       // latency over the mean of all backends; 0: no answer yet
 }
 
-// noteEvery is the time between two notes on how things stand.
-const noteEvery = 100 * time.Millisecond
+// stateNoteInterval is the minimum time between two notes of kind NoteState.
+const stateNoteInterval = 100 * time.Millisecond
 
-// Explain has the module tell why it refuses, fails and cuts, from now on; nil ends that. It
-// changes no decision. tell is called within Step and must not call the Balancer.
-func (b *Balancer) Explain(tell func(Note)) { b.notes, b.noted = tell, 0 }
+// Explain makes the Balancer pass notes on its refusals, failures, limit cuts and state to tell from now on;
+// nil ends that. It changes no decision. tell is called within Step and must not call the Balancer.
+func (b *Balancer) Explain(tell func(Note)) { b.onNote, b.stateNotedAt = tell, 0 }
 
-// note tells how things stand, with what the kind adds.
-func (b *Balancer) note(n Note) {
-	n.At, n.PerBackend, n.Part, n.InFlight, n.Stuck, n.Held = b.now, b.perBack, b.part(), b.inFlight, b.stuck, len(b.held)
-	n.Fraction = b.fraction
-	n.Up, n.Capacity, n.Delay, n.Base, n.Aimed = b.up, b.capacity, b.delay, b.base, b.aimed()
-	n.Usual, n.Spare, n.Errors, n.Tokens = time.Duration(b.usual()), time.Duration(b.spare), b.usualErrors(nil), b.tokens
+// emitNote completes n with the current state and passes it on.
+func (b *Balancer) emitNote(n Note) {
+	n.At, n.PerBackend, n.Part, n.InFlight, n.Stuck, n.Held = b.now, b.perBackend, b.limitPart(), b.inFlight, b.stuck, len(b.held)
+	n.Fraction = b.limitShare
+	n.Up, n.Capacity, n.Delay, n.Base, n.Aimed = b.up, b.capacity, b.meanDelay, b.baseDelay, b.targetDelay()
+	n.Usual, n.Spare, n.Errors, n.Tokens = time.Duration(b.meanLatency()), time.Duration(b.savedTime), b.usualErrorShare(nil), b.retryTokens
 	n.Overdue = b.stuck
 	for _, t := range b.backends {
 		if n.Kind == NoteState && t.State == Up {
-			n.Backends = append(n.Backends, BackendNote{ID: t.ID, Out: len(t.out), Down: t.down, Ejected: max(0, t.ejected-b.now),
-				Strikes: t.strikes, Warmth: b.warmth(t), Slow: t.slow})
+			n.Backends = append(n.Backends, BackendNote{ID: t.ID, Out: len(t.inFlight), Down: t.down, Ejected: max(0, t.ejectedUntil-b.now),
+				Strikes: t.strikes, Warmth: b.warmth(t), Slow: t.slowRatio})
 		}
-		if t.State == Up && !t.down && b.now >= t.ejected {
+		if t.State == Up && !t.down && b.now >= t.ejectedUntil {
 			n.Used++
-			if len(t.out) == 0 {
+			if len(t.inFlight) == 0 {
 				n.Idle++
 			}
-			if !(t.strikes > 0 && len(t.out) > 0) && float64(len(t.out)) < b.backMost() {
+			if !(t.strikes > 0 && len(t.inFlight) > 0) && float64(len(t.inFlight)) < b.maxPerBackend() {
 				n.Free++
 			}
 		} else {
-			n.Overdue -= len(t.out)
+			n.Overdue -= len(t.inFlight)
 		}
 	}
-	b.notes(n)
+	b.onNote(n)
 }
 
-// noteState tells how things stand now and then.
-func (b *Balancer) noteState() {
-	if b.notes != nil && b.now-b.noted >= noteEvery {
-		b.noted = b.now
-		b.note(Note{Kind: NoteState})
+// emitStateNote emits a note of kind NoteState if the interval has passed.
+func (b *Balancer) emitStateNote() {
+	if b.onNote != nil && b.now-b.stateNotedAt >= stateNoteInterval {
+		b.stateNotedAt = b.now
+		b.emitNote(Note{Kind: NoteState})
 	}
 }
 
-// noteEnd tells of a request's end without an answer.
-func (b *Balancer) noteEnd(r *request, kind NoteKind, why Reason) {
-	if b.notes != nil {
-		b.note(Note{Kind: kind, Request: r.id, Class: r.class, Why: why, Waited: b.now - r.came, Left: r.deadline - b.now,
-			Aim: r.aim - b.now, Repeat: r.repeat, Attempts: len(r.attempts)})
+// emitEndNote emits a note on a request that ended without an answer.
+func (b *Balancer) emitEndNote(r *request, kind NoteKind, reason Reason) {
+	if b.onNote != nil {
+		b.emitNote(Note{Kind: kind, Request: r.id, Class: r.class, Why: reason, Waited: b.now - r.arrivedAt, Left: r.deadline - b.now,
+			Aim: r.aimAt - b.now, Repeat: r.repeat, Attempts: len(r.attempts)})
 	}
 }
 
-// Ejected lists the backends that are up by the list and get no ordinary traffic now, by the module's choice.
+// Ejected lists the backends that are up by the list but get no ordinary traffic at now: they look down, are
+// ejected or their site is lost.
 func (b *Balancer) Ejected(now time.Duration) (ids []string) {
 	for _, t := range b.backends {
-		if t.State == Up && (t.down || now < t.ejected || b.share(t) == 0) {
+		if t.State == Up && (t.down || now < t.ejectedUntil || b.siteWeight(t) == 0) {
 			ids = append(ids, t.ID)
 		}
 	}
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -8,8 +8,8 @@
 	"lemonrail/balance"
 )
 
-// skewed has requests come at a rate for a time, to agents that differ in traffic by far.
-func (d *crowdDay) skewed(perS float64, length time.Duration) {
+// arriveSkewed schedules requests at a rate for a time, to agents that differ widely in traffic.
+func (d *simulation) arriveSkewed(perS float64, length time.Duration) {
 	shares, sum := make([]float64, len(d.agents)), 0.0
 	for i := range shares {
 		sum += math.Exp(1.2 * d.rng.NormFloat64())
@@ -24,30 +24,31 @@
 	}
 }
 
-// A limit that is split evenly among many agents refuses at the busy ones while nodes stand idle, and
-// at the quiet ones by chance. Fleets of all sizes split it by what each wants, at a bounded price.
-func TestLargeFleetsUseTheirRoom(t *testing.T) {
+// If the limit were split evenly among many agents, the busy ones would refuse requests while nodes idle,
+// and the quiet ones by chance. Fleets of all sizes split it by demand instead, at a bounded number of peer
+// bytes.
+func TestLargeFleetsUseCapacity(t *testing.T) {
 	for _, size := range []struct{ agents, nodes int }{{4, 8}, {32, 24}, {33, 24}, {40, 50}, {80, 50}, {200, 30}} {
-		d := newCrowdDay(t, 5, size.agents, size.nodes)
-		d.skewed(0.6*d.capacity(), 4*time.Second)
+		d := newSimulation(t, 5, size.agents, size.nodes)
+		d.arriveSkewed(0.6*d.capacity(), 4*time.Second)
 		d.run(d.now + 6*time.Second)
 		n := d.total()
 		if d.refused > n/50 {
 			t.Errorf("%d agents, %d nodes: %d of %d refused at 0.6 of capacity", size.agents, size.nodes, d.refused, n)
 		}
-		if told := float64(d.told) / float64(n); told > 48 {
-			t.Errorf("%d agents, %d nodes: %.0f bytes told for each request", size.agents, size.nodes, told)
+		if told := float64(d.peerBytes) / float64(n); told > 48 {
+			t.Errorf("%d agents, %d nodes: %.0f peer bytes per request", size.agents, size.nodes, told)
 		}
-		t.Logf("%d agents, %d nodes: %d of %d refused, %d bytes told for each", size.agents, size.nodes, d.refused, n, d.told/n)
+		t.Logf("%d agents, %d nodes: %d of %d refused, %d peer bytes per request", size.agents, size.nodes, d.refused, n, d.peerBytes/n)
 	}
 }
 
-// What many agents send meets at nodes by chance: with a limit that leaves no room for that, they refuse
-// while nodes stand idle, though answers are in time.
-func TestLimitLeavesRoomForChance(t *testing.T) {
-	d := newCrowdDay(t, 8, 80, 60)
-	d.slow = func(time.Duration) float64 { return 4 } // little is left of the aim
-	d.skewed(0.7*d.capacity()/4, 4*time.Second)
+// Attempts of many agents meet at nodes by chance. A limit without room for that would refuse requests while
+// nodes idle and answers are in time.
+func TestLimitToleratesRandomLoad(t *testing.T) {
+	d := newSimulation(t, 8, 80, 60)
+	d.slowdown = func(time.Duration) float64 { return 4 } // leaves little of the aim
+	d.arriveSkewed(0.7*d.capacity()/4, 4*time.Second)
 	d.run(d.now + 6*time.Second)
 	n := d.total()
 	if d.refused > n/25 { // was 6 %
@@ -56,19 +57,19 @@
 	t.Logf("%d of %d refused, %d in time", d.refused, n, d.inTime)
 }
 
-// asking is a fleet whose agents ask one service for the list, in simulated time. The service works through
-// calls in turn, those that have been given up too, as it can't know.
-type asking struct {
-	*crowdDay
-	perS     float64       // calls that the service does in a second
-	patience time.Duration // after which a call fails
-	most     int           // calls that may wait
-	free     time.Duration // when the service has worked through what it has
-	calls    []time.Duration
-	has      map[int]time.Duration // when an agent got its list
+// discoverySim simulates a fleet whose agents subscribe to the list at one service. The service handles
+// calls in order, also those that the caller has given up, since it can't know.
+type discoverySim struct {
+	*simulation
+	callsPerSecond float64       // calls that the service handles in a second
+	patience       time.Duration // after which a call fails
+	maxWaiting     int           // calls that may wait
+	freeAt         time.Duration // when the service will have handled all calls
+	calls          []time.Duration
+	listedAt       map[int]time.Duration // when an agent got the list
 }
 
-func (a *asking) step(agent int, e balance.Event) {
+func (a *discoverySim) step(agent int, e balance.Event) {
 	for _, act := range a.agents[agent].Step(a.now, []balance.Event{e}) {
 		switch act := act.(type) {
 		case balance.SetTimer:
@@ -79,31 +80,32 @@
 	}
 }
 
-func (a *asking) call(agent int) {
+func (a *discoverySim) call(agent int) {
 	a.calls = append(a.calls, a.now)
-	each := time.Duration(float64(time.Second) / a.perS)
-	if a.free-a.now > time.Duration(a.most)*each {
+	each := time.Duration(float64(time.Second) / a.callsPerSecond)
+	if a.freeAt-a.now > time.Duration(a.maxWaiting)*each {
 		a.at(a.now+10*time.Millisecond, func() { a.step(agent, balance.List{Kind: balance.ListFailed}) })
 		return
 	}
-	a.free = max(a.free, a.now) + each
-	if a.free-a.now > a.patience {
+	a.freeAt = max(a.freeAt, a.now) + each
+	if a.freeAt-a.now > a.patience {
 		a.at(a.now+a.patience, func() { a.step(agent, balance.List{Kind: balance.ListFailed}) })
 		return
 	}
-	a.at(a.free, func() {
-		if _, known := a.has[agent]; !known {
-			a.has[agent] = a.now
+	a.at(a.freeAt, func() {
+		if _, known := a.listedAt[agent]; !known {
+			a.listedAt[agent] = a.now
 		}
 		a.step(agent, balance.List{Kind: balance.ListDelta})
 	})
 }
 
-// Most agents of a large fleet start within a second, with an old list, and the service that has the new
-// one can do few calls: they don't ask faster than it answers, and all have it soon.
-func TestManyAgentsAskInTurn(t *testing.T) {
+// Most agents of a large fleet start within a second, with a cached list, and the discovery service can
+// handle few calls. The agents must not call faster than the service answers, and all must have the list
+// soon.
+func TestManyAgentsSpreadSubscribes(t *testing.T) {
 	for seed := range uint64(20) {
-		a := &asking{crowdDay: newCrowdDay(t, seed, 0, 0), perS: 15, patience: 2 * time.Second, most: 60, has: map[int]time.Duration{}}
+		a := &discoverySim{simulation: newSimulation(t, seed, 0, 0), callsPerSecond: 15, patience: 2 * time.Second, maxWaiting: 60, listedAt: map[int]time.Duration{}}
 		const fleet, started = 80, 56
 		for i := range started {
 			s := settings()
@@ -117,8 +119,8 @@
 		}
 		began := a.now
 		a.run(a.now + 12*time.Second)
-		if len(a.has) < started {
-			t.Errorf("seed %d: %d of %d agents have the list after 12 s", seed, len(a.has), started)
+		if len(a.listedAt) < started {
+			t.Errorf("seed %d: %d of %d agents have the list after 12 s", seed, len(a.listedAt), started)
 		}
 		for first := range a.calls {
 			last := first
--- a/balance/health.go
+++ b/balance/health.go
@@ -5,138 +5,137 @@
 	"time"
 )
 
-// observe learns from the outcome of an attempt.
-func (b *Balancer) observe(r *request, a *attempt, e Outcome) {
-	t, c, lat := a.b, &b.classes[r.class], float64(e.Latency)
+// recordOutcome updates what is known of the backend, the class and the limit by the outcome of an attempt.
+func (b *Balancer) recordOutcome(r *request, a *attempt, e Outcome) {
+	t, c, latency := a.backend, &b.classes[r.class], float64(e.Latency)
 	switch e.Result {
 	case OK:
-		// It came back before the list told: treat it as just started. Guards against a start that was
-		// none: what had been sent before it looked gone was answered by the process that was there then.
-		if t.down && t.downAt <= a.sent && t.warmFrom < a.sent {
-			t.start(b.now, b.now)
+		// The backend is back before the list told of a restart: treat its process as just started. An answer
+		// to an attempt sent before the backend looked down comes from the old process and proves no restart.
+		if t.down && t.downSince <= a.sentAt && t.startedAt < a.sentAt {
+			t.markStarted(b.now, b.now)
 		}
-		t.down, t.refused = false, false
-		t.turned(r.class).row = 0
+		t.down, t.connectFailed = false, false
+		t.rejection(r.class).streak = 0
 		if !t.cold {
-			b.doneWork = b.decayed() + a.cost
-			b.doneCount++
+			b.servedWork = b.decayServedWork() + a.expected
+			b.servedCount++
 		}
 		if b.capacity == 0 {
-			b.pardon()
+			b.endEjections()
 		}
-		if t.strikes = max(0, t.strikes-strikeHeal); t.strikes == 0 {
-			t.ejected = min(t.ejected, b.now) // it has healed: what was sent before it was ejected came in
+		if t.strikes = max(0, t.strikes-strikeRecovery); t.strikes == 0 {
+			t.ejectedUntil = min(t.ejectedUntil, b.now) // attempts sent before the ejection were served
 		}
-		b.odd(t, 0)
-		t.lastOK = b.now
-		t.seen = true
-		b.learnSpeed(t, lat/a.cost)
-		c.latency = blend(c.latency, max(lat, 1))
-		b.pace(a, float64(e.Latency)/float64(r.terms.Aim))
+		b.recordErrors(t, 0)
+		t.servedAt = b.now
+		t.answered = true
+		b.learnSpeed(t, latency/a.expected)
+		c.meanLatency = updateMean(c.meanLatency, max(latency, 1))
+		b.adjustLimit(a, float64(e.Latency)/float64(r.terms.Aim))
 	case Full:
-		// Departure: each further one in a row, of its class, doubles the rest. Guards against retries that
-		// empty the bucket at a backend that turns a class away for seconds. May harm where one that was
-		// full has room at once.
-		f := t.turned(r.class)
-		f.till = b.now + time.Duration(b.rng.Float64()*c.latency*math.Exp2(f.row))
-		f.row = min(f.row+1, fullRow)
-		b.pace(a, 1)
+		// Each further rejection of the class in a row doubles the pause. Otherwise retries would empty the
+		// bucket at a backend that rejects a class for seconds. May harm if a full backend has room at once.
+		rejection := t.rejection(r.class)
+		rejection.until = b.now + time.Duration(b.rng.Float64()*c.meanLatency*math.Exp2(rejection.streak))
+		rejection.streak = min(rejection.streak+1, maxRejectionStreak)
+		b.adjustLimit(a, 1)
 	case TimedOut:
-		if t.lastOK < a.sent { // nothing came back since: more than a slow request, and no queue
-			b.strike(t, a, r.terms)
+		if t.servedAt < a.sentAt { // nothing was served since: the backend hangs, rather than being slow
+			b.eject(t, a, r.terms)
 		}
-		// A quiet agent's time-outs are nearly all silent. Where answers bring reports, and are late
-		// when crowds are, time-outs may as well be lost answers: they cut no limit.
-		if (t.lastOK >= a.sent || b.quiet()) && b.s.Reports != ReportsInline {
-			b.pace(a, max(1, lat/float64(r.terms.Aim)))
-			// Departure: its work is still at the backend, and uses a quiet agent's room for longer.
-			// Holds against any crowd that shows in time-outs first. May harm where these are lost answers.
-			b.spare -= saveAtMost * b.usual()
-			b.learnSpeed(t, lat/a.cost) // at least so slow
+		// A quiet agent sees almost no answers between its time-outs. If answers bring load reports, and come
+		// late under overload, a time-out may as well be a lost answer: then it does not cut the limit.
+		if (t.servedAt >= a.sentAt || b.quiet()) && b.settings.Reports != ReportsInline {
+			b.adjustLimit(a, max(1, latency/float64(r.terms.Aim)))
+			// The backend still works on the attempt, so that it uses a quiet agent's room for longer. This
+			// limits overload that shows first in time-outs. May harm if answers are lost instead.
+			b.savedTime -= maxSavedLatencies * b.meanLatency()
+			b.learnSpeed(t, latency/a.expected) // a lower bound of the latency
 		}
 	case Errored, Reset, ConnectFailed:
-		rare := b.usualErrors(t) < evenErrors
-		odd := b.odd(t, 1)
-		// A process that ends takes all its connections with it: while others stand, one that breaks
-		// is an error like others.
+		rare := b.usualErrorShare(t) < commonErrorShare
+		odd := b.recordErrors(t, 1)
+		// A process that ends takes all its connections with it. While others are open, a broken connection
+		// is an error like any other.
 		broke := e.Result != Errored && !e.Standing
 		refused := broke && e.Result == ConnectFailed
-		// Where connections break all the time, one that breaks is no restart; one that can't be made,
-		// twice in a row, is a process that has gone.
-		if !t.down && (refused && (rare || t.refused) || broke && rare) {
-			t.down, t.downAt = true, b.now
+		// If connections break often, a broken one is no sign of a restart, but two failures to connect in a
+		// row are a sign that the process is gone.
+		if !t.down && (refused && (rare || t.connectFailed) || broke && rare) {
+			t.down, t.downSince = true, b.now
 		}
-		t.refused = refused
-		if odd || refused || rare && t.cold { // a cold one has to show that it is well
-			b.strike(t, a, r.terms)
+		t.connectFailed = refused
+		if odd || refused || rare && t.cold { // a cold backend has not shown yet that it works
+			b.eject(t, a, r.terms)
 		}
 	}
 }
 
-// odd takes an answer with so many errors, and reports whether a backend returns more than is usual.
-// Departure: errors that come from all backends alike, as spoilt answers or resets do, say nothing of
-// the one they came from, and ejecting for each would leave few in use. Where errors are rare the first
-// one tells; where they are usual, three in near succession. May harm where most backends fail.
-func (b *Balancer) odd(t *backend, errors float64) bool {
-	usual := b.usualErrors(t)
-	t.errors += smooth / 2 * (errors - t.errors)
-	t.excess = min(max(0, t.excess-max(oddErrors*usual, errorHeal))+errors, errorCap)
-	return t.excess >= min(max(1, 2*usual/evenErrors), 2+4*usual)
+// recordErrors counts an answer with the given number of errors, 0 or 1, and reports whether the backend
+// returns more errors than is usual. Errors that come from all backends alike, such as corrupt answers or
+// resets, say nothing about one backend, and ejecting for each would leave few in use. If errors are rare
+// the first one counts; if they are usual, three in short succession. May harm if most backends fail.
+func (b *Balancer) recordErrors(t *backend, errors float64) bool {
+	usual := b.usualErrorShare(t)
+	t.errorShare += meanStep / 2 * (errors - t.errorShare)
+	t.excessErrors = min(max(0, t.excessErrors-max(excessErrorRatio*usual, minErrorRecovery))+errors,
+		maxExcessErrors)
+	return t.excessErrors >= min(max(1, 2*usual/commonErrorShare), 2+4*usual)
 }
 
-// usualErrors is the share of errors that the other backends return, lately; one that fails all counts
-// for no more than oddMost. Guards against a wave of resets that comes over all backends: a mean over
-// the last hundreds of answers would not have seen it before each of them had been ejected once.
-func (b *Balancer) usualErrors(t *backend) float64 {
+// usualErrorShare is the recent share of errors of the backends other than t. One that fails everything adds
+// no more than maxUsualErrorShare. It follows a wave of resets over all backends in time: a mean over
+// hundreds of answers would notice the wave only after each backend had been ejected once.
+func (b *Balancer) usualErrorShare(t *backend) float64 {
 	sum := 0.0
-	for _, o := range b.backends {
-		died := o.down && o.strikes > 1 // says nothing of the others
-		if o.State == Up && o != t && !died {
-			sum += min(o.errors, oddMost)
+	for _, other := range b.backends {
+		died := other.down && other.strikes > 1 // a dead backend's errors are not usual for the others
+		if other.State == Up && other != t && !died {
+			sum += min(other.errorShare, maxUsualErrorShare)
 		}
 	}
 	return sum / float64(max(b.up-1, 1))
 }
 
-// strike ejects a backend for a while that doubles with each further strike.
-// Departure: a backend that fails fast is always idle and would draw all traffic.
-// It acts on the first error, since errors are rare where nothing is wrong; what
-// was sent before the last strike adds nothing.
-func (b *Balancer) strike(t *backend, a *attempt, c *terms) {
-	if a.sent < t.struckAt {
+// eject ejects a backend for a time that doubles with each further strike. Without it a backend that fails
+// fast would always be idle and draw all traffic. The first error ejects, since errors are rare if nothing
+// is wrong. Outcomes of attempts sent before the last ejection add no strike.
+func (b *Balancer) eject(t *backend, a *attempt, c *terms) {
+	if a.sentAt < t.ejectedAt {
 		return
 	}
-	t.strikes = min(t.strikes+1, strikeCap)
-	t.excess = max(0, t.excess-1) // the error that led here has been answered
-	t.struckAt = b.now
-	// Departure: many agents that each try an ejected backend soon keep it busy for ever, and one that
-	// has turned slow must rest: each waits longer the more agents there are for a backend. May harm
-	// where a backend is well again and no restart tells.
-	span := max(1, float64(b.s.Balancers)/(quietRatio*float64(max(b.up, 1)))) * float64(c.Aim)
-	t.ejected = b.now + time.Duration(math.Exp2(t.strikes-1)*(0.75+0.5*b.rng.Float64())*span)
+	t.strikes = min(t.strikes+1, maxStrikes)
+	t.excessErrors = max(0, t.excessErrors-1) // the error that caused this ejection is dealt with
+	t.ejectedAt = b.now
+	// The time grows with the number of agents per backend: many agents that each try an ejected backend soon
+	// keep it busy for ever, and a backend that has turned slow needs a rest. May harm if a backend has
+	// recovered and no restart tells.
+	span := max(1, float64(b.settings.Balancers)/(quietRatio*float64(max(b.up, 1)))) * float64(c.Aim)
+	t.ejectedUntil = b.now + time.Duration(math.Exp2(t.strikes-1)*(0.75+0.5*b.rng.Float64())*span)
 }
 
-// pardon ends all ejections. Departure: a stop that took every backend was no fault of theirs, and the
-// first answer after it says that it is over; the ejections that grew while nothing could be served
-// would go on for seconds. Each is then tried with one attempt. May harm where one of several broken
-// backends answers now and then.
-func (b *Balancer) pardon() {
+// endEjections ends all ejections. The first answer after a stop of every backend shows that the stop is
+// over. The backends were not at fault, and the ejections that grew while nothing was served would last for
+// seconds more. Each backend is then tried with one attempt. May harm if one of several broken backends
+// answers now and then.
+func (b *Balancer) endEjections() {
 	for _, t := range b.backends {
-		t.ejected, t.strikes = min(t.ejected, b.now), min(t.strikes, 1)
+		t.ejectedUntil, t.strikes = min(t.ejectedUntil, b.now), min(t.strikes, 1)
 	}
-	b.measure()
+	b.updateCapacity()
 }
 
-// healthy reports whether t may get r as ordinary traffic. After an ejection it
-// gets one attempt at a time until it has healed: of requests that may be repeated,
-// and of others only where none of these came for as long again.
+// healthy reports whether t may get r as ordinary traffic. After an ejection a backend gets one attempt at a
+// time until its strikes are gone. Those attempts are of requests that may be repeated; an unsafe request is
+// let through only after the ejection time has passed once more.
 func (b *Balancer) healthy(t *backend, r *request) bool {
-	if b.now < t.ejected {
+	if b.now < t.ejectedUntil {
 		return false
 	}
 	if t.strikes == 0 {
 		return true
 	}
-	safe := r.terms.Effect != Unsafe || b.now >= 2*t.ejected-t.struckAt
-	return safe && len(t.out) == 0
+	safe := r.terms.Effect != Unsafe || b.now >= 2*t.ejectedUntil-t.ejectedAt
+	return safe && len(t.inFlight) == 0
 }
--- a/balance/hold.go
+++ b/balance/hold.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// hold lets a request wait for room; one that finds some leaves in the same step.
+// hold queues a request until there is room. If there is room now, releaseHeld sends it in the same step.
 func (b *Balancer) hold(r *request) {
-	r.holding, r.left, r.home = true, 1, nil // a home says where to go, not what is known
+	// The home of a key is left out: it is where to send the key, not where the key is known.
+	r.held, r.minWorkLeft, r.keyHome = true, 1, nil
 	for _, t := range b.backends {
 		if t.State == Up {
-			r.left = min(r.left, b.left(t, r))
+			r.minWorkLeft = min(r.minWorkLeft, b.workLeft(t, r))
 		}
 	}
 	b.held = append(b.held, r)
 }
 
-func (b *Balancer) unhold(r *request) {
-	r.holding = false
-	b.held = without(b.held, r)
+// removeHeld takes a request out of the queue.
+func (b *Balancer) removeHeld(r *request) {
+	r.held = false
+	b.held = removeFirst(b.held, r)
 }
 
-// releaseHeld sends what is held while there is room: first tries before clients'
-// repeats, the most valuable class first, within it the newest, which has the most
-// time left. Waiting here costs the backends nothing; it ends when an answer within
-// the aim is out of reach.
+// releaseHeld sends held requests while there is room: first tries before clients' repeats, the most valuable
+// class first, and within a class the newest request, which has the most time left. Waiting here costs the
+// backends nothing; a request is refused once an answer within its aim is out of reach.
 func (b *Balancer) releaseHeld() {
 	if len(b.held) == 0 {
 		return
 	}
-	for b.room() {
+	for b.hasRoom() {
 		best, value := -1, 0.0
 		for i, r := range b.held {
-			if r.passed {
+			if r.unplaced {
 				continue
 			}
-			v := b.value(r) / r.left
+			v := b.valuePerTime(r) / r.minWorkLeft
 			if r.repeat {
 				v *= repeatValue
 			}
-			if r.aim-b.now < time.Duration(b.expected(r)/2) {
+			if r.aimAt-b.now < time.Duration(b.expectedLatency(r)/2) {
 				v *= r.terms.LateWorth
 			}
 			if best < 0 || v >= value {
@@ -51,49 +52,52 @@
 		}
 		r := b.held[best]
 		if t := b.pick(r); t != nil {
-			b.unhold(r)
+			b.removeHeld(r)
 			b.send(r, t)
 		} else {
-			r.passed = true
+			r.unplaced = true
 		}
 	}
-	full := !b.room()
-	// What the plan gives up still takes room that nobody else waits for.
-	behind := slices.ContainsFunc(b.held, func(r *request) bool { return !r.spill })
+	atLimit := !b.hasRoom()
+	// Requests that aren't admitted are refused only if admitted ones wait for the same room.
+	admittedWaits := slices.ContainsFunc(b.held, func(r *request) bool { return !r.shedWithoutRoom })
 	for i := len(b.held) - 1; i >= 0; i-- {
 		r := b.held[i]
-		need := min(holdMargin*b.expected(r), holdAtMost*float64(r.terms.Aim))
-		give := min(r.aim, r.deadline) - time.Duration(need)
-		r.passed = false
-		if spilt := full && behind && r.spill; spilt || give <= b.now {
-			b.unhold(r)
-			why := NoBackend
-			if spilt {
-				why = SiteLost
-			} else if full && r.repeat {
-				why = RepeatNoRoom
-			} else if full {
-				why = TooLate
+		margin := min(holdMarginLatencies*b.expectedLatency(r), maxHoldMarginAims*float64(r.terms.Aim))
+		giveUpAt := min(r.aimAt, r.deadline) - time.Duration(margin)
+		r.unplaced = false
+		if notAdmitted := atLimit && admittedWaits && r.shedWithoutRoom; notAdmitted || giveUpAt <= b.now {
+			b.removeHeld(r)
+			reason := NoBackend
+			if notAdmitted {
+				reason = SiteLost
+			} else if atLimit && r.repeat {
+				reason = RepeatNoRoom
+			} else if atLimit {
+				reason = TooLate
 			}
-			b.finish(r, why)
-		} else if r.timer == 0 {
-			b.timer(r, give)
+			b.finish(r, reason)
+		} else if r.timerToken == 0 {
+			b.setRequestTimer(r, giveUpAt)
 		}
 	}
-	if wait := b.spare / -b.part(); len(b.held) > 0 && b.inFlight == b.stuck && wait > 0 && b.roomToken == 0 {
-		b.roomToken = b.alarm(time.Duration(wait) + 1)
+	// Without countable attempts in flight no outcome will come to make a step, so a timer has to.
+	if wait := b.savedTime / -b.limitPart(); len(b.held) > 0 && b.inFlight == b.stuck &&
+		wait > 0 && b.roomTimer == 0 {
+		b.roomTimer = b.setTimer(time.Duration(wait) + 1)
 	}
 }
 
-// value is what a unit of backend time spent on a request adds to the operator's goal.
-func (b *Balancer) value(r *request) float64 {
-	if b.s.ByWork {
+// valuePerTime returns the worth that a unit of backend time earns if it is spent on r.
+func (b *Balancer) valuePerTime(r *request) float64 {
+	if b.settings.ByWork {
 		return r.terms.Worth
 	}
-	return r.terms.Worth / b.classes[r.class].latency
+	return r.terms.Worth / b.classes[r.class].meanLatency
 }
 
-func without[T comparable](list []T, x T) []T {
+// removeFirst removes the first x from list, in place.
+func removeFirst[T comparable](list []T, x T) []T {
 	if i := slices.Index(list, x); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
--- a/balance/key_affinity.go
+++ b/balance/key_affinity.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// Where the settings say that a backend needs less work for a key that it met lately, this file
-// decides what that counts for. Sent to each backend in turn a key costs its full work everywhere
-// and pushes others out of memory. So a backend where this agent sent the key lately counts as
-// faster for it, and as idle with a few attempts out; for a key that this agent has not sent, all
-// agents take the same backend for its home.
+// If the settings say that a backend needs less work for a key that it has served lately (WarmKeys), this
+// file decides how much that counts. A key sent to each backend in turn costs its full work everywhere and
+// evicts other keys from memory. So a backend to which this agent sent the key lately counts as faster for
+// it, and as idle with a few attempts in flight; a key that this agent has not sent goes to a home that all
+// agents agree on.
 
 const (
-	warmWork = 0.4  // share of the work that is left where the key is known
-	homeWork = 0.5  // and at the key's home, where another agent may have sent it
-	keyPull  = 6.0  // power of that share in the choice among idle backends
-	keyIdle  = 2.0  // attempts out below which a backend that knows the key counts as idle for it
-	keyAims  = 12.0 // mean aims for which a backend is taken to remember a key
-	keysMost = 64   // keys that a backend is taken to remember; the oldest goes first
+	knownKeyWork    = 0.4  // share of a request's work that is left at a backend that knows its key
+	homeKeyWork     = 0.5  // the same at the key's home, where another agent may have sent the key
+	keyWeightPower  = 6.0  // power of that share in the choice among idle backends
+	keyIdleAttempts = 2.0  // a backend that knows the key counts as idle for it below so many attempts
+	keyMemoryAims   = 12.0 // time that a backend is assumed to remember a key, in mean aims
+	maxKeys         = 64   // keys that a backend is assumed to remember; the oldest is forgotten first
 )
 
-// met is a key that a backend was sent, and when this was last.
-type met struct {
+// keyUse is a key that was sent to a backend, and when it was last sent.
+type keyUse struct {
 	key uint64
 	at  time.Duration
 }
 
-// home is the backend where all agents send a key that they know nothing of: weighted rendezvous
-// hashing over those that are up and warm, so that a change of the list moves few keys.
-func (b *Balancer) home(r *request) (best *backend) {
+// keyHome returns the backend where all agents send a key that they know nothing about, by weighted
+// rendezvous hashing over the backends that are up and warm, so that a change of the list moves few keys;
+// nil: r has no key.
+func (b *Balancer) keyHome(r *request) (best *backend) {
 	most := math.Inf(-1)
 	for _, t := range b.backends {
 		if r.key == 0 || t.State != Up || t.cold {
 			continue
 		}
-		share := float64(mixed(r.key^t.hash)>>11+1) / (1 << 53)
+		share := float64(mix64(r.key^t.hash)>>11+1) / (1 << 53)
 		if v := max(t.Weight, 1e-9) / -math.Log(share); v > most {
 			best, most = t, v
 		}
@@ -43,46 +44,46 @@
 	return best
 }
 
-// left is the share of a request's work that is left at a backend, for its key.
-func (b *Balancer) left(t *backend, r *request) float64 {
+// workLeft returns the share of r's work that is left at t, given its key.
+func (b *Balancer) workLeft(t *backend, r *request) float64 {
 	switch {
 	case r.key == 0:
 		return 1
-	case t.knows(r.key, b.now-time.Duration(keyAims*b.meanAim())):
-		return warmWork
-	case t == r.home:
-		return homeWork
+	case t.sentKeySince(r.key, b.now-time.Duration(keyMemoryAims*b.meanAim())):
+		return knownKeyWork
+	case t == r.keyHome:
+		return homeKeyWork
 	}
 	return 1
 }
 
-// knows reports whether a backend was sent a key since.
-func (t *backend) knows(key uint64, since time.Duration) bool {
-	i := slices.IndexFunc(t.keys, func(m met) bool { return m.key == key })
+// sentKeySince reports whether t was sent the key at since or later.
+func (t *backend) sentKeySince(key uint64, since time.Duration) bool {
+	i := slices.IndexFunc(t.keys, func(m keyUse) bool { return m.key == key })
 	return i >= 0 && t.keys[i].at >= since
 }
 
-// keyed notes that a backend is sent a request's key, and returns the request's work there over
-// the mean of what keys leave.
-func (b *Balancer) keyed(t *backend, r *request) float64 {
+// recordKey records that t is sent r's key. It returns the share of work left for r at t, over the mean of
+// that share.
+func (b *Balancer) recordKey(t *backend, r *request) float64 {
 	if r.key == 0 {
 		return 1
 	}
-	left := b.left(t, r)
-	if left == homeWork { // which is where to send it, and no less work yet
+	left := b.workLeft(t, r)
+	if left == homeKeyWork { // a preference for the home; the work there is not known to be less
 		left = 1
 	}
-	if i := slices.IndexFunc(t.keys, func(m met) bool { return m.key == r.key }); i >= 0 {
+	if i := slices.IndexFunc(t.keys, func(m keyUse) bool { return m.key == r.key }); i >= 0 {
 		t.keys = slices.Delete(t.keys, i, i+1)
-	} else if len(t.keys) == keysMost {
+	} else if len(t.keys) == maxKeys {
 		t.keys = slices.Delete(t.keys, 0, 1)
 	}
-	t.keys = append(t.keys, met{r.key, b.now})
-	b.workLeft = blend(b.workLeft, left)
-	return left / b.workLeft
+	t.keys = append(t.keys, keyUse{r.key, b.now})
+	b.meanWorkLeft = updateMean(b.meanWorkLeft, left)
+	return left / b.meanWorkLeft
 }
 
-// meanAim is the mean over the classes.
+// meanAim returns the mean aim of the classes, ns.
 func (b *Balancer) meanAim() (mean float64) {
 	for i := range b.classes {
 		mean += float64(b.classes[i].Aim) / float64(len(b.classes))
--- a/balance/key_affinity_test.go
+++ b/balance/key_affinity_test.go
@@ -8,9 +8,9 @@
 	"lemonrail/balance"
 )
 
-// askKeys asks a balancer for many keys, one request at a time, and returns the backends of each key.
-// A backend that has met a key takes two fifths as long for it.
-func askKeys(t *testing.T, s balance.Settings, seed uint64, rounds, keys int) map[string]map[string]int {
+// requestKeys plays requests for many keys, one at a time, and counts for each key its requests by backend.
+// A backend that has served a key before takes two fifths of the time for it.
+func requestKeys(t *testing.T, s balance.Settings, seed uint64, rounds, keys int) map[string]map[string]int {
 	t.Helper()
 	r := newRig(t, s, seed, backends(8))
 	got := map[string]map[string]int{}
@@ -35,12 +35,12 @@
 	return got
 }
 
-func TestKeyStaysWhereItIsKnown(t *testing.T) {
+func TestKeyStaysAtKnownBackend(t *testing.T) {
 	share := func(warm bool) float64 {
 		s := settings()
 		s.WarmKeys = warm
 		most, all := 0, 0
-		for _, at := range askKeys(t, s, 7, 20, 40) {
+		for _, at := range requestKeys(t, s, 7, 20, 40) {
 			top := 0
 			for _, n := range at {
 				top, all = max(top, n), all+n
@@ -57,13 +57,13 @@
 	}
 }
 
-// Agents that know nothing of a key send it to the same backend mostly, without a word between them.
-func TestAgentsAgreeOnAKeysHome(t *testing.T) {
+// Agents that know nothing about a key mostly send it to the same backend, without messages between them.
+func TestAgentsAgreeOnKeyHome(t *testing.T) {
 	s := settings()
 	s.WarmKeys, s.Balancers = true, 2
-	one := askKeys(t, s, 1, 1, 200)
+	one := requestKeys(t, s, 1, 1, 200)
 	s.Self = 1
-	other := askKeys(t, s, 2, 1, 200)
+	other := requestKeys(t, s, 2, 1, 200)
 	same := 0
 	for key, at := range one {
 		for to := range at {
@@ -75,7 +75,7 @@
 	}
 }
 
-// One key that draws all traffic must not pile up where it is known.
+// Requests for one popular key must not pile up at the backends that know it.
 func TestPopularKeySpreads(t *testing.T) {
 	s := settings()
 	s.WarmKeys = true
@@ -98,7 +98,7 @@
 	}
 }
 
-// A backend that has restarted knows no keys, and one that is sent very many has forgotten the first.
+// A key is forgotten after some time: requests for other keys then spread over the backends.
 func TestKeysAreForgotten(t *testing.T) {
 	s := settings()
 	s.WarmKeys = true
@@ -117,7 +117,7 @@
 			t.Fatalf("request %d for a known key went to %s, not %s", i, to, first)
 		}
 	}
-	r.now += time.Minute // longer than any backend is taken to remember
+	r.now += time.Minute // longer than backends are assumed to remember keys
 	moved := 0
 	for i := range 400 {
 		if ask(100+i, fmt.Sprint("other", i)) != first {
@@ -129,8 +129,8 @@
 	}
 }
 
-// Where there is no room, a request whose key a backend knows goes first: it takes less of the room.
-func TestKnownKeysLeaveFirstWhereThereIsNoRoom(t *testing.T) {
+// At the limit, a held request whose key a backend knows is sent first, since it takes less backend time.
+func TestKnownKeysAreSentFirstAtLimit(t *testing.T) {
 	for _, warm := range []bool{true, false} {
 		s := settings()
 		s.WarmKeys = warm
@@ -157,7 +157,7 @@
 			}
 		}
 		if want := map[bool]string{true: "known", false: "new"}[warm]; first != want {
-			t.Errorf("warm keys %v: %q left first, want %q", warm, first, want)
+			t.Errorf("warm keys %v: %q was sent first, want %q", warm, first, want)
 		}
 	}
 }
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -5,47 +5,49 @@
 	"math"
 )
 
-// usual is the mean latency over the classes.
-func (b *Balancer) usual() (mean float64) {
+// meanLatency returns the mean over the classes of their mean latency, ns.
+func (b *Balancer) meanLatency() (mean float64) {
 	for i := range b.classes {
-		mean += b.classes[i].latency / float64(len(b.classes))
+		mean += b.classes[i].meanLatency / float64(len(b.classes))
 	}
 	return mean
 }
 
-// expected is the mean latency for a request of this class and told work, as far as latency follows work.
-func (b *Balancer) expected(r *request) float64 {
+// expectedLatency returns the expected latency of r in ns: the mean of its class, scaled within bounds by the
+// work that the request announced.
+func (b *Balancer) expectedLatency(r *request) float64 {
 	c := &b.classes[r.class]
-	if r.work > 0 && c.work > 0 {
-		return c.latency * min(max(r.work/c.work, hintLeast), hintMost)
+	if r.work > 0 && c.meanWork > 0 {
+		return c.meanLatency * min(max(r.work/c.meanWork, minWorkFactor), maxWorkFactor)
 	}
-	return c.latency
+	return c.meanLatency
 }
 
-// slowness is how much longer this backend takes than the mean, by its answers or its kind's.
-func (b *Balancer) slowness(t *backend) float64 { return cmp.Or(t.slow, b.kind(t).slow) }
+// slowness returns t's latency as a multiple of the mean, by its own answers or else by those of its kind.
+func (b *Balancer) slowness(t *backend) float64 { return cmp.Or(t.slowRatio, b.kindOf(t).slowRatio) }
 
-// kind is what a quiet agent knows of a backend's kind, since it meets few twice: an unknown
-// one counts at its mean. A busy agent soon knows each; a dead zone would teach it about the rest.
-func (b *Balancer) kind(t *backend) *speed {
-	if b.kinds[t.Kind] == nil {
-		b.kinds[t.Kind] = &speed{slow: 1}
-		if t.Weight > 0 && b.rated > 0 { // as slow as gives it its share by weight
-			b.kinds[t.Kind].slow = math.Cbrt(b.rated / t.Weight)
+// kindOf returns the slowness of t's kind, which stands in for a backend without answers. Only a quiet agent
+// learns it, since it meets few backends twice. A busy agent soon knows each backend, and there the answers
+// of a dead zone would count against the other backends of the kind.
+func (b *Balancer) kindOf(t *backend) *slowness {
+	if b.kindSlowness[t.Kind] == nil {
+		b.kindSlowness[t.Kind] = &slowness{slowRatio: 1}
+		if t.Weight > 0 && b.meanWeight > 0 { // gives picks by the inverse cube in proportion to the weight
+			b.kindSlowness[t.Kind].slowRatio = math.Cbrt(b.meanWeight / t.Weight)
 		}
 	}
 	if !b.quiet() {
-		b.kinds[t.Kind].slow = 1
+		b.kindSlowness[t.Kind].slowRatio = 1
 	}
-	return b.kinds[t.Kind]
+	return b.kindSlowness[t.Kind]
 }
 
-// learnSpeed takes one latency, as a multiple of the expected, into a backend's slowness.
-// The first few weigh more, since a quiet agent sees an answer of each only now and then.
+// learnSpeed adds a latency, as a multiple of the expected one, to the slowness of t and of its kind. The
+// first samples weigh more, since a quiet agent sees few answers of each backend.
 func (b *Balancer) learnSpeed(t *backend, sample float64) {
-	t.slow = cmp.Or(t.slow, b.kind(t).slow)
-	for _, s := range []*speed{&t.speed, b.kind(t)} {
+	t.slowRatio = cmp.Or(t.slowRatio, b.kindOf(t).slowRatio)
+	for _, s := range []*slowness{&t.slowness, b.kindOf(t)} {
 		s.samples++
-		s.slow += max(smooth, 1/(s.samples+priorSamples)) * (min(sample, slowBound) - s.slow)
+		s.slowRatio += max(meanStep, 1/(s.samples+priorSamples)) * (min(sample, maxSlowSample) - s.slowRatio)
 	}
 }
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -5,110 +5,114 @@
 	"time"
 )
 
-// room reports whether one more attempt is within the limit. A quiet agent's part of a large
-// fleet's limit is small and no whole number: it keeps it as a mean over time, and may save up.
-func (b *Balancer) room() bool {
-	out, part := float64(b.inFlight-b.stuck), b.part()
-	if !b.quiet() && out < part {
+// hasRoom reports whether one more attempt is within the limit. A quiet agent's share of a large fleet's
+// limit is small and no whole number, so the agent keeps to it as a mean over time and may save up attempt
+// time.
+func (b *Balancer) hasRoom() bool {
+	inUse, limit := float64(b.inFlight-b.stuck), b.limitPart()
+	if !b.quiet() && inUse < limit {
 		return true
 	}
-	return b.spare > max(0, out-part)*b.usual()
+	return b.savedTime > max(0, inUse-limit)*b.meanLatency()
 }
 
-// save adds to the attempt time that is spare what the limit allowed since, less what was used.
-func (b *Balancer) save() {
-	most := saveAtMost * b.usual() * b.crowding()
-	gain := (b.part() - float64(b.inFlight-b.stuck)) * float64(b.now-b.savedAt)
-	b.spare = max(-most, min(most, b.spare+gain))
+// updateSavedTime adds the attempt time that the limit allowed since the last call, less the time used.
+func (b *Balancer) updateSavedTime() {
+	maxSaved := maxSavedLatencies * b.meanLatency() * b.quietness()
+	gain := (b.limitPart() - float64(b.inFlight-b.stuck)) * float64(b.now-b.savedAt)
+	b.savedTime = max(-maxSaved, min(maxSaved, b.savedTime+gain))
 	b.savedAt = b.now
 }
 
-// pace moves the limit on attempts in flight by the latency seen, as a share of
-// the aim: down when the running mean passes the aimed share, up while it binds.
-// Departure: beyond it requests are held, then refused, since a queue that
-// outlasts the aims serves nobody. The floor is this agent's share of a few
-// attempts per backend, so that a fleet that is slow without a queue stays in use.
-func (b *Balancer) pace(a *attempt, share float64) {
-	// The mean is over time: over the last few answers alone, chance would cut a busy agent's limit.
-	weight := 1 - math.Exp(-float64(b.now-b.pacedAt)/(paceSpan*b.usual()))
-	b.pacedAt = b.now
-	b.delay += weight * (min(share, 2) - b.delay)
-	b.beside += weight * (a.beside - b.beside)
-	b.base += weight * smooth * min(b.delay-b.base, (b.delay-b.base)/100) // it rises far slower
-	aimed, floor := b.aimed(), floorPerBack*(1+b.crowding())
-	if b.width > 0 {
-		floor = min(floor, floorPerWide*b.width)
+// adjustLimit moves the limit on attempts in flight by the latency of a, given as a share of the aim: down
+// when the running mean exceeds the target delay, up while the limit binds. Requests beyond the limit are
+// held and then refused, since a queue at the backends that outlasts the aims serves nobody. The minimum is
+// a few attempts per backend, so that a fleet that is slow without any queue stays in use.
+func (b *Balancer) adjustLimit(a *attempt, share float64) {
+	// The mean is over time: a mean of the last few answers would let chance cut a busy agent's limit.
+	weight := 1 - math.Exp(-float64(b.now-b.delaySampledAt)/(delayMeanLatencies*b.meanLatency()))
+	b.delaySampledAt = b.now
+	b.meanDelay += weight * (min(share, 2) - b.meanDelay)
+	b.meanConcurrency += weight * (a.concurrency - b.meanConcurrency)
+	// The base delay falls with the mean and rises at a hundredth of that rate.
+	b.baseDelay += weight * meanStep * min(b.meanDelay-b.baseDelay, (b.meanDelay-b.baseDelay)/100)
+	target, minimum := b.targetDelay(), minPerBackend*(1+b.quietness())
+	if b.parallelism > 0 {
+		minimum = min(minimum, minPerParallelism*b.parallelism)
 	}
 	binds := float64(b.inFlight-b.stuck)+1 >= b.limit()*0.9
 	if b.quiet() {
-		floor, binds = quietFloor, b.spare < b.usual()
+		minimum, binds = quietMinPerBackend, b.savedTime < b.meanLatency()
 	}
 	switch {
-	case b.delay > aimed && b.now-b.cutAt > time.Duration(b.classes[0].latency):
-		cut := b.perBack * limitCut
+	case b.meanDelay > target && b.now-b.cutAt > time.Duration(b.classes[0].meanLatency):
+		cut := b.perBackend * limitCutFactor
 		if !b.quiet() {
-			cut = min(b.perBack, b.beside*aimed/b.delay)
+			cut = min(b.perBackend, b.meanConcurrency*target/b.meanDelay)
 		}
-		b.perBack = max(floor, cut)
+		b.perBackend = max(minimum, cut)
 		b.cutAt = b.now
-		if b.notes != nil {
-			b.note(Note{Kind: NoteCut})
+		if b.onNote != nil {
+			b.emitNote(Note{Kind: NoteCut})
 		}
-	case b.delay < aimed && binds:
-		b.perBack += limitGrow / b.limit()
+	case b.meanDelay < target && binds:
+		b.perBackend += limitGrowth / b.limit()
 	}
 }
 
-// aimed is the mean delay that the limit keeps to.
-func (b *Balancer) aimed() float64 {
+// targetDelay returns the mean delay that the limit keeps to, as a share of the aim.
+func (b *Balancer) targetDelay() float64 {
 	switch {
 	case b.quiet():
-		return aimedDelay
-	case b.stale >= staleMost: // nothing keeps crowds apart but the limit
-		return min(aimedBlind+(aimedDelay-aimedBlind)*b.crowding(), max(aimedRise*b.base, aimedLeast))
+		return maxTargetDelay
+	case b.staleShare >= maxStaleShare: // only the limit keeps agents from crowding at a backend
+		return min(blindTargetDelay+(maxTargetDelay-blindTargetDelay)*b.quietness(),
+			max(targetDelayRise*b.baseDelay, minTargetDelay))
 	}
-	return min(aimedDelay, max(aimedRise*b.base, aimedLeast))
+	return min(maxTargetDelay, max(targetDelayRise*b.baseDelay, minTargetDelay))
 }
 
-// limit is what may be in flight now; it follows the list as the fleet grows and shrinks,
-// and a cold backend counts by its warmth.
-func (b *Balancer) limit() float64 { return max(1, b.part()) }
+// limit returns the number of attempts that this process may have in flight, at least 1. It follows the list
+// as the fleet grows and shrinks, and a cold backend counts by its warmth.
+func (b *Balancer) limit() float64 { return max(1, b.limitPart()) }
 
-func (b *Balancer) part() float64 { return max(b.perBack*b.capacity*b.fraction, 1e-6) }
+// limitPart returns the limit without the minimum of one attempt.
+func (b *Balancer) limitPart() float64 { return max(b.perBackend*b.capacity*b.limitShare, 1e-6) }
 
-// crowding is how far agents outnumber backends: 1 where each is quiet.
-func (b *Balancer) crowding() float64 {
-	return min(1, float64(b.s.Balancers-1)/(quietRatio*float64(max(b.up, 1))))
+// quietness tells how far agents outnumber backends, from 0 for a single agent to 1 if agents are quiet.
+func (b *Balancer) quietness() float64 {
+	return min(1, float64(b.settings.Balancers-1)/(quietRatio*float64(max(b.up, 1))))
 }
 
-// quiet reports whether agents far outnumber backends, so that each has too little traffic to
-// learn from, and a part of the limit that rounding up to whole attempts would overrun.
-func (b *Balancer) quiet() bool { return float64(b.s.Balancers) > quietRatio*float64(b.up) }
+// quiet reports whether agents outnumber backends by more than quietRatio. Each agent then has too little
+// traffic to learn from, and a share of the limit that rounding up to whole attempts would exceed.
+func (b *Balancer) quiet() bool { return float64(b.settings.Balancers) > quietRatio*float64(b.up) }
 
-// measure sums up what the backends that are up, and not ejected or down, can do.
-func (b *Balancer) measure() {
-	b.up, b.warm, b.capacity, b.stuck, b.rated = 0, 0, 0, 0, 0
+// updateCapacity counts the backends that are up, sums the warmth of those in use (up, not down, not
+// ejected, site not lost) and counts the stuck attempts.
+func (b *Balancer) updateCapacity() {
+	b.up, b.warm, b.capacity, b.stuck, b.meanWeight = 0, 0, 0, 0, 0
 	for _, t := range b.backends {
 		if t.State == Up {
 			b.up++
-			b.rated += (t.Weight - b.rated) / float64(b.up)
+			b.meanWeight += (t.Weight - b.meanWeight) / float64(b.up)
 			if !t.cold {
 				b.warm++
 			}
 		}
-		if t.State == Up && !t.down && b.now >= t.ejected && b.share(t) > 0 {
+		if t.State == Up && !t.down && b.now >= t.ejectedUntil && b.siteWeight(t) > 0 {
 			b.capacity += b.warmth(t)
 		} else {
-			b.stuck += len(t.out)
+			b.stuck += len(t.inFlight)
 			continue
 		}
-		// Departure: an overdue attempt uses no room. One lost answer would hold a quiet agent with
-		// room for one until its client leaves, some would halve a busy one's limit. Acts where
-		// answers bring reports, which come late and cut the limit when crowds are the cause. May
-		// harm where reports lie low.
-		if b.s.Reports == ReportsInline {
-			for _, a := range t.out {
-				if float64(b.now-a.sent) > overdue*a.cost {
+		// An overdue attempt uses no room. Otherwise one lost answer would block a quiet agent, which has
+		// room for one, until its client leaves, and a few would halve a busy agent's limit. This holds if
+		// answers bring load reports, as those come late under overload and cut the limit then. May harm if
+		// reports understate the load.
+		if b.settings.Reports == ReportsInline {
+			for _, a := range t.inFlight {
+				if float64(b.now-a.sentAt) > overdueLatencies*a.expected {
 					b.stuck++
 				}
 			}
--- a/balance/limit_share.go
+++ b/balance/limit_share.go
@@ -6,90 +6,94 @@
 	"time"
 )
 
-// The limit on attempts in flight is one for all agents together. This file decides which part of it
-// is this agent's: where agents may talk, by what each wants, else an even one. Even parts would have
-// a busy agent refuse while backends stand idle, since agents differ in traffic by far.
+// The limit on attempts in flight is one for all agents together. This file decides which share of it this
+// agent has: by the demand of each if agents may send messages to each other, and an even share otherwise.
+// Since agents differ widely in traffic, even shares would have a busy agent refuse requests while backends
+// are idle.
 
 const (
-	evenPart  = 0.25 // of the limit, that is split evenly whatever agents want: a burst finds it
-	tellPace  = 4.0  // mean latencies between two messages at the least
-	tellBytes = 32.0 // bytes to all peers together that a request pays for
-	demandOld = 20.0 // such spans over which what was heard fades
-	demandTag = 0xd1 // begins a message: a demand, in 256ths of an attempt, follows
-	demandLen = 5    // bytes of it
+	evenLimitShare          = 0.25 // share of the limit that is split evenly whatever the demand, for bursts
+	demandIntervalLatencies = 4.0  // minimum of mean latencies between two messages
+	demandBytesPerRequest   = 32.0 // bytes sent to all peers together that one request pays for
+	demandFadeIntervals     = 20.0 // message intervals over which a peer's demand fades
+	demandTag               = 0xd1 // first byte of a message; the demand follows, in 256ths of an attempt
+	demandLen               = 5    // bytes of a message
 )
 
-// demand is what a peer wanted and when it said so.
+// demand is a peer's demand, in attempts, and when its message came.
 type demand struct {
-	want  float64
-	heard time.Duration
+	attempts   float64
+	receivedAt time.Duration
 }
 
-// talks reports whether agents tell each other what they want.
-func (b *Balancer) talks() bool { return b.s.Peers && b.s.Balancers > 1 }
+// sharesDemand reports whether agents tell each other their demand.
+func (b *Balancer) sharesDemand() bool { return b.settings.Peers && b.settings.Balancers > 1 }
 
-// want moves the running mean of the attempts that this agent would have out, those that wait for
-// room included.
-func (b *Balancer) want() {
-	b.asked += float64(b.inFlight+len(b.held)) * float64(b.now-b.wantAt)
-	weight := 1 - math.Exp(-float64(b.now-b.wantAt)/(tellPace*b.usual()))
-	b.wanted += weight * (float64(b.inFlight+len(b.held)) - b.wanted)
-	b.wantAt = b.now
+// updateDemand updates the running mean of this agent's demand: its attempts in flight and the requests that
+// wait for room.
+func (b *Balancer) updateDemand() {
+	b.demandSinceSent += float64(b.inFlight+len(b.held)) * float64(b.now-b.demandUpdatedAt)
+	weight := 1 - math.Exp(-float64(b.now-b.demandUpdatedAt)/(demandIntervalLatencies*b.meanLatency()))
+	b.meanDemand += weight * (float64(b.inFlight+len(b.held)) - b.meanDemand)
+	b.demandUpdatedAt = b.now
 }
 
-// tell sends the other agents what this one wanted since the last time: each message goes to every agent,
-// so that in a large fleet one takes several requests to pay for it. An agent with no traffic says nothing.
-func (b *Balancer) tell() {
-	since, requests := float64(b.now-b.toldAt), b.asked/b.usual()
-	if !b.talks() || since < tellPace*b.usual()*b.tellAfter ||
-		requests < b.tellAfter*demandLen*float64(b.s.Balancers-1)/tellBytes {
+// sendDemand sends this agent's mean demand since the last message to all other agents. Requests pay for the
+// bytes, so in a large fleet several requests pay for one message, and an agent without traffic sends none.
+func (b *Balancer) sendDemand() {
+	since, requests := float64(b.now-b.demandSentAt), b.demandSinceSent/b.meanLatency()
+	if !b.sharesDemand() || since < demandIntervalLatencies*b.meanLatency()*b.sendIntervalFactor ||
+		requests < b.sendIntervalFactor*demandLen*float64(b.settings.Balancers-1)/demandBytesPerRequest {
 		return
 	}
-	data := binary.BigEndian.AppendUint32([]byte{demandTag}, uint32(min(b.asked/since*256, math.MaxUint32)))
+	data := binary.BigEndian.AppendUint32([]byte{demandTag},
+		uint32(min(b.demandSinceSent/since*256, math.MaxUint32)))
 	b.actions = append(b.actions, TellPeer{To: EveryPeer, Data: data})
-	// Spread, so that agents that started together don't all speak at once.
-	b.toldAt, b.asked, b.tellAfter = b.now, 0, 0.75+0.5*b.advice.Float64()
+	// Jittered, so that agents that started together don't all send at once.
+	b.demandSentAt, b.demandSinceSent, b.sendIntervalFactor = b.now, 0, 0.75+0.5*b.auxRNG.Float64()
 }
 
-// onPeer takes what another agent wants. What is no such message says nothing.
-func (b *Balancer) onPeer(e PeerMessage) {
-	if !b.talks() || len(e.Data) != 5 || e.Data[0] != demandTag ||
-		e.From < 0 || e.From >= len(b.demands) || e.From == b.s.Self {
+// onPeerMessage records the demand of another agent. It ignores messages of any other form.
+func (b *Balancer) onPeerMessage(e PeerMessage) {
+	if !b.sharesDemand() || len(e.Data) != 5 || e.Data[0] != demandTag ||
+		e.From < 0 || e.From >= len(b.peerDemands) || e.From == b.settings.Self {
 		return
 	}
-	b.demands[e.From] = demand{float64(binary.BigEndian.Uint32(e.Data[1:])) / 256, b.now}
+	b.peerDemands[e.From] = demand{float64(binary.BigEndian.Uint32(e.Data[1:])) / 256, b.now}
 }
 
-// onFleet follows the agents that live: limit, waits and rests are reckoned by them, what all together may
-// send where no backend is warm by those that may live. What those that are away wanted counts no more.
+// onFleet updates the number of agents. The limit, waits and ejection times follow the agents that are
+// alive; what all together may send to a fleet without a warm backend follows those that may be. The demand
+// of agents that have left is dropped.
 func (b *Balancer) onFleet(e Fleet) {
-	b.s.Balancers, b.possible = max(1, e.Living), max(1, e.Living, e.Possible)
+	b.settings.Balancers, b.maxBalancers = max(1, e.Living), max(1, e.Living, e.Possible)
 	for _, i := range e.Away {
-		if i >= 0 && i < len(b.demands) {
-			b.demands[i] = demand{}
+		if i >= 0 && i < len(b.peerDemands) {
+			b.peerDemands[i] = demand{}
 		}
 	}
-	b.divide()
+	b.updateLimitShare()
 }
 
-// divide works out this agent's part of the limit. Agents that have not been heard of lately keep
-// their even parts; the rest is split by what is wanted, but for a share that is split evenly.
-func (b *Balancer) divide() {
-	even := b.portion / float64(b.s.Balancers)
-	b.fraction = even
-	if !b.talks() {
+// updateLimitShare computes this process's share of the limit. Agents without a recent message keep their
+// even shares. The rest is split by demand, except for evenLimitShare, which is split evenly.
+func (b *Balancer) updateLimitShare() {
+	even := b.processShare / float64(b.settings.Balancers)
+	b.limitShare = even
+	if !b.sharesDemand() {
 		return
 	}
-	known, sum := 1.0, b.wanted
-	for _, d := range b.demands {
-		if d.heard > 0 {
-			fresh := math.Exp(-float64(b.now-d.heard) / (demandOld * tellPace * b.usual()))
+	known, sum := 1.0, b.meanDemand
+	for _, d := range b.peerDemands {
+		if d.receivedAt > 0 {
+			fresh := math.Exp(-float64(b.now-d.receivedAt) /
+				(demandFadeIntervals * demandIntervalLatencies * b.meanLatency()))
 			known += fresh
-			sum += fresh * d.want
+			sum += fresh * d.attempts
 		}
 	}
 	if sum > 0 {
-		known = min(known, float64(b.s.Balancers)) // no more than all, also while one comes back
-		b.fraction = even*evenPart + known*even*(1-evenPart)*b.wanted/sum
+		known = min(known, float64(b.settings.Balancers)) // a returning agent may make it one too many
+		b.limitShare = even*evenLimitShare + known*even*(1-evenLimitShare)*b.meanDemand/sum
 	}
 }
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -12,81 +12,80 @@
 	"lemonrail/balance"
 )
 
-// crowdDay is a small site in simulated time: nodes of a few cores each that serve in turn, one or
-// more agents, and requests at given times. It stands beside the users' simulator so that the hard
-// cases of the limit run anywhere.
-type crowdDay struct {
+// simulation is a small site in simulated time: nodes with a few cores and a queue each, one or more agents,
+// and requests at given times. It covers hard cases of the limit without the users' simulator.
+type simulation struct {
 	now    time.Duration
 	rng    *rand.Rand
-	queue  crowdQueue
+	queue  simEventQueue
 	seq    int
-	nodes  map[string]*crowdNode
+	nodes  map[string]*simNode
 	agents []*balance.Balancer
-	open   map[string]*crowdRequest
+	open   map[string]*simRequest
 
-	resets func(node string, n int) bool // whether the nth answer of a node breaks off
-	slow   func(now time.Duration) float64
-	carry  func(d *crowdDay, from, to int, data []byte) // nil: whole, after a while
+	resets   func(node string, n int) bool // whether the connection of a node's nth answer breaks
+	slowdown func(now time.Duration) float64
+	deliver  func(d *simulation, from, to int, data []byte) // carries a peer message; nil: whole, after 10 ms
 
 	served, inTime, refused, failed int
-	refusedIdle                     int // of those refused, while a node that was up had a free core
-	told                            int // bytes that agents were sent by others
+	refusedIdle                     int // requests refused while a node that was up had a free core
+	peerBytes                       int // bytes of peer messages delivered
 	endedAt                         []time.Duration
 	servedAt                        []time.Duration
 }
 
-type crowdNode struct {
+type simNode struct {
 	cores, busy, answers int
 	down, silent         bool
-	born                 time.Duration   // when it last started, cold; 0: long ago
-	sent                 []time.Duration // when it was sent something
+	startedAt            time.Duration   // when it last started cold; 0: long ago
+	sentAt               []time.Duration // when attempts were sent to it
 	waiting              []func()
 }
 
-type crowdRequest struct {
-	agent    int
-	came     time.Duration
-	attempts int
+type simRequest struct {
+	agent     int
+	arrivedAt time.Duration
+	attempts  int
 }
 
-type crowdItem struct {
+type simEvent struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-type crowdQueue []crowdItem
+type simEventQueue []simEvent
 
-func (q crowdQueue) Len() int { return len(q) }
-func (q crowdQueue) Less(i, j int) bool {
+func (q simEventQueue) Len() int { return len(q) }
+func (q simEventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q crowdQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *crowdQueue) Push(x any)   { *q = append(*q, x.(crowdItem)) }
-func (q *crowdQueue) Pop() any {
+func (q simEventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *simEventQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
+func (q *simEventQueue) Pop() any {
 	x := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return x
 }
 
 const (
-	crowdAim  = 300 * time.Millisecond
-	crowdLeft = 600 * time.Millisecond
-	crowdWork = 20 * time.Millisecond // of a request, in the mean
+	simAim      = 300 * time.Millisecond
+	simTimeLeft = 600 * time.Millisecond
+	simMeanWork = 20 * time.Millisecond // mean work of a request
 )
 
-func newCrowdDay(t testing.TB, seed uint64, agents, nodes int) *crowdDay {
-	d := &crowdDay{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 0)), nodes: map[string]*crowdNode{}, open: map[string]*crowdRequest{},
-		resets: func(string, int) bool { return false }, slow: func(time.Duration) float64 { return 1 }}
+func newSimulation(t testing.TB, seed uint64, agents, nodes int) *simulation {
+	d := &simulation{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 0)), nodes: map[string]*simNode{}, open: map[string]*simRequest{},
+		resets: func(string, int) bool { return false }, slowdown: func(time.Duration) float64 { return 1 }}
 	var list []balance.Backend
 	for i := range nodes {
 		id := fmt.Sprintf("b%d", i)
-		d.nodes[id] = &crowdNode{cores: 4}
+		d.nodes[id] = &simNode{cores: 4}
 		list = append(list, balance.Backend{ID: id, Weight: 1})
 	}
 	for i := range agents {
 		s := balance.Settings{Balancers: agents, Self: i, Peers: true, MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 150 * time.Millisecond,
-			Classes:    []balance.Class{{Aim: crowdAim, Deadline: crowdLeft, Worth: 1, LateWorth: .25, Effect: balance.Safe}},
+			Classes:    []balance.Class{{Aim: simAim, Deadline: simTimeLeft, Worth: 1, LateWorth: .25, Effect: balance.Safe}},
 			DrainGrace: 500 * time.Millisecond, ColdShare: .3, RampTime: 4 * time.Second, FallMultiple: 3, FallWindow: 1500 * time.Millisecond}
 		b, err := balance.New(s, seed+uint64(i))
 		if err != nil {
@@ -98,22 +97,22 @@
 	return d
 }
 
-func (d *crowdDay) at(t time.Duration, do func()) {
+func (d *simulation) at(t time.Duration, do func()) {
 	d.seq++
-	heap.Push(&d.queue, crowdItem{max(t, d.now), d.seq, do})
+	heap.Push(&d.queue, simEvent{max(t, d.now), d.seq, do})
 }
 
-// run plays until a time, or until nothing is left to happen.
-func (d *crowdDay) run(until time.Duration) {
+// run plays the scheduled functions up to a time.
+func (d *simulation) run(until time.Duration) {
 	for len(d.queue) > 0 && d.queue[0].at <= until {
-		x := heap.Pop(&d.queue).(crowdItem)
+		x := heap.Pop(&d.queue).(simEvent)
 		d.now = x.at
 		x.do()
 	}
 	d.now = max(d.now, until)
 }
 
-func (d *crowdDay) step(agent int, e balance.Event) {
+func (d *simulation) step(agent int, e balance.Event) {
 	for _, a := range d.agents[agent].Step(d.now, []balance.Event{e}) {
 		switch a := a.(type) {
 		case balance.Send:
@@ -123,9 +122,9 @@
 		case balance.TellPeer:
 			for to := range d.agents {
 				if to != agent && (a.To == to || a.To == balance.EveryPeer) {
-					d.told += len(a.Data)
-					if d.carry != nil {
-						d.carry(d, agent, to, a.Data)
+					d.peerBytes += len(a.Data)
+					if d.deliver != nil {
+						d.deliver(d, agent, to, a.Data)
 						continue
 					}
 					d.at(d.now+10*time.Millisecond, func() { d.step(to, balance.PeerMessage{From: agent, Data: a.Data}) })
@@ -145,29 +144,29 @@
 	}
 }
 
-func (d *crowdDay) end(id string, count *int) {
+func (d *simulation) end(id string, count *int) {
 	if r := d.open[id]; r != nil {
 		*count++
 		delete(d.open, id)
-		d.endedAt = append(d.endedAt, r.came)
+		d.endedAt = append(d.endedAt, r.arrivedAt)
 	}
 }
 
-func (d *crowdDay) request(agent int) {
+func (d *simulation) request(agent int) {
 	d.seq++
 	id := fmt.Sprint("q", d.seq)
-	d.open[id] = &crowdRequest{agent: agent, came: d.now}
-	d.step(agent, balance.Request{ID: id, Left: crowdLeft})
+	d.open[id] = &simRequest{agent: agent, arrivedAt: d.now}
+	d.step(agent, balance.Request{ID: id, Left: simTimeLeft})
 }
 
-func (d *crowdDay) send(agent int, a balance.Send) {
+func (d *simulation) send(agent int, a balance.Send) {
 	r, n := d.open[a.Request], d.nodes[a.Backend]
 	if r == nil {
-		panic("a send after the end")
+		panic("send for a request that has ended")
 	}
-	attempt, sent, deadline := r.attempts, d.now, r.came+crowdLeft
+	attempt, sent, deadline := r.attempts, d.now, r.arrivedAt+simTimeLeft
 	r.attempts++
-	n.sent = append(n.sent, d.now)
+	n.sentAt = append(n.sentAt, d.now)
 	ended := false
 	outcome := func(res balance.Result, standing bool) {
 		if ended {
@@ -175,7 +174,7 @@
 		}
 		ended = true
 		if res == balance.OK && d.open[a.Request] != nil {
-			if d.now-r.came <= crowdAim {
+			if d.now-r.arrivedAt <= simAim {
 				d.inTime++
 			}
 			d.servedAt = append(d.servedAt, d.now)
@@ -188,7 +187,7 @@
 		d.at(d.now+time.Millisecond, func() { outcome(balance.ConnectFailed, false) })
 		return
 	}
-	if n.silent { // connections that were open hang, others don't come up
+	if n.silent { // open connections hang, new ones can't be made
 		if d.rng.IntN(2) == 0 {
 			d.at(min(d.now+150*time.Millisecond, deadline), func() { outcome(balance.ConnectFailed, false) })
 		} else {
@@ -198,9 +197,9 @@
 	}
 	d.at(deadline, func() { outcome(balance.TimedOut, false) })
 	begin := func() {
-		work := time.Duration(float64(crowdWork) * (0.25 + 0.75*d.rng.ExpFloat64()) * d.slow(d.now))
-		if n.born > 0 {
-			work = time.Duration(float64(work) / coldWarmth(d.now-n.born))
+		work := time.Duration(float64(simMeanWork) * (0.25 + 0.75*d.rng.ExpFloat64()) * d.slowdown(d.now))
+		if n.startedAt > 0 {
+			work = time.Duration(float64(work) / simWarmth(d.now-n.startedAt))
 		}
 		d.at(d.now+work, func() {
 			n.busy--
@@ -227,8 +226,8 @@
 	n.waiting = append(n.waiting, begin)
 }
 
-// arrive has requests come at a rate for a time, a share of them at the first agent.
-func (d *crowdDay) arrive(perS float64, length time.Duration, first float64) {
+// arrive schedules requests at a rate for a time; first is the share that the first agent gets.
+func (d *simulation) arrive(perS float64, length time.Duration, first float64) {
 	for at := d.now; at < d.now+length; at += time.Duration(d.rng.ExpFloat64() / perS * float64(time.Second)) {
 		agent := 0
 		if len(d.agents) > 1 && d.rng.Float64() >= first {
@@ -238,18 +237,18 @@
 	}
 }
 
-func (d *crowdDay) total() int { return d.served + d.refused + d.failed }
+func (d *simulation) total() int { return d.served + d.refused + d.failed }
 
-// capacity is what the nodes do in a second.
-func (d *crowdDay) capacity() float64 {
-	return float64(4*len(d.nodes)) / crowdWork.Seconds()
+// capacity returns the requests that all nodes can serve in a second.
+func (d *simulation) capacity() float64 {
+	return float64(4*len(d.nodes)) / simMeanWork.Seconds()
 }
 
-// Bursts at one instant: none is refused that would have been served in time.
-func TestBurstsFindRoom(t *testing.T) {
+// In a burst at one instant, no request is refused that could have been served in time.
+func TestBurstsAreServed(t *testing.T) {
 	for _, nodes := range []int{2, 8, 60} {
 		for _, burst := range []int{32, 100, 300} {
-			d := newCrowdDay(t, 1, 1, nodes)
+			d := newSimulation(t, 1, 1, nodes)
 			for range burst {
 				d.at(d.now+time.Second, func() { d.request(0) })
 			}
@@ -257,17 +256,18 @@
 			if d.total() != burst {
 				t.Errorf("%d nodes, %d at once: %d ended", nodes, burst, d.total())
 			}
-			// The last would begin after so long; a third of the aim is left for chance and its own work.
+			// wait is when the last request would begin. It must leave a third of the aim for chance and its
+			// work.
 			wait := float64(burst) / d.capacity()
-			if wait < 0.66*crowdAim.Seconds() && d.refused+d.failed > 0 {
+			if wait < 0.66*simAim.Seconds() && d.refused+d.failed > 0 {
 				t.Errorf("%d nodes, %d at once: %d refused, %d failed", nodes, burst, d.refused, d.failed)
 			}
 		}
 	}
 }
 
-// Broken connections cost their own work and no more, wherever they come from.
-func TestResetsCostTheirWork(t *testing.T) {
+// Broken connections cost only the work of their own attempts, whether they come from one node or from all.
+func TestResetsCostOnlyTheirWork(t *testing.T) {
 	for name, resets := range map[string]func(string, int) bool{
 		"none":           func(string, int) bool { return false },
 		"tenth of all":   func(_ string, n int) bool { return n%10 == 0 },
@@ -275,7 +275,7 @@
 		"one breaks all": func(node string, n int) bool { return node == "b0" },
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newCrowdDay(t, 2, 2, 8)
+			d := newSimulation(t, 2, 2, 8)
 			d.resets = resets
 			d.arrive(0.6*d.capacity(), 20*time.Second, 0.8)
 			d.run(d.now + 25*time.Second)
@@ -286,9 +286,9 @@
 	}
 }
 
-// A wave of resets that begins after a long calm takes no node for one that has started cold.
-func TestWaveOfResetsIsNoRestart(t *testing.T) {
-	d := newCrowdDay(t, 3, 1, 8)
+// A wave of resets after a long time without errors must not make nodes count as restarted and cold.
+func TestResetsAreNotTakenForRestarts(t *testing.T) {
+	d := newSimulation(t, 3, 1, 8)
 	begin := d.now + 5*time.Second
 	d.resets = func(_ string, n int) bool { return d.now > begin && n%10 == 0 }
 	cold := 0
@@ -306,14 +306,14 @@
 	}
 }
 
-// After a stop of all nodes the limit is back within two seconds.
+// Within two seconds after a stall of all nodes the limit has recovered.
 func TestLimitRecoversFromStop(t *testing.T) {
 	for _, stop := range []time.Duration{2 * time.Second, 5 * time.Second, 10 * time.Second} {
-		d := newCrowdDay(t, 4, 2, 8)
+		d := newSimulation(t, 4, 2, 8)
 		begin := d.now
-		d.slow = func(now time.Duration) float64 {
+		d.slowdown = func(now time.Duration) float64 {
 			if now > begin+4*time.Second && now < begin+4*time.Second+stop {
-				return (begin + 4*time.Second + stop - now).Seconds() / crowdWork.Seconds()
+				return (begin + 4*time.Second + stop - now).Seconds() / simMeanWork.Seconds()
 			}
 			return 1
 		}
@@ -333,15 +333,15 @@
 			}
 		}
 		if served < offered*95/100 {
-			t.Errorf("a stop of %v: from 2 s after it on %d of %d served", stop, served, offered)
+			t.Errorf("a stall of %v: %d of %d served from 2 s after it", stop, served, offered)
 		}
 	}
 }
 
-// In a true overload what can be served is, and no first attempt waits for the retry bucket.
+// Under overload the nodes' capacity is still used, and no first attempt waits for the retry bucket.
 func TestOverloadServesWhatItCan(t *testing.T) {
 	for _, times := range []float64{1.5, 2, 4} {
-		d := newCrowdDay(t, 5, 2, 8)
+		d := newSimulation(t, 5, 2, 8)
 		const length = 15 * time.Second
 		d.arrive(times*d.capacity(), length, 0.8)
 		d.run(d.now + length + 5*time.Second)
@@ -351,10 +351,10 @@
 	}
 }
 
-// Many agents, most of them quiet, share the nodes: the busy one is not held to an even part.
-func TestBusyAgentUsesTheRoomOfOthers(t *testing.T) {
+// If many agents share the nodes and most are quiet, the busy one is not limited to an even share.
+func TestBusyAgentUsesUnusedLimitShares(t *testing.T) {
 	for _, agents := range []int{1, 4, 12} {
-		d := newCrowdDay(t, 6, agents, 8)
+		d := newSimulation(t, 6, agents, 8)
 		d.arrive(0.7*d.capacity(), 10*time.Second, 0.9)
 		d.run(d.now + 15*time.Second)
 		if n := d.total(); d.refused > n/200 {
@@ -363,10 +363,10 @@
 	}
 }
 
-// Who asks for reasons changes nothing: the same seed gives the same ends at the same times.
+// Explain changes no decision: the same seed gives the same answers at the same times.
 func TestExplainChangesNoDecision(t *testing.T) {
 	ends := func(explain bool) string {
-		d := newCrowdDay(t, 7, 2, 6)
+		d := newSimulation(t, 7, 2, 6)
 		d.resets = func(_ string, n int) bool { return n%8 == 0 }
 		for _, b := range d.agents {
 			if explain {
@@ -378,23 +378,23 @@
 		return fmt.Sprint(d.served, d.refused, d.failed, d.endedAt, d.servedAt)
 	}
 	if ends(true) != ends(false) {
-		t.Error("with reasons asked for, requests end otherwise")
+		t.Error("requests end differently with Explain on")
 	}
 }
 
-// Whatever comes, each request ends once, nothing is refused on an idle site, and the limit is never
-// under its floor.
+// For random loads, each request ends once, nothing is refused on an idle site, and the limit stays at its
+// minimum or above.
 func TestLimitProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		agents, nodes := rapid.IntRange(1, 4).Draw(rt, "agents"), rapid.IntRange(2, 10).Draw(rt, "nodes")
 		load := rapid.Float64Range(0.05, 2).Draw(rt, "load")
 		broken := rapid.IntRange(5, 100).Draw(rt, "one in so many breaks")
-		d := newCrowdDay(t, rapid.Uint64().Draw(rt, "seed"), agents, nodes)
+		d := newSimulation(t, rapid.Uint64().Draw(rt, "seed"), agents, nodes)
 		d.resets = func(_ string, n int) bool { return n%broken == 0 }
 		for _, b := range d.agents {
 			b.Explain(func(n balance.Note) {
 				if n.PerBackend < 4*(1-1e-9) {
-					rt.Fatalf("limit of %v a backend, the floor is 4", n.PerBackend)
+					rt.Fatalf("limit of %v per backend, want 4 at least", n.PerBackend)
 				}
 				if n.Fraction < 0.25/float64(agents) || n.Fraction > 1+1e-9 {
 					rt.Fatalf("fraction %v among %d", n.Fraction, agents)
@@ -404,7 +404,7 @@
 		d.arrive(load*d.capacity(), 3*time.Second, rapid.Float64Range(0, 1).Draw(rt, "first agent's share"))
 		d.run(d.now + 6*time.Second)
 		if len(d.open) > 0 {
-			rt.Fatalf("%d without an end", len(d.open))
+			rt.Fatalf("%d requests have no final answer", len(d.open))
 		}
 		if load < 0.2 && d.refused > 0 {
 			rt.Fatalf("%d of %d refused at %v of capacity", d.refused, d.total(), load)
@@ -412,10 +412,11 @@
 	})
 }
 
-// Incident i25ac6e: answers that waited in a queue were scaled by the work told with them, so that one of
-// little work stood for minutes. The mean delay, which spans a few mean latencies, followed no longer, and
-// the limit grew while all answers were late. Advice on when to return tells the mean latency.
-func TestQueuedAnswersOfLittleWorkStandForThemselves(t *testing.T) {
+// Incident i25ac6e: latencies of answers that had waited in a queue were scaled by the announced work of
+// their requests, so one of little work counted as minutes. The mean delay, which covers a few mean
+// latencies, then adapted too slowly, and the limit grew while all answers were late. The advised wait of a
+// refusal shows the mean latency.
+func TestQueuedAnswersAreNotScaledByWork(t *testing.T) {
 	const n = 4
 	s := settings()
 	s.RetryAfter, s.MaxRetryAfter = true, time.Hour
@@ -446,8 +447,8 @@
 	for _, a := range r.advance(400 * ms) {
 		if a, ok := a.(balance.Refuse); ok {
 			refused++
-			if a.RetryAfter > 600*ms { // one and a half times the latency seen
-				t.Fatalf("told to come back after %v, where answers take 390ms", a.RetryAfter)
+			if a.RetryAfter > 600*ms { // one and a half times the actual latency
+				t.Fatalf("RetryAfter is %v, though answers take 390ms", a.RetryAfter)
 			}
 		}
 	}
--- a/balance/list.go
+++ b/balance/list.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
+// onList applies the list, or its failure, and drops backends that are gone and have no attempts in flight.
 func (b *Balancer) onList(e List) {
 	if e.Kind == ListFailed {
-		if !b.s.Subscribe {
+		if !b.settings.Subscribe {
 			return
 		}
-		// Asked again after an exponential, fully jittered wait.
-		b.askFails++
-		b.ask(min(b.askFails, 4), e.Within)
+		// Tries again after an exponential, fully jittered wait.
+		b.subscribeFailures++
+		b.scheduleSubscribe(min(b.subscribeFailures, 4), e.Within)
 		return
 	}
-	if e.Kind == ListCached && b.s.Subscribe {
-		b.ask(0, 0)
+	if e.Kind == ListCached && b.settings.Subscribe {
+		b.scheduleSubscribe(0, 0)
 	} else {
-		b.askFails = 0
+		b.subscribeFailures = 0
 	}
 	full := e.Kind != ListDelta
 	listed := map[string]bool{}
@@ -27,17 +28,17 @@
 		listed[n.ID] = true
 		t := b.byID[n.ID]
 		if t == nil {
-			t = &backend{Backend: n, hash: hashed(n.ID)}
+			t = &backend{Backend: n, hash: hashString(n.ID)}
 			b.byID[n.ID] = t
 			b.backends = append(b.backends, t)
 			if n.Started > 0 {
-				t.start(n.Started, b.now)
+				t.markStarted(n.Started, b.now)
 			}
 			continue
 		}
 		if n.Started > t.Started {
-			t.start(max(n.Started, t.warmFrom), b.now)
-			t.strikes, t.ejected, t.down, t.refused = 0, 0, false, false
+			t.markStarted(max(n.Started, t.startedAt), b.now)
+			t.strikes, t.ejectedUntil, t.down, t.connectFailed = 0, 0, false, false
 		}
 		t.Backend = n
 	}
@@ -45,7 +46,7 @@
 		if full && !listed[t.ID] {
 			t.State = Gone
 		}
-		forget := t.State == Gone && len(t.out) == 0 // state stays bounded by what is listed or out
+		forget := t.State == Gone && len(t.inFlight) == 0 // bounds the state to backends listed or in use
 		if forget {
 			delete(b.byID, t.ID)
 		}
@@ -53,14 +54,15 @@
 	})
 }
 
-// ask asks for the list after an exponential, fully jittered wait. Departure: it grows with the fleet,
-// since all agents may start, or fail, at once: calls that a service can't keep up with wait there until
-// they fail, and those that come after them too. May harm where discovery has room for all.
-func (b *Balancer) ask(fails int, within time.Duration) {
-	unit := askUnit * max(1, float64(b.s.Balancers)/askFleet)
-	wait := min(unit*math.Exp2(float64(fails)), 1) * float64(b.s.AskWithin)
-	if within > 0 { // what has been missed counts as told soon
+// scheduleSubscribe sets a timer for a Subscribe after an exponential, fully jittered wait. The wait grows
+// with the fleet, since all agents may start or fail at once: calls beyond a service's capacity queue there
+// until they fail, and so do the calls after them. May harm if discovery has room for all. A within above 0
+// bounds the wait.
+func (b *Balancer) scheduleSubscribe(fails int, within time.Duration) {
+	unit := subscribeWaitUnit * max(1, float64(b.settings.Balancers)/subscribeUnitAgents)
+	wait := min(unit*math.Exp2(float64(fails)), 1) * float64(b.settings.AskWithin)
+	if within > 0 { // changes that a broken watch has missed must be fetched in this time
 		wait = min(wait, float64(within))
 	}
-	b.askToken = b.alarm(time.Duration(b.rng.Float64() * wait))
+	b.subscribeTimer = b.setTimer(time.Duration(b.rng.Float64() * wait))
 }
--- a/balance/living_test.go
+++ b/balance/living_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// settled is a balancer of a fleet with some backends, whose others have said what they want.
-func settled(t *testing.T, agents, self int, want float64) *Balancer {
+// newSettledBalancer returns a Balancer with four backends that knows the demand of all other agents.
+func newSettledBalancer(t *testing.T, agents, self int, want float64) *Balancer {
 	t.Helper()
 	b, err := New(Settings{Balancers: agents, Self: self, Peers: true, MaxAttempts: 3, ColdShare: 0.3, RampTime: time.Second, FallMultiple: 3, FallWindow: time.Second,
 		Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}, uint64(self))
@@ -26,14 +26,14 @@
 		}
 	}
 	b.Step(time.Millisecond, events)
-	b.wanted = want
+	b.meanDemand = want
 	b.Step(2*time.Millisecond, nil)
 	return b
 }
 
-// The parts of those that live come to no more than the whole, also while one that was held for dead still speaks,
-// and are the greater the fewer live.
-func TestPartsFollowTheLiving(t *testing.T) {
+// The limit shares of the live agents add up to no more than 1, even if an agent that counts as dead still
+// sends its demand, and grow as fewer agents are alive.
+func TestLimitSharesFollowLiveAgents(t *testing.T) {
 	const agents, left = 20, 6
 	var away []int
 	for i := left; i < agents; i++ {
@@ -41,33 +41,33 @@
 	}
 	before, after, spoken := 0.0, 0.0, 0.0
 	for self := range left {
-		b := settled(t, agents, self, 5)
-		before += b.fraction
+		b := newSettledBalancer(t, agents, self, 5)
+		before += b.limitShare
 		b.Step(3*time.Millisecond, []Event{Fleet{Living: left, Possible: left, Away: away}})
-		after += b.fraction
+		after += b.limitShare
 		b.Step(4*time.Millisecond, []Event{PeerMessage{From: agents - 1, Data: []byte{demandTag, 0, 0, 5, 0}}})
-		spoken += b.fraction
+		spoken += b.limitShare
 	}
 	if before > 0.31 || after < 0.95 || after > 1.0001 || spoken > 1.0001 {
-		t.Errorf("six of twenty have %.3f of the limit, %.3f once the others are known to be gone, %.3f while one of those speaks", before, after, spoken)
+		t.Errorf("six of twenty agents have %.3f of the limit, %.3f once the others are gone, %.3f after one of those sends its demand", before, after, spoken)
 	}
 }
 
-// One that is cut off counts the unseen as living: its part stays what it was. What may be sent where no backend is
-// warm goes by those that may live.
-func TestCautionInDoubt(t *testing.T) {
-	b := settled(t, 10, 0, 5)
-	was := b.fraction
+// An agent that is cut off counts the agents it can't see as alive, so its limit share stays the same. The
+// budget of a cold fleet follows the number of agents that may be alive.
+func TestUnseenAgentsCountAsAlive(t *testing.T) {
+	b := newSettledBalancer(t, 10, 0, 5)
+	was := b.limitShare
 	b.Step(3*time.Millisecond, []Event{Fleet{Living: 10, Possible: 10}})
-	if math.Abs(b.fraction-was) > 0.01*was {
-		t.Errorf("part %v, was %v", b.fraction, was)
+	if math.Abs(b.limitShare-was) > 0.01*was {
+		t.Errorf("limit share %v, was %v", b.limitShare, was)
 	}
 	b.Step(4*time.Millisecond, []Event{Fleet{Living: 6, Possible: 10, Away: []int{9, 77, -1}}})
-	if b.possible != 10 || b.s.Balancers != 6 {
-		t.Errorf("%d may live, %d do", b.possible, b.s.Balancers)
+	if b.maxBalancers != 10 || b.settings.Balancers != 6 {
+		t.Errorf("%d agents may be alive, %d are", b.maxBalancers, b.settings.Balancers)
 	}
-	b.Step(5*time.Millisecond, []Event{Fleet{}}) // nonsense
-	if b.possible != 1 || b.s.Balancers != 1 || !(b.fraction <= 1) {
-		t.Errorf("%d, %d, %v", b.possible, b.s.Balancers, b.fraction)
+	b.Step(5*time.Millisecond, []Event{Fleet{}}) // invalid: no agent is alive
+	if b.maxBalancers != 1 || b.settings.Balancers != 1 || !(b.limitShare <= 1) {
+		t.Errorf("%d agents may be alive, %d are, limit share %v", b.maxBalancers, b.settings.Balancers, b.limitShare)
 	}
 }
--- a/balance/load_report.go
+++ b/balance/load_report.go
@@ -2,33 +2,33 @@
 
 import "math"
 
-// hear takes the report that came with an answer: what the backend holds besides this agent's
-// own attempts, the one just answered included.
-func (b *Balancer) hear(t *backend, l Load) {
+// recordLoad records the load report that came with an answer. What the backend holds besides this agent's
+// attempts, the one just answered included, is the load of other agents.
+func (b *Balancer) recordLoad(t *backend, l Load) {
 	if l.Outstanding < 0 || !l.Valid {
 		return
 	}
-	t.crowd, t.heard = max(0, l.Outstanding-float64(len(t.out)+1)), b.now
-	b.crowd = blend(b.crowd, t.crowd)
-	old := 0.0
-	if l.Outstanding < 0.5 { // it held at least the attempt that has just been answered
-		old = 1
+	t.otherLoad, t.reportedAt = max(0, l.Outstanding-float64(len(t.inFlight)+1)), b.now
+	b.meanOtherLoad = updateMean(b.meanOtherLoad, t.otherLoad)
+	stale := 0.0
+	if l.Outstanding < 0.5 { // the report is older than the attempt just answered, or it would count that one
+		stale = 1
 	}
-	b.stale += smooth * (old - b.stale)
+	b.staleShare += meanStep * (stale - b.staleShare)
 	if l.Queue >= 0 {
-		b.width = max(b.width*(1-smooth/100), math.Round(l.Outstanding-l.Queue))
+		b.parallelism = max(b.parallelism*(1-meanStep/100), math.Round(l.Outstanding-l.Queue))
 	}
 }
 
-// crowdAt is the guess at what other agents have at t now. A report fades to the mean of all.
-// Departure: of the backends that are idle as far as this agent's own attempts tell, those where
-// others have little count for more, by the inverse cube. Guards against crowds that no agent's
-// own count shows, whatever gathers them; acts while the reports that answers bring are fresh.
-// A report without the attempt it came with is older: agents that all heed such ones herd (i4a227c).
-// May harm where reports are older than they seem.
-func (b *Balancer) crowdAt(t *backend) float64 {
-	if t.heard == 0 {
-		return b.crowd
+// otherLoadAt estimates the attempts that other agents have at t now: its last report, which fades to the
+// mean of all backends. Among idle backends, pick prefers those with little load of other agents, by the
+// inverse cube. This prevents crowds that no single agent sees in its own counts. It acts only while reports
+// are fresh: a report older than the attempt it came with is stale, and agents that all follow stale reports
+// herd to the same backends (incident i4a227c). It may harm if reports are older than they seem.
+func (b *Balancer) otherLoadAt(t *backend) float64 {
+	if t.reportedAt == 0 {
+		return b.meanOtherLoad
 	}
-	return b.crowd + (t.crowd-b.crowd)*math.Exp(-float64(b.now-t.heard)/(reportSpan*b.usual()))
+	return b.meanOtherLoad + (t.otherLoad-b.meanOtherLoad)*
+		math.Exp(-float64(b.now-t.reportedAt)/(reportFadeLatencies*b.meanLatency()))
 }
--- a/balance/order_test.go
+++ b/balance/order_test.go
@@ -11,60 +11,60 @@
 	"lemonrail/balance"
 )
 
-// auditor checks the four rules from events and actions alone. It models no
-// backend: it only remembers what the balancer was told and what it did.
+// auditor checks the four rules from events and actions alone: it records them and models no backend.
 type auditor struct {
 	s        balance.Settings
 	now      time.Duration
-	requests map[string]*audited
+	requests map[string]*auditedRequest
 	backends map[string]*auditedBackend
 	faults   []string
 
-	kindest coldBounds // of all settings so far: what was sent under them still counts
+	loosestCold coldLimits // the loosest of all settings so far, since attempts sent under earlier ones still count
 }
 
-// coldBounds are the settings on which the bound on a cold backend's load rests.
-type coldBounds struct {
+// coldLimits are the settings that bound a cold backend's load.
+type coldLimits struct {
 	share, multiple float64
 	ramp            time.Duration
 }
 
-type audited struct {
+// auditedRequest is what the auditor knows about a request.
+type auditedRequest struct {
 	class    balance.Class
 	deadline time.Duration
 	sends    []auditedSend
 	ended    bool
-	left     time.Duration // when the client was told to have left; answers of that step do no harm
+	leftAt   time.Duration // when its client left; answers in the same step are allowed
 	stream   bool
 
-	attempts int // that it may have, by the settings with which it came
-	copies   bool
+	maxAttempts  int // by the settings in force when it came
+	secondCopies bool
 }
 
 type auditedSend struct {
-	backend string
-	at      time.Duration
-	out     bool
-	risky   bool // may have run
+	backend    string
+	at         time.Duration
+	out        bool
+	mayHaveRun bool // set once it has ended
 }
 
 type auditedBackend struct {
 	balance.Backend
-	offAt   time.Duration // when it was told to drain or to be gone
-	started time.Duration // when it was told to have started; 0: warm
-	sends   []time.Duration
+	removedAt time.Duration // when the list said that it drains or is gone; 0: it is up
+	started   time.Duration // when it started, by the list; 0: it is warm
+	sends     []time.Duration
 }
 
 func newAuditor(s balance.Settings) *auditor {
-	return &auditor{s: s, requests: map[string]*audited{}, backends: map[string]*auditedBackend{},
-		kindest: coldBounds{share: s.ColdShare, multiple: s.FallMultiple, ramp: s.RampTime}}
+	return &auditor{s: s, requests: map[string]*auditedRequest{}, backends: map[string]*auditedBackend{},
+		loosestCold: coldLimits{share: s.ColdShare, multiple: s.FallMultiple, ramp: s.RampTime}}
 }
 
-// reconfigured takes new settings for what comes after them.
+// reconfigured applies new settings to later requests.
 func (a *auditor) reconfigured(s balance.Settings) {
 	a.s = s
-	a.kindest = coldBounds{share: max(a.kindest.share, s.ColdShare), multiple: max(a.kindest.multiple, s.FallMultiple),
-		ramp: min(a.kindest.ramp, s.RampTime)}
+	a.loosestCold = coldLimits{share: max(a.loosestCold.share, s.ColdShare), multiple: max(a.loosestCold.multiple, s.FallMultiple),
+		ramp: min(a.loosestCold.ramp, s.RampTime)}
 }
 
 func (a *auditor) fault(format string, args ...any) {
@@ -75,8 +75,8 @@
 	switch e := e.(type) {
 	case balance.Request:
 		if e.Class >= 0 && e.Class < len(a.s.Classes) && a.requests[e.ID] == nil {
-			a.requests[e.ID] = &audited{class: a.s.Classes[e.Class], deadline: a.now + e.Left,
-				attempts: max(1, a.s.MaxAttempts), copies: a.s.SecondCopies}
+			a.requests[e.ID] = &auditedRequest{class: a.s.Classes[e.Class], deadline: a.now + e.Left,
+				maxAttempts: max(1, a.s.MaxAttempts), secondCopies: a.s.SecondCopies}
 		}
 	case balance.Reconfigure:
 		a.reconfigured(e.Settings)
@@ -86,7 +86,7 @@
 			return
 		}
 		r.sends[e.Attempt].out = false
-		r.sends[e.Attempt].risky = !e.Result.NeverRan()
+		r.sends[e.Attempt].mayHaveRun = !e.Result.NeverRan()
 		r.ended = r.ended || e.Done
 	case balance.StreamStarted:
 		if r := a.requests[e.Request]; r != nil {
@@ -94,7 +94,7 @@
 		}
 	case balance.Abandoned:
 		if r := a.requests[e.Request]; r != nil && !r.ended {
-			r.ended, r.left = true, a.now
+			r.ended, r.leftAt = true, a.now
 		}
 	case balance.List:
 		if e.Kind == balance.ListFailed {
@@ -112,16 +112,16 @@
 				b.started, b.sends = n.Started, nil
 			}
 			if n.State == balance.Up {
-				b.offAt = 0
-			} else if b.Backend.State == balance.Up || b.offAt == 0 {
-				b.offAt = a.now
+				b.removedAt = 0
+			} else if b.Backend.State == balance.Up || b.removedAt == 0 {
+				b.removedAt = a.now
 			}
 			b.Backend = n
 		}
 		if e.Kind != balance.ListDelta {
 			for id, b := range a.backends {
-				if !listed[id] && b.offAt == 0 {
-					b.offAt = a.now
+				if !listed[id] && b.removedAt == 0 {
+					b.removedAt = a.now
 					b.State = balance.Gone
 				}
 			}
@@ -141,7 +141,7 @@
 		for _, s := range r.sends {
 			free := r.class.Effect == balance.Safe ||
 				r.class.Effect == balance.Keyed && r.class.Group == balance.GroupAll
-			if (s.risky || s.out) && !free {
+			if (s.mayHaveRun || s.out) && !free {
 				a.fault("%s refused though an attempt may have run", act.Request)
 			}
 		}
@@ -158,18 +158,18 @@
 	}
 }
 
-func (a *auditor) final(id string) *audited {
+func (a *auditor) final(id string) *auditedRequest {
 	r := a.requests[id]
 	switch {
 	case r == nil:
 		a.fault("answer for the unknown request %s", id)
 		return nil
-	case r.ended && r.left != a.now:
+	case r.ended && r.leftAt != a.now:
 		a.fault("%s answered twice", id)
 	case a.now > r.deadline+a.s.AnswerGrace && !r.stream:
 		a.fault("%s answered late", id)
 	}
-	r.ended, r.left = true, 0
+	r.ended, r.leftAt = true, 0
 	return r
 }
 
@@ -179,22 +179,22 @@
 		a.fault("send of %q to %q, one of which was never told", act.Request, act.Backend)
 		return
 	}
-	if r.ended && r.left != a.now {
+	if r.ended && r.leftAt != a.now {
 		a.fault("%s sent after its end", act.Request)
 	}
-	if len(r.sends) >= r.attempts {
+	if len(r.sends) >= r.maxAttempts {
 		a.fault("%s sent past the attempt limit", act.Request)
 	}
-	if b.offAt > 0 && a.now > b.offAt+a.s.DrainGrace {
-		a.fault("%s sent to %s, told %v ago to drain or be gone", act.Request, act.Backend, a.now-b.offAt)
+	if b.removedAt > 0 && a.now > b.removedAt+a.s.DrainGrace {
+		a.fault("%s sent to %s, told %v ago to drain or be gone", act.Request, act.Backend, a.now-b.removedAt)
 	}
 	var anchor *auditedSend
 	for i := range r.sends {
 		s := &r.sends[i]
-		if s.out && !r.copies {
+		if s.out && !r.secondCopies {
 			a.fault("%s has two attempts out", act.Request)
 		}
-		if anchor == nil && (s.out || s.risky) {
+		if anchor == nil && (s.out || s.mayHaveRun) {
 			anchor = s
 		}
 	}
@@ -212,15 +212,14 @@
 	}
 	r.sends = append(r.sends, auditedSend{backend: act.Backend, at: a.now, out: true})
 	b.sends = append(b.sends, a.now)
-	a.cold(b)
+	a.checkCold(b)
 }
 
-// cold checks this agent's part of a cold backend's load. What a backend can do
-// is not told; what the busiest warm one was sent in the same span bounds what
-// a balancer may hold to be its own measure, and the stated multiple of the
-// cold share of that, with one request's slack, bounds the cold one.
-func (a *auditor) cold(b *auditedBackend) {
-	if b.started == 0 || a.now-b.started >= a.kindest.ramp || a.kindest.ramp == 0 {
+// checkCold checks this agent's part of a cold backend's load. The capacity of backends is unknown; the
+// attempts sent to the busiest warm one in the same time stand in for it. The warmth of the cold backend
+// times FallMultiple times those, plus a slack of two attempts, bounds the attempts sent to the cold one.
+func (a *auditor) checkCold(b *auditedBackend) {
+	if b.started == 0 || a.now-b.started >= a.loosestCold.ramp || a.loosestCold.ramp == 0 {
 		return
 	}
 	span := max(a.s.FallWindow, 1)
@@ -234,23 +233,23 @@
 	}
 	most, warm := 0, false
 	for _, o := range a.backends {
-		if o != b && (o.started == 0 || a.now-o.started >= a.kindest.ramp) {
+		if o != b && (o.started == 0 || a.now-o.started >= a.loosestCold.ramp) {
 			most = max(most, count(o, 3*span))
 			warm = warm || o.State == balance.Up
 		}
 	}
-	if !warm { // nothing to measure by: one core that takes a quarter of the aim for a request
+	if !warm { // no warm backend to compare with: assume one core that needs a quarter of the aim for a request
 		most = max(most, int(4*span/a.s.Classes[0].Aim))
 	}
-	warmth := a.kindest.share + (1-a.kindest.share)*max(0, float64(a.now-b.started)/float64(a.kindest.ramp))
-	if got := count(b, span); float64(got) > a.kindest.multiple*warmth*float64(most)+2 {
+	warmth := a.loosestCold.share + (1-a.loosestCold.share)*max(0, float64(a.now-b.started)/float64(a.loosestCold.ramp))
+	if got := count(b, span); float64(got) > a.loosestCold.multiple*warmth*float64(most)+2 {
 		a.fault("%s is cold (%v) and got %d sends in %v, the busiest warm one %d in three times that",
 			b.ID, a.now-b.started, got, span, most)
 	}
 }
 
-// overdue checks that nothing accepted is without its answer past its time.
-func (a *auditor) overdue() {
+// checkAnswered checks that every request whose time has passed has its final answer.
+func (a *auditor) checkAnswered() {
 	for id, r := range a.requests {
 		if !r.ended && !r.stream && a.now > r.deadline+a.s.AnswerGrace {
 			a.fault("%s got no answer in time", id)
@@ -259,15 +258,15 @@
 	}
 }
 
-// hostile feeds a balancer a legal but unkind order of events and audits it.
-func hostile(t *testing.T, seed uint64, steps int) *auditor {
+// playRandomEvents plays random valid events in random order to a Balancer and audits its actions.
+func playRandomEvents(t *testing.T, seed uint64, steps int) *auditor {
 	t.Helper()
-	return hostileWith(t, seed, steps, func(balance.Settings) []balance.Event { return nil }, func(balance.Action) {})
+	return playRandomEventsWith(t, seed, steps, func(balance.Settings) []balance.Event { return nil }, func(balance.Action) {})
 }
 
-// hostileWith is hostile with further events at the beginning of each step, made of the settings in force, and shows what
-// is decided.
-func hostileWith(t *testing.T, seed uint64, steps int, further func(balance.Settings) []balance.Event, decided func(balance.Action)) *auditor {
+// playRandomEventsWith is playRandomEvents with further events at the beginning of each step, made from the
+// settings in force. It passes each action to decided.
+func playRandomEventsWith(t *testing.T, seed uint64, steps int, further func(balance.Settings) []balance.Event, decided func(balance.Action)) *auditor {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := settings()
@@ -296,7 +295,7 @@
 		token int64
 	}
 	var timers []timer
-	var open []balance.Outcome // attempts that are out
+	var open []balance.Outcome // attempts without an outcome
 	due := map[string]time.Duration{}
 	pool := backends(8)
 	next := 0
@@ -320,7 +319,7 @@
 			events = append(events, balance.Request{ID: id, Class: rng.IntN(len(s.Classes)), Left: left,
 				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, Repeat: rng.IntN(5) == 0})
 		}
-		// Every attempt ends by its request's time; some early, with any result.
+		// Every attempt ends when its request's time is over; some end earlier, with any result.
 		rest := open[:0]
 		for _, o := range open {
 			switch {
@@ -336,7 +335,7 @@
 			o.Done = o.Result == balance.OK || a.requests[o.Request].ended
 			events = append(events, o)
 			if rng.IntN(10) == 0 {
-				events = append(events, o) // told twice
+				events = append(events, o) // delivered twice
 			}
 		}
 		open = rest
@@ -349,7 +348,7 @@
 			}
 			events = append(events, balance.List{Kind: balance.ListDelta, Backends: []balance.Backend{*n}})
 		case 1:
-			var full []balance.Backend // up to none at all
+			var full []balance.Backend // possibly empty
 			for _, n := range pool[:rng.IntN(len(pool)+1)] {
 				n.State = balance.Up
 				full = append(full, n)
@@ -385,14 +384,14 @@
 					Attempt: len(a.requests[act.Request].sends) - 1})
 			}
 		}
-		a.overdue()
+		a.checkAnswered()
 	}
 	return a
 }
 
 func TestRulesUnderAnyOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 150; seed++ {
-		a := hostile(t, seed, 600)
+		a := playRandomEvents(t, seed, 600)
 		if len(a.faults) > 0 {
 			t.Fatalf("seed %d: %s", seed, strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
 		}
@@ -402,13 +401,13 @@
 func FuzzRulesUnderAnyOrder(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if a := hostile(t, seed, 400); len(a.faults) > 0 {
+		if a := playRandomEvents(t, seed, 400); len(a.faults) > 0 {
 			t.Fatal(strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
 		}
 	})
 }
 
-// Each check of the auditor must be able to fail: these recorded actions are bad.
+// Each check of the auditor must be able to fail: each of these sequences breaks a rule.
 func TestAuditorRejects(t *testing.T) {
 	send := func(b string) balance.Action { return balance.Send{Request: "q", Backend: b} }
 	ended := func(n int, res balance.Result) balance.Event {
@@ -424,7 +423,7 @@
 	tests := []struct {
 		name  string
 		class int
-		play  []any // events, actions, and durations that pass
+		play  []any // events, actions, and durations by which the clock moves
 		want  string
 	}{
 		{"no answer", safe, []any{2021 * ms}, "got no answer in time"},
@@ -468,7 +467,7 @@
 					a.action(p)
 				}
 			}
-			a.overdue()
+			a.checkAnswered()
 			if got := strings.Join(a.faults, "; "); !strings.Contains(got, tt.want) {
 				t.Errorf("faults %q, want one with %q", got, tt.want)
 			}
@@ -476,8 +475,8 @@
 	}
 }
 
-// A request that one backend alone may get goes nowhere else, not for a retry either, and is refused at once where that
-// one is not up.
+// A request for one backend only goes to no other, also for a retry, and is refused at once if that backend
+// is not up.
 func TestRequestForOneBackend(t *testing.T) {
 	list := backends(4)
 	list[3].State = balance.Draining
@@ -502,9 +501,9 @@
 		t.Errorf("%d of 40 got another attempt", retried)
 	}
 	r := newRig(t, settings(), 1, list)
-	for _, missing := range []string{"d", "unknown"} { // one that drains, one that nobody has listed
+	for _, missing := range []string{"d", "unknown"} { // one that drains and one that is not listed
 		if end := final(missing, r.step(balance.Request{ID: missing, Class: safe, Left: 2000 * ms, Only: missing})); end != "refuse" {
-			t.Errorf("for %s: %q", missing, end)
+			t.Errorf("request for %s only: %q", missing, end)
 		}
 	}
 }
--- a/balance/part_test.go
+++ b/balance/part_test.go
@@ -8,7 +8,7 @@
 	"lemonrail/balance"
 )
 
-// sends counts the attempts that a step starts.
+// sends counts the Send actions.
 func sends(actions []balance.Action) (n int) {
 	for _, a := range actions {
 		if _, ok := a.(balance.Send); ok {
@@ -18,8 +18,9 @@
 	return n
 }
 
-// A process that shares its agent with another keeps to its part of the limit, and to all of it once it is alone.
-func TestPartOfTheLimit(t *testing.T) {
+// While two processes serve for one agent, each keeps to its share of the limit; a single process has all of
+// it.
+func TestProcessShareOfLimit(t *testing.T) {
 	fill := func(parts ...float64) int {
 		b, err := balance.New(balance.Settings{Balancers: 1, MaxAttempts: 3, RampTime: time.Second,
 			Classes: []balance.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}, 1)
@@ -43,21 +44,21 @@
 	}
 	whole := fill()
 	if whole < 20 {
-		t.Fatalf("only %d attempts of one that is alone", whole)
+		t.Fatalf("only %d attempts of a single process", whole)
 	}
 	if got := fill(0.5); got < whole/2-1 || got > whole/2+1 {
-		t.Errorf("half: %d of %d", got, whole)
+		t.Errorf("share 0.5: %d attempts of %d", got, whole)
 	}
 	if got := fill(0.5, 1); got != whole {
-		t.Errorf("alone again: %d of %d", got, whole)
+		t.Errorf("share 1 after 0.5: %d attempts of %d", got, whole)
 	}
 	if got := fill(0); got < 1 || got > whole/10 {
-		t.Errorf("as good as none: %d of %d", got, whole)
+		t.Errorf("share 0: %d attempts of %d", got, whole)
 	}
 }
 
-// The retry tokens of two processes come to those of one.
-func TestPartOfTheBucket(t *testing.T) {
+// Two processes together have as many retry tokens as one.
+func TestProcessShareOfRetryTokens(t *testing.T) {
 	retries := func(part float64) (n int) {
 		b, err := balance.New(balance.Settings{Balancers: 1, MaxAttempts: 2, RampTime: time.Second,
 			Classes: []balance.Class{{Aim: time.Second, Deadline: 20 * time.Second, Worth: 1}}}, 1)
@@ -67,7 +68,7 @@
 		now := time.Second
 		b.Step(now, []balance.Event{balance.Part{Of: part}, balance.List{Kind: balance.ListFull,
 			Backends: []balance.Backend{{ID: "a"}, {ID: "b"}}}})
-		for i := range 100 { // each fails once, one after the other; a retry shows in the timer that it waits for
+		for i := range 100 { // each fails once; a retry shows as the timer of its backoff
 			now += time.Millisecond
 			id := fmt.Sprint("r", i)
 			for _, a := range b.Step(now, []balance.Event{balance.Request{ID: id, Left: 20 * time.Second}}) {
@@ -82,12 +83,12 @@
 					}
 				}
 			}
-			now += time.Minute // what was full is so no longer
+			now += time.Minute // no backend counts as full any longer
 		}
 		return n
 	}
 	whole, half := retries(1), retries(0.5)
 	if whole == 0 || half != whole/2 {
-		t.Errorf("%d retries of %d", half, whole)
+		t.Errorf("%d retries with half of the tokens, %d with all", half, whole)
 	}
 }
