--- a/balance/pick.go
+++ b/balance/pick.go
@@ -2,83 +2,87 @@
 
 import "math"
 
-// pick chooses a backend: one where this balancer has nothing in flight, at
-// random; else the one with the fewest in flight; never the one that just failed
-// unless it is the only one. nil means that none may be used now.
+// pick chooses a backend for r: at random among those where this agent has nothing in flight, or else the
+// one with the fewest attempts in flight. It avoids the backend that has just failed r unless that is the
+// only one. It returns nil if no backend may be used now.
 func (b *Balancer) pick(r *request) *backend {
-	mean, seen := 0.0, 0
+	mean, answered := 0.0, 0
 	for _, t := range b.backends {
-		if t.State == Up && t.seen {
-			mean += float64(len(t.out))
-			seen++
+		if t.State == Up && t.answered {
+			mean += float64(len(t.inFlight))
+			answered++
 		}
 	}
-	mean /= float64(max(seen, 1))
-	r.home = b.home(r)
-	unopened := math.Pow(newConnBias, max(0, 2*b.crowding()-1))
-	var idle, few, last, trial *backend
-	total, least, mild, trials := 0.0, math.Inf(1), math.Inf(1), 0.0
+	mean /= float64(max(answered, 1))
+	r.keyHome = b.keyHome(r)
+	newConn := math.Pow(newConnWeight, max(0, 2*b.quietness()-1))
+	var idle, leastLoaded, leastStruck, trial *backend
+	total, lowestScore, fewestStrikes, trials := 0.0, math.Inf(1), math.Inf(1), 0.0
 	for _, t := range b.backends {
-		if t.State != Up || !b.mayRepeat(r, t) || t == r.failed && b.up > 1 && r.only == "" ||
-			b.now < t.turned(r.class).till || float64(len(t.out)) >= b.backMost() || !b.coldRoom(t, r) {
+		if t.State != Up || !b.mayAttempt(r, t) || t == r.lastFailed && b.up > 1 && r.onlyBackend == "" ||
+			b.now < t.rejection(r.class).until || float64(len(t.inFlight)) >= b.maxPerBackend() ||
+			!b.coldBudgetAllows(t, r) {
 			continue
 		}
-		if b.gentle(t, r) {
+		if b.siteBarsRequest(t, r) {
 			continue
 		}
-		share := b.share(t)
-		if share == 0 { // its site is lost: one request now and then tells whether it is back
-			if trials++; b.tries(t, r) && b.rng.Float64()*trials < 1 {
+		share := b.siteWeight(t)
+		if share == 0 { // its site is lost: only a trial request may go there
+			if trials++; b.mayTrySite(t, r) && b.rng.Float64()*trials < 1 {
 				trial = t
 			}
 			continue
 		}
 		if !b.healthy(t, r) {
-			// Guards against a backlog that outlasts a stop of all: work goes on after its time-out.
-			if m := t.strikes + b.rng.Float64(); m < mild && len(t.out) == 0 {
-				last, mild = t, m
+			// One attempt at a time: after a stall of all backends, attempts that have timed out still
+			// run there, and a backlog of new ones would outlast the stall.
+			if m := t.strikes + b.rng.Float64(); m < fewestStrikes && len(t.inFlight) == 0 {
+				leastStruck, fewestStrikes = t, m
 			}
 			continue
 		}
-		load := float64(len(t.out))
-		if !t.seen {
-			load = max(load, mean) // a new one gets no rush
+		load := float64(len(t.inFlight))
+		if !t.answered {
+			load = max(load, mean) // or all agents would send to a new backend at once
 		}
-		slow, left := b.slowness(t), b.left(t, r)
-		if load < 1 || load < keyIdle && left == warmWork {
-			// Departure: an even choice among idle backends would load slow ones as much as fast
-			// ones; each counts by the inverse cube of its observed slowness. Acts when speeds differ.
-			w := b.warmth(t) / (slow * slow * slow) / math.Pow(left, keyPull)
-			if b.stale < staleMost {
-				crowd := (b.crowdAt(t) + crowdLeast) / (b.crowd + crowdLeast)
-				w /= crowd * crowd * crowd
+		slowness, workLeft := b.slowness(t), b.workLeft(t, r)
+		if load < 1 || load < keyIdleAttempts && workLeft == knownKeyWork {
+			// Weighted by the inverse cube of the observed slowness: an even choice among idle backends
+			// would load slow ones as much as fast ones.
+			weight := b.warmth(t) / (slowness * slowness * slowness) / math.Pow(workLeft, keyWeightPower)
+			if b.staleShare < maxStaleShare {
+				crowd := (b.otherLoadAt(t) + minOtherLoad) / (b.meanOtherLoad + minOtherLoad)
+				weight /= crowd * crowd * crowd
 			}
-			// Departure: crossing zones is a last resort as far as it has a price. A crowd at home shows
-			// as slowness here and then outweighs it. May harm where homes are far from even.
-			if t.Zone != b.s.Zone && !b.sites.Planned {
-				w /= 1 + crossWeight*b.s.Prices.CrossZone
+			// Crossing zones gets less likely with its price. Overload in the agent's own zone shows as
+			// slowness there and then outweighs the price. This may harm if clients' home zones are very
+			// uneven in load.
+			if t.Zone != b.settings.Zone && !b.sites.Planned {
+				weight /= 1 + crossZoneWeight*b.settings.Prices.CrossZone
 			}
-			// Departure: an agent with little traffic that picks evenly opens a connection for most
-			// requests and meets no backend twice. Acts from one agent a backend on, in full at two.
-			if t.usedAt == 0 || b.now-t.usedAt >= b.s.IdleClose {
-				w *= unopened
+			// An agent with little traffic that picked evenly would open a connection for most requests.
+			// The preference for open connections begins at one agent per backend and is full at two.
+			if t.connUsedAt == 0 || b.now-t.connUsedAt >= b.settings.IdleClose {
+				weight *= newConn
 			}
-			w *= share
-			if total += w; b.rng.Float64()*total < w {
+			weight *= share
+			if total += weight; b.rng.Float64()*total < weight {
 				idle = t
 			}
 			continue
 		}
-		// Departure: in-flight counts are weighed by slowness for the same reason.
-		score := (load + 1) * slow * left / b.warmth(t) / share
-		if t.cold && !t.seen {
-			// Guards against a newcomer that gets nothing while the limit binds, though the limit counts
-			// it: the others hold the whole limit then, and few of them more than their mean. Its budget
-			// keeps it from a rush.
-			score = (mean + float64(len(t.out))/b.warmth(t)) / share
+		// The number in flight is weighted by slowness too, as slow backends must not get as much as fast
+		// ones.
+		score := (load + 1) * slowness * workLeft / b.warmth(t) / share
+		if t.cold && !t.answered {
+			// A new cold backend holds no attempts yet, though the limit counts it. While the limit binds
+			// the other backends hold all of it, few of them more than the mean; with the score above a new
+			// one would get nothing. Its cold budget still prevents a rush.
+			score = (mean + float64(len(t.inFlight))/b.warmth(t)) / share
 		}
-		if score *= 1 + 0.01*b.rng.Float64(); score < least {
-			few, least = t, score
+		if score *= 1 + 0.01*b.rng.Float64(); score < lowestScore {
+			leastLoaded, lowestScore = t, score
 		}
 	}
 	if trial != nil {
@@ -87,31 +91,32 @@
 	if idle != nil {
 		return idle
 	}
-	if few != nil {
-		return few
+	if leastLoaded != nil {
+		return leastLoaded
 	}
-	return last // all are ejected: a first attempt still goes out, one at a time to each
+	return leastStruck // all are ejected: first attempts still go out, one at a time to each backend
 }
 
-// share is what a backend counts for by its site's state.
-func (b *Balancer) share(t *backend) float64 {
+// siteWeight returns the weight of a backend in picks, by the state of its site; 0: the site is lost.
+func (b *Balancer) siteWeight(t *backend) float64 {
 	if t.Zone >= 0 && t.Zone < len(b.sites.Share) {
 		return b.sites.Share[t.Zone]
 	}
 	return 1
 }
 
-// gentle reports whether a request may not begin at a backend whose site has just come back.
-func (b *Balancer) gentle(t *backend, r *request) bool {
+// siteBarsRequest reports whether r may not begin at t since its site has just come back (see Sites.Gentle).
+func (b *Balancer) siteBarsRequest(t *backend, r *request) bool {
 	return t.Zone >= 0 && t.Zone < len(b.sites.Gentle) && b.sites.Gentle[t.Zone] &&
-		r.terms.Effect != Safe && len(r.attempts) == 0 && r.only == ""
+		r.terms.Effect != Safe && len(r.attempts) == 0 && r.onlyBackend == ""
 }
 
-// tries reports whether a request may try a lost site: where one is wanted, one that may be repeated.
-func (b *Balancer) tries(t *backend, r *request) bool {
+// mayTrySite reports whether r may be the trial request of t's site (see Sites.Trial). Only a safe first try
+// may.
+func (b *Balancer) mayTrySite(t *backend, r *request) bool {
 	return t.Zone < len(b.sites.Trial) && b.sites.Trial[t.Zone] && r.terms.Effect == Safe &&
 		len(r.attempts) == 0 && !r.repeat
 }
 
-// backMost is how many attempts this agent may have out at one backend.
-func (b *Balancer) backMost() float64 { return max(1, backCap*b.perBack*b.fraction) }
+// maxPerBackend returns the maximum of attempts that this agent may have in flight at one backend.
+func (b *Balancer) maxPerBackend() float64 { return max(1, maxBackendShares*b.perBackend*b.limitShare) }
--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -6,10 +6,10 @@
 	"reflect"
 )
 
-// Settings that change while a Balancer lives. This file says which may, and swaps them; it decides nothing.
+// This file defines which settings may change during the life of a Balancer, and replaces them.
 
-// take copies from next the settings that may change. Both must have as many classes and tenants.
-func (s *Settings) take(next *Settings) {
+// copyChangeable copies the settings that may change from next. Both must have as many classes and tenants.
+func (s *Settings) copyChangeable(next *Settings) {
 	classes, tenants := s.Classes, s.Tenants
 	s.Classes, s.Tenants = append([]Class(nil), classes...), append([]Tenant(nil), tenants...)
 	for i := range s.Classes {
@@ -26,22 +26,22 @@
 	s.FallMultiple, s.FallWindow = next.FallMultiple, next.FallWindow
 }
 
-// CanBecome reports whether a Balancer that was made with s may be given next by Reconfigure. The error names the
-// field that makes no sense, or that may not change. Deadlines may not exceed the longest one of s, since a planned
-// stop waits no longer.
+// CanBecome returns nil if a Balancer that was made with s accepts next by Reconfigure. Otherwise the error
+// names the field that is invalid or may not change. Deadlines may not exceed the longest one of s, since a
+// planned stop waits no longer than that.
 func (s *Settings) CanBecome(next *Settings) error {
 	if err := next.check(); err != nil {
 		return err
 	}
 	if len(next.Classes) != len(s.Classes) {
-		return fixed("Classes", len(s.Classes), len(next.Classes))
+		return fixedSettingError("Classes", len(s.Classes), len(next.Classes))
 	}
 	if len(next.Tenants) != len(s.Tenants) {
-		return fixed("Tenants", len(s.Tenants), len(next.Tenants))
+		return fixedSettingError("Tenants", len(s.Tenants), len(next.Tenants))
 	}
 	rest := *next
-	rest.take(s)
-	if err := same("", reflect.ValueOf(*s), reflect.ValueOf(rest)); err != nil {
+	rest.copyChangeable(s)
+	if err := firstDifference("", reflect.ValueOf(*s), reflect.ValueOf(rest)); err != nil {
 		return err
 	}
 	longest := s.Classes[0].Deadline
@@ -50,14 +50,14 @@
 	}
 	for i, c := range next.Classes {
 		if c.Deadline > longest {
-			return fmt.Errorf("balance: settings: Classes[%d].Deadline: %v is over %v, the longest deadline at the start", i, c.Deadline, longest)
+			return fmt.Errorf("balance: settings: Classes[%d].Deadline: %v exceeds %v, the longest deadline at the start", i, c.Deadline, longest)
 		}
 	}
 	return nil
 }
 
-// same names the first field in which two values of one type differ.
-func same(field string, old, next reflect.Value) error {
+// firstDifference returns an error that names the first field in which old and next, of one type, differ.
+func firstDifference(field string, old, next reflect.Value) error {
 	switch old.Kind() {
 	case reflect.Struct:
 		for i := range old.NumField() {
@@ -65,59 +65,60 @@
 			if field != "" {
 				name = field + "." + name
 			}
-			if err := same(name, old.Field(i), next.Field(i)); err != nil {
+			if err := firstDifference(name, old.Field(i), next.Field(i)); err != nil {
 				return err
 			}
 		}
 	case reflect.Slice:
 		for i := range old.Len() {
-			if err := same(fmt.Sprintf("%s[%d]", field, i), old.Index(i), next.Index(i)); err != nil {
+			if err := firstDifference(fmt.Sprintf("%s[%d]", field, i), old.Index(i), next.Index(i)); err != nil {
 				return err
 			}
 		}
 	default:
 		if !old.Equal(next) {
-			return fixed(field, old.Interface(), next.Interface())
+			return fixedSettingError(field, old.Interface(), next.Interface())
 		}
 	}
 	return nil
 }
 
-func fixed(field string, old, next any) error {
+// fixedSettingError names a setting that may not change.
+func fixedSettingError(field string, old, next any) error {
 	return fmt.Errorf("balance: settings: %s: can't change from %v to %v without a restart", field, old, next)
 }
 
-// terms are those of a class by these settings.
+// terms returns the terms of a class by these settings.
 func (s *Settings) terms(class int) *terms {
 	return &terms{Class: s.Classes[class], maxAttempts: s.MaxAttempts, secondCopies: s.SecondCopies, maxRetryAfter: s.MaxRetryAfter}
 }
 
-// reconfigure puts new settings in force for requests that come from now on.
+// reconfigure applies new settings to requests that come from now on.
 func (b *Balancer) reconfigure(next Settings) {
-	old := b.s
-	b.s.take(&next)
-	b.s.MaxAttempts = max(1, b.s.MaxAttempts)
-	b.s.ColdShare = cmp.Or(b.s.ColdShare, 1)
+	old := b.settings
+	b.settings.copyChangeable(&next)
+	b.settings.MaxAttempts = max(1, b.settings.MaxAttempts)
+	b.settings.ColdShare = cmp.Or(b.settings.ColdShare, 1)
 	for i := range b.classes {
-		b.classes[i].terms = b.s.terms(i)
+		b.classes[i].terms = b.settings.terms(i)
 	}
 	b.rescale(&old)
 }
 
-// rescale converts what is measured in units that the settings give: the low of the mean delay, in aims, and the work
-// that warm backends served, over a fall window. The running means follow by themselves within a few answers; the low
-// would take thousands, and a limit that rests on one of longer aims would be cut for nothing.
+// rescale converts state whose unit depends on the settings: the base delay, in aims, and the served work,
+// over a fall window. Running means adapt by themselves within a few answers, but the base delay would take
+// thousands, and a base delay in longer aims would make the limit be cut without reason.
 func (b *Balancer) rescale(old *Settings) {
 	ratio := 0.0
-	for i := range b.s.Classes {
-		ratio += float64(old.Classes[i].Aim) / float64(b.s.Classes[i].Aim)
+	for i := range b.settings.Classes {
+		ratio += float64(old.Classes[i].Aim) / float64(b.settings.Classes[i].Aim)
 	}
-	ratio /= float64(len(b.s.Classes))
-	b.base = min(b.base*ratio, max(b.base, aimedDelay/aimedRise))
-	if old.FallWindow == b.s.FallWindow || old.FallWindow == 0 {
+	ratio /= float64(len(b.settings.Classes))
+	b.baseDelay = min(b.baseDelay*ratio, max(b.baseDelay, maxTargetDelay/targetDelayRise))
+	if old.FallWindow == b.settings.FallWindow || old.FallWindow == 0 {
 		return
 	}
-	longer := float64(b.s.FallWindow+1) / float64(old.FallWindow+1)
-	b.doneWork *= longer
-	b.doneCount *= longer
+	longer := float64(b.settings.FallWindow+1) / float64(old.FallWindow+1)
+	b.servedWork *= longer
+	b.servedCount *= longer
 }
--- a/balance/reconfigure_test.go
+++ b/balance/reconfigure_test.go
@@ -12,14 +12,14 @@
 	"lemonrail/balance"
 )
 
-// changeable are the settings that may change while a balancer lives. All others may not: a field that is added to
-// Settings is refused until it stands here and in Settings.take.
+// changeable are the settings that may change during the life of a Balancer. All others may not: a field
+// that is added to Settings is rejected until it is listed here and copied by Settings.copyChangeable.
 var changeable = []string{
 	"Classes.Aim", "Classes.Deadline", "Classes.Worth", "Classes.LateWorth", "Tenants.PerSecond", "Tenants.Portion",
 	"MaxAttempts", "SecondCopies", "MaxRetryAfter", "OverShare", "ColdShare", "RampTime", "FallMultiple", "FallWindow",
 }
 
-// fullSettings have a tenant and a value of every field from which another one is legal.
+// fullSettings returns settings with a tenant, in which alter can change each field to a valid value.
 func fullSettings() balance.Settings {
 	s := settings()
 	s.Balancers, s.Classes = 3, s.Classes[:2]
@@ -27,7 +27,7 @@
 	return s
 }
 
-// alter changes a value to another legal one.
+// alter changes a value to another valid one.
 func alter(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -41,29 +41,30 @@
 	}
 }
 
-// leaves are the paths of all plain fields of a struct: places of its fields, with the first element of each slice.
-func leaves(v reflect.Value, name string) (names []string, values []reflect.Value) {
+// leafFields returns the paths and values of all scalar fields of a struct, taking the first element of each
+// slice.
+func leafFields(v reflect.Value, name string) (names []string, values []reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			n, f := leaves(v.Field(i), strings.TrimPrefix(name+"."+v.Type().Field(i).Name, "."))
+			n, f := leafFields(v.Field(i), strings.TrimPrefix(name+"."+v.Type().Field(i).Name, "."))
 			names, values = append(names, n...), append(values, f...)
 		}
 		return names, values
 	case reflect.Slice:
-		return leaves(v.Index(0), name)
+		return leafFields(v.Index(0), name)
 	}
 	return []string{name}, []reflect.Value{v}
 }
 
-// Every field of the settings either may change or is refused by its name.
+// Every field of the settings either may change or is rejected with an error that names it.
 func TestWhichSettingsMayChange(t *testing.T) {
 	start := fullSettings()
-	names, _ := leaves(reflect.ValueOf(start), "")
+	names, _ := leafFields(reflect.ValueOf(start), "")
 	allowed := 0
 	for i, name := range names {
 		next := fullSettings()
-		_, values := leaves(reflect.ValueOf(&next).Elem(), "")
+		_, values := leafFields(reflect.ValueOf(&next).Elem(), "")
 		alter(values[i])
 		err := start.CanBecome(&next)
 		if slices.Contains(changeable, name) {
@@ -83,14 +84,14 @@
 	}
 }
 
-func TestChangesThatMakeNoSense(t *testing.T) {
+func TestInvalidChangesAreRejected(t *testing.T) {
 	for _, tt := range []struct {
 		field  string
 		change func(*balance.Settings)
 	}{
 		{"Classes[1].Aim", func(s *balance.Settings) { s.Classes[1].Aim = 0 }},
 		{"Classes[0].Deadline", func(s *balance.Settings) { s.Classes[0].Deadline = -1 }},
-		{"Classes[0].Deadline", func(s *balance.Settings) { s.Classes[0].Deadline = 2001 * ms }}, // over the longest at the start
+		{"Classes[0].Deadline", func(s *balance.Settings) { s.Classes[0].Deadline = 2001 * ms }}, // above the longest at the start
 		{"Classes", func(s *balance.Settings) { s.Classes = nil }},
 		{"Classes", func(s *balance.Settings) { s.Classes = s.Classes[:1] }},
 		{"Tenants", func(s *balance.Settings) { s.Tenants = nil }},
@@ -107,8 +108,8 @@
 	}
 }
 
-// anyChange returns settings that those in force may become.
-func anyChange(rng *rand.Rand, s balance.Settings) balance.Settings {
+// randomChange returns a random valid change of the settings in force.
+func randomChange(rng *rand.Rand, s balance.Settings) balance.Settings {
 	s.Classes = slices.Clone(s.Classes)
 	for i := range s.Classes {
 		c := &s.Classes[i]
@@ -127,32 +128,32 @@
 	return s
 }
 
-// No order of events together with changes breaks a rule: nothing is lost, answered twice or sent against the terms that
-// a request came with.
-func TestRulesUnderAnyChange(t *testing.T) {
+// No order of events and changes breaks a rule: no request is lost, answered twice or sent against the
+// settings that it came with.
+func TestRulesUnderRandomReconfigure(t *testing.T) {
 	for seed := uint64(1); seed <= 150; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		changes := 0
-		a := hostileWith(t, seed, 600, func(s balance.Settings) []balance.Event {
+		a := playRandomEventsWith(t, seed, 600, func(s balance.Settings) []balance.Event {
 			if rng.IntN(10) > 0 {
 				return nil
 			}
-			next := anyChange(rng, s)
+			next := randomChange(rng, s)
 			changes++
 			return []balance.Event{balance.Reconfigure{Settings: next}}
 		}, func(balance.Action) {})
 		if len(a.faults) > 0 || changes < 20 {
-			t.Fatalf("go test ./balance -run TestRulesUnderAnyChange: seed %d, %d changes: %s", seed, changes,
+			t.Fatalf("go test ./balance -run TestRulesUnderRandomReconfigure: seed %d, %d changes: %s", seed, changes,
 				strings.Join(a.faults[:min(3, len(a.faults))], "\n"))
 		}
 	}
 }
 
-// A change to the settings that are in force changes no further decision, random choices included.
-func TestSameSettingsChangeNothing(t *testing.T) {
+// Replacing the settings by the same ones changes no later decision, random choices included.
+func TestReconfigureWithSameSettings(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		play := func(further func(balance.Settings) []balance.Event) (decisions []string) {
-			a := hostileWith(t, seed, 400, further, func(act balance.Action) { decisions = append(decisions, fmt.Sprintf("%T%+v", act, act)) })
+			a := playRandomEventsWith(t, seed, 400, further, func(act balance.Action) { decisions = append(decisions, fmt.Sprintf("%T%+v", act, act)) })
 			if len(a.faults) > 0 {
 				t.Fatalf("seed %d: %s", seed, a.faults[0])
 			}
@@ -169,14 +170,14 @@
 			return []balance.Event{balance.Reconfigure{Settings: s}}
 		})
 		if !slices.Equal(got, want) || changes == 0 || len(want) < 100 {
-			t.Fatalf("go test ./balance -run TestSameSettingsChangeNothing: seed %d: %d and %d decisions differ after %d changes",
+			t.Fatalf("go test ./balance -run TestReconfigureWithSameSettings: seed %d: %d and %d decisions differ after %d changes",
 				seed, len(got), len(want), changes)
 		}
 	}
 }
 
-// A change after the agents that live have been counted doesn't bring the number of the start back.
-func TestChangeKeepsTheCountOfAgents(t *testing.T) {
+// A change of settings keeps the number of live agents, rather than going back to the initial one.
+func TestReconfigureKeepsAgentCount(t *testing.T) {
 	s := settings()
 	s.Balancers = 9
 	part := func(events ...balance.Event) float64 {
@@ -190,12 +191,12 @@
 	}
 	counted := balance.Fleet{Living: 3, Possible: 3}
 	if got, want := part(counted, balance.Reconfigure{Settings: s}), part(counted); got != want {
-		t.Errorf("part %v, %v without the change", got, want)
+		t.Errorf("limit share %v, %v without the change", got, want)
 	}
 }
 
-// A request in hand ends by the terms that it came with, one that comes later by the new ones.
-func TestRequestKeepsItsTerms(t *testing.T) {
+// A request keeps the settings that it came with; later requests follow the new ones.
+func TestRequestKeepsItsSettings(t *testing.T) {
 	change := func(f func(*balance.Settings)) balance.Event {
 		s := settings()
 		f(&s)
@@ -221,7 +222,7 @@
 		}
 	})
 	t.Run("aim while held", func(t *testing.T) {
-		end := func(events ...balance.Event) time.Duration { // until a request that finds no backend is refused
+		end := func(events ...balance.Event) time.Duration { // the time until a request without a backend is refused
 			r := newRig(t, settings(), 1, nil)
 			began := r.now
 			r.request("old", safe)
@@ -262,7 +263,7 @@
 			}
 		}
 	})
-	t.Run("worth", func(t *testing.T) { // the more valuable one leaves first when there is room again
+	t.Run("worth", func(t *testing.T) { // the more valuable request is sent first when there is room again
 		s := settings()
 		s.Classes[safe].Worth, s.Classes[unsafe].Worth = 1, 2
 		r := newRig(t, s, 1, nil)
@@ -281,8 +282,8 @@
 	})
 }
 
-// A step that is told of a change and of requests takes them in order.
-func TestChangeWithinAStep(t *testing.T) {
+// A step handles a change and requests in their order.
+func TestReconfigureWithinStep(t *testing.T) {
 	s := settings()
 	n := settings()
 	n.MaxAttempts = 1
@@ -297,8 +298,8 @@
 	}
 }
 
-// What has been learned survives a change: the limit, the mean delay, tokens, ejections and backends' speeds.
-func TestChangeKeepsWhatIsLearned(t *testing.T) {
+// A change keeps the learned state: the limit, the mean delay, tokens, ejections and backends' slowness.
+func TestReconfigureKeepsLearnedState(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(6))
 	r.serve(200, safe, 40*ms)
 	r.request("bad", safe)
@@ -309,7 +310,7 @@
 	r.step()
 	n := settings()
 	n.Classes[safe].Worth, n.MaxAttempts, n.ColdShare = 9, 2, 0.5
-	r.b.Explain(func(n balance.Note) { notes = append(notes, n) }) // tells at once
+	r.b.Explain(func(n balance.Note) { notes = append(notes, n) }) // resets the interval, so that the next step emits a note
 	r.step(balance.Reconfigure{Settings: n})
 	if len(notes) != 2 || !reflect.DeepEqual(notes[0], notes[1]) {
 		t.Errorf("before and after:\n%+v", notes)
@@ -319,9 +320,9 @@
 	}
 }
 
-// The low of the mean delay is told in aims: where these become shorter, work that takes as long as before is no queue,
-// and the limit isn't cut for it.
-func TestShorterAimsCutNothing(t *testing.T) {
+// The base delay is measured in aims. If aims become shorter, latencies that stay the same are no sign of a
+// queue and must not cut the limit.
+func TestShorterAimsDoNotCutLimit(t *testing.T) {
 	limit := func(change bool) float64 {
 		s := settings()
 		s.Reports = balance.ReportsInline
@@ -344,19 +345,19 @@
 			}
 			r.step(balance.Reconfigure{Settings: shorter})
 		}
-		serve(18 * ms) // not twice the time, and still under 0.4 of the aim
+		serve(18 * ms) // less than twice the time, and still under 0.4 of the aim
 		var last balance.Note
 		r.b.Explain(func(n balance.Note) { last = n })
 		r.step()
 		return last.PerBackend
 	}
 	if got, want := limit(true), limit(false); got < want*0.9 {
-		t.Errorf("limit %.2f a backend, %.2f without the change", got, want)
+		t.Errorf("limit %.2f per backend, %.2f without the change", got, want)
 	}
 }
 
-// The rate of warm backends, which bounds what a cold one gets, is the same by another window.
-func TestWindowKeepsTheRate(t *testing.T) {
+// A change of the fall window keeps the rate of warm backends, which bounds what a cold one gets.
+func TestFallWindowChangeKeepsRate(t *testing.T) {
 	sends := func(before, after time.Duration) int {
 		s := settings()
 		s.FallWindow = before
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -6,55 +6,56 @@
 	"time"
 )
 
-// retry ends a failed attempt's request or schedules the next attempt.
+// retry schedules the next attempt of a request whose attempt failed, or ends the request.
 func (b *Balancer) retry(r *request, res Result) {
 	cost := retryCost
 	if res == TimedOut {
-		cost = timeoutCost
+		cost = timeoutRetryCost
 	}
-	wait := time.Duration(b.rng.Float64() * min(math.Exp2(float64(r.retries)), backoffCeiling) *
+	wait := time.Duration(b.rng.Float64() * min(math.Exp2(float64(r.retries)), maxBackoffUnits) *
 		backoffUnit * float64(r.terms.Aim))
 	at := b.now + wait
 	possible := slices.ContainsFunc(b.backends, func(t *backend) bool {
-		return t.State == Up && b.mayRepeat(r, t)
+		return t.State == Up && b.mayAttempt(r, t)
 	})
-	why := NoReason
+	reason := NoReason
 	switch {
 	case res == NotSent:
-		why = NeverSent
+		reason = NeverSent
 	case !possible:
-		why = NoAttempt
-	case res == Withdrawn: // it costs nothing: nobody has seen it
+		reason = NoAttempt
+	case res == Withdrawn: // costs no tokens, since no backend has seen the attempt
 		b.hold(r)
 		return
-	case b.tokens < cost:
-		why = NoTokens
+	case b.retryTokens < cost:
+		reason = NoTokens
 	case at >= r.deadline:
-		why = NoTime
+		reason = NoTime
 	}
-	if why != NoReason {
-		b.finish(r, why)
+	if reason != NoReason {
+		b.finish(r, reason)
 		return
 	}
-	b.tokens -= cost
+	b.retryTokens -= cost
 	r.retries++
-	r.waiting = true
-	b.timer(r, at)
+	r.backingOff = true
+	b.setRequestTimer(r, at)
 }
 
-// mayRepeat is the repeat rule: whether a (further) attempt of r may go to t.
-func (b *Balancer) mayRepeat(r *request, t *backend) bool {
+// mayAttempt reports whether a first or further attempt of r may go to t. It is the rule on repeats: a
+// request that may have run is repeated only as its Effect, Group and Window allow.
+func (b *Balancer) mayAttempt(r *request, t *backend) bool {
 	c := r.terms
-	if r.ended || r.stream || len(r.attempts) >= c.maxAttempts || r.open > 0 && !c.secondCopies ||
-		r.only != "" && r.only != t.ID {
+	if r.ended || r.streaming || len(r.attempts) >= c.maxAttempts || r.openAttempts > 0 && !c.secondCopies ||
+		r.onlyBackend != "" && r.onlyBackend != t.ID {
 		return false
 	}
-	if c.Effect == Safe || r.risky == 0 {
+	if c.Effect == Safe || r.mayHaveRun == 0 {
 		return true
 	}
-	if c.Effect == Unsafe || b.now-r.anchor.sent >= c.Window {
+	if c.Effect == Unsafe || b.now-r.anchor.sentAt >= c.Window {
 		return false
 	}
-	return c.Group == GroupAll || c.Group == GroupZone && t.Zone == r.anchor.b.Zone ||
-		c.Group == GroupCell && t.Cell == r.anchor.b.Cell
+	return c.Group == GroupAll || c.Group == GroupZone && t.Zone == r.anchor.backend.Zone ||
+		c.Group == GroupCell && t.Cell == r.anchor.backend.Cell
 }
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// check names the first setting that makes no sense. It decides nothing.
+// check returns an error that names the first invalid setting.
 func (s *Settings) check() error {
 	if len(s.Classes) == 0 {
-		return bad("Classes", "none")
+		return invalidSettingError("Classes", "none")
 	}
 	if s.Balancers < 1 {
-		return bad("Balancers", s.Balancers)
+		return invalidSettingError("Balancers", s.Balancers)
 	}
 	if s.Self < 0 || s.Self >= s.Balancers {
-		return bad("Self", s.Self)
+		return invalidSettingError("Self", s.Self)
 	}
 	if !(s.ColdShare >= 0 && s.ColdShare <= 1) {
-		return bad("ColdShare", s.ColdShare)
+		return invalidSettingError("ColdShare", s.ColdShare)
 	}
 	if s.Weights > WeightsLive {
-		return bad("Weights", s.Weights)
+		return invalidSettingError("Weights", s.Weights)
 	}
 	if s.Reports > ReportsOnProbe {
-		return bad("Reports", s.Reports)
+		return invalidSettingError("Reports", s.Reports)
 	}
 	for i, c := range s.Classes {
 		if err := c.check(fmt.Sprintf("Classes[%d].", i)); err != nil {
@@ -33,62 +33,71 @@
 	}
 	for i, t := range s.Tenants {
 		at := fmt.Sprintf("Tenants[%d].", i)
-		if err := amounts(amount{at + "PerSecond", t.PerSecond}, amount{at + "Portion", t.Portion}); err != nil {
+		if err := checkNonNegative(nonNegative{at + "PerSecond", t.PerSecond},
+			nonNegative{at + "Portion", t.Portion}); err != nil {
 			return err
 		}
 	}
-	return amounts(
-		amount{"Zone", float64(s.Zone)}, amount{"Zones", float64(s.Zones)}, amount{"Kinds", float64(s.Kinds)},
-		amount{"MaxAttempts", float64(s.MaxAttempts)}, amount{"StreamsPerConn", float64(s.StreamsPerConn)},
-		amount{"MaxOpen", float64(s.MaxOpen)}, amount{"OverShare", s.OverShare},
-		amount{"FallMultiple", s.FallMultiple},
-		span("Tick", s.Tick), span("MaxRetryAfter", s.MaxRetryAfter), span("ConnectTimeout", s.ConnectTimeout),
-		span("IdleClose", s.IdleClose), span("CPUPerSecond", s.CPUPerSecond),
-		span("CPUPerRequest", s.CPUPerRequest), span("DrainGrace", s.DrainGrace),
-		span("AnswerGrace", s.AnswerGrace), span("AskWithin", s.AskWithin), span("RampTime", s.RampTime),
-		span("FallWindow", s.FallWindow),
-		amount{"GoalWhole", s.GoalWhole}, amount{"GoalWindow", s.GoalWindow},
-		amount{"GoalClass", s.GoalClass}, amount{"GoalTenant", s.GoalTenant},
-		amount{"Prices.Connection", s.Prices.Connection}, amount{"Prices.CrossZone", s.Prices.CrossZone},
-		amount{"Prices.Fleet", s.Prices.Fleet}, amount{"Prices.Handshake", s.Prices.Handshake},
-		amount{"Prices.LateFail", s.Prices.LateFail}, amount{"Prices.List", s.Prices.List},
-		amount{"Prices.Moves", s.Prices.Moves}, amount{"Prices.Origin", s.Prices.Origin},
-		amount{"Prices.Peer", s.Prices.Peer}, amount{"Prices.Probe", s.Prices.Probe},
-		amount{"Prices.Waste", s.Prices.Waste})
+	return checkNonNegative(
+		nonNegative{"Zone", float64(s.Zone)}, nonNegative{"Zones", float64(s.Zones)}, nonNegative{"Kinds", float64(s.Kinds)},
+		nonNegative{"MaxAttempts", float64(s.MaxAttempts)}, nonNegative{"StreamsPerConn", float64(s.StreamsPerConn)},
+		nonNegative{"MaxOpen", float64(s.MaxOpen)}, nonNegative{"OverShare", s.OverShare},
+		nonNegative{"FallMultiple", s.FallMultiple},
+		nonNegativeSpan("Tick", s.Tick), nonNegativeSpan("MaxRetryAfter", s.MaxRetryAfter),
+		nonNegativeSpan("ConnectTimeout", s.ConnectTimeout),
+		nonNegativeSpan("IdleClose", s.IdleClose), nonNegativeSpan("CPUPerSecond", s.CPUPerSecond),
+		nonNegativeSpan("CPUPerRequest", s.CPUPerRequest), nonNegativeSpan("DrainGrace", s.DrainGrace),
+		nonNegativeSpan("AnswerGrace", s.AnswerGrace), nonNegativeSpan("AskWithin", s.AskWithin),
+		nonNegativeSpan("RampTime", s.RampTime),
+		nonNegativeSpan("FallWindow", s.FallWindow),
+		nonNegative{"GoalWhole", s.GoalWhole}, nonNegative{"GoalWindow", s.GoalWindow},
+		nonNegative{"GoalClass", s.GoalClass}, nonNegative{"GoalTenant", s.GoalTenant},
+		nonNegative{"Prices.Connection", s.Prices.Connection}, nonNegative{"Prices.CrossZone", s.Prices.CrossZone},
+		nonNegative{"Prices.Fleet", s.Prices.Fleet}, nonNegative{"Prices.Handshake", s.Prices.Handshake},
+		nonNegative{"Prices.LateFail", s.Prices.LateFail}, nonNegative{"Prices.List", s.Prices.List},
+		nonNegative{"Prices.Moves", s.Prices.Moves}, nonNegative{"Prices.Origin", s.Prices.Origin},
+		nonNegative{"Prices.Peer", s.Prices.Peer}, nonNegative{"Prices.Probe", s.Prices.Probe},
+		nonNegative{"Prices.Waste", s.Prices.Waste})
 }
 
+// check returns an error that names the first invalid field; at is the path of the class in the settings.
 func (c *Class) check(at string) error {
 	switch {
 	case c.Aim <= 0:
-		return bad(at+"Aim", c.Aim)
+		return invalidSettingError(at+"Aim", c.Aim)
 	case c.Deadline <= 0:
-		return bad(at+"Deadline", c.Deadline)
+		return invalidSettingError(at+"Deadline", c.Deadline)
 	case c.Effect > Unsafe:
-		return bad(at+"Effect", c.Effect)
+		return invalidSettingError(at+"Effect", c.Effect)
 	case c.Group > GroupCell:
-		return bad(at+"Group", c.Group)
+		return invalidSettingError(at+"Group", c.Group)
 	}
-	return amounts(amount{at + "Worth", c.Worth}, amount{at + "LateWorth", c.LateWorth},
-		span(at+"Window", c.Window), amount{at + "Stretch", c.Stretch})
+	return checkNonNegative(nonNegative{at + "Worth", c.Worth}, nonNegative{at + "LateWorth", c.LateWorth},
+		nonNegativeSpan(at+"Window", c.Window), nonNegative{at + "Stretch", c.Stretch})
 }
 
-// amount is a setting that must be a finite number, not below 0.
-type amount struct {
+// nonNegative is a setting that must be finite and not below 0.
+type nonNegative struct {
 	field string
-	v     float64
+	value float64
 }
 
-func span(field string, d time.Duration) amount { return amount{field, d.Seconds()} }
+// nonNegativeSpan returns a duration as a nonNegative, in seconds.
+func nonNegativeSpan(field string, d time.Duration) nonNegative {
+	return nonNegative{field, d.Seconds()}
+}
 
-func amounts(all ...amount) error {
+// checkNonNegative returns an error that names the first value that is negative, infinite or not a number.
+func checkNonNegative(all ...nonNegative) error {
 	for _, a := range all {
-		if !(a.v >= 0) || math.IsInf(a.v, 0) {
-			return bad(a.field, a.v)
+		if !(a.value >= 0) || math.IsInf(a.value, 0) {
+			return invalidSettingError(a.field, a.value)
 		}
 	}
 	return nil
 }
 
-func bad(field string, v any) error {
-	return fmt.Errorf("balance: settings: %s: %v makes no sense", field, v)
+// invalidSettingError names a field of Settings and its invalid value.
+func invalidSettingError(field string, v any) error {
+	return fmt.Errorf("balance: settings: %s: %v is not allowed", field, v)
 }
--- a/balance/sites_test.go
+++ b/balance/sites_test.go
@@ -8,9 +8,9 @@
 	"lemonrail/balance"
 )
 
-// threeSites is a rig with four backends in each of three zones; class 0 is safe and of little worth, class 1 keyed
-// and of much.
-func threeSites(t *testing.T, seed uint64) *rig {
+// newThreeSitesRig returns a rig with four backends in each of three zones. Class 0 is safe and of little
+// worth, class 1 is keyed and of more.
+func newThreeSitesRig(t *testing.T, seed uint64) *rig {
 	s := settings()
 	s.Zone, s.Zones, s.Balancers = 0, 3, 1
 	s.RetryAfter, s.MaxRetryAfter = true, time.Second
@@ -27,7 +27,7 @@
 	return newRig(t, s, seed, list)
 }
 
-// zones is where requests of a class went, by zone, each served at once.
+// zones serves n requests of a class and counts them by zone.
 func (r *rig) zones(n, class int) map[byte]int {
 	by := map[byte]int{}
 	for id, k := range r.serve(n, class, 20*time.Millisecond) {
@@ -36,13 +36,14 @@
 	return by
 }
 
-func TestALostSiteGetsTrialsAlone(t *testing.T) {
-	r := threeSites(t, 1)
+func TestLostSiteGetsOnlyTrials(t *testing.T) {
+	r := newThreeSitesRig(t, 1)
 	r.step(balance.Sites{Share: []float64{1, 0, 1}})
 	if by := r.zones(400, 0); by['b'] != 0 || by['a'] == 0 || by['c'] == 0 {
 		t.Fatalf("sent %v with b lost", by)
 	}
-	// One request that may be repeated tries it, in time for another attempt; no further one until it is asked for.
+	// One safe request tries the lost site, with time left for another attempt; the next only after another
+	// Trial.
 	r.step(balance.Sites{Share: []float64{1, 0, 1}, Trial: []bool{false, true}})
 	if by := r.zones(20, 1); by['b'] != 0 {
 		t.Errorf("a keyed request tried a lost site: %v", by)
@@ -52,7 +53,7 @@
 		if s, ok := a.(balance.Send); ok {
 			trial = s.Backend
 			if s.Timeout <= 0 || s.Timeout > 200*time.Millisecond {
-				t.Errorf("its time-out is %v", s.Timeout)
+				t.Errorf("the trial's time-out is %v", s.Timeout)
 			}
 		}
 	}
@@ -63,34 +64,34 @@
 	if by := r.zones(100, 0); by['b'] != 0 {
 		t.Errorf("sent %v after the trial", by)
 	}
-	// All is well again.
+	// All sites are well again.
 	r.step(balance.Sites{})
 	if by := r.zones(400, 0); by['b'] == 0 {
-		t.Errorf("sent %v once all is well", by)
+		t.Errorf("sent %v once all sites are well", by)
 	}
 }
 
-func TestSharesSteerPicks(t *testing.T) {
-	r := threeSites(t, 2)
+func TestSiteWeightsSteerPicks(t *testing.T) {
+	r := newThreeSitesRig(t, 2)
 	r.step(balance.Sites{Share: []float64{0, 1, 0.25}, Planned: true})
 	by := r.zones(2000, 0)
 	if part := float64(by['c']) / 2000; by['a'] != 0 || part < 0.15 || part > 0.25 {
-		t.Errorf("sent %v, wanted four to b for each to c", by)
+		t.Errorf("sent %v, want four to b for each to c", by)
 	}
-	// A zone beyond the end is as ever.
+	// A zone beyond the end has the weight 1.
 	r.step(balance.Sites{Share: []float64{0}})
 	if by := r.zones(400, 0); by['a'] != 0 || by['b'] == 0 || by['c'] == 0 {
 		t.Errorf("sent %v", by)
 	}
 }
 
-// While there is room nothing is refused, whatever the plan; without it the classes that can't be borne are, at once,
-// repeats first, and what is of worth waits.
-func TestWhatCantBeBorneIsRefusedAtOnceOnlyWithoutRoom(t *testing.T) {
-	r := threeSites(t, 3)
+// While there is room no request is refused, whatever Admit says. At the limit, requests that are not
+// admitted are refused at once, and admitted ones wait.
+func TestUnadmittedClassIsRefusedOnlyAtLimit(t *testing.T) {
+	r := newThreeSitesRig(t, 3)
 	r.step(balance.Sites{Share: []float64{1, 0, 1}, Planned: true, Admit: []float64{0, 1}})
 	if by := r.zones(400, 0); by['a']+by['c'] != 400 {
-		t.Fatalf("of 400 with room all around, served %v", by)
+		t.Fatalf("served %v of 400 with room at all backends", by)
 	}
 	refused := map[int]int{}
 	held := map[int]int{}
@@ -105,7 +106,7 @@
 				fmt.Sscanf(a.Request, "crowd%d", &n)
 				refused[n%2]++
 				if a.RetryAfter <= 0 {
-					t.Error("refused without a word on when to come back")
+					t.Error("refused without RetryAfter")
 				}
 				sent = sent || a.Request == id
 			case balance.Send:
@@ -116,13 +117,13 @@
 			held[class]++
 		}
 	}
-	if refused[0] < 50 || held[0] > 1 || refused[1] != 0 || held[1] == 0 { // the first one waits while nobody else does
-		t.Errorf("refused %v, held %v: wanted the lesser class refused and the other held", refused, held)
+	if refused[0] < 50 || held[0] > 1 || refused[1] != 0 || held[1] == 0 { // the first one waits, as no other request does
+		t.Errorf("refused %v, held %v: want class 0 refused and class 1 held", refused, held)
 	}
 }
 
-func TestPartOfAClassIsRefused(t *testing.T) {
-	r := threeSites(t, 4)
+func TestShareOfClassIsRefused(t *testing.T) {
+	r := newThreeSitesRig(t, 4)
 	r.step(balance.Sites{Share: []float64{1, 0, 1}, Planned: true, Admit: []float64{0.5}})
 	refused, asked := 0, 0
 	for i := range 1000 {
@@ -134,13 +135,13 @@
 		asked++
 	}
 	if share := float64(refused) / float64(asked); share < 0.4 || share > 0.55 {
-		t.Errorf("%.2f refused, half wanted", share)
+		t.Errorf("%.2f refused, want half", share)
 	}
 }
 
-// Nobody else waits: what the plan gives up waits as any other, and takes the room that comes.
-func TestWhatIsGivenUpTakesRoomThatNobodyWaitsFor(t *testing.T) {
-	r := threeSites(t, 6)
+// If no admitted request waits, those that are not admitted wait like any other and take the room that comes.
+func TestUnadmittedRequestsUseSpareRoom(t *testing.T) {
+	r := newThreeSitesRig(t, 6)
 	r.step(balance.Sites{Share: []float64{1, 0, 1}, Planned: true, Admit: []float64{0}})
 	var out []string
 	for i := 0; len(out) == i; i++ {
@@ -148,23 +149,23 @@
 		if sends(r.request(id, 0)) > 0 {
 			out = append(out, id)
 		} else if final(id, r.actions) != "" {
-			t.Fatalf("%s was refused, and nobody waits", id)
+			t.Fatalf("%s was refused, though no other request waits", id)
 		}
 	}
 	if sends(r.outcome(out[0], balance.OK, 20*time.Millisecond)) != 1 {
-		t.Error("the room that came was not taken")
+		t.Error("the room was not used")
 	}
 }
 
-// What may not simply be repeated is not begun at a site that has just come back; the rest is.
-func TestASiteThatHasJustComeBackGetsWhatLosesLeast(t *testing.T) {
-	r := threeSites(t, 7)
+// A site that has just come back gets safe requests, but no first attempts of others.
+func TestReturningSiteGetsOnlySafeRequests(t *testing.T) {
+	r := newThreeSitesRig(t, 7)
 	r.step(balance.Sites{Share: []float64{1, 1, 1}, Gentle: []bool{false, true}})
 	if by := r.zones(300, 1); by['b'] != 0 {
 		t.Errorf("keyed requests went %v", by)
 	}
 	if by := r.zones(300, 0); by['b'] == 0 {
-		t.Errorf("those that may be repeated went %v", by)
+		t.Errorf("safe requests went %v", by)
 	}
 	r.step(balance.Sites{Share: []float64{1, 1, 1}})
 	if by := r.zones(300, 1); by['b'] == 0 {
@@ -172,10 +173,10 @@
 	}
 }
 
-// The places of a lost site count for nothing: its share of the limit is gone with it.
-func TestTheLimitFollowsTheSites(t *testing.T) {
+// The backends of a lost site don't count in the limit.
+func TestLimitFollowsSites(t *testing.T) {
 	fill := func(share []float64) (n int) {
-		r := threeSites(t, 5)
+		r := newThreeSitesRig(t, 5)
 		r.step(balance.Sites{Share: share})
 		for i := range 400 {
 			n += sends(r.request(fmt.Sprint("r", i), 1))
--- a/balance/state.go
+++ b/balance/state.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// What a balancer knows of classes, backends, attempts and requests. What is made of it stands in the files that decide.
+// State that a Balancer keeps for classes, backends, attempts and requests.
 
-// terms are the settings that a request is served by. They never change: a request keeps those in force when it came.
+// terms are the settings that a request is served by, which are those in force when it came. They never
+// change.
 type terms struct {
 	Class
 	maxAttempts   int
@@ -12,90 +13,95 @@
 	maxRetryAfter time.Duration
 }
 
+// classState is what a Balancer has learned about one class.
 type classState struct {
-	*terms                 // of requests that come now
-	latency  float64       // running mean of served latency, ns
-	patience time.Duration // the usual patience of a client's try
-	work     float64       // running mean of the expected work told with requests, ns
+	*terms                      // for requests that come now
+	meanLatency   float64       // running mean of the latency of served attempts, ns
+	usualTimeLeft time.Duration // the usual Request.Left of a client's first try
+	meanWork      float64       // running mean of Request.Work, ns
 }
 
+// backend is a listed backend and what this agent knows about it.
 type backend struct {
 	Backend
-	out  []*attempt // oldest first
-	seen bool       // has answered this balancer since it started
-	hash uint64     // of its id
-	keys []met      // sent lately, the latest last
-	speed
-	crowd    float64       // attempts of other agents there, by its last report
-	heard    time.Duration // when that came; 0: never
-	errors   float64       // running share of errors among its answers
-	excess   float64       // errors that it returned beyond what is usual, lately
-	strikes  float64
-	ejected  time.Duration // no traffic before this time
-	struckAt time.Duration
-	full     []fullness // by class
-	lastOK   time.Duration
-	usedAt   time.Duration // when an attempt last left a connection behind
-	down     bool          // looks gone since the last answer: connections fail, or broke
-	downAt   time.Duration // since when
-	refused  bool          // the last attempt could not connect
-	warmFrom time.Duration // when its latest start became known or seen
-	cold     bool
-	budget   float64 // work that may be sent while it is cold
-	turns    float64 // and in how many requests
-	budgetAt time.Duration
+	inFlight []*attempt // this agent's attempts there, oldest first
+	answered bool       // it has served an attempt of this agent since it started
+	hash     uint64     // of its ID
+	keys     []keyUse   // keys sent to it, the latest last
+	slowness
+	otherLoad     float64       // attempts of other agents there, by its last load report
+	reportedAt    time.Duration // when that report came; 0: never
+	errorShare    float64       // running share of errors among its answers
+	excessErrors  float64       // recent errors beyond the usual share
+	strikes       float64       // grows with each ejection and falls with each served attempt
+	ejectedUntil  time.Duration
+	ejectedAt     time.Duration    // when it was last ejected
+	rejections    []rejectionState // by class
+	servedAt      time.Duration    // when it last served an attempt
+	connUsedAt    time.Duration    // when an attempt last ended and left its connection open; 0: never
+	down          bool             // its process looks gone: connections failed or broke since its last answer
+	downSince     time.Duration
+	connectFailed bool          // the last attempt there could not connect
+	startedAt     time.Duration // when its process last started, as listed or as noticed
+	cold          bool
+	coldWork      float64       // work that it may be sent now while it is cold, ns
+	coldRequests  float64       // requests that it may be sent now while it is cold
+	coldBudgetAt  time.Duration // when coldWork and coldRequests were last topped up
 }
 
-// fullness is what a backend's turning away of a class comes to: it gets none of it before a time.
-type fullness struct {
-	till time.Duration
-	row  float64 // times in a row
+// rejectionState tells until when a backend gets no requests of a class that it has turned away (see Full).
+type rejectionState struct {
+	until  time.Duration
+	streak float64 // rejections in a row
 }
 
-// turned is the fullness for a class.
-func (t *backend) turned(class int) *fullness {
-	for len(t.full) <= class {
-		t.full = append(t.full, fullness{})
+// rejection returns the rejection state for a class.
+func (t *backend) rejection(class int) *rejectionState {
+	for len(t.rejections) <= class {
+		t.rejections = append(t.rejections, rejectionState{})
 	}
-	return &t.full[class]
+	return &t.rejections[class]
 }
 
-// speed is a running mean of latency over the mean of all, and the answers that it rests on.
-type speed struct{ slow, samples float64 }
+// slowness is a running mean of latency over the mean latency of all backends, and its number of samples.
+type slowness struct{ slowRatio, samples float64 }
 
+// attempt is one attempt of a request.
 type attempt struct {
-	b    *backend
-	sent time.Duration
-	cost float64
-	open bool
+	backend  *backend
+	sentAt   time.Duration
+	expected float64 // expected latency, ns
+	open     bool    // its outcome has not come yet
 
-	beside float64 // attempts out when it was sent, itself included, in the limit's measure
+	// Estimate, from this agent's attempts, of all agents' attempts in flight per backend when it was sent.
+	concurrency float64
 }
 
+// request is a request that still needs a final answer or has open attempts.
 type request struct {
-	id       string
-	class    int
-	terms    *terms // in force when it came
-	came     time.Duration
-	aim      time.Duration // answers after this time earn less
-	deadline time.Duration
-	work     float64  // expected work as told, ns; 0: unknown
-	key      uint64   // hash of what it is about; 0: nothing
-	home     *backend // of the key, for now
-	only     string   // the backend that alone may get it; empty: any
-	left     float64  // least share of its work that is left at a backend
-	attempts []*attempt
-	open     int      // attempts out
-	risky    int      // attempts that may have run, those out included
-	anchor   *attempt // the first of these: sets the group and the window
-	retries  int
-	failed   *backend // the backend that failed it last
-	timer    int64    // the token of its latest timer; earlier ones are void
-	repeat   bool     // a later try of the client: part of its aim has passed
-	waiting  bool     // for its backoff
-	passed   bool     // found no backend in this step
-	holding  bool
-	spill    bool // refused where there is no room at once: a site is lost, and not all can be borne
-	stream   bool
-	ended    bool
+	id              string
+	class           int
+	terms           *terms // in force when it came
+	arrivedAt       time.Duration
+	aimAt           time.Duration // answers after this time earn less
+	deadline        time.Duration
+	work            float64  // expected work by Request.Work, ns; 0: unknown
+	key             uint64   // hash of Request.Key; 0: it has none
+	keyHome         *backend // the home of its key while a backend is picked
+	onlyBackend     string   // ID of the only backend that may get it; empty: any
+	minWorkLeft     float64  // minimum over the backends of the share of its work that is left there
+	attempts        []*attempt
+	openAttempts    int      // attempts without an outcome
+	mayHaveRun      int      // attempts that may have run, open ones included
+	anchor          *attempt // the first of those: it sets the group and the window of further attempts
+	retries         int
+	lastFailed      *backend // the backend of the last failed attempt
+	timerToken      int64    // token of its latest timer, the only one that is valid
+	repeat          bool     // a client's repeat: part of its aim has passed
+	backingOff      bool     // waits for the backoff before its next attempt
+	unplaced        bool     // found no backend in the current step
+	held            bool     // waits in Balancer.held
+	shedWithoutRoom bool     // refused if there is no room at once, as Sites.Admit does not admit it
+	streaming       bool     // its answer has begun to reach the client
+	ended           bool     // it has its final answer, or its client left
 }
--- a/balance/withdrawn_test.go
+++ b/balance/withdrawn_test.go
@@ -7,9 +7,9 @@
 	"lemonrail/balance"
 )
 
-// An attempt that was never begun, since its backend takes nothing new by now, is chosen again at once: whatever
-// the request may do, with an empty bucket too, and at another backend. Nobody has been at fault.
-func TestWithdrawnGoesElsewhere(t *testing.T) {
+// An attempt that was dropped unsent, since its backend takes no new requests, is made again at once at
+// another backend: for every class, and even with an empty retry bucket. No backend is ejected for it.
+func TestDroppedAttemptIsRetriedElsewhere(t *testing.T) {
 	for class := range settings().Classes {
 		s := settings()
 		s.SecondCopies = class == keyedAll
@@ -28,13 +28,14 @@
 	}
 }
 
-// A client that leaves while its request is held, or waits for its next attempt, is sent nowhere later.
+// If a client leaves while its request is held or backs off, the request is not sent later.
 func TestAbandonedIsNotSent(t *testing.T) {
 	for seed := range uint64(300) {
 		r := newRig(t, settings(), seed, backends(2))
 		r.request("backoff", safe)
 		r.step(balance.Outcome{Request: "backoff", Attempt: 0, Backend: r.sent["backoff"][0], Result: balance.ConnectFailed, Load: balance.NoLoad()})
-		// Leaves before the timer, with it in either order, or with the outcome.
+		// The client leaves before the timer, in the same step as the timer, or in the same step as an
+		// outcome.
 		switch seed % 4 {
 		case 0:
 			r.step(balance.Abandoned{Request: "backoff"})
@@ -49,7 +50,7 @@
 			r.step(balance.Outcome{Request: "unsafe", Attempt: 0, Backend: r.sent["unsafe"][0], Result: balance.Full, Load: balance.NoLoad()},
 				balance.Abandoned{Request: "unsafe"}, balance.Abandoned{Request: "backoff"})
 		}
-		for n := 0; n < 100; n++ { // fill it, so that what comes is held
+		for n := 0; n < 100; n++ { // fills the limit, so that later requests are held
 			r.request(string(rune(1000+n)), safe)
 		}
 		if len(r.sent["held"]) == 0 {
@@ -60,7 +61,7 @@
 			before[id] = len(r.sent[id])
 			r.step(balance.Abandoned{Request: id})
 		}
-		for n := 0; n < 50; n++ { // room comes
+		for n := 0; n < 50; n++ { // makes room
 			id := string(rune(1000 + n))
 			if len(r.sent[id]) > 0 {
 				r.step(balance.Outcome{Request: id, Attempt: 0, Backend: r.sent[id][0], Result: balance.OK, Latency: time.Millisecond, Done: true, Load: balance.NoLoad()})
@@ -78,9 +79,10 @@
 	}
 }
 
-// What a silent watch missed counts as told soon: with however many agents, and after however many failures, the
-// next ask comes within the time that the failure names. Without one it follows the fleet.
-func TestAskedAgainWithin(t *testing.T) {
+// After a ListFailed with Within, the next Subscribe comes within that time for any number of agents and
+// failures, so that changes missed by a broken watch arrive soon. Without Within the wait grows with the
+// fleet.
+func TestSubscribeRetryWithin(t *testing.T) {
 	for _, agents := range []int{1, 5, 300} {
 		longest := time.Duration(0)
 		for seed := range uint64(200) {
@@ -90,7 +92,7 @@
 			for _, within := range []time.Duration{time.Second, time.Second, 0} {
 				for _, a := range r.step(balance.List{Kind: balance.ListFailed, Within: within}) {
 					if set, ok := a.(balance.SetTimer); ok && within > 0 && set.After > within {
-						t.Errorf("%d agents: asked again after %v", agents, set.After)
+						t.Errorf("%d agents: subscribes again after %v", agents, set.After)
 					} else if ok && within == 0 {
 						longest = max(longest, set.After)
 					}
@@ -103,9 +105,9 @@
 	}
 }
 
-// A repeat of a keyed request may not be written once backends have forgotten the key, though it was chosen before:
-// a connection may take longer to come up than is left of the window. Other sends are bound to no time.
-func TestRepeatIsBoundByItsWindow(t *testing.T) {
+// A retry of a keyed request may not be written once backends have forgotten the key: a connection may take
+// longer to come up than is left of the window. Other sends have no such bound.
+func TestKeyedRetryIsBoundByWindow(t *testing.T) {
 	for class, c := range settings().Classes {
 		r := newRig(t, settings(), 1, backends(2))
 		r.request("q", class)
@@ -143,7 +145,7 @@
 		if c.Effect != balance.Keyed {
 			continue
 		}
-		r.now = first + c.Window // the connection has not come up by then: its answer is at once that it has failed
+		r.now = first + c.Window // the connection has not come up by then; the request must fail at once
 		got := r.step(balance.Outcome{Request: "q", Attempt: 1, Backend: again.Backend, Result: balance.Withdrawn, Load: balance.NoLoad()})
 		if len(got) != 1 || got[0] != (balance.Fail{Request: "q"}) {
 			t.Errorf("class %d: got %v", class, got)
