--- a/balance/api.go
+++ b/balance/api.go
@@ -37,7 +37,7 @@
 	Group     Group         // for Keyed
 	Window    time.Duration // for Keyed: repeats are dropped for this time after the first send
 	Stretch   float64       // growth of the aim per work of a request; unused
-	Stream    bool          // answers are streams; unused, StreamStarted tells
+	Stream    bool          // answers are streams; unused: StreamStarted reports it
 }
 
 // Tenant is one of several parties that share the backends.
@@ -106,7 +106,7 @@
 	WarmKeys  bool          // a backend that served a key lately needs less work for it
 	Weights   WeightMeaning // unused
 	Reports   ReportSource
-	Fields    ReportFields // unused, negative values in a Load tell
+	Fields    ReportFields // unused: negative values in a Load show it
 
 	MaxAttempts    int           // maximum of attempts per request; 0: 1
 	SecondCopies   bool          // two attempts of one request may be open together
@@ -338,11 +338,11 @@
 		To   int // the agent's number, or EveryPeer
 		Data []byte
 	}
-	// Subscribe asks that list changes be delivered from now on.
+	// Subscribe requests list changes from now on.
 	Subscribe struct{}
 	// Unsubscribe ends a subscription.
 	Unsubscribe struct{}
-	// FetchList asks for the whole list once.
+	// FetchList requests the whole list once.
 	FetchList struct{}
 	// CloseIdle closes the idle connections to a backend.
 	CloseIdle struct{ Backend string }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -66,7 +66,7 @@
 	subscribeFailures int   // failed subscriptions in a row
 	subscribeTimer    int64 // token of the timer for the next Subscribe; 0: none is pending
 	sites             Sites
-	onNote            func(Note) // receives the notes; nil: nobody does
+	onNote            func(Note) // receives the notes; nil: Explain is off
 	stateNotedAt      time.Duration
 }
 
--- a/balance/health.go
+++ b/balance/health.go
@@ -10,8 +10,9 @@
 	t, c, latency := a.backend, &b.classes[r.class], float64(e.Latency)
 	switch e.Result {
 	case OK:
-		// The backend is back before the list told of a restart: treat its process as just started. An answer
-		// to an attempt sent before the backend looked down comes from the old process and proves no restart.
+		// The backend is back before the list reported a restart: treat its process as just started. An
+		// answer to an attempt sent before the backend looked down comes from the old process and proves no
+		// restart.
 		if t.down && t.downSince <= a.sentAt && t.startedAt < a.sentAt {
 			t.markStarted(b.now, b.now)
 		}
@@ -110,7 +111,7 @@
 	t.ejectedAt = b.now
 	// The time grows with the number of agents per backend: many agents that each try an ejected backend soon
 	// keep it busy for ever, and a backend that has turned slow needs a rest. May harm if a backend has
-	// recovered and no restart tells.
+	// recovered and the list reports no restart.
 	span := max(1, float64(b.settings.Balancers)/(quietRatio*float64(max(b.up, 1)))) * float64(c.Aim)
 	t.ejectedUntil = b.now + time.Duration(math.Exp2(t.strikes-1)*(0.75+0.5*b.rng.Float64())*span)
 }
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -79,7 +79,7 @@
 // limitPart returns the limit without the minimum of one attempt.
 func (b *Balancer) limitPart() float64 { return max(b.perBackend*b.capacity*b.limitShare, 1e-6) }
 
-// quietness tells how far agents outnumber backends, from 0 for a single agent to 1 if agents are quiet.
+// quietness returns how far agents outnumber backends, from 0 for a single agent to 1 if agents are quiet.
 func (b *Balancer) quietness() float64 {
 	return min(1, float64(b.settings.Balancers-1)/(quietRatio*float64(max(b.up, 1))))
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -49,7 +49,8 @@
 	coldBudgetAt  time.Duration // when coldWork and coldRequests were last topped up
 }
 
-// rejectionState tells until when a backend gets no requests of a class that it has turned away (see Full).
+// rejectionState is the time until which a backend gets no requests of a class that it has rejected (see
+// Full).
 type rejectionState struct {
 	until  time.Duration
 	streak float64 // rejections in a row
