--- a/internal/core/client_left_test.go
+++ b/internal/core/client_left_test.go
@@ -8,40 +8,41 @@
 	"lemonrail/balance"
 )
 
-// writer is a backend that would write each attempt at once.
-type writer struct {
-	nobody
-	begun chan bool
+// writingBackend writes each attempt at once, if its permit allows it.
+type writingBackend struct {
+	unreachable
+	began chan bool
 }
 
-func (w writer) Exchange(_ context.Context, p *Permit, _ Target, _ any) Response {
+func (w writingBackend) Exchange(_ context.Context, p *Permit, _ Target, _ any) Response {
 	if !p.Begin(func() {}) {
-		w.begun <- false
+		w.began <- false
 		return Response{Result: balance.Withdrawn}
 	}
-	w.begun <- true
+	w.began <- true
 	return Response{Result: balance.Errored}
 }
 
-// The client of a request has left, and the loop has not heard of it, as in a process that was stopped: the attempt is not
-// written, the module hears of the leave before the attempt's end, and both the loop and the front have done with the call.
-func TestLeaveThatTheLoopHasNotHeardOf(t *testing.T) {
+// Guards against an attempt that is written although the client has left, when the loop does not know of it
+// yet, as in a process that was stopped: the attempt is not written, the module gets Abandoned before the
+// attempt's outcome, and the loop and the front are both done with the call.
+func TestClientLeftBeforeTheLoopKnows(t *testing.T) {
 	for _, left := range []bool{false, true} {
-		l, c := bare(nil)
-		w := writer{begun: make(chan bool, 1)}
+		l, c := newTestLoop(nil)
+		w := writingBackend{began: make(chan bool, 1)}
 		l.Backend = w
 		c.HungUp = func() bool { return left }
 		l.Listed(balance.List{Kind: balance.ListFull, Backends: []balance.Backend{{ID: "h0"}}}, map[string]string{"h0": "x"})
 		l.Arrived(c)
 		l.events = nil
-		l.do(balance.Send{Request: "d1", Backend: "h0"})
+		l.execute(balance.Send{Request: "d1", Backend: "h0"})
 		(<-l.inbox)()
-		if begun := <-w.begun; begun == left {
-			t.Errorf("left %v: begun %v", left, begun)
+		if began := <-w.began; began == left {
+			t.Errorf("client left %v: writing began %v", left, began)
 		}
 		if !left {
 			if o, ok := l.events[0].(balance.Outcome); !ok || o.Done || len(c.Reply) != 0 {
-				t.Errorf("a client that stays: got %+v, %d answers", l.events, len(c.Reply))
+				t.Errorf("client still connected: got %+v, %d answers", l.events, len(c.Reply))
 			}
 			continue
 		}
@@ -52,26 +53,27 @@
 			t.Errorf("got %+v", l.events[1])
 		}
 		if a := <-c.Reply; a.Kind != Abandoned || len(l.calls) != 0 {
-			t.Errorf("got %+v, %d calls in hand", a, len(l.calls))
+			t.Errorf("got %+v, %d open calls", a, len(l.calls))
 		}
-		l.Left(c) // the front sees it as well
+		l.Left(c) // the front notices as well
 		if len(l.events) != 2 || len(c.Reply) != 0 {
-			t.Errorf("told twice: %+v, %d answers", l.events, len(c.Reply))
+			t.Errorf("reported twice: %+v, %d answers", l.events, len(c.Reply))
 		}
 	}
 }
 
-// A permit that was taken back for another reason does not say that the client has left, and one that has begun asks no more.
-func TestPermitAsksForTheClientOnce(t *testing.T) {
-	asked := 0
-	p := NewPermit(time.Time{}).Unless(func() bool { asked++; return asked > 1 })
-	if !p.Await(func() {}) || !p.Begin(func() {}) || asked != 1 {
-		t.Errorf("asked %d times", asked)
+// A permit that was revoked for another reason does not report that the client has left, and one whose
+// attempt has begun does not check for the client again.
+func TestPermitChecksForTheClientOnce(t *testing.T) {
+	checks := 0
+	p := NewPermit(time.Time{}).RevokeIf(func() bool { checks++; return checks > 1 })
+	if !p.Await(func() {}) || !p.Begin(func() {}) || checks != 1 {
+		t.Errorf("checked %d times", checks)
 	}
 	if p.Whole(); p.Taken() || p.ClientLeft() {
-		t.Error("taken back")
+		t.Error("the permit is revoked")
 	}
-	p = NewPermit(time.Time{}).Unless(func() bool { return true })
+	p = NewPermit(time.Time{}).RevokeIf(func() bool { return true })
 	p.Withdraw()
 	if p.Begin(func() {}) || p.ClientLeft() {
 		t.Error("a permit withdrawn for its backend says that the client has left")
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,10 +1,10 @@
-// Package core carries the decision module's decisions out: it owns the module, the calls in hand and the
-// timers, on one goroutine (Run), and knows no protocol. A front turns bytes into calls and answers into
-// bytes; a Backend makes the attempts, each on a goroutine of its own, and posts how they ended. Only the
-// loop decides which outcome an attempt has and which answer a call gets, so there is one of each.
+// Package core executes the decisions of the decision module. It owns the module, the open calls and the
+// timers on one goroutine (Run) and is independent of any protocol. A front parses requests into calls and
+// writes their answers; a Backend makes the attempts, each on its own goroutine, and posts their results.
+// Only the loop decides the outcome of an attempt and the answer to a call, so that each has exactly one.
 //
-// Bounds: the inbox holds inboxSize events, beyond which those who post wait; calls and timers are bounded
-// by what the fronts admit; of calls that have ended the last pastCalls ids are kept.
+// Bounds: the inbox holds inboxSize events, and posting blocks while it is full. The fronts' admission limits
+// the number of calls and timers. The ids of the last maxRecentIDs finished calls are kept.
 package core
 
 import (
@@ -21,13 +21,14 @@
 	"lemonrail/internal/pool"
 )
 
-// Decider is what the loop asks for decisions; in service an *balance.Balancer.
+// Decider makes the decisions for the loop; in production it is a *balance.Balancer.
 type Decider interface {
 	Step(now time.Duration, events []balance.Event) []balance.Action
 }
 
-// clock counts from the Unix epoch, so that start times in lists convert and 0 stays long
-// ago, but moves with the monotonic clock alone: a step of the system's clock changes nothing.
+// clock converts between wall-clock times and the module's time, the duration since the Unix epoch, so that
+// start times in lists convert and 0 lies far in the past. It advances with the monotonic clock alone, so
+// that steps of the system clock have no effect.
 type clock struct{ start time.Time }
 
 func (c clock) now() time.Duration { return c.at(time.Now()) }
@@ -36,54 +37,55 @@
 	return time.Duration(c.start.UnixNano()) + t.Sub(c.start)
 }
 
-// time is at's inverse.
+// time converts a module time back to a wall-clock time; it is the inverse of at.
 func (c clock) time(d time.Duration) time.Time {
 	return c.start.Add(d - time.Duration(c.start.UnixNano()))
 }
 
-// Target is a backend at its address. Guards against an address that passes from one backend to
-// another: neither is sent what a connection to the other was kept for.
+// Target is a backend and its address. Both identify a connection, since an address may pass from one backend
+// to another: a connection kept for one must not be used for the other.
 type Target struct{ ID, Addr string }
 
-// Response is how an attempt ended.
+// Response is the result of an attempt.
 type Response struct {
 	Result   balance.Result
-	Load     balance.Load // not Valid: none came
-	Standing bool         // with Reset and ConnectFailed: other connections to the backend still stand
-	Refused  bool         // with ConnectFailed: its machine answered that nobody listens
+	Load     balance.Load // the backend's load report; not Valid if there was none
+	Standing bool         // with Reset and ConnectFailed: other connections to the backend are still open
+	Refused  bool         // with ConnectFailed: the backend's machine answered that nothing listens on the port
 	Payload  any          // with OK: the answer, for the front
-	Sent     time.Time    // when its last byte was written, where that took long; zero: at once
+	Sent     time.Time    // when the last byte was written, if writing took long; zero: right after the Send
 }
 
-// ErrEnded is why nothing more is done once the loop has ended.
-var ErrEnded = errors.New("the loop has ended")
+// ErrEnded is returned for operations that need the loop after it has ended.
+var ErrEnded = errors.New("the decision loop has ended")
 
-// Backend makes attempts. Each is written once: nothing is sent again by itself; and only with its permit.
+// Backend makes attempts. An attempt is written at most once, only while its Permit allows it, and is never
+// resent by the Backend itself.
 type Backend interface {
 	Exchange(ctx context.Context, p *Permit, to Target, request any) Response
 	Probe(to Target) Response
-	Keep(wanted func(Target) bool) // closes idle connections to all others
+	Keep(wanted func(Target) bool) // closes the idle connections to all targets for which wanted is false
 }
 
-// Lists is where the list of backends is asked for.
+// Lists is the source of the list of backends.
 type Lists interface {
 	Subscribe()
 	Unsubscribe()
 	Fetch()
 }
 
-// Peers sends bytes to other agents, or to all (balance.EveryPeer). It never waits.
+// Peers sends data to one other agent or to all of them (balance.EveryPeer). Tell never blocks.
 type Peers interface{ Tell(to int, data []byte) }
 
-// Kind says what an answer is.
+// Kind is the kind of an Answer.
 type Kind uint8
 
 const (
-	Served    Kind = iota // by a backend: Payload is its answer
-	Refused               // nothing ran: trying again is harmless
-	Failed                // promises nothing
-	Duplicate             // its id is or has just been in use
-	Abandoned             // its client has left
+	Served    Kind = iota // answered by a backend; Payload is its answer
+	Refused               // nothing was executed, so that a retry is safe
+	Failed                // the request may or may not have been executed
+	Duplicate             // another call with this id is open or has just ended
+	Abandoned             // the client has left
 )
 
 // Answer is a call's final answer.
@@ -93,39 +95,39 @@
 	Payload    any
 }
 
-// Call is a client's request in hand. The loop owns what is below Reply.
+// Call is a client's open request. The loop owns the fields below Reply.
 type Call struct {
-	Event    balance.Request // but for Left
-	Request  any             // for the backend
+	Event    balance.Request // Left is filled in by the loop
+	Request  any             // the request as the Backend takes it
 	Deadline time.Time
-	Upload   time.Duration // of the time until then, what the rest of its body may take to come
-	Reply    chan Answer   // with room for the one final answer
-	HungUp   func() bool   // whether the client has left by now, from any goroutine; nil: only Left tells
+	Upload   time.Duration // part of the time until Deadline that is reserved for receiving the rest of the body
+	Reply    chan Answer   // buffered, with room for the one final answer
+	HungUp   func() bool   // reports whether the client has left, called from any goroutine; nil: only Left says so
 
-	attempts []*attempt // in the order of their Send
-	open     int        // of these, still out
-	answered bool       // has its final answer or owes none
+	attempts []*attempt // in the order of their Sends
+	pending  int        // number of attempts that have not ended
+	answered bool       // has its final answer, or the client left and needs none
 }
 
-// attempt is one Send.
+// attempt is the execution of one balance.Send.
 type attempt struct {
-	backend string
-	addr    string
-	sent    time.Time
-	cancel  context.CancelFunc
-	permit  *Permit
-	over    bool
-	ran     bool // once it is over: it may have run
+	backend    string
+	addr       string
+	sent       time.Time
+	cancel     context.CancelFunc
+	permit     *Permit
+	ended      bool
+	mayHaveRun bool // set when ended: the backend may have executed the request
 }
 
-// Watcher is told what passes through the loop, on its goroutine; it must not wait.
+// Watcher observes the events of the loop. Its methods run on the loop's goroutine and must not block.
 type Watcher interface {
 	Arrived(class int, repeat bool)
-	Listed(list balance.List) // as the module gets it
+	Listed(list balance.List) // as passed to the module
 	Ended(backend string, r Response, latency time.Duration)
 }
 
-// load is the report that came with it, or none in the module's form.
+// load returns the load report of the response, or balance.NoLoad if there was none.
 func (r Response) load() balance.Load {
 	if r.Load.Valid {
 		return r.Load
@@ -133,62 +135,64 @@
 	return balance.NoLoad()
 }
 
-// Loop owns the balancer, the calls in hand and the timers. All that happens comes to it as
-// a function on its inbox; it alone decides which outcome an attempt and which answer a call has.
+// Loop owns the balancer, the open calls and the timers. Every event reaches it as a function on its inbox;
+// only the loop decides the outcome of an attempt and the answer to a call.
 type Loop struct {
 	bal   Decider
 	clock clock
 	log   *slog.Logger
 	inbox chan func()
-	Dead  chan struct{} // closed when run has ended
-
-	Backend Backend
-	Lists   Lists
-	Peers   Peers   // nil where agents don't talk
-	Watcher Watcher // nil: nobody watches
-	Figures *figures.Figures
-	s       *balance.Settings // in force; replaced by Reconfigure, never changed
-
-	events  []balance.Event  // for the next step
-	calls   map[string]*Call // in hand, or answered with attempts still out
-	past    *past
-	addrs   map[string]string
-	pool    *pool.Pool
-	timers  timers
-	counted time.Time // when the figures of the list were last brought up to date
-	after   []func()  // to be called once the module has been told of all that has come
-	stopBy  time.Time // by which all must have been answered; zero: no stop is planned
-}
-
-// past holds the ids of the calls that ended last, a bounded number of them.
-type past struct {
+	Dead  chan struct{} // closed when Run has returned
+
+	Backend  Backend
+	Lists    Lists
+	Peers    Peers   // nil where agents don't exchange messages
+	Watcher  Watcher // nil: no observer
+	Figures  *figures.Figures
+	settings *balance.Settings // in force; replaced by Reconfigure, never modified
+
+	events         []balance.Event  // events for the next step
+	calls          map[string]*Call // by request id: open calls, and answered ones with pending attempts
+	recent         *recentIDs
+	addrs          map[string]string
+	pool           *pool.Pool
+	timers         timers
+	figuresUpdated time.Time // when the figures of the list were last updated
+	afterStep      []func()  // called once the module has processed all queued events
+	stopDeadline   time.Time // end of a planned stop, when every call must have its answer; zero: none
+}
+
+// recentIDs holds the ids of the calls that ended last, at most maxRecentIDs of them.
+type recentIDs struct {
 	ids  map[string]bool
 	ring []string
 	next int
 }
 
-const pastCalls = 4096 // at 1,300 requests a second three seconds of them, longer than any client waits
+const maxRecentIDs = 4096 // three seconds at 1,300 requests a second, longer than any client waits
 
-func newPast() *past { return &past{ids: map[string]bool{}, ring: make([]string, pastCalls)} }
+func newRecentIDs() *recentIDs {
+	return &recentIDs{ids: map[string]bool{}, ring: make([]string, maxRecentIDs)}
+}
 
-func (p *past) has(id string) bool { return p.ids[id] }
+func (r *recentIDs) has(id string) bool { return r.ids[id] }
 
-func (p *past) add(id string) {
-	delete(p.ids, p.ring[p.next])
-	p.ids[id], p.ring[p.next] = true, id
-	p.next = (p.next + 1) % len(p.ring)
+func (r *recentIDs) add(id string) {
+	delete(r.ids, r.ring[r.next])
+	r.ids[id], r.ring[r.next] = true, id
+	r.next = (r.next + 1) % len(r.ring)
 }
 
-const inboxSize = 4096 // what may queue while one step runs; beyond it senders wait
+const inboxSize = 4096 // events that may queue while a step runs; posting blocks when it is full
 
-// New returns a loop whose parts (Backend, Lists, Peers) are still to be set.
+// New returns a loop. The caller sets Backend, Lists and Peers before Run.
 func New(bal Decider, s *balance.Settings, log *slog.Logger) *Loop {
-	return &Loop{bal: bal, s: s, clock: clock{time.Now()}, log: log,
+	return &Loop{bal: bal, settings: s, clock: clock{time.Now()}, log: log,
 		inbox: make(chan func(), inboxSize), Dead: make(chan struct{}),
-		calls: map[string]*Call{}, past: newPast(), addrs: map[string]string{}, pool: pool.New()}
+		calls: map[string]*Call{}, recent: newRecentIDs(), addrs: map[string]string{}, pool: pool.New()}
 }
 
-// Post hands f to the loop. It may wait; the loop itself must not call it.
+// Post queues f to run on the loop's goroutine. It may block, so the loop itself must not call it.
 func (l *Loop) Post(f func()) {
 	select {
 	case l.inbox <- f:
@@ -196,8 +200,8 @@
 	}
 }
 
-// Run steps until ctx ends. A panic of the decision module comes back as an error, after
-// whatever is in hand has been answered as failed.
+// Run processes events until ctx ends. A panic of the decision module is returned as an error, after all open
+// calls have been answered as failed.
 func (l *Loop) Run(ctx context.Context) (err error) {
 	defer close(l.Dead)
 	defer func() {
@@ -221,41 +225,42 @@
 		for queued := len(l.inbox); queued > 0; queued-- {
 			(<-l.inbox)()
 		}
-		l.due(time.Now())
-		for len(l.events) > 0 { // an action may bring an event at once
+		l.fireTimers(time.Now())
+		for len(l.events) > 0 { // executing an action may add an event at once
 			events := l.events
 			l.events = nil
 			for _, a := range l.bal.Step(l.clock.now(), events) {
-				l.do(a)
+				l.execute(a)
 			}
 		}
-		for _, f := range l.after {
+		for _, f := range l.afterStep {
 			f()
 		}
-		l.after = l.after[:0]
-		l.Count(countEvery)
+		l.afterStep = l.afterStep[:0]
+		l.Count(figuresInterval)
 		if len(l.timers) > 0 {
 			alarm.Reset(time.Until(l.timers[0].at))
 		}
 	}
 }
 
-// Event adds one to the next step. It belongs to the loop's goroutine, as do Reconfigure, Arrived, Left, Listed
-// and Stopping: others Post a function that calls them.
+// Event adds an event to the next step. Like Reconfigure, Arrived, Left, Listed and Stopping, it must be
+// called on the loop's goroutine; other goroutines Post a function that calls it.
 func (l *Loop) Event(e balance.Event) { l.events = append(l.events, e) }
 
-// Reconfigure puts settings in force for calls that arrive from now on: between two steps, for the module and the loop
-// alike. They must have passed balance.Settings.CanBecome, and aren't to be changed any more.
+// Reconfigure puts new settings in force between two steps, for the module and the loop alike. They apply to
+// calls that arrive afterwards. They must have passed balance.Settings.CanBecome and must not be modified any
+// more.
 func (l *Loop) Reconfigure(s *balance.Settings) {
-	l.s = s
+	l.settings = s
 	l.Event(balance.Reconfigure{Settings: *s})
 }
 
-// Arrived takes a client's request in hand.
+// Arrived accepts a client's request.
 func (l *Loop) Arrived(c *Call) {
-	if l.calls[c.Event.ID] != nil || l.past.has(c.Event.ID) {
-		// Guards against an id that is or has just been in use: the module would take the second
-		// request for the first and owe it nothing, and a backend would be sent what has had its answer.
+	if l.calls[c.Event.ID] != nil || l.recent.has(c.Event.ID) {
+		// Rejects an id that is or was recently in use: the module would take the second request for the
+		// first and not answer it, and a backend would receive a request that already has its answer.
 		c.Reply <- Answer{Kind: Duplicate}
 		return
 	}
@@ -266,56 +271,57 @@
 	e := c.Event
 	e.Left = time.Until(c.Deadline) - c.Upload
 	l.Event(e)
-	// Guards against an answer that is owed for ever: should the module still owe one when the
-	// grace is half over, the call fails here and the module is told, as on the bench.
-	l.timers.add(timer{at: l.latest(c), call: c})
+	// Guarantees an answer: if the module still owes one when half of the grace is over, the call fails here
+	// and the module is told, as on the bench.
+	l.timers.add(timer{at: l.answerDeadline(c), call: c})
 }
 
-// latest is when a call is failed here, should the module still owe it an answer.
-func (l *Loop) latest(c *Call) time.Time {
-	at := c.Deadline.Add(l.s.AnswerGrace / 2)
-	if !l.stopBy.IsZero() && l.stopBy.Before(at) {
-		return l.stopBy
+// answerDeadline returns the time at which the loop fails a call if the module has not answered it.
+func (l *Loop) answerDeadline(c *Call) time.Time {
+	at := c.Deadline.Add(l.settings.AnswerGrace / 2)
+	if !l.stopDeadline.IsZero() && l.stopDeadline.Before(at) {
+		return l.stopDeadline
 	}
 	return at
 }
 
-// Stopping takes note that the program is to end: what is in hand or comes has its answer by then.
-// Guards against requests that are lost when the platform ends the process.
+// Stopping announces that the process ends: every open or new call is answered by the given time. Without
+// this, requests are lost when the platform kills the process.
 func (l *Loop) Stopping(by time.Time) {
-	l.stopBy = by
+	l.stopDeadline = by
 	for _, c := range l.calls {
 		if !c.answered {
-			l.timers.add(timer{at: l.latest(c), call: c})
+			l.timers.add(timer{at: l.answerDeadline(c), call: c})
 		}
 	}
 }
 
-// Discarder is a payload that holds something until its owner has done with it.
+// Discarder is a payload that holds resources until its owner releases them.
 type Discarder interface{ Discard() }
 
+// discard releases a payload that is not delivered to a client.
 func discard(payload any) {
 	if d, ok := payload.(Discarder); ok {
 		d.Discard()
 	}
 }
 
-// Left takes note that a client has gone.
+// Left tells the loop that a call's client has left.
 func (l *Loop) Left(c *Call) {
 	select {
-	case a := <-c.Reply: // it crossed with the client's leave
+	case a := <-c.Reply: // the answer was sent while the client left
 		discard(a.Payload)
 	default:
 	}
 	if l.calls[c.Event.ID] == c && !c.answered {
 		c.answered = true
-		c.drop()
+		c.dropAttempts()
 		l.Event(balance.Abandoned{Request: c.Event.ID})
 		l.forget(c)
 	}
 }
 
-// abandon ends a call whose client was found to have left before the front has seen it.
+// abandon ends a call whose client was found to have left before the front noticed.
 func (l *Loop) abandon(c *Call) {
 	if !c.answered {
 		l.Event(balance.Abandoned{Request: c.Event.ID})
@@ -323,25 +329,25 @@
 	}
 }
 
-// answer gives a call its final answer, once.
+// answer sends a call its final answer, unless it already has one.
 func (l *Loop) answer(c *Call, a Answer) {
 	if c.answered {
 		discard(a.Payload)
 		return
 	}
 	c.answered = true
-	c.drop()
+	c.dropAttempts()
 	c.Reply <- a
 	l.forget(c)
 }
 
-// drop takes back what is yet to be written for a call that nobody waits for any more. It reports whether nothing
-// of it has run or will.
-func (c *Call) drop() (unsent bool) {
+// dropAttempts revokes the permits of a call's attempts because nobody waits for an answer any more. It
+// reports whether no attempt was or will be executed by a backend.
+func (c *Call) dropAttempts() (unsent bool) {
 	unsent = true
 	for _, a := range c.attempts {
-		if a.over {
-			unsent = unsent && !a.ran
+		if a.ended {
+			unsent = unsent && !a.mayHaveRun
 		} else if !a.permit.Drop() {
 			unsent = false
 		}
@@ -349,31 +355,33 @@
 	return unsent
 }
 
-// recall takes back what is yet to be written to a backend that takes nothing new by now, or is no longer where
-// it was: it is chosen again among the others.
-func (l *Loop) recall() {
+// withdrawAttempts withdraws attempts that have not been written if their backend no longer accepts requests
+// or has another address. The module then chooses among the other backends again.
+func (l *Loop) withdrawAttempts() {
 	for _, c := range l.calls {
 		for _, a := range c.attempts {
-			if !a.over && (!l.pool.Takes(a.backend) || l.addrs[a.backend] != a.addr) {
+			if !a.ended && (!l.pool.AcceptsRequests(a.backend) || l.addrs[a.backend] != a.addr) {
 				a.permit.Withdraw()
 			}
 		}
 	}
 }
 
+// forget drops an answered call without pending attempts and remembers its id.
 func (l *Loop) forget(c *Call) {
-	if c.answered && c.open == 0 && l.calls[c.Event.ID] == c {
+	if c.answered && c.pending == 0 && l.calls[c.Event.ID] == c {
 		delete(l.calls, c.Event.ID)
-		l.past.add(c.Event.ID)
+		l.recent.add(c.Event.ID)
 	}
 }
 
-// ended passes on the outcome of an attempt. The first that is served answers the call.
-func (l *Loop) ended(c *Call, n int, backend string, r Response) {
+// attemptEnded records the result of a call's attempt n and passes it to the module. The first attempt with
+// the result OK answers the call.
+func (l *Loop) attemptEnded(c *Call, n int, backend string, r Response) {
 	a := c.attempts[n]
 	a.cancel()
-	a.over, a.ran = true, !r.Result.NeverRan()
-	c.open--
+	a.ended, a.mayHaveRun = true, !r.Result.NeverRan()
+	c.pending--
 	switch {
 	case r.Result == balance.OK:
 		l.answer(c, Answer{Kind: Served, Payload: r.Payload})
@@ -392,7 +400,7 @@
 	l.forget(c)
 }
 
-// Listed takes a list, or the failure to get one, from discovery.
+// Listed processes a list from discovery, or the failure to get one.
 func (l *Loop) Listed(list balance.List, addrs map[string]string) {
 	if list.Kind == balance.ListFull || list.Kind == balance.ListCached {
 		clear(l.addrs)
@@ -404,107 +412,109 @@
 			l.addrs[b.ID] = addrs[b.ID]
 		}
 	}
-	// Guards against connections to backends that are gone: they would hold sockets, and serve nobody.
+	// Connections to backends that are gone would hold sockets without any use.
 	l.Backend.Keep(func(to Target) bool { return l.addrs[to.ID] == to.Addr })
-	l.list(l.pool.Listed(list))
+	l.publishList(l.pool.ApplyList(list))
 }
 
-// Leaves takes note that a server said itself that it wants nothing new, or that it is back. The module is
-// told as by the list, in which it may stand as up for seconds yet.
-func (l *Loop) Leaves(id string, leaves bool) {
-	l.changed(l.pool.Leaves(id, leaves))
+// Leaves records that a backend announced that it accepts no new requests, or that it is back. The module
+// sees it as draining at once, although the list may still show it as up for seconds.
+func (l *Loop) Leaves(id string, leaving bool) {
+	l.applyChange(l.pool.SetLeaving(id, leaving))
 }
 
-// changed tells the module what is new about a backend.
-func (l *Loop) changed(c pool.Change) {
+// applyChange tells the module about changed backends; a nil change does nothing.
+func (l *Loop) applyChange(c pool.Change) {
 	if c != nil {
-		l.list(balance.List{Kind: balance.ListDelta, Backends: c})
+		l.publishList(balance.List{Kind: balance.ListDelta, Backends: c})
 	}
 }
 
-// list tells the module and who watches of a list.
-func (l *Loop) list(list balance.List) {
-	l.recall()
+// publishList passes a list to the module and the observer, and withdraws the attempts that it rules out.
+func (l *Loop) publishList(list balance.List) {
+	l.withdrawAttempts()
 	l.Event(list)
 	if l.Watcher != nil {
 		l.Watcher.Listed(list)
 	}
 }
 
-// Pending calls f for each attempt that is out, with the time of its Send.
+// Pending calls f for each attempt that has not ended, with the time of its Send.
 func (l *Loop) Pending(f func(backend string, sent time.Time)) {
 	for _, c := range l.calls {
 		for _, a := range c.attempts {
-			if !a.over {
+			if !a.ended {
 				f(a.backend, a.sent)
 			}
 		}
 	}
 }
 
-// Now is the time as the module knows it.
+// Now returns the current time as the module measures it.
 func (l *Loop) Now() time.Duration { return l.clock.now() }
 
-// At is a time as the module knows it.
+// At converts t to the module's time.
 func (l *Loop) At(t time.Time) time.Duration { return l.clock.at(t) }
 
-// ExcludeZone takes a whole zone out by hand, or puts it back: its backends drain, those that are yet to be listed
-// too. Back, they count as started now.
-func (l *Loop) ExcludeZone(zone int, out bool) {
-	l.changed(l.pool.ExcludeZone(zone, out, l.clock.now()))
+// ExcludeZone excludes a whole zone manually, or includes it again. The zone's backends drain, also those
+// that are listed later. Backends that are included again count as started now.
+func (l *Loop) ExcludeZone(zone int, exclude bool) {
+	l.applyChange(l.pool.ExcludeZone(zone, exclude, l.clock.now()))
 }
 
-// ZonesOut lists the zones that are out by hand.
-func (l *Loop) ZonesOut() []int { return l.pool.ZonesOut() }
+// ZonesOut lists the zones that are manually excluded.
+func (l *Loop) ZonesOut() []int { return l.pool.ExcludedZones() }
 
-// Restarted has a zone's backends count as started now, whatever the list says: it has been away as a whole.
-func (l *Loop) Restarted(zone int) { l.changed(l.pool.Restarted(zone, l.clock.now())) }
+// Restarted makes a zone's backends count as started now, whatever the list says, because the whole zone was
+// away.
+func (l *Loop) Restarted(zone int) { l.applyChange(l.pool.MarkZoneRestarted(zone, l.clock.now())) }
 
-// Exclude takes a backend out by hand: the module is told that it drains, until Include.
+// Exclude excludes a backend manually: the module sees it as draining until Include.
 func (l *Loop) Exclude(id string) error {
 	c, err := l.pool.Exclude(id)
-	l.changed(c)
+	l.applyChange(c)
 	return err
 }
 
-// Include puts a backend back. It counts as started now.
+// Include ends the manual exclusion of a backend, which then counts as started now.
 func (l *Loop) Include(id string) error {
 	c, err := l.pool.Include(id, l.clock.now())
-	l.changed(c)
+	l.applyChange(c)
 	return err
 }
 
-// Known reports whether a backend is listed or out by hand.
+// Known reports whether a backend is listed or manually excluded.
 func (l *Loop) Known(id string) bool { return l.pool.Known(id) }
 
-// Adopt takes over which backends are out by hand, and when others were put back (Unix time, nanoseconds).
-func (l *Loop) Adopt(out []string, back map[string]int64, zones []int) {
+// Adopt replaces the sets of manually excluded backends and zones. includedAt holds the times at which other
+// backends were included again (Unix time, nanoseconds).
+func (l *Loop) Adopt(excluded []string, includedAt map[string]int64, zones []int) {
 	at := map[string]time.Duration{}
-	for id, t := range back {
+	for id, t := range includedAt {
 		at[id] = time.Duration(t)
 	}
-	l.changed(l.pool.Adopt(out, at))
-	l.changed(l.pool.AdoptZones(zones, l.clock.now()))
+	l.applyChange(l.pool.ReplaceExcluded(excluded, at))
+	l.applyChange(l.pool.ReplaceExcludedZones(zones, l.clock.now()))
 }
 
-// Then has f called once the module has been told of all that has come, and what it decided has been done. f
-// must not wait.
-func (l *Loop) Then(f func()) { l.after = append(l.after, f) }
+// Then has f called once the module has processed all queued events and its actions have been executed. f
+// must not block.
+func (l *Loop) Then(f func()) { l.afterStep = append(l.afterStep, f) }
 
-// countEvery is how old the loop's figures may be.
-const countEvery = 100 * time.Millisecond
+// figuresInterval is the maximum age of the loop's figures.
+const figuresInterval = 100 * time.Millisecond
 
-// Count brings the figures of the list up to date, if they are older than that.
-func (l *Loop) Count(old time.Duration) {
+// Count updates the figures of the list if they are older than maxAge.
+func (l *Loop) Count(maxAge time.Duration) {
 	now := time.Now()
-	if l.Figures == nil || now.Sub(l.counted) < old {
+	if l.Figures == nil || now.Sub(l.figuresUpdated) < maxAge {
 		return
 	}
-	l.counted = now
-	ejected := len(l.pool.ListedOut())
+	l.figuresUpdated = now
+	ejected := len(l.pool.ListedExcluded())
 	if b, ok := l.bal.(interface{ Ejected(time.Duration) []string }); ok {
 		for _, id := range b.Ejected(l.clock.at(now)) {
-			if !l.pool.IsOut(id) {
+			if !l.pool.IsExcluded(id) {
 				ejected++
 			}
 		}
@@ -513,18 +523,18 @@
 	l.Figures.Ejected.Store(int64(ejected))
 }
 
-// due turns the timers that have run out into events.
-func (l *Loop) due(now time.Time) {
+// fireTimers turns the timers that have expired into events.
+func (l *Loop) fireTimers(now time.Time) {
 	for len(l.timers) > 0 && !l.timers[0].at.After(now) {
 		t := heap.Pop(&l.timers).(timer)
 		if t.call == nil {
 			l.Event(balance.TimerFired{Token: t.token})
 		} else if !t.call.answered {
 			id, kind := t.call.Event.ID, Failed
-			if l.stopBy.IsZero() {
+			if l.stopDeadline.IsZero() {
 				l.log.Error("no final answer in time", "request", id, "attempts", len(t.call.attempts))
-			} else if t.call.drop() {
-				kind = Refused // nothing was sent: another try does no harm
+			} else if t.call.dropAttempts() {
+				kind = Refused // nothing was sent, so that a retry is safe
 			}
 			l.answer(t.call, Answer{Kind: kind})
 			l.Event(balance.Abandoned{Request: id})
@@ -532,8 +542,8 @@
 	}
 }
 
-// do carries out one action.
-func (l *Loop) do(a balance.Action) {
+// execute executes one action of the module.
+func (l *Loop) execute(a balance.Action) {
 	switch a := a.(type) {
 	case balance.Send:
 		l.send(a)
@@ -568,12 +578,12 @@
 	case balance.Trace:
 		l.log.Info("module", "trace", a.Text)
 	default:
-		panic(fmt.Sprintf("no way to carry out %T", a))
+		panic(fmt.Sprintf("unknown action %T", a))
 	}
 }
 
-// send starts an attempt on a goroutine of its own, bounded by its time-out and by the
-// client's deadline.
+// send starts an attempt on its own goroutine. The attempt's timeout and the client's deadline limit its
+// time.
 func (l *Loop) send(s balance.Send) {
 	c, addr := l.calls[s.Request], l.addrs[s.Backend]
 	if c == nil {
@@ -588,27 +598,27 @@
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	n := len(c.attempts)
-	var by time.Time
+	var writeDeadline time.Time
 	if s.By > 0 {
-		by = l.clock.time(s.By)
+		writeDeadline = l.clock.time(s.By)
 	}
-	p := NewPermit(by).Unless(c.HungUp)
-	c.attempts = append(c.attempts, &attempt{backend: s.Backend, addr: addr, sent: now, cancel: cancel, permit: p})
-	c.open++
+	permit := NewPermit(writeDeadline).RevokeIf(c.HungUp)
+	c.attempts = append(c.attempts, &attempt{backend: s.Backend, addr: addr, sent: now, cancel: cancel, permit: permit})
+	c.pending++
 	if c.answered || addr == "" || !until.After(now) {
-		l.ended(c, n, s.Backend, Response{Result: balance.NotSent})
+		l.attemptEnded(c, n, s.Backend, Response{Result: balance.NotSent})
 		return
 	}
 	go func() {
-		r := l.Backend.Exchange(ctx, p, Target{s.Backend, addr}, c.Request)
-		l.Post(func() { l.ended(c, n, s.Backend, r) })
+		r := l.Backend.Exchange(ctx, permit, Target{s.Backend, addr}, c.Request)
+		l.Post(func() { l.attemptEnded(c, n, s.Backend, r) })
 	}()
 }
 
-// probe examines a backend outside any request, where the settings allow it.
+// probe probes a backend outside of any request, if the settings allow it.
 func (l *Loop) probe(backend string) {
 	addr, sent := l.addrs[backend], time.Now()
-	if addr == "" || !l.s.MayProbe {
+	if addr == "" || !l.settings.MayProbe {
 		l.Event(balance.ProbeResult{Backend: backend, Result: balance.NotSent, Load: balance.NoLoad()})
 		return
 	}
@@ -620,14 +630,15 @@
 	}()
 }
 
-// timer is due at a time: a SetTimer's, or, with a call, that of its overdue answer.
+// timer expires at a given time. It belongs to a SetTimer action or, if call is set, to that call's answer
+// deadline.
 type timer struct {
 	at    time.Time
 	token int64
 	call  *Call
 }
 
-// timers is a heap, the next one due first.
+// timers is a heap with the next timer to expire first.
 type timers []timer
 
 func (t timers) Len() int           { return len(t) }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -14,40 +14,40 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// nobody is a backend that can't be reached.
-type nobody struct{}
+// unreachable is a backend that can't be reached.
+type unreachable struct{}
 
-func (nobody) Exchange(context.Context, *Permit, Target, any) Response {
+func (unreachable) Exchange(context.Context, *Permit, Target, any) Response {
 	return Response{Result: balance.ConnectFailed}
 }
-func (nobody) Probe(Target) Response  { return Response{Result: balance.ConnectFailed} }
-func (nobody) Keep(func(Target) bool) {}
+func (unreachable) Probe(Target) Response  { return Response{Result: balance.ConnectFailed} }
+func (unreachable) Keep(func(Target) bool) {}
 
-// bare is a loop that no goroutine runs: the test says what happens, and when.
-func bare(bal Decider) (*Loop, *Call) {
+// newTestLoop returns a loop without a goroutine, which the test drives step by step, and a call.
+func newTestLoop(bal Decider) (*Loop, *Call) {
 	l := New(bal, &balance.Settings{AnswerGrace: 20 * time.Millisecond}, slog.New(slog.DiscardHandler))
-	l.Backend = nobody{}
+	l.Backend = unreachable{}
 	c := &Call{Event: balance.Request{ID: "d1"}, Deadline: time.Now().Add(time.Hour), Reply: make(chan Answer, 1)}
 	return l, c
 }
 
-// An answer that arrives together with the time-out of the same call: the first to be taken
-// counts, and neither the client nor the module gets two ends.
-func TestAnswerArrivesWithTimeOut(t *testing.T) {
+// Guards against two answers to a call whose backend answers at the same time as the call's deadline expires:
+// the first of the two events counts, and neither the client nor the module gets a second end.
+func TestAnswerRacesWithTimeout(t *testing.T) {
 	for _, served := range []bool{true, false} {
-		l, c := bare(nil)
+		l, c := newTestLoop(nil)
 		l.Arrived(c)
 		c.attempts = []*attempt{{sent: time.Now(), cancel: func() {}, permit: &Permit{}}}
-		c.open = 1
-		answered := func() { l.ended(c, 0, "h0", Response{Result: balance.OK, Payload: "hello"}) }
-		overdue := func() { l.due(c.Deadline.Add(time.Second)) }
+		c.pending = 1
+		serve := func() { l.attemptEnded(c, 0, "h0", Response{Result: balance.OK, Payload: "hello"}) }
+		expire := func() { l.fireTimers(c.Deadline.Add(time.Second)) }
 		want := Served
 		if served {
-			answered()
-			overdue()
+			serve()
+			expire()
 		} else {
-			overdue()
-			answered()
+			expire()
+			serve()
 			want = Failed
 		}
 		if a := <-c.Reply; a.Kind != want {
@@ -63,20 +63,20 @@
 			}
 		}
 		if len(c.Reply) != 0 || outcomes != 1 || len(l.calls) != 0 {
-			t.Errorf("%d answers more, %d outcomes, %d calls in hand", len(c.Reply), outcomes, len(l.calls))
+			t.Errorf("%d more answers, %d outcomes, %d open calls", len(c.Reply), outcomes, len(l.calls))
 		}
 	}
 }
 
-// Whatever the module sends has one outcome, even for a call that has ended or a backend that
-// no list has named.
+// Every Send of the module gets one outcome, even for a call that has ended or a backend that was never
+// listed.
 func TestEverySendHasAnOutcome(t *testing.T) {
-	l, c := bare(nil)
+	l, c := newTestLoop(nil)
 	l.Arrived(c)
 	l.events = nil
-	l.do(balance.Send{Request: "d1", Backend: "unheard of"})
-	l.do(balance.Fail{Request: "d1"})
-	l.do(balance.Send{Request: "d1", Backend: "h0"})
+	l.execute(balance.Send{Request: "d1", Backend: "unlisted"})
+	l.execute(balance.Fail{Request: "d1"})
+	l.execute(balance.Send{Request: "d1", Backend: "h0"})
 	if len(l.events) != 2 {
 		t.Fatalf("got %v", l.events)
 	}
@@ -87,20 +87,20 @@
 	}
 }
 
-func TestPastIsBounded(t *testing.T) {
-	p := newPast()
-	for i := range 3 * pastCalls {
+func TestRecentIDsAreBounded(t *testing.T) {
+	p := newRecentIDs()
+	for i := range 3 * maxRecentIDs {
 		p.add(fmt.Sprint(i))
 	}
-	if len(p.ids) != pastCalls || !p.has(fmt.Sprint(3*pastCalls-1)) || p.has("0") {
+	if len(p.ids) != maxRecentIDs || !p.has(fmt.Sprint(3*maxRecentIDs-1)) || p.has("0") {
 		t.Errorf("%d ids", len(p.ids))
 	}
 }
 
-// A server that takes leave drains at once, though the list says that it is up; it is used again once it is
-// back, or once the list knows of another start.
-func TestLeave(t *testing.T) {
-	l, _ := bare(nil)
+// A server that announces its leave drains at once although the list shows it as up. It is used again when it
+// announces its return or when the list shows a later start.
+func TestLeavingBackendDrains(t *testing.T) {
+	l, _ := newTestLoop(nil)
 	states := func() (got string) {
 		for _, e := range l.events {
 			for _, b := range e.(balance.List).Backends {
@@ -114,7 +114,7 @@
 		l.Listed(balance.List{Kind: balance.ListFull, Backends: []balance.Backend{{ID: "a", Started: started}}}, map[string]string{"a": "x"})
 	}
 	list(1)
-	l.Leaves("unheard of", true)
+	l.Leaves("unlisted", true)
 	l.Leaves("a", false)
 	l.Leaves("a", true)
 	l.Leaves("a", true)
@@ -130,53 +130,57 @@
 	}
 	l.Listed(balance.List{Kind: balance.ListFull}, nil)
 	if l.pool.Size() != 0 {
-		t.Error("what the list no longer names is kept")
+		t.Error("a backend that is no longer listed is kept")
 	}
 }
 
-// asking is a backend that shows each attempt's permit and ends with what the test says.
-type asking struct {
-	nobody
+// permitBackend passes each attempt's permit to the test and returns the response that the test sends.
+type permitBackend struct {
+	unreachable
 	permits chan *Permit
 	results chan Response
 }
 
-func (a asking) Exchange(_ context.Context, p *Permit, _ Target, _ any) Response {
+func (a permitBackend) Exchange(_ context.Context, p *Permit, _ Target, _ any) Response {
 	a.permits <- p
 	return <-a.results
 }
 
-// waits is a loop with one call, which has one attempt out that waits to be written; list is as discovery has it.
-func waits(t *testing.T) (l *Loop, c *Call, p *Permit, list func(state balance.BackendState, addr string)) {
-	l, c = bare(nil)
-	back := asking{permits: make(chan *Permit, 1), results: make(chan Response, 1)}
-	l.Backend = back
+// loopWithWaitingAttempt returns a loop with one call whose only attempt waits to be written, the attempt's
+// permit, and a function that lists the backend.
+func loopWithWaitingAttempt(t *testing.T) (l *Loop, c *Call, p *Permit, list func(state balance.BackendState, addr string)) {
+	l, c = newTestLoop(nil)
+	backend := permitBackend{permits: make(chan *Permit, 1), results: make(chan Response, 1)}
+	l.Backend = backend
 	list = func(state balance.BackendState, addr string) {
 		l.Listed(balance.List{Backends: []balance.Backend{{ID: "h0", State: state}}}, map[string]string{"h0": addr})
 	}
 	list(balance.Up, "x")
 	l.Arrived(c)
 	l.events = nil
-	l.do(balance.Send{Request: "d1", Backend: "h0"})
-	t.Cleanup(func() { // its outcome comes all the same
-		back.results <- Response{Result: balance.Withdrawn}
+	l.execute(balance.Send{Request: "d1", Backend: "h0"})
+	t.Cleanup(func() { // the attempt's outcome still arrives
+		backend.results <- Response{Result: balance.Withdrawn}
 		(<-l.inbox)()
 		if len(l.calls) != 0 && c.answered {
-			t.Error("a call that has ended is kept")
+			t.Error("an ended call is kept")
 		}
 	})
-	return l, c, <-back.permits, list
+	return l, c, <-backend.permits, list
 }
 
-// What nobody waits for any more is not written: the client has left, the call has its answer, the stop's time is
-// up. What a backend wants no more isn't either: the list says that it drains or has gone or is elsewhere, staff
-// took it or its zone out, it took leave. The permit is asked for once by what has not begun.
-func TestPermitIsTakenBack(t *testing.T) {
-	for name, happens := range map[string]func(l *Loop, c *Call, list func(balance.BackendState, string)){
-		"left":     func(l *Loop, c *Call, _ func(balance.BackendState, string)) { l.Left(c) },
-		"refused":  func(l *Loop, c *Call, _ func(balance.BackendState, string)) { l.do(balance.Refuse{Request: "d1"}) },
-		"failed":   func(l *Loop, c *Call, _ func(balance.BackendState, string)) { l.do(balance.Fail{Request: "d1"}) },
-		"overdue":  func(l *Loop, c *Call, _ func(balance.BackendState, string)) { l.due(c.Deadline.Add(time.Second)) },
+// An attempt is not written once nobody waits for its answer (the client left, the call was answered, the
+// deadline passed) or its backend is not to receive it (listed as draining, gone or at another address,
+// manually excluded with or without its zone, or it announced its leave). The wait of an attempt that has not
+// begun is interrupted.
+func TestPermitIsRevoked(t *testing.T) {
+	for name, act := range map[string]func(l *Loop, c *Call, list func(balance.BackendState, string)){
+		"left":    func(l *Loop, c *Call, _ func(balance.BackendState, string)) { l.Left(c) },
+		"refused": func(l *Loop, c *Call, _ func(balance.BackendState, string)) { l.execute(balance.Refuse{Request: "d1"}) },
+		"failed":  func(l *Loop, c *Call, _ func(balance.BackendState, string)) { l.execute(balance.Fail{Request: "d1"}) },
+		"overdue": func(l *Loop, c *Call, _ func(balance.BackendState, string)) {
+			l.fireTimers(c.Deadline.Add(time.Second))
+		},
 		"drains":   func(_ *Loop, _ *Call, list func(balance.BackendState, string)) { list(balance.Draining, "x") },
 		"gone":     func(_ *Loop, _ *Call, list func(balance.BackendState, string)) { list(balance.Gone, "") },
 		"moved":    func(_ *Loop, _ *Call, list func(balance.BackendState, string)) { list(balance.Up, "y") },
@@ -189,35 +193,35 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, c, p, list := waits(t)
-			ended := false
-			if !p.Await(func() { ended = true }) {
-				t.Fatal("no permit at first")
+			l, c, p, list := loopWithWaitingAttempt(t)
+			interrupted := false
+			if !p.Await(func() { interrupted = true }) {
+				t.Fatal("the permit was revoked from the start")
 			}
-			happens(l, c, list)
-			if !ended || p.Begin(nil) {
-				t.Errorf("its wait has ended: %v; it may be written: %v", ended, p.Begin(nil))
+			act(l, c, list)
+			if !interrupted || p.Begin(nil) {
+				t.Errorf("wait interrupted: %v, may be written: %v", interrupted, p.Begin(nil))
 			}
 		})
 	}
 }
 
-// A list that says nothing new of a backend, or of others only, leaves its attempts alone.
-func TestPermitStays(t *testing.T) {
-	l, _, p, list := waits(t)
+// A list that changes nothing about a backend, or names only others, leaves its attempts alone.
+func TestPermitSurvivesUnrelatedLists(t *testing.T) {
+	l, _, p, list := loopWithWaitingAttempt(t)
 	list(balance.Up, "x")
 	l.Listed(balance.List{Backends: []balance.Backend{{ID: "h1", State: balance.Draining}}}, map[string]string{"h1": "z"})
 	l.Listed(balance.List{Kind: balance.ListFailed}, nil)
 	if !p.Begin(nil) {
-		t.Error("it may not be written")
+		t.Error("the attempt may not be written")
 	}
 }
 
-// At the end of a planned stop what has not been written is refused, so that it may be tried anew; what has been
-// is failed.
-func TestStopRefusesWhatIsUnsent(t *testing.T) {
+// At the end of a planned stop, a call whose attempt has not been written is refused so that the client can
+// retry; one whose attempt has been written fails.
+func TestStopRefusesUnsentCalls(t *testing.T) {
 	for _, written := range []bool{false, true} {
-		l, c, p, _ := waits(t)
+		l, c, p, _ := loopWithWaitingAttempt(t)
 		l.Stopping(time.Now())
 		want := Refused
 		if written {
@@ -225,67 +229,67 @@
 			p.Whole()
 			want = Failed
 		}
-		l.due(time.Now().Add(time.Second))
+		l.fireTimers(time.Now().Add(time.Second))
 		if a := <-c.Reply; a.Kind != want {
 			t.Errorf("written %v: got %v", written, a.Kind)
 		}
 	}
 }
 
-// The served answer of one copy takes the permit of another that waits.
-func TestCopyIsTakenBack(t *testing.T) {
-	l, c, p, _ := waits(t)
-	l.Backend = nobody{}
-	l.do(balance.Send{Request: "d1", Backend: "h0"})
-	<-l.inbox // how the second ended is told by the test
-	l.ended(c, 1, "h0", Response{Result: balance.OK})
+// An attempt that is served revokes the permit of another attempt of the same call that still waits.
+func TestServedCallRevokesItsOtherAttempt(t *testing.T) {
+	l, c, p, _ := loopWithWaitingAttempt(t)
+	l.Backend = unreachable{}
+	l.execute(balance.Send{Request: "d1", Backend: "h0"})
+	<-l.inbox // the test itself reports the end of the second attempt
+	l.attemptEnded(c, 1, "h0", Response{Result: balance.OK})
 	if p.Begin(nil) {
-		t.Error("the other copy may be written")
+		t.Error("the other attempt may be written")
 	}
 }
 
-// A Send that may not be written later than a time has a permit that ends with it, to the nanosecond.
-func TestSendBy(t *testing.T) {
+// The permit of a Send with a write deadline expires at exactly this time, to the nanosecond.
+func TestSendWriteDeadline(t *testing.T) {
 	for _, past := range []bool{true, false} {
-		l, c := bare(nil)
-		back := asking{permits: make(chan *Permit, 1), results: make(chan Response, 1)}
-		l.Backend = back
+		l, c := newTestLoop(nil)
+		backend := permitBackend{permits: make(chan *Permit, 1), results: make(chan Response, 1)}
+		l.Backend = backend
 		l.Listed(balance.List{Backends: []balance.Backend{{ID: "h0"}}}, map[string]string{"h0": "x"})
 		l.Arrived(c)
 		by := time.Now().Add(time.Hour)
 		if past {
 			by = time.Now()
 		}
-		l.do(balance.Send{Request: "d1", Backend: "h0", By: l.At(by)})
-		p := <-back.permits
+		l.execute(balance.Send{Request: "d1", Backend: "h0", By: l.At(by)})
+		p := <-backend.permits
 		if !p.By().Equal(by) {
 			t.Errorf("by %v, want %v", p.By(), by)
 		}
 		if got := p.Begin(nil); got == past || p.Taken() != past {
 			t.Errorf("past %v: may begin %v, taken %v", past, got, p.Taken())
 		}
-		back.results <- Response{Result: balance.Withdrawn}
+		backend.results <- Response{Result: balance.Withdrawn}
 		(<-l.inbox)()
 	}
 }
 
-// A change takes its place among what the module is told, between what came before it and what comes after.
-func TestReconfigureKeepsItsPlace(t *testing.T) {
-	l, first := bare(nil)
+// Reconfigure keeps its position between the events before and after it.
+func TestReconfigureKeepsEventOrder(t *testing.T) {
+	l, first := newTestLoop(nil)
 	l.Arrived(first)
 	next := &balance.Settings{AnswerGrace: 20 * time.Millisecond, MaxAttempts: 7}
 	l.Reconfigure(next)
 	l.Arrived(&Call{Event: balance.Request{ID: "d2"}, Deadline: time.Now().Add(time.Hour), Reply: make(chan Answer, 1)})
-	var told []string
+	var got []string
 	for _, e := range l.events {
 		switch e := e.(type) {
 		case balance.Request:
-			told = append(told, e.ID)
+			got = append(got, e.ID)
 		case balance.Reconfigure:
-			told = append(told, fmt.Sprint(e.Settings.MaxAttempts))
+			got = append(got, fmt.Sprint(e.Settings.MaxAttempts))
 		}
 	}
-	if fmt.Sprint(told) != "[d1 7 d2]" || l.s != next {
-		t.Errorf("told %v, settings %+v", told, l.s)
+	if fmt.Sprint(got) != "[d1 7 d2]" || l.settings != next {
+		t.Errorf("got %v, settings %+v", got, l.settings)
 	}
 }
--- a/internal/core/permit.go
+++ b/internal/core/permit.go
@@ -5,137 +5,143 @@
 	"time"
 )
 
-// Permit says whether an attempt may still be written. The loop takes it back where the client has left or has
-// had its answer, and where the backend takes nothing new by now; a Backend asks for it before the first byte.
-// Guards against requests that go out after a wait, for a connection or behind a kept one that had gone stale,
-// though nobody waits for them any more or their backend drains.
+// Permit says whether an attempt may still be written. The loop revokes it when the client has left or has
+// its answer, and when the backend no longer accepts requests; a Backend checks it before writing the first
+// byte. Without it, an attempt that waited for a connection, or was moved from a stale kept-alive connection
+// to another one, would be written although nobody waits for the answer any more or the backend drains.
 //
-// A nil one is never taken back.
+// A nil Permit is never revoked.
 type Permit struct {
-	mu    sync.Mutex
-	stage stage
-	taken bool
-	gone  bool        // since the client has left
-	by    time.Time   // it can't be begun later; zero: whenever
-	left  func() bool // whether the client has left; nil: not known
-	cut   func()      // ends what the attempt waits for now; must not wait
-	cuts  bool        // it was called
+	mu            sync.Mutex
+	stage         stage
+	revoked       bool
+	clientLeft    bool        // revoked because the client has left
+	writeDeadline time.Time   // when the last byte must have been written; zero: no limit
+	hasClientLeft func() bool // reports whether the client has left; nil: not known
+	interrupt     func()      // ends what the attempt waits for now; must not block
+	interrupted   bool        // interrupt was called
 }
 
+// stage is how far the writing of an attempt has come.
 type stage uint8
 
 const (
-	waiting stage = iota // nothing has been written
-	begun                // the first byte may have been
-	whole                // the last one has been
+	stageWaiting stage = iota // nothing has been written
+	stageWriting              // the first byte may have been written
+	stageWritten              // the last byte has been written
 )
 
-// NewPermit is one for an attempt whose last byte must have been written by a time; zero: whenever.
-func NewPermit(by time.Time) *Permit { return &Permit{by: by} }
+// NewPermit returns a permit for an attempt whose last byte must be written by writeDeadline; zero: no limit.
+func NewPermit(writeDeadline time.Time) *Permit { return &Permit{writeDeadline: writeDeadline} }
 
-// Unless has the permit taken back where the client has left by the time the attempt is to be written. Guards against an
-// attempt that is written before the loop has heard of the leave: the process was stopped or short of processor time, and
-// the timer of a retry runs before the end of the connection is read.
-func (p *Permit) Unless(left func() bool) *Permit {
-	p.left = left
+// RevokeIf makes Begin revoke the permit if hasClientLeft reports true. Without this check, an attempt is
+// written before the loop knows that the client has left: when the process was stopped or short of processor
+// time, the timer of a retry may run before the end of the connection is read.
+func (p *Permit) RevokeIf(hasClientLeft func() bool) *Permit {
+	p.hasClientLeft = hasClientLeft
 	return p
 }
 
-// Await notes that the attempt waits, and what ends the wait. false: it may not be written.
-func (p *Permit) Await(cut func()) bool { return p.enter(waiting, cut) }
+// Await records that the attempt waits, and the function that ends the wait. It returns false if the attempt
+// must not be written.
+func (p *Permit) Await(interrupt func()) bool { return p.advance(stageWaiting, interrupt) }
 
-// Begin notes that the first byte is about to be written, and what ends the writing. false: it may not be.
-func (p *Permit) Begin(cut func()) bool { return p.enter(begun, cut) }
+// Begin records that the first byte is about to be written, and the function that interrupts the writing. It
+// returns false if the attempt must not be written.
+func (p *Permit) Begin(interrupt func()) bool { return p.advance(stageWriting, interrupt) }
 
-func (p *Permit) enter(s stage, cut func()) bool {
+// advance moves the attempt to stage s, with the function that interrupts it, unless the permit is revoked.
+func (p *Permit) advance(s stage, interrupt func()) bool {
 	if p == nil {
 		return true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.late(); p.taken {
+	if p.expire(); p.revoked {
 		return false
 	}
-	if s == begun && p.left != nil && p.left() {
-		p.taken, p.gone = true, true
+	if s == stageWriting && p.hasClientLeft != nil && p.hasClientLeft() {
+		p.revoked, p.clientLeft = true, true
 		return false
 	}
-	p.stage, p.cut = s, cut
+	p.stage, p.interrupt = s, interrupt
 	return true
 }
 
-// Whole notes that the last byte has been written: nothing is cut off any more. It reports whether that crossed
-// with a cut, whose traces are then to be removed.
-func (p *Permit) Whole() (cut bool) {
+// Whole records that the last byte has been written, after which nothing is interrupted any more. It reports
+// whether the writing was interrupted before; the caller then undoes the effects of the interruption.
+func (p *Permit) Whole() (interrupted bool) {
 	if p == nil {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stage, p.cut = whole, nil
-	return p.cuts
+	p.stage, p.interrupt = stageWritten, nil
+	return p.interrupted
 }
 
-// Taken reports whether the permit has been taken back.
+// Taken reports whether the permit has been revoked.
 func (p *Permit) Taken() bool {
 	if p == nil {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.late()
-	return p.taken
+	p.expire()
+	return p.revoked
 }
 
-// ClientLeft reports whether the permit was taken back since the client was found to have left.
+// ClientLeft reports whether the permit was revoked because the client has left.
 func (p *Permit) ClientLeft() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.gone
+	return p.clientLeft
 }
 
-// By is when the last byte must have been written; zero: whenever. Guards against the repeat of a keyed request that
-// is written, after a wait for its connection, when backends no longer know the key.
+// By returns the time by which the last byte must have been written; zero: no limit. Without this limit, the
+// repeat of a keyed request could be written, after waiting for its connection, when backends no longer know
+// the key.
 func (p *Permit) By() time.Time {
 	if p == nil {
 		return time.Time{}
 	}
-	return p.by
+	return p.writeDeadline
 }
 
-// late takes the permit back once it is too late. The lock is held.
-func (p *Permit) late() {
-	if p.stage != whole && !p.by.IsZero() && !time.Now().Before(p.by) {
-		p.taken = true
+// expire revokes the permit once its write deadline has passed. The caller holds the lock.
+func (p *Permit) expire() {
+	if p.stage != stageWritten && !p.writeDeadline.IsZero() && !time.Now().Before(p.writeDeadline) {
+		p.revoked = true
 	}
 }
 
-// Withdraw keeps an attempt from being begun. One that has been is left alone: for its backend it counts from its
-// first byte.
+// Withdraw revokes the permit of an attempt that has not begun. It doesn't interrupt an attempt that is being
+// written, because a backend counts an attempt from its first byte.
 func (p *Permit) Withdraw() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.taken = true
-	if p.stage == waiting {
-		p.end()
+	p.revoked = true
+	if p.stage == stageWaiting {
+		p.interruptAttempt()
 	}
 }
 
-// Drop does the same, and cuts short one that is being written: until its last byte it has not been sent. It
-// reports whether nothing of it has been or will be written.
+// Drop revokes the permit and also interrupts an attempt that is being written, since a request is not sent
+// before its last byte. It reports whether nothing of it has been or will be written.
 func (p *Permit) Drop() (unsent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.taken = true
-	if p.stage != whole {
-		p.end()
+	p.revoked = true
+	if p.stage != stageWritten {
+		p.interruptAttempt()
 	}
-	return p.stage == waiting
+	return p.stage == stageWaiting
 }
 
-func (p *Permit) end() {
-	if p.cut != nil {
-		p.cut()
-		p.cut, p.cuts = nil, true
+// interruptAttempt calls interrupt, at most once per stage. The caller holds the lock.
+func (p *Permit) interruptAttempt() {
+	if p.interrupt != nil {
+		p.interrupt()
+		p.interrupt, p.interrupted = nil, true
 	}
 }
--- a/internal/http1/buffer.go
+++ b/internal/http1/buffer.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// PartSize is how much of a long body or answer is passed on at a time.
+// PartSize is the size in bytes of the buffers that pass on the parts of a long request body or answer.
 const PartSize = 16 << 10
 
-var parts = sync.Pool{New: func() any { return new([PartSize]byte) }}
+var bufferPool = sync.Pool{New: func() any { return new([PartSize]byte) }}
 
-// TakePart returns a buffer for one part, to be given back by GivePart.
-func TakePart() *[PartSize]byte { return parts.Get().(*[PartSize]byte) }
+// TakePart returns a buffer for one part. The caller returns it with GivePart.
+func TakePart() *[PartSize]byte { return bufferPool.Get().(*[PartSize]byte) }
 
-// GivePart gives a buffer back.
-func GivePart(part *[PartSize]byte) { parts.Put(part) }
+// GivePart returns a buffer to the pool.
+func GivePart(part *[PartSize]byte) { bufferPool.Put(part) }
--- a/internal/http1/chunks.go
+++ b/internal/http1/chunks.go
@@ -9,64 +9,66 @@
 	"io"
 )
 
-// ChunkReader reads a body in chunks (RFC 9112, section 7.1). Unlike the standard library's it returns what
-// has come, and does not wait until the buffer is full: what comes slowly is to go on as it comes.
+// ChunkReader reads a chunked body (RFC 9112, section 7.1). Unlike the standard library's reader it returns
+// the data that has arrived without waiting until the buffer is full, so that a slow body is passed on as it
+// arrives.
 type ChunkReader struct {
-	r    *bufio.Reader
-	left uint64 // of the present chunk
-	data bool   // a chunk has been read, the end of its line not yet
-	err  error
+	r           *bufio.Reader
+	remaining   uint64 // bytes left in the current chunk
+	needLineEnd bool   // a chunk's data has been read, but not the line end after it
+	err         error
 }
 
 const (
-	chunkLine    = 4 << 10 // bytes of a chunk's first line, with its extensions
-	trailerLines = 64      // of the trailer, each of up to as many bytes
+	maxChunkLine    = 4 << 10 // bytes of a chunk-size line with its extensions, or of a trailer line
+	maxTrailerLines = 64
 )
 
-var errChunk = errors.New("chunks that make no sense")
+var errChunk = errors.New("invalid chunked encoding")
 
-// NewChunkReader reads from r, which is left behind the last chunk and its trailer.
+// NewChunkReader returns a reader of a chunked body from r. At the end of the body r is positioned after the
+// trailer.
 func NewChunkReader(r *bufio.Reader) *ChunkReader { return &ChunkReader{r: r} }
 
-// Read reads what has come of the body; an error stays.
+// Read returns the data that has arrived. Errors are permanent.
 func (c *ChunkReader) Read(p []byte) (n int, err error) {
 	if c.err != nil || len(p) == 0 {
 		return 0, c.err
 	}
-	if c.left == 0 {
+	if c.remaining == 0 {
 		if c.err = c.next(); c.err != nil {
 			return 0, c.err
 		}
 	}
-	n, err = c.r.Read(p[:min(uint64(len(p)), c.left)])
-	c.left -= uint64(n)
-	c.data = true
-	if c.err = unexpected(err); c.err != nil {
+	n, err = c.r.Read(p[:min(uint64(len(p)), c.remaining)])
+	c.remaining -= uint64(n)
+	c.needLineEnd = true
+	if c.err = unexpectedEOF(err); c.err != nil {
 		return n, c.err
 	}
 	return n, nil
 }
 
-// next reads up to the data of the next chunk, or to the end of the trailer: io.EOF.
+// next reads up to the data of the next chunk. It returns io.EOF at the end of the trailer.
 func (c *ChunkReader) next() error {
-	if c.data {
+	if c.needLineEnd {
 		if line, err := c.line(); err != nil || len(line) != 0 {
 			return cmp.Or(err, errChunk)
 		}
-		c.data = false
+		c.needLineEnd = false
 	}
 	line, err := c.line()
 	if err != nil {
 		return err
 	}
 	size, _, _ := bytes.Cut(line, []byte(";"))
-	if c.left, err = hex(bytes.TrimRight(size, " \t")); err != nil {
+	if c.remaining, err = parseHex(bytes.TrimRight(size, " \t")); err != nil {
 		return err
 	}
-	if c.left > 0 {
+	if c.remaining > 0 {
 		return nil
 	}
-	for range trailerLines {
+	for range maxTrailerLines {
 		if line, err = c.line(); err != nil {
 			return err
 		}
@@ -74,26 +76,27 @@
 			return io.EOF
 		}
 	}
-	return fmt.Errorf("%w: a trailer without end", errChunk)
+	return fmt.Errorf("%w: too many trailer lines", errChunk)
 }
 
-// line reads a line without its end.
+// line reads a line and returns it without its line end.
 func (c *ChunkReader) line() ([]byte, error) {
 	line, err := c.r.ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, bufio.ErrBufferFull) {
 			err = errChunk
 		}
-		return nil, unexpected(err)
+		return nil, unexpectedEOF(err)
 	}
-	if len(line) > chunkLine {
+	if len(line) > maxChunkLine {
 		return nil, errChunk
 	}
 	return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
 }
 
-func hex(text []byte) (v uint64, err error) {
-	if len(text) == 0 || len(text) > 15 { // far longer than any body
+// parseHex parses a chunk size.
+func parseHex(text []byte) (v uint64, err error) {
+	if len(text) == 0 || len(text) > 15 { // 15 digits fit into 64 bits and exceed the size of any body
 		return 0, errChunk
 	}
 	for _, b := range text {
@@ -112,8 +115,8 @@
 	return v, nil
 }
 
-// unexpected is the error of an end within a body.
-func unexpected(err error) error {
+// unexpectedEOF replaces io.EOF, which is unexpected within a body, by io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/http1/chunks_test.go
+++ b/internal/http1/chunks_test.go
@@ -11,7 +11,7 @@
 	"testing/iotest"
 )
 
-func TestChunks(t *testing.T) {
+func TestChunkReader(t *testing.T) {
 	for text, want := range map[string]string{
 		"5\r\nhello\r\n0\r\n\r\n": "hello",
 		"0\r\n\r\n":               "",
@@ -35,8 +35,8 @@
 	}
 }
 
-// What has come is returned, though the buffer has room for more.
-func TestChunksAsTheyCome(t *testing.T) {
+// Read returns data that has arrived even if the buffer has room for more.
+func TestChunkReaderReturnsPartialData(t *testing.T) {
 	r, w := io.Pipe()
 	defer w.Close()
 	go io.WriteString(w, "100\r\nhello")
@@ -46,8 +46,8 @@
 	}
 }
 
-// Whatever is read here as a whole body the standard library reads as the same one.
-func FuzzChunks(f *testing.F) {
+// A body that is read here without an error is read by the standard library as the same body.
+func FuzzChunkReader(f *testing.F) {
 	for _, seed := range []string{"5\r\nhello\r\n0\r\n\r\n", "5;x\r\nhello\r\n0\r\nA: b\r\n\r\n", "1\n!\n0\n\n", "F\r\n"} {
 		f.Add([]byte(seed))
 	}
@@ -57,7 +57,8 @@
 			return
 		}
 		want, err := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(raw)))
-		// The library counts what extensions cost and gives up on many; it never reads something else.
+		// The library limits the cost of extensions and fails where there are many; it never returns other
+		// data.
 		if err == nil && !bytes.Equal(got, want) || err != nil && !bytes.HasPrefix(got, want) {
 			t.Errorf("%q: %q, not %q (%v)", raw, got, want, errors.Unwrap(err))
 		}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 holds what fronts and backends that speak HTTP/1.1 hand each other through the core: the
-// request as it goes on and the answer as it came back, and the protocol's headers.
+// Package http1 holds the types that HTTP/1.1 fronts and backends pass to each other through the core, the
+// request to forward and the answer, as well as the protocol's header names.
 package http1
 
 import (
@@ -10,7 +10,7 @@
 	"net/url"
 )
 
-// Headers of the protocol.
+// Header names of the protocol.
 const (
 	ID       = "X-Correlation-Id"
 	Tenant   = "X-Account"
@@ -22,38 +22,40 @@
 	NotRun   = "X-Unprocessed"
 )
 
-// Answer is a backend's answer. What is long comes in two parts: Body is what has come so far, More the rest.
+// Answer is a backend's answer. A long one has two parts: Body is the data that has arrived, More reads the
+// rest.
 type Answer struct {
 	Header http.Header
 	Body   []byte
-	More   io.ReadCloser // nil: Body is all. Its owner must close it; an error but io.EOF: what came is not whole
-	Length int64         // of all of it, with More; -1: not known
+	More   io.ReadCloser // nil: Body is complete. The owner closes it; an error but io.EOF: answer incomplete
+	Length int64         // with More: length of the whole body; -1: unknown
 }
 
-// Discard gives up the rest of an answer that nobody gets.
+// Discard closes the rest of an answer that is not delivered to a client.
 func (a *Answer) Discard() {
 	if a != nil && a.More != nil {
 		a.More.Close()
 	}
 }
 
-// Request is a client's request as it goes on to a backend, but for the time left, which stands between Head and
-// Rest. Attempts share it.
+// Request is a client's request in the form in which it is forwarded, without the header for the time left,
+// which the backend inserts between Head and Rest. Attempts share it.
 type Request struct {
-	Head, Rest []byte // Rest: the other headers and the empty line
-	Body       []byte // all of it, or with Stream its first part
+	Head, Rest []byte // Head: the request line; Rest: the other headers and the empty line
+	Body       []byte // the whole body, or with Stream its first part
 	Stream     *Stream
 	Method     string
 }
 
-// Render writes a request out. The headers must not tell the time left or the body's length. The rest of a
-// body that is not held whole is stream's.
+// Render renders a request for forwarding. The header must contain neither the time left nor the body's
+// length. stream reads the rest of a body that is not buffered as a whole; nil: body is complete.
 func Render(method, target, host string, header http.Header, body []byte, stream *Stream) (*Request, error) {
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
 		return nil, fmt.Errorf("target: %w", err)
 	}
-	// Only the head is wanted of this: it is checked, and written in the order of the standard library.
+	// Only the head of this request is used: it is validated, and written in the order of the standard
+	// library.
 	req := &http.Request{Method: method, URL: u, Host: host, Header: header, Body: http.NoBody}
 	var buf bytes.Buffer
 	if err := req.Write(&buf); err != nil {
--- a/internal/http1/stream.go
+++ b/internal/http1/stream.go
@@ -7,52 +7,53 @@
 	"time"
 )
 
-// Stream is the part of a request's body that is not held: it can be read once, by one attempt. The front that
-// reads it from its client makes it, and waits for its end before it answers.
+// Stream is the part of a request's body that is not buffered. It can be read once, by one attempt. The front
+// that reads the body from its client creates it, and calls Whole before it answers.
 type Stream struct {
-	Length int64         // of the whole body; -1: not known
+	Length int64         // of the whole body; -1: unknown
 	Left   time.Duration // how long the client waits, counted from the body's last byte
 
 	body  io.Reader
-	abort func() // unblocks a Read
+	abort func() // unblocks a pending Read of body
 
-	mu    sync.Mutex
-	state streamState
-	whole bool          // read to its end
-	ended chan struct{} // closed once nobody reads any more
+	mu         sync.Mutex
+	state      streamState
+	complete   bool          // the body was read to its end
+	readerDone chan struct{} // closed when the attempt stops reading
 }
 
 type streamState uint8
 
 const (
-	untouched streamState = iota
-	reading
-	over
+	streamUnread streamState = iota
+	streamReading
+	streamDone
 )
 
-// Errors of a body that can't be read on.
+// Errors of a body that can't be read to its end.
 var (
-	ErrTaken = errors.New("the body has gone to another attempt") // at least in part
+	ErrTaken = errors.New("another attempt has read the body") // at least a part of it
 	ErrBody  = errors.New("the client did not send all of its body")
 )
 
-// NewStream returns the stream of what body holds. Abort has to end a Read that waits.
+// NewStream returns a Stream that reads from body. abort must unblock a pending Read of body.
 func NewStream(body io.Reader, length int64, left time.Duration, abort func()) *Stream {
-	return &Stream{Length: length, Left: left, body: body, abort: abort, ended: make(chan struct{})}
+	return &Stream{Length: length, Left: left, body: body, abort: abort, readerDone: make(chan struct{})}
 }
 
-// Copy passes the body on to one attempt, in parts of up to the buffer's length. ErrTaken: another has begun to.
-// ErrBody: the client failed; any other error is write's.
+// Copy passes the body to one attempt's write, in parts of up to len(buf) bytes. It returns ErrTaken if
+// another attempt has begun to read the body, ErrBody if reading from the client failed, and otherwise the
+// error of write.
 func (s *Stream) Copy(buf []byte, write func([]byte) error) error {
 	s.mu.Lock()
-	if s.state != untouched {
+	if s.state != streamUnread {
 		s.mu.Unlock()
 		return ErrTaken
 	}
-	s.state = reading
+	s.state = streamReading
 	s.mu.Unlock()
-	whole := false
-	defer func() { s.done(whole) }()
+	complete := false
+	defer func() { s.finish(complete) }()
 	for {
 		n, err := s.body.Read(buf)
 		if n > 0 {
@@ -61,7 +62,7 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			whole = true
+			complete = true
 			return nil
 		}
 		if err != nil {
@@ -70,26 +71,27 @@
 	}
 }
 
-func (s *Stream) done(whole bool) {
+// finish records that the attempt has stopped reading, and whether it read the body to its end.
+func (s *Stream) finish(complete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.state, s.whole = over, whole
-	close(s.ended)
+	s.state, s.complete = streamDone, complete
+	close(s.readerDone)
 }
 
-// Whole ends the reading and reports whether the body had been read to its end by then.
+// Whole ends the reading and reports whether the body had been read to its end.
 func (s *Stream) Whole() bool {
 	s.mu.Lock()
 	was := s.state
-	if was == untouched {
-		s.state = over
+	if was == streamUnread {
+		s.state = streamDone
 	}
 	s.mu.Unlock()
-	if was == reading {
+	if was == streamReading {
 		s.abort()
-		<-s.ended
+		<-s.readerDone
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.whole
+	return s.complete
 }
--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -1,4 +1,4 @@
-// Package peek looks at what has come on a connection without taking it.
+// Package peek reports the state of a connection without reading from it.
 package peek
 
 import (
@@ -9,17 +9,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what a look finds.
+// State is the state of a connection as Look finds it.
 type State uint8
 
 const (
-	Broken  State = iota // the other side has closed it, or it is broken
+	Broken  State = iota // closed by the peer, or failed
 	Silent               // open, with nothing to read
-	Waiting              // bytes wait to be read
+	Waiting              // open, with bytes to read
 )
 
-// Look reports what waits on a connection of the operating system's. It never blocks and doesn't
-// heed deadlines.
+// Look returns the state of an operating system connection. It never blocks and ignores deadlines.
 func Look(nc net.Conn) State {
 	sys, ok := nc.(syscall.Conn)
 	if !ok {
@@ -29,26 +28,26 @@
 	if err != nil {
 		return Broken
 	}
-	found := Broken
+	state := Broken
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err == nil && n > 0:
-			found = Waiting
+			state = Waiting
 		case errors.Is(err, syscall.EAGAIN):
-			found = Silent
+			state = Silent
 		}
 	})
 	if err != nil {
 		return Broken
 	}
-	return found
+	return state
 }
 
-// HungUp reports whether the other side has ended its sending, or the connection is broken, whatever waits to be read
-// before that. false also where the system can't tell.
-func HungUp(nc net.Conn) (gone bool) {
+// HungUp reports whether the peer has closed its sending side, or the connection has failed, even if there
+// are still bytes to read. It returns false if nc is not an operating system connection.
+func HungUp(nc net.Conn) (closed bool) {
 	sys, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
@@ -58,16 +57,16 @@
 		return true
 	}
 	err = raw.Control(func(fd uintptr) {
-		look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		if n, err := unix.Poll(look, 0); err == nil && n > 0 {
-			gone = look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		if n, err := unix.Poll(fds, 0); err == nil && n > 0 {
+			closed = fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 		}
 	})
-	return gone || err != nil
+	return closed || err != nil
 }
 
-// Unsent is how many bytes that were written have not yet been acknowledged by the other side; 0
-// also where the system can't tell.
+// Unsent returns the number of written bytes that the peer has not acknowledged yet, or 0 if the system can't
+// tell.
 func Unsent(nc net.Conn) (n int) {
 	sys, ok := nc.(syscall.Conn)
 	if !ok {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,10 +1,10 @@
-// Package pool lays over the list of backends what else is known of them: that one took leave by
-// itself, that staff took one out, that one was put back. What the decision module is told is a list like any
-// other. The package performs no I/O, has no clock and starts no goroutine; a Pool belongs to whoever owns the
-// decision module.
+// Package pool combines the list of backends with overrides from other sources: backends that announced their
+// leave, backends and zones that operators excluded, and backends that were included again. The decision
+// module gets the result in the form of an ordinary list. The package performs no I/O, has no clock and
+// starts no goroutine; a Pool belongs to the owner of the decision module.
 //
-// Bounds: what is known of a backend is kept while it is listed; those that staff took out are kept until they
-// are put back, MaxOut of them at the most.
+// Bounds: the state of a backend is kept while it is listed. Excluded backends are kept until they are
+// included again, at most MaxOut of them.
 package pool
 
 import (
@@ -18,123 +18,126 @@
 	"lemonrail/balance"
 )
 
-// MaxOut is how many backends may be out by hand at a time.
+// MaxOut is the maximum number of backends that may be manually excluded at a time.
 const MaxOut = 1024
 
-// Reasons for which a call is owed a no.
+// Errors of Exclude and Include.
 var (
 	ErrUnknown = errors.New("unknown backend")
-	ErrTooMany = fmt.Errorf("more than %d backends are out", MaxOut)
+	ErrTooMany = fmt.Errorf("more than %d backends are excluded", MaxOut)
 )
 
-// Pool is what is known of the backends beside what the decision module makes of them.
+// Pool holds the listed backends and their overrides. It is not safe for concurrent use.
 type Pool struct {
-	listed map[string]balance.Backend // as the list has it
-	leaves map[string]bool            // of these, servers that said themselves that they want nothing new
-	out    map[string]bool            // taken out by hand, listed or not
-	back   map[string]time.Duration   // of those listed, put back by hand, and when
-	backs  map[string]time.Duration   // the same as adopted, listed or not
-	zones  map[int]bool               // taken out by hand as a whole
+	listed            map[string]balance.Backend // as listed by discovery
+	leaving           map[string]bool            // listed backends that announced that they accept no new requests
+	excluded          map[string]bool            // manually excluded, listed or not
+	includedAt        map[string]time.Duration   // listed backends that were manually included again, and when
+	adoptedIncludedAt map[string]time.Duration   // as passed to ReplaceExcluded, listed or not
+	excludedZones     map[int]bool               // zones that are manually excluded as a whole
 }
 
 // New returns an empty pool.
 func New() *Pool {
-	return &Pool{listed: map[string]balance.Backend{}, leaves: map[string]bool{}, out: map[string]bool{},
-		back: map[string]time.Duration{}, zones: map[int]bool{}}
+	return &Pool{listed: map[string]balance.Backend{}, leaving: map[string]bool{}, excluded: map[string]bool{},
+		includedAt: map[string]time.Duration{}, excludedZones: map[int]bool{}}
 }
 
-// Listed takes a list from discovery and returns it as the decision module is to have it.
-func (p *Pool) Listed(list balance.List) balance.List {
+// ApplyList takes a list from discovery and returns it with the overrides applied, for the decision module.
+func (p *Pool) ApplyList(list balance.List) balance.List {
 	before := p.listed
 	if list.Kind == balance.ListFull || list.Kind == balance.ListCached {
 		p.listed = map[string]balance.Backend{}
 	}
-	seen := slices.Clone(list.Backends)
-	for i, b := range seen {
+	entries := slices.Clone(list.Backends)
+	for i, b := range entries {
 		if b.State == balance.Gone {
-			p.drop(b.ID)
+			p.forget(b.ID)
 			continue
 		}
-		if b.Started > before[b.ID].Started { // another process than the one that took leave
-			delete(p.leaves, b.ID)
+		if b.Started > before[b.ID].Started { // a new process, not the one that announced its leave
+			delete(p.leaving, b.ID)
 		}
 		p.listed[b.ID] = b
-		if at := p.backs[b.ID]; at > p.back[b.ID] {
-			p.back[b.ID] = at
+		if at := p.adoptedIncludedAt[b.ID]; at > p.includedAt[b.ID] {
+			p.includedAt[b.ID] = at
 		}
-		seen[i] = p.seen(b)
+		entries[i] = p.effective(b)
 	}
 	for id := range before {
 		if _, known := p.listed[id]; !known {
-			p.drop(id)
+			p.forget(id)
 		}
 	}
-	list.Backends = seen
+	list.Backends = entries
 	return list
 }
 
-func (p *Pool) drop(id string) {
+// forget drops the state of a backend that is no longer listed, except for a manual exclusion.
+func (p *Pool) forget(id string) {
 	delete(p.listed, id)
-	delete(p.leaves, id)
-	delete(p.back, id)
+	delete(p.leaving, id)
+	delete(p.includedAt, id)
 }
 
-// seen is a listed backend as the decision module is to see it.
-func (p *Pool) seen(b balance.Backend) balance.Backend {
-	if p.leaves[b.ID] || p.out[b.ID] || p.zones[b.Zone] {
+// effective returns a listed backend with the overrides applied.
+func (p *Pool) effective(b balance.Backend) balance.Backend {
+	if p.leaving[b.ID] || p.excluded[b.ID] || p.excludedZones[b.Zone] {
 		b.State = balance.Draining
 	}
-	b.Started = max(b.Started, p.back[b.ID])
+	b.Started = max(b.Started, p.includedAt[b.ID])
 	return b
 }
 
-// Change is what the decision module is told of one backend, nil if nothing changes for it.
+// Change holds the backends whose state for the decision module changed, with overrides applied; nil if none
+// did.
 type Change []balance.Backend
 
+// change returns the Change of one backend, nil if it is not listed.
 func (p *Pool) change(id string) Change {
 	if b, known := p.listed[id]; known {
-		return Change{p.seen(b)}
+		return Change{p.effective(b)}
 	}
 	return nil
 }
 
-// Leaves takes note that a backend said itself that it wants nothing new, or that it is back; the list may
-// say for seconds yet that it is up.
-func (p *Pool) Leaves(id string, leaves bool) Change {
-	if _, known := p.listed[id]; !known || p.leaves[id] == leaves {
+// SetLeaving records that a backend announced that it accepts no new requests, or that it is back. The list
+// may still show it as up for seconds.
+func (p *Pool) SetLeaving(id string, leaving bool) Change {
+	if _, known := p.listed[id]; !known || p.leaving[id] == leaving {
 		return nil
 	}
-	if leaves {
-		p.leaves[id] = true
+	if leaving {
+		p.leaving[id] = true
 	} else {
-		delete(p.leaves, id)
+		delete(p.leaving, id)
 	}
 	return p.change(id)
 }
 
-// Exclude takes a backend out until Include. A second call changes nothing.
+// Exclude excludes a backend until Include. A second call has no effect.
 func (p *Pool) Exclude(id string) (Change, error) {
 	switch _, known := p.listed[id]; {
-	case p.out[id]:
+	case p.excluded[id]:
 		return nil, nil
 	case !known:
 		return nil, fmt.Errorf("%q: %w", id, ErrUnknown)
-	case len(p.out) >= MaxOut:
+	case len(p.excluded) >= MaxOut:
 		return nil, ErrTooMany
 	}
-	p.out[id] = true
+	p.excluded[id] = true
 	return p.change(id), nil
 }
 
-// Include puts a backend back at a time. Guards against a cold one that is taken for warm: it may have been
-// started anew just now, and the list tells so seconds late.
+// Include ends the exclusion of a backend, which then counts as started now. Otherwise a cold backend would
+// be taken for warm: it may have been restarted just now, which the list shows only seconds later.
 func (p *Pool) Include(id string, now time.Duration) (Change, error) {
 	_, known := p.listed[id]
 	switch {
-	case p.out[id]:
-		delete(p.out, id)
+	case p.excluded[id]:
+		delete(p.excluded, id)
 		if known {
-			p.back[id] = now
+			p.includedAt[id] = now
 		}
 		return p.change(id), nil
 	case !known:
@@ -143,109 +146,112 @@
 	return nil, nil
 }
 
-// ExcludeZone takes a zone out as a whole, those of its backends that are listed later too, or puts it back at a time.
-func (p *Pool) ExcludeZone(zone int, out bool, now time.Duration) (c Change) {
-	if p.zones[zone] == out {
+// ExcludeZone excludes a zone as a whole, with the backends that are listed later, or includes it again at
+// now.
+func (p *Pool) ExcludeZone(zone int, exclude bool, now time.Duration) (c Change) {
+	if p.excludedZones[zone] == exclude {
 		return nil
 	}
-	if out {
-		p.zones[zone] = true
-		return p.ofZone(zone)
+	if exclude {
+		p.excludedZones[zone] = true
+		return p.zoneChange(zone)
 	}
-	delete(p.zones, zone)
-	return p.Restarted(zone, now)
+	delete(p.excludedZones, zone)
+	return p.MarkZoneRestarted(zone, now)
 }
 
-// Restarted has a zone's listed backends count as started at a time: it was away as a whole, and is cold.
-func (p *Pool) Restarted(zone int, now time.Duration) Change {
+// MarkZoneRestarted makes a zone's listed backends count as started at now: the whole zone was away, so they
+// are cold.
+func (p *Pool) MarkZoneRestarted(zone int, now time.Duration) Change {
 	for id, b := range p.listed {
 		if b.Zone == zone {
-			p.back[id] = max(p.back[id], now)
+			p.includedAt[id] = max(p.includedAt[id], now)
 		}
 	}
-	return p.ofZone(zone)
+	return p.zoneChange(zone)
 }
 
-// ofZone is what the module is told of a zone's backends, in the order of their ids.
-func (p *Pool) ofZone(zone int) (c Change) {
+// zoneChange returns a zone's listed backends with overrides applied, ordered by id.
+func (p *Pool) zoneChange(zone int) (c Change) {
 	for _, b := range p.listed {
 		if b.Zone == zone {
-			c = append(c, p.seen(b))
+			c = append(c, p.effective(b))
 		}
 	}
 	slices.SortFunc(c, func(a, b balance.Backend) int { return cmp.Compare(a.ID, b.ID) })
 	return c
 }
 
-// ZonesOut lists the zones that are out by hand, sorted.
-func (p *Pool) ZonesOut() []int { return slices.Sorted(maps.Keys(p.zones)) }
+// ExcludedZones lists the manually excluded zones, sorted.
+func (p *Pool) ExcludedZones() []int { return slices.Sorted(maps.Keys(p.excludedZones)) }
 
-// AdoptZones takes over which zones are out, and puts the others back at a time.
-func (p *Pool) AdoptZones(out []int, now time.Duration) (c Change) {
-	for _, z := range p.ZonesOut() {
-		if !slices.Contains(out, z) {
+// ReplaceExcludedZones replaces the set of excluded zones. Zones that are no longer in it are included again
+// at now.
+func (p *Pool) ReplaceExcludedZones(excluded []int, now time.Duration) (c Change) {
+	for _, z := range p.ExcludedZones() {
+		if !slices.Contains(excluded, z) {
 			c = append(c, p.ExcludeZone(z, false, now)...)
 		}
 	}
-	for _, z := range out {
+	for _, z := range excluded {
 		c = append(c, p.ExcludeZone(z, true, now)...)
 	}
 	return c
 }
 
-// Known reports whether a backend is listed or out.
+// Known reports whether a backend is listed or manually excluded.
 func (p *Pool) Known(id string) bool {
 	_, known := p.listed[id]
-	return known || p.out[id]
+	return known || p.excluded[id]
 }
 
-// Adopt takes over which backends are out, where several processes act as one: those in out are, whether listed
-// or not, and no others. Back says when some were put back.
-func (p *Pool) Adopt(out []string, back map[string]time.Duration) (c Change) {
-	before := p.out
-	p.out = map[string]bool{}
-	for _, id := range out {
-		if p.out[id] = true; !before[id] {
+// ReplaceExcluded replaces the set of excluded backends, listed or not, where several processes act as one.
+// includedAt holds the times at which backends were included again.
+func (p *Pool) ReplaceExcluded(excluded []string, includedAt map[string]time.Duration) (c Change) {
+	before := p.excluded
+	p.excluded = map[string]bool{}
+	for _, id := range excluded {
+		if p.excluded[id] = true; !before[id] {
 			c = append(c, p.change(id)...)
 		}
 	}
-	for id, at := range back {
-		if _, known := p.listed[id]; known && p.back[id] < at {
-			p.back[id] = at
+	for id, at := range includedAt {
+		if _, known := p.listed[id]; known && p.includedAt[id] < at {
+			p.includedAt[id] = at
 		}
 	}
-	p.backs = back
+	p.adoptedIncludedAt = includedAt
 	for id := range before {
-		if !p.out[id] {
+		if !p.excluded[id] {
 			c = append(c, p.change(id)...)
 		}
 	}
 	return c
 }
 
-// Out lists the backends that are out by hand, sorted.
-func (p *Pool) Out() []string {
-	ids := make([]string, 0, len(p.out))
-	for id := range p.out {
+// Excluded lists the manually excluded backends, sorted.
+func (p *Pool) Excluded() []string {
+	ids := make([]string, 0, len(p.excluded))
+	for id := range p.excluded {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// IsOut reports whether a backend is out by hand.
-func (p *Pool) IsOut(id string) bool { return p.out[id] }
+// IsExcluded reports whether a backend is manually excluded.
+func (p *Pool) IsExcluded(id string) bool { return p.excluded[id] }
 
-// ListedOut lists those of them that the list names.
-func (p *Pool) ListedOut() []string {
-	return slices.DeleteFunc(p.Out(), func(id string) bool { _, known := p.listed[id]; return !known })
+// ListedExcluded lists the manually excluded backends that are listed, sorted.
+func (p *Pool) ListedExcluded() []string {
+	return slices.DeleteFunc(p.Excluded(), func(id string) bool { _, known := p.listed[id]; return !known })
 }
 
-// Takes reports whether a backend takes new requests, as the decision module is told.
-func (p *Pool) Takes(id string) bool {
+// AcceptsRequests reports whether a backend accepts new requests, with overrides applied.
+func (p *Pool) AcceptsRequests(id string) bool {
 	b, known := p.listed[id]
-	return known && p.seen(b).State == balance.Up
+	return known && p.effective(b).State == balance.Up
 }
 
-// Size is how many backends are listed.
+// Size returns the number of listed backends.
 func (p *Pool) Size() int { return len(p.listed) }
--- a/internal/roster/failures_test.go
+++ b/internal/roster/failures_test.go
@@ -24,56 +24,57 @@
 	"lemonrail/internal/wire"
 )
 
-// toldWithin is the time after which a change counts as told, from the moment on in which discovery had it and could be
-// reached, whatever call failed before.
-const toldWithin = 6 * time.Second
+// maxPropagation is the time within which the agent must know a change, from the moment when discovery had it
+// and was reachable, whatever calls failed before.
+const maxPropagation = 6 * time.Second
 
-// Ways in which a call to discovery fails, or comes to nothing.
+// failure is a way in which a call to discovery fails or brings no list.
 type failure int
 
 const (
-	refused    failure = iota // no connection
-	hungDial                  // the connection neither comes up nor is refused
-	hung                      // it comes up, and nothing is answered
-	hungHead                  // the head of the answer is cut short, and nothing follows
-	hungBody                  // the head comes, and nothing follows
-	overloaded                // 503, after a time
-	resetHead                 // reset before the head
-	resetBody                 // the list breaks off in the middle
-	trickling                 // a list comes byte by byte and never ends
-	stalled                   // a list begins, goes on just before it would be given up, and stops
-	silenced                  // a heartbeat, then nothing
-	nonsense                  // what comes is no list
-	failures
+	refused              failure = iota // the connection is refused
+	dialHangs                           // the connection is neither established nor refused
+	answerHangs                         // the connection is established, without a response
+	headHangs                           // the response header is cut short, and nothing follows
+	bodyHangs                           // the response header is sent, and nothing follows
+	overloaded                          // 503 after a delay
+	resetHead                           // the connection is reset before the response header
+	resetBody                           // the connection is reset within the list
+	trickling                           // the list arrives byte by byte and never ends
+	stalled                             // the list begins, continues just before its timeout, and stops
+	silentAfterHeartbeat                // a heartbeat, then nothing
+	invalidList                         // the response is not a valid list
+	failureKinds
 )
 
-// flaky is a discovery whose calls fail in a seeded order until it can be reached. It lives on the test's clock.
-type flaky struct {
+// flakyDiscovery is a discovery service whose calls fail in a seeded order until it is reachable. It runs in
+// the test's synctest bubble.
+type flakyDiscovery struct {
 	rng   *rand.Rand
-	calls []failure // that were made, for the report
+	calls []failure // failed calls since takeFailures
 
-	mu     sync.Mutex
-	up     bool
-	seq    int64
-	tell   chan struct{} // closed with each change
-	broken chan struct{} // closed when what is open falls silent
-	slow   time.Duration // after which a call is answered
+	mu            sync.Mutex
+	reachable     bool
+	seq           int64
+	changed       chan struct{} // closed with each change
+	unreachable   chan struct{} // closed when the service becomes unreachable
+	responseDelay time.Duration
 }
 
-// dial is a call's connection: the other end answers as it will.
-func (f *flaky) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+// dial returns the client's end of a connection, and answers the call at the other end.
+func (f *flakyDiscovery) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	f.mu.Lock()
-	way, up := failure(f.rng.IntN(int(failures))), f.up
+	kind, up := failure(f.rng.IntN(int(failureKinds))), f.reachable
 	if !up {
-		f.calls = append(f.calls, way)
+		f.calls = append(f.calls, kind)
 	}
 	delay := time.Duration(f.rng.Int64N(int64(2 * time.Second)))
 	f.mu.Unlock()
 	switch {
 	case up:
-	case way == refused:
+	case kind == refused:
 		return nil, errors.New("connection refused")
-	case way == hungDial:
+	case kind == dialHangs:
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -84,16 +85,16 @@
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
-		gone := make(chan struct{})
+		callerClosed := make(chan struct{})
 		go func() {
-			io.Copy(io.Discard, r) // until the caller's end
-			close(gone)
+			io.Copy(io.Discard, r) // until the caller closes its end
+			close(callerClosed)
 		}()
 		if up {
-			time.Sleep(f.slow)
-			f.serve(theirs, gone)
+			time.Sleep(f.responseDelay)
+			f.serve(theirs, callerClosed)
 		} else {
-			fail(theirs, gone, way, delay)
+			fail(theirs, callerClosed, kind, delay)
 		}
 	}()
 	return mine, nil
@@ -103,17 +104,18 @@
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// fail answers a call in a way that comes to nothing. It returns when the caller has gone, or at once where it resets.
-func fail(c net.Conn, gone <-chan struct{}, way failure, delay time.Duration) {
+// fail answers a call with a failure. It returns when the caller has closed the connection, or at once to
+// reset it.
+func fail(c net.Conn, callerClosed <-chan struct{}, kind failure, delay time.Duration) {
 	write := func(text string) bool {
 		_, err := io.WriteString(c, text)
 		return err == nil
 	}
-	list := roll(99, true, entry("h1", "a", "m1", "ready"))
-	switch way {
-	case hungHead:
+	list := listJSON(99, true, entryJSON("h1", "a", "m1", "ready"))
+	switch kind {
+	case headHangs:
 		write(answerHead[:20])
-	case hungBody:
+	case bodyHangs:
 		write(answerHead)
 	case overloaded:
 		time.Sleep(delay)
@@ -132,18 +134,18 @@
 		}
 	case stalled:
 		write(answerHead + chunk(list[:10]))
-		time.Sleep(silence - 10*time.Millisecond)
+		time.Sleep(silenceTimeout - 10*time.Millisecond)
 		write(chunk(list[10:20]))
-	case silenced:
+	case silentAfterHeartbeat:
 		write(answerHead + chunk("\n"))
-	case nonsense:
+	case invalidList:
 		write(answerHead + chunk("{\"seq\":\"many\"}\n"))
 	}
-	<-gone
+	<-callerClosed
 }
 
-// serve answers a call as it should: with the list, a heartbeat every 2 s, and each change.
-func (f *flaky) serve(c net.Conn, gone <-chan struct{}) {
+// serve answers a call properly: with the list, a heartbeat every 2 s, and each change.
+func (f *flakyDiscovery) serve(c net.Conn, callerClosed <-chan struct{}) {
 	write := func(text string) bool {
 		_, err := io.WriteString(c, text)
 		return err == nil
@@ -151,20 +153,20 @@
 	if !write(answerHead) {
 		return
 	}
-	for told := int64(-1); ; {
+	for sent := int64(-1); ; {
 		f.mu.Lock()
-		seq, tell, broken := f.seq, f.tell, f.broken
+		seq, changed, unreachable := f.seq, f.changed, f.unreachable
 		f.mu.Unlock()
-		if seq != told && !write(chunk(roll(int(seq), true, entry("h1", "a", "m1", "ready"))+"\n")) {
+		if seq != sent && !write(chunk(listJSON(int(seq), true, entryJSON("h1", "a", "m1", "ready"))+"\n")) {
 			return
 		}
-		told = seq
+		sent = seq
 		select {
-		case <-tell:
-		case <-broken: // it stays open and says nothing more
-			<-gone
+		case <-changed:
+		case <-unreachable: // the connection stays open without data
+			<-callerClosed
 			return
-		case <-gone:
+		case <-callerClosed:
 			return
 		case <-time.After(2 * time.Second):
 			if !write(chunk("\n")) {
@@ -174,28 +176,28 @@
 	}
 }
 
-// change has discovery hold another version of the list.
-func (f *flaky) change() (seq int64) {
+// change creates another version of the list.
+func (f *flakyDiscovery) change() (seq int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seq++
-	close(f.tell)
-	f.tell = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 	return f.seq
 }
 
-// reach says whether calls that are made from now on are answered. Those that are open fall silent when it can't be
-// reached any more, and stay so.
-func (f *flaky) reach(up bool) {
+// setReachable sets whether new calls are answered. Open calls fall silent for good when the service becomes
+// unreachable.
+func (f *flakyDiscovery) setReachable(up bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.up = up; !up {
-		close(f.broken)
-		f.broken = make(chan struct{})
+	if f.reachable = up; !up {
+		close(f.unreachable)
+		f.unreachable = make(chan struct{})
 	}
 }
 
-// follower is a client with, where lists are asked for, the real decision module, which says when.
+// follower is a client and, where lists are requested on demand, the decision module that requests them.
 type follower struct {
 	mu    sync.Mutex
 	d     *Client
@@ -223,39 +225,40 @@
 	}
 }
 
-func (f *follower) knows() int64 {
+func (f *follower) knownVersion() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.known
 }
 
-// askedSettings are those of a fleet that asks for its lists.
-func askedSettings(agents int) balance.Settings {
+// onDemandSettings are the settings of a fleet that requests its lists on demand.
+func onDemandSettings(agents int) balance.Settings {
 	return balance.Settings{Balancers: agents, Zones: 2, Kinds: 2, Subscribe: true, AskWithin: 10 * time.Second, MaxAttempts: 3,
 		Tick: 5 * time.Millisecond, ConnectTimeout: time.Second, AnswerGrace: 20 * time.Millisecond, ColdShare: 0.3, FallMultiple: 3,
 		FallWindow: time.Second, RampTime: time.Second, DrainGrace: 500 * time.Millisecond,
 		Classes: []balance.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}
 }
 
-// playFailures plays one seeded order of failures, several outages long, and returns what went wrong.
-func playFailures(t *testing.T, seed uint64, agents int) (wrong string) {
+// simulateFailures runs several outages with a seeded order of failures and returns a description of the
+// problem, if any.
+func simulateFailures(t *testing.T, seed uint64, agents int) (problem string) {
 	synctest.Test(t, func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(seed, uint64(agents)))
-		service := &flaky{rng: rng, tell: make(chan struct{}), broken: make(chan struct{}), seq: 1}
+		service := &flakyDiscovery{rng: rng, changed: make(chan struct{}), unreachable: make(chan struct{}), seq: 1}
 		ctx, stop := context.WithCancel(t.Context())
-		if agents == 0 && seed%3 == 0 { // where lists are asked for, a call that waits has more time
-			service.slow = time.Duration(rng.Int64N(int64(1900 * time.Millisecond)))
+		if agents == 0 && seed%3 == 0 { // not on demand, where calls have a longer timeout
+			service.responseDelay = time.Duration(rng.Int64N(int64(1900 * time.Millisecond)))
 		}
 		f := &follower{start: time.Now()}
 		f.d = New(ctx, Config{Service: netip.MustParseAddrPort("127.0.0.1:1"), Ask: agents > 0, Names: wire.Names{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}},
 			func(l balance.List, _ map[string]string) { f.step(l) }, slog.New(slog.DiscardHandler))
 		f.d.http.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, f.d.patience()) // as the client's own
+			ctx, cancel := context.WithTimeout(ctx, f.d.currentOpenTimeout()) // like Client.dial
 			defer cancel()
 			return service.dial(ctx, network, address)
 		}
 		if agents > 0 {
-			bal, err := balance.New(askedSettings(agents), seed)
+			bal, err := balance.New(onDemandSettings(agents), seed)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -264,44 +267,44 @@
 		} else {
 			go f.d.Run()
 		}
-		// A new process that asks for its lists may take its time for the first call: a failure has yet to come.
+		// On demand, a new process may delay its first call, since no call has failed before.
 		time.Sleep(10 * time.Second)
 		for range 4 {
-			within := func(longest time.Duration) time.Duration { return time.Duration(service.random(int64(longest))) }
-			time.Sleep(within(12 * time.Second))
-			before := service.since()
+			random := func(longest time.Duration) time.Duration { return time.Duration(service.random(int64(longest))) }
+			time.Sleep(random(12 * time.Second))
+			failed := service.takeFailures()
 			var seq int64
-			if within(2) == 0 { // it had the change before it could be reached, or has it some time later
+			if random(2) == 0 { // the change is made before the service is reachable, or some time after
 				seq = service.change()
-				service.reach(true)
+				service.setReachable(true)
 			} else {
-				service.reach(true)
-				time.Sleep(within(8 * time.Second))
+				service.setReachable(true)
+				time.Sleep(random(8 * time.Second))
 				seq = service.change()
 			}
-			time.Sleep(toldWithin)
+			time.Sleep(maxPropagation)
 			synctest.Wait()
-			if known := f.knows(); known < seq {
-				wrong = fmt.Sprintf("%v after the change the module knows version %d of %d; calls that failed before: %v", toldWithin, known, seq, before)
+			if known := f.knownVersion(); known < seq {
+				problem = fmt.Sprintf("%v after the change the module knows version %d of %d; calls that failed before: %v", maxPropagation, known, seq, failed)
 				break
 			}
-			service.reach(false)
+			service.setReachable(false)
 		}
 		stop()
 		synctest.Wait()
-		time.Sleep(time.Minute) // what is open ends
+		time.Sleep(time.Minute) // until all calls have ended
 	})
-	return wrong
+	return problem
 }
 
-func (f *flaky) random(n int64) int64 {
+func (f *flakyDiscovery) random(n int64) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rng.Int64N(n)
 }
 
-// since is what calls have failed since it was last asked.
-func (f *flaky) since() []failure {
+// takeFailures returns the calls that have failed since the last takeFailures.
+func (f *flakyDiscovery) takeFailures() []failure {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	calls := f.calls
@@ -309,23 +312,24 @@
 	return calls
 }
 
-// Whatever calls were refused, hung or answered in part, in whatever order, and whether lists are pushed or asked for by a
-// small fleet or a large one, by a service that may be slow: 6 s after discovery had a change and could be reached, the module knows it.
-func TestToldWhateverCallFailed(t *testing.T) {
+// Guards against changes that become known late after failures: whatever calls were refused, hung or answered
+// in part, in any order, with lists that are pushed or requested on demand by a small or large fleet, from a
+// service that may be slow, the module knows a change 6 s after discovery had it and was reachable.
+func TestChangeIsKnownAfterFailures(t *testing.T) {
 	seeds := uint64(300)
 	if one := os.Getenv("SEED"); one != "" {
-		var first uint64
-		fmt.Sscan(one, &first)
-		if wrong := playFailures(t, first, agentsOf(first)); wrong != "" {
-			t.Error(wrong)
+		var only uint64
+		fmt.Sscan(one, &only)
+		if problem := simulateFailures(t, only, agentsForSeed(only)); problem != "" {
+			t.Error(problem)
 		}
 		return
 	}
 	failed := 0
 	for seed := range seeds {
-		if wrong := playFailures(t, seed, agentsOf(seed)); wrong != "" {
+		if problem := simulateFailures(t, seed, agentsForSeed(seed)); problem != "" {
 			if failed++; failed <= 5 {
-				t.Errorf("seed %d, %d agents that ask: %s\nto see it again: SEED=%d go test -run TestToldWhateverCallFailed ./internal/roster", seed, agentsOf(seed), wrong, seed)
+				t.Errorf("seed %d, %d agents with lists on demand: %s\nto repeat: SEED=%d go test -run TestChangeIsKnownAfterFailures ./internal/roster", seed, agentsForSeed(seed), problem, seed)
 			}
 		}
 	}
@@ -334,17 +338,17 @@
 	}
 }
 
-// agentsOf is how many agents ask for their lists on a seed; 0: lists are pushed.
-func agentsOf(seed uint64) int { return []int{0, 0, 1, 5, 60, 300}[seed%6] }
+// agentsForSeed returns the number of agents that request lists on demand with a seed; 0: lists are pushed.
+func agentsForSeed(seed uint64) int { return []int{0, 0, 1, 5, 60, 300}[seed%6] }
 
-// A service where connections neither come up nor are refused holds few descriptors, however often it is called: a dial
-// ends with its call.
+// Guards against dials that outlive their calls, which would use up the descriptors if connections to the
+// service are neither established nor refused.
 func TestDialsEndWithTheirCalls(t *testing.T) {
 	silent := scripted.Silent(t)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	d := New(ctx, Config{Service: netip.MustParseAddrPort(silent)}, func(balance.List, map[string]string) {}, slog.New(slog.DiscardHandler))
-	d.opening, d.silence = 20*time.Millisecond, 20*time.Millisecond
+	d.openTimeout, d.silenceTimeout = 20*time.Millisecond, 20*time.Millisecond
 	calls := make(chan struct{}, 1000)
 	dial := d.http.Transport.(*http.Transport).DialContext
 	d.http.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -355,13 +359,13 @@
 	for range 15 {
 		await(t, calls)
 	}
-	if n := dialling(t, silent); n > 3 {
-		t.Errorf("%d dials are out after 15 calls that were given up", n)
+	if n := pendingDials(t, silent); n > 3 {
+		t.Errorf("%d dials are pending after 15 calls that were given up", n)
 	}
 }
 
-// dialling counts the connections to an address that have yet to come up.
-func dialling(t *testing.T, address string) (n int) {
+// pendingDials counts the connections to an address that are not established yet.
+func pendingDials(t *testing.T, address string) (n int) {
 	t.Helper()
 	const synSent = "02"
 	raw, err := os.ReadFile("/proc/self/net/tcp")
--- a/internal/roster/file.go
+++ b/internal/roster/file.go
@@ -15,25 +15,26 @@
 	"lemonrail/internal/wire"
 )
 
-// Servers is a file such as deploy/servers.toml: the list of backends where there is no discovery.
+// Servers is the content of a file such as deploy/servers.toml, the list of backends where there is no
+// discovery.
 type Servers struct {
 	Servers []Server `toml:"server"`
 }
 
-// Server is one backend.
+// Server is one backend of a file.
 type Server struct {
-	Host    string  `toml:"host"`    // its id
-	Address string  `toml:"address"` // and port
-	Site    string  `toml:"site"`    // of the settings' names; empty: the first
-	Class   string  `toml:"class"`   // the same
-	Block   int     `toml:"block"`   // a small group that drops repeats together
-	Weight  float64 `toml:"weight"`  // 0: 1
+	Host    string  `toml:"host"`    // the backend's id
+	Address string  `toml:"address"` // IP address and port
+	Site    string  `toml:"site"`    // one of the settings' zone names; empty: the first
+	Class   string  `toml:"class"`   // one of the settings' kind names; empty: the first
+	Block   int     `toml:"block"`   // the backend's cell, a small group that drops repeated requests together
+	Weight  float64 `toml:"weight"`  // 0: the default of 1
 	State   string  `toml:"state"`   // ready or draining; empty: ready
 }
 
-const mostServers = 4096
+const maxServers = 4096
 
-// ReadServers reads and checks a file. Errors name it, the line and the key.
+// ReadServers reads and checks a file. Errors name the file, the line and the key.
 func ReadServers(path string, names wire.Names) (List, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -42,112 +43,114 @@
 	return ParseServers(path, raw, names)
 }
 
-// ParseServers checks the text of a file.
+// ParseServers parses and checks the content of a file, which errors refer to as file.
 func ParseServers(file string, raw []byte, names wire.Names) (List, error) {
 	var f Servers
 	if err := strict.Decode(file, raw, &f); err != nil {
 		return List{}, err
 	}
-	if n := len(f.Servers); n == 0 || n > mostServers {
-		return List{}, fmt.Errorf("%s: server: %d of them, between 1 and %d are needed", file, n, mostServers)
+	if n := len(f.Servers); n == 0 || n > maxServers {
+		return List{}, fmt.Errorf("%s: server: %d entries, want between 1 and %d", file, n, maxServers)
 	}
 	l := List{Seq: 1, Whole: true}
 	for i, s := range f.Servers {
-		bad := func(key string, v any, what string) (List, error) {
-			return List{}, fmt.Errorf("%s: line %d: server.%s: %v %s", file, strict.Table(raw, "server", i), key, v, what)
+		invalid := func(key string, v any, problem string) (List, error) {
+			return List{}, fmt.Errorf("%s: line %d: server.%s: %v %s", file, strict.Table(raw, "server", i), key, v, problem)
 		}
 		h := Host{Host: s.Host, Dial: s.Address, Site: s.Site, Class: s.Class, Block: s.Block, Health: cmp.Or(s.State, "ready"), Share: cmp.Or(s.Weight, 1)}
-		for _, d := range []struct {
-			value *string
-			of    []string
+		for _, setting := range []struct {
+			value   *string
+			allowed []string
 		}{{&h.Site, names.Zones}, {&h.Class, names.Kinds}} {
-			if *d.value == "" && len(d.of) > 0 {
-				*d.value = d.of[0]
+			if *setting.value == "" && len(setting.allowed) > 0 {
+				*setting.value = setting.allowed[0]
 			}
 		}
-		taken := slices.ContainsFunc(l.Hosts, func(o Host) bool { return o.Host == s.Host })
+		duplicate := slices.ContainsFunc(l.Hosts, func(o Host) bool { return o.Host == s.Host })
 		_, err := netip.ParseAddrPort(s.Address)
 		switch {
-		case s.Host == "" || taken:
-			return bad("host", fmt.Sprintf("%q", s.Host), "is empty or taken")
+		case s.Host == "" || duplicate:
+			return invalid("host", fmt.Sprintf("%q", s.Host), "is empty or used twice")
 		case err != nil:
-			return bad("address", fmt.Sprintf("%q", s.Address), "is no address with a port")
+			return invalid("address", fmt.Sprintf("%q", s.Address), "is not an IP address with a port")
 		case len(names.Zones) > 0 && !slices.Contains(names.Zones, h.Site):
-			return bad("site", fmt.Sprintf("%q", s.Site), "is none of the settings")
+			return invalid("site", fmt.Sprintf("%q", s.Site), "is not a zone of the settings")
 		case len(names.Kinds) > 0 && !slices.Contains(names.Kinds, h.Class):
-			return bad("class", fmt.Sprintf("%q", s.Class), "is none of the settings")
+			return invalid("class", fmt.Sprintf("%q", s.Class), "is not a kind of the settings")
 		case !(h.Share > 0):
-			return bad("weight", s.Weight, "is no weight")
+			return invalid("weight", s.Weight, "is not above 0")
 		case h.Health != "ready" && h.Health != "draining":
-			return bad("state", fmt.Sprintf("%q", s.State), "is not ready or draining")
+			return invalid("state", fmt.Sprintf("%q", s.State), "is neither ready nor draining")
 		}
 		l.Hosts = append(l.Hosts, h)
 	}
 	return l, nil
 }
 
-// Next is what a file that has been read again comes to after the list before it. What is new, has another address or
-// is back from draining counts as started now: a file doesn't tell, and a backend that has just started must not be
-// pushed over. What is gone is left out, by which a whole list says so.
-func Next(before, read List, now time.Time) List {
+// NextList returns the list that follows before when the file has been read again. Backends that are new,
+// have another address or are back from draining count as started now: a file doesn't contain start times,
+// and a backend that has just started must not be overloaded. Backends that are gone are missing, which in a
+// whole list means gone.
+func NextList(before, read List, now time.Time) List {
 	read.Seq = before.Seq + 1
 	read.Hosts = slices.Clone(read.Hosts)
 	for i := range read.Hosts {
 		h := &read.Hosts[i]
-		at := slices.IndexFunc(before.Hosts, func(o Host) bool { return o.Host == h.Host })
+		previous := slices.IndexFunc(before.Hosts, func(o Host) bool { return o.Host == h.Host })
 		switch {
-		case at < 0 || before.Hosts[at].Dial != h.Dial || before.Hosts[at].Health == "draining" && h.Health == "ready":
+		case previous < 0 || before.Hosts[previous].Dial != h.Dial || before.Hosts[previous].Health == "draining" && h.Health == "ready":
 			h.BornMs = float64(now.UnixMilli())
 		default:
-			h.BornMs = before.Hosts[at].BornMs
+			h.BornMs = before.Hosts[previous].BornMs
 		}
 	}
 	return read
 }
 
-// File hands the list of a file on, and again whenever it is asked for or read anew.
+// File delivers the list of backends from a file, on request and after each reload.
 type File struct {
-	path  string
-	names wire.Names
-	told  func(balance.List, map[string]string)
-	log   *slog.Logger
+	path    string
+	names   wire.Names
+	deliver func(balance.List, map[string]string)
+	log     *slog.Logger
 
-	mu   sync.Mutex // held while a list is told, so never by the loop
+	mu   sync.Mutex // held while a list is delivered, so the loop must never wait for it
 	list List
 }
 
-// NewFile returns a File whose list has been read already.
-func NewFile(path string, list List, names wire.Names, told func(balance.List, map[string]string), log *slog.Logger) *File {
-	return &File{path: path, names: names, told: told, log: log, list: list}
+// NewFile returns a File with a list that has been read before.
+func NewFile(path string, list List, names wire.Names, deliver func(balance.List, map[string]string), log *slog.Logger) *File {
+	return &File{path: path, names: names, deliver: deliver, log: log, list: list}
 }
 
-// Tell hands the list on.
+// Tell delivers the list.
 func (f *File) Tell() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	tell(f.list, balance.ListFull, f.names, f.told, f.log)
+	deliverList(f.list, balance.ListFull, f.names, f.deliver, f.log)
 }
 
-// Reload reads the file again. One that makes no sense changes nothing.
+// Reload reads the file again and delivers the new list. If the file is invalid, the list stays as it is.
 func (f *File) Reload() {
 	read, err := ReadServers(f.path, f.names)
 	if err != nil {
-		f.log.Warn("list of servers kept as it was", "err", err)
+		f.log.Warn("list of servers not reloaded, the previous one stays in force", "err", err)
 		return
 	}
 	f.mu.Lock()
-	f.list = Next(f.list, read, time.Now())
+	f.list = NextList(f.list, read, time.Now())
 	n := len(f.list.Hosts)
 	f.mu.Unlock()
-	f.log.Info("list of servers read again", "servers", n)
+	f.log.Info("list of servers reloaded", "servers", n)
 	f.Tell()
 }
 
-// Subscribe and Fetch answer the module's asking; not in its own goroutine, which is about to wait for nobody.
+// Subscribe delivers the list once. It uses its own goroutine because delivering may block, and the loop
+// calls it.
 func (f *File) Subscribe() { go f.Tell() }
 
-// Fetch is Subscribe: the list is whole either way.
+// Fetch is the same as Subscribe, since the list is always whole.
 func (f *File) Fetch() { go f.Tell() }
 
-// Unsubscribe has nothing to end.
+// Unsubscribe does nothing, since there is no watch to end.
 func (f *File) Unsubscribe() {}
--- a/internal/roster/file_test.go
+++ b/internal/roster/file_test.go
@@ -15,7 +15,7 @@
 
 var fileNames = wire.Names{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
 
-func TestServersOfAFile(t *testing.T) {
+func TestParseServers(t *testing.T) {
 	l, err := ParseServers("f", []byte(`
 [[server]]
 host = "x"
@@ -36,7 +36,7 @@
 }
 
 // Errors name the file, the line and the key.
-func TestServersThatMakeNoSense(t *testing.T) {
+func TestParseInvalidServers(t *testing.T) {
 	const good = "[[server]]\nhost = \"x\"\naddress = \"127.0.0.1:1\"\n"
 	for text, want := range map[string]string{
 		"":                                              "f: server: 0",
@@ -49,7 +49,7 @@
 		good + "block = \"x\"\n":                        "f: line 4",
 		"[[server]]\nhost = \"x\"\n":                    "f: line 1: server.address",
 		"[[server]]\naddress = \"a:1\"\n":               "f: line 1: server.host",
-		strings.Repeat(good, mostServers+1):             "between 1 and",
+		strings.Repeat(good, maxServers+1):              "between 1 and",
 		good + "address = \"127.0.0.1:2\"\n":            "f: line 4",
 		"[[server]]\nhost = \"x\"\naddress = \"h:1\"\n": "f: line 1: server.address",
 	} {
@@ -59,14 +59,14 @@
 	}
 }
 
-// The sample file is read.
-func TestSampleServers(t *testing.T) {
+// The sample file of the repository is valid.
+func TestReadSampleServers(t *testing.T) {
 	if l, err := ReadServers("../../deploy/servers.toml", fileNames); err != nil || len(l.Hosts) != 1 {
 		t.Errorf("%+v, %v", l, err)
 	}
 }
 
-// What a file that is read again says of starts: new, moved and back from draining count as started now.
+// When a file is read again, backends that are new, moved or back from draining count as started now.
 func TestNextList(t *testing.T) {
 	now := time.UnixMilli(5000)
 	host := func(id, dial, health string, born float64) Host {
@@ -78,16 +78,16 @@
 		host("moves", "9", "ready", 0), host("back", "4", "ready", 0), host("leaves", "5", "draining", 0)}}
 	want := List{Seq: 5, Whole: true, Hosts: []Host{host("new", "7", "ready", 5000), host("same", "1", "ready", 0), host("young", "2", "ready", 3000),
 		host("moves", "9", "ready", 5000), host("back", "4", "ready", 5000), host("leaves", "5", "draining", 0)}}
-	if got := Next(before, read, now); fmt.Sprint(got) != fmt.Sprint(want) {
+	if got := NextList(before, read, now); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("%+v, not %+v", got, want)
 	}
 	if read.Hosts[0].BornMs != 0 {
-		t.Error("what was read was changed")
+		t.Error("the list that was read was modified")
 	}
 }
 
-// A file that makes no sense changes nothing; one that does is told whole.
-func TestFileReadAgain(t *testing.T) {
+// Reloading an invalid file changes nothing; reloading a valid one delivers the whole list.
+func TestFileReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "servers.toml")
 	write := func(text string) {
 		t.Helper()
@@ -101,19 +101,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told []balance.List
+	var delivered []balance.List
 	f := NewFile(path, l, fileNames, func(l balance.List, addrs map[string]string) {
 		if addrs[l.Backends[0].ID] != "127.0.0.1:1" {
 			t.Errorf("addresses %v", addrs)
 		}
-		told = append(told, l)
+		delivered = append(delivered, l)
 	}, slog.New(slog.DiscardHandler))
 	f.Tell()
 	write("[[server")
 	f.Reload()
 	write(server("x") + server("y"))
 	f.Reload()
-	if len(told) != 2 || told[0].Kind != balance.ListFull || len(told[1].Backends) != 2 || told[1].Backends[0].Started != 0 || told[1].Backends[1].Started == 0 {
-		t.Errorf("told %+v", told)
+	if len(delivered) != 2 || delivered[0].Kind != balance.ListFull || len(delivered[1].Backends) != 2 || delivered[1].Backends[0].Started != 0 || delivered[1].Backends[1].Started == 0 {
+		t.Errorf("delivered %+v", delivered)
 	}
 }
--- a/internal/roster/listreader.go
+++ b/internal/roster/listreader.go
@@ -11,79 +11,80 @@
 
 const blank = " \t\r\n"
 
-// objects reads the lists of a watch one after the other, however they are laid out: one may stand over several
-// lines, or several in one. Blank lines between them are heartbeats.
-type objects struct {
-	r     io.Reader
-	most  time.Duration // for one object, from its first byte on
-	fed   func()        // called whenever something has come
-	d     *json.Decoder
-	apart bool      // no byte of the next object has come
-	bytes int       // of the object that is being read
-	begun time.Time // when its first one came
+// listReader reads the lists of a watch one after the other, in any JSON layout: a list may span several
+// lines, and a line may hold several lists. Blank lines between lists are heartbeats.
+type listReader struct {
+	source       io.Reader
+	maxDuration  time.Duration // maximum time for reading one list, from its first byte on
+	onData       func()        // called whenever bytes have arrived
+	decoder      *json.Decoder
+	betweenLists bool      // no byte of the next list has arrived
+	size         int       // bytes of the current list that have arrived
+	startedAt    time.Time // when the first byte of the current list arrived
 }
 
-func newObjects(r io.Reader, most time.Duration, fed func()) *objects {
-	o := &objects{r: r, most: most, fed: fed, apart: true}
-	o.d = json.NewDecoder(o)
-	return o
+func newListReader(r io.Reader, maxDuration time.Duration, onData func()) *listReader {
+	lr := &listReader{source: r, maxDuration: maxDuration, onData: onData, betweenLists: true}
+	lr.decoder = json.NewDecoder(lr)
+	return lr
 }
 
-// next returns the next list; io.EOF: the watch has ended between two.
-func (o *objects) next() (List, error) {
+// next returns the next list, or io.EOF if the watch has ended between two lists.
+func (lr *listReader) next() (List, error) {
 	var raw json.RawMessage
-	if err := o.d.Decode(&raw); err != nil {
+	if err := lr.decoder.Decode(&raw); err != nil {
 		if errors.Is(err, io.EOF) {
 			return List{}, err
 		}
 		return List{}, fmt.Errorf("list: %w", err)
 	}
-	rest, err := io.ReadAll(o.d.Buffered())
+	rest, err := io.ReadAll(lr.decoder.Buffered())
 	if err != nil {
 		return List{}, fmt.Errorf("list: %w", err)
 	}
 	rest = bytes.TrimLeft(rest, blank)
-	o.apart, o.bytes, o.begun = len(rest) == 0, len(rest), time.Now()
+	lr.betweenLists, lr.size, lr.startedAt = len(rest) == 0, len(rest), time.Now()
 	return parseList(raw)
 }
 
-// left is how long the next bytes may take: of an object that has begun, its rest.
-func (o *objects) left() time.Duration {
-	if o.apart {
-		return o.most
+// timeLeft returns how long the next bytes may take. For a list that has begun, it is the rest of
+// maxDuration.
+func (lr *listReader) timeLeft() time.Duration {
+	if lr.betweenLists {
+		return lr.maxDuration
 	}
-	return max(0, o.most-time.Since(o.begun))
+	return max(0, lr.maxDuration-time.Since(lr.startedAt))
 }
 
-// Read leaves out what stands between objects. Guards against heartbeats that the decoder would gather for as long
-// as nothing changes.
-func (o *objects) Read(p []byte) (int, error) {
+// Read skips the white space between lists. Otherwise the decoder would buffer heartbeats for as long as no
+// list arrives.
+func (lr *listReader) Read(p []byte) (int, error) {
 	for {
-		n, err := o.r.Read(p)
-		came := n > 0
-		if o.apart {
+		n, err := lr.source.Read(p)
+		received := n > 0
+		if lr.betweenLists {
 			n = copy(p, bytes.TrimLeft(p[:n], blank))
-			o.apart, o.begun = n == 0, time.Now()
+			lr.betweenLists, lr.startedAt = n == 0, time.Now()
 		}
-		if came {
-			o.fed()
+		if received {
+			lr.onData()
 		}
-		if o.apart && err == nil {
+		if lr.betweenLists && err == nil {
 			continue
 		}
-		if o.bytes += n; o.bytes > maxListBytes {
+		if lr.size += n; lr.size > maxListBytes {
 			return n, fmt.Errorf("over %d bytes", maxListBytes)
 		}
-		// Guards against a list that trickles in, which feeds the watchdog and is as good as silence.
-		if !o.apart && time.Since(o.begun) > o.most {
-			return n, fmt.Errorf("not whole after %v", o.most)
+		// A list that trickles in resets the watchdog with every byte, yet is no better than silence.
+		if !lr.betweenLists && time.Since(lr.startedAt) > lr.maxDuration {
+			return n, fmt.Errorf("list not complete after %v", lr.maxDuration)
 		}
 		return n, err
 	}
 }
 
-// parseList reads one list and refuses one that lacks what it can't go without: a version, and where it is whole the
-// backends, of which there would be none.
+// parseList parses one list. It rejects a list without a version, and a whole list without the backends,
+// which would mean that all of them are gone.
 func parseList(raw []byte) (List, error) {
 	var l struct {
 		Seq   *int64  `json:"seq"`
@@ -97,7 +98,7 @@
 	case l.Seq == nil:
 		return List{}, errors.New("list: seq: missing")
 	case l.Whole && l.Hosts == nil:
-		return List{}, errors.New("list: hosts: missing from a whole one")
+		return List{}, errors.New("list: hosts: missing from a whole list")
 	}
 	list := List{Seq: *l.Seq, Whole: l.Whole}
 	if l.Hosts != nil {
@@ -106,8 +107,8 @@
 	return list, nil
 }
 
-// UnmarshalJSON reads an entry. Guards against one with a field of the wrong kind that would take the whole list with
-// it: it keeps its host, and the reason why it can't be used.
+// UnmarshalJSON reads an entry. An entry with a field of the wrong type must not make the whole list invalid:
+// it keeps its host and records the error.
 func (h *Host) UnmarshalJSON(raw []byte) error {
 	type plain Host
 	var p plain
@@ -115,10 +116,10 @@
 		var name struct {
 			Host string `json:"host"`
 		}
-		if json.Unmarshal(raw, &name) != nil { // not even that is known
+		if json.Unmarshal(raw, &name) != nil { // the host can't be read either
 			name.Host = ""
 		}
-		*h = Host{Host: name.Host, bad: err}
+		*h = Host{Host: name.Host, decodeErr: err}
 		return nil
 	}
 	*h = Host(p)
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,6 +1,7 @@
-// Package roster follows discovery: it asks for the list of backends, or watches it, reads what comes and
-// hands it on in the order of its versions. It decides nothing: where lists are asked for, when to ask is the
-// decision module's matter. A Client's Run and one goroutine for each call end with the context given to New.
+// Package roster is the client of the discovery service. It fetches or watches the list of backends, parses
+// it and delivers it in the order of its versions. It makes no decisions: where lists are requested on
+// demand, the decision module determines when. A Client's Run and its one goroutine per call end with the
+// context given to New.
 package roster
 
 import (
@@ -24,29 +25,31 @@
 )
 
 const (
-	// What a silent watch misses counts as told 6 s after it fell silent, which is up to 2 s after its last byte: by
-	// then it has to be found out, opened anew, if need be twice, and read.
-	silence = 3 * time.Second // a watch has a heartbeat every 2 s: it is dead after this long without a byte
-	opening = time.Second     // where lists are pushed the service answers at once: one that doesn't is asked anew
-	within  = time.Second     // where they are asked for, for the next call after a silent watch: the call may wait
-	// After any other call that failed, the next one begins so long after the last that came whole, or after the failed one
-	// began: what the service has had since then counts as told 6 s later, and the call takes time too.
-	askAgain = 5 * time.Second
-
-	reopenFirst  = 100 * time.Millisecond // between the beginnings of two watches at first, by chance
-	reopenMost   = 250 * time.Millisecond // and at the most
-	fetchLimit   = 5 * time.Second
-	maxListBytes = 8 << 20
+	// A change that a silent watch misses counts as known to the agent 6 s after the watch fell silent, which
+	// is up to 2 s after its last byte. Within this time the silence must be detected, a new watch opened,
+	// with a second attempt if necessary, and its list read.
+	silenceTimeout    = 3 * time.Second // without a byte for this long a watch is dead; heartbeats come every 2 s
+	openTimeout       = time.Second     // pushed lists: the service responds at once, so a slower call is repeated
+	retryAfterSilence = time.Second     // on demand, after a silent watch: short, since the next call may wait too
+	// On demand: after any other failed call, the next one begins at most this time after the last complete
+	// list or heartbeat, or after the failed call began. A change that the service got since then counts as
+	// known 6 s later, and the next call takes time too.
+	retryInterval = 5 * time.Second
+
+	initialReopenInterval = 100 * time.Millisecond // upper bound of the random interval between two watch starts
+	maxReopenInterval     = 250 * time.Millisecond // the same after repeated failures
+	fetchTimeout          = 5 * time.Second
+	maxListBytes          = 8 << 20
 )
 
-// List is a list of backends in discovery's form.
+// List is a list of backends in the format of the discovery service.
 type List struct {
 	Seq   int64  `json:"seq"`
 	Whole bool   `json:"whole"`
 	Hosts []Host `json:"hosts"`
 }
 
-// Host is an entry of a list.
+// Host is an entry of a List.
 type Host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -57,15 +60,15 @@
 	Share  float64 `json:"share"`
 	BornMs float64 `json:"born_ms"`
 
-	bad error // why the entry can't be read, but for its host
+	decodeErr error // why the entry can't be decoded; only Host is set then
 }
 
-// backend translates an entry by the settings' names.
+// backend converts an entry to a balance.Backend, with the zone and kind names of the settings.
 func (h Host) backend(names wire.Names) (balance.Backend, error) {
 	b := balance.Backend{ID: h.Host, State: balance.Gone, Cell: h.Block, Weight: h.Share,
 		Zone: slices.Index(names.Zones, h.Site), Kind: slices.Index(names.Kinds, h.Class),
 		Started: wire.Duration(h.BornMs)}
-	if len(names.Zones) == 0 { // a deployment without zones or kinds has one of each
+	if len(names.Zones) == 0 { // a deployment without zone or kind names has one zone or kind
 		b.Zone = 0
 	}
 	if len(names.Kinds) == 0 {
@@ -74,8 +77,8 @@
 	switch {
 	case h.Host == "":
 		return b, errors.New("no host")
-	case h.bad != nil:
-		return b, h.bad
+	case h.decodeErr != nil:
+		return b, h.decodeErr
 	case h.Health == "gone":
 		return b, nil
 	case b.Zone < 0:
@@ -97,77 +100,78 @@
 	return b, nil
 }
 
-// Client follows the list of backends and hands what it learns to told at once.
+// Client follows the list of backends and passes each update to deliver at once.
 type Client struct {
-	ask   bool // the module asks; else a watch stays open by itself
-	names wire.Names
-	told  func(list balance.List, addrs map[string]string)
-	log   *slog.Logger
-	http  *http.Client
-	ctx   context.Context // ends all calls
-
-	silence time.Duration // a watch without a byte for so long is dead
-	opening time.Duration // and one that has not begun by then
-	after   func(time.Duration) <-chan time.Time
-
-	mu    sync.Mutex // held while a list is told, so never by the loop
-	base  string     // URL of the list
-	seq   int64
-	moved int                // how often the service was replaced by another
-	fresh bool               // the present one has told nothing yet
-	watch context.CancelFunc // ends the watch that is open; nil: none
-	wake  chan struct{}      // ends the wait for the next one
-
-	missing atomic.Bool // a watch fell silent, and no list has come since
-	hung    atomic.Bool // the last call did not begin in time, and the one before had not hung
-
-	firstList chan struct{} // closed once a list has been told, or the first call for one has failed
+	onDemand bool // the module requests lists; otherwise Run keeps a watch open
+	names    wire.Names
+	deliver  func(list balance.List, addrs map[string]string)
+	log      *slog.Logger
+	http     *http.Client
+	ctx      context.Context // ends all calls
+
+	silenceTimeout time.Duration // a watch without a byte for this long is dead
+	openTimeout    time.Duration // a call that has no response for this long has failed
+	after          func(time.Duration) <-chan time.Time
+
+	mu            sync.Mutex // held while a list is delivered, so the loop must never wait for it
+	url           string     // of the list
+	seq           int64
+	moves         int                // number of times the service was replaced by another
+	needWholeList bool               // the service has delivered no list yet, or an outdated delta
+	cancelWatch   context.CancelFunc // ends the open watch; nil: there has been none
+	wake          chan struct{}      // ends the pause before the next watch
+
+	fellSilent   atomic.Bool // a watch fell silent, and no list has arrived since
+	lastCallHung atomic.Bool // the last call had no response in time, and the one before it did not hang
+
+	firstList chan struct{} // closed once the first list has been delivered, or the first call has failed
 	firstOnce sync.Once
 
-	stop context.CancelFunc // ends the watch that was asked for; nil: none; the loop's own
+	cancelSubscription context.CancelFunc // ends the watch of Subscribe; nil: none; only the loop uses it
 }
 
-// Config is what a Client is told at its start.
+// Config configures a Client.
 type Config struct {
 	Service netip.AddrPort
-	Ask     bool // lists are asked for by Subscribe and Fetch; else Run keeps a watch open
+	Ask     bool // lists are requested by Subscribe and Fetch; otherwise Run keeps a watch open
 	Names   wire.Names
-	Seq     int64 // version of the list that is known already
+	Seq     int64 // version of the list that is already known
 }
 
-// New returns a client that hands lists, with the addresses of their backends, to told until ctx ends.
-func New(ctx context.Context, c Config, told func(balance.List, map[string]string), log *slog.Logger) *Client {
-	begin := opening
-	if c.Ask { // a call may wait there
-		begin = silence
+// New returns a client that passes lists, with the addresses of their backends, to deliver until ctx ends.
+func New(ctx context.Context, c Config, deliver func(balance.List, map[string]string), log *slog.Logger) *Client {
+	timeout := openTimeout
+	if c.Ask { // the service may hold a call before it responds
+		timeout = silenceTimeout
 	}
-	d := &Client{base: listURL(c.Service), firstList: make(chan struct{}), wake: make(chan struct{}, 1), ask: c.Ask,
-		names: c.Names, told: told, log: log, ctx: ctx, seq: c.Seq, silence: silence, opening: begin, after: time.After}
+	d := &Client{url: listURL(c.Service), firstList: make(chan struct{}), wake: make(chan struct{}, 1), onDemand: c.Ask,
+		names: c.Names, deliver: deliver, log: log, ctx: ctx, seq: c.Seq, silenceTimeout: silenceTimeout, openTimeout: timeout, after: time.After}
 	d.http = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: d.dial}}
 	return d
 }
 
-// dial opens a connection to the service, within the time for a call to begin. Guards against dials that go on for minutes
-// after their calls were given up, as net/http's do where nobody answers: each holds a descriptor.
+// dial opens a connection to the service within the time for a call to begin. Without its own timeout,
+// net/http continues a dial for minutes after the call was given up if nothing responds, and each dial holds
+// a descriptor.
 func (d *Client) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: d.patience()}
+	dialer := net.Dialer{Timeout: d.currentOpenTimeout()}
 	return dialer.DialContext(ctx, network, address)
 }
 
 func listURL(service netip.AddrPort) string { return "http://" + service.String() + "/discovery/hosts" }
 
-// Move follows another service from now on. The list stays as it is until that one speaks.
+// Move switches to another service. The list stays in force until the new service delivers one.
 func (d *Client) Move(service netip.AddrPort) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	base := listURL(service)
-	if base == d.base {
+	url := listURL(service)
+	if url == d.url {
 		return
 	}
-	d.base, d.fresh = base, true
-	d.moved++
-	if d.watch != nil {
-		d.watch()
+	d.url, d.needWholeList = url, true
+	d.moves++
+	if d.cancelWatch != nil {
+		d.cancelWatch()
 	}
 	select {
 	case d.wake <- struct{}{}:
@@ -175,187 +179,198 @@
 	}
 }
 
-// FirstList is closed once the first list has been told, or the first call has come to nothing.
+// FirstList returns a channel that is closed once the first list has been delivered or the first call has
+// failed.
 func (d *Client) FirstList() <-chan struct{} { return d.firstList }
 
 func (d *Client) firstListDone() { d.firstOnce.Do(func() { close(d.firstList) }) }
 
-// source is the service that a call goes to: a list of one that has been replaced counts no more.
+// source is the service that a call goes to, and its state when the call began. A list from a service that
+// has been replaced since then is ignored.
 type source struct {
-	base  string
-	since int64
-	fresh bool
-	moved int
+	url           string
+	since         int64
+	needWholeList bool
+	moves         int
 }
 
-// Tell passes on a list. Guards against an entry that makes no sense: it counts as gone, since
-// a backend that can't be understood can't be used, and must not live on as it was before.
-func (d *Client) Tell(l List, kind balance.ListKind) { tell(l, kind, d.names, d.told, d.log) }
+// Tell delivers a list. An invalid entry counts as gone: a backend that can't be parsed can't be used, and
+// must not stay in use with its previous data.
+func (d *Client) Tell(l List, kind balance.ListKind) {
+	deliverList(l, kind, d.names, d.deliver, d.log)
+}
 
-func tell(l List, kind balance.ListKind, names wire.Names, told func(balance.List, map[string]string), log *slog.Logger) {
+// deliverList converts a list to the module's form and passes it to deliver. Invalid entries count as gone.
+func deliverList(l List, kind balance.ListKind, names wire.Names, deliver func(balance.List, map[string]string), log *slog.Logger) {
 	list := balance.List{Kind: kind, Version: l.Seq}
 	addrs := map[string]string{}
 	for _, h := range l.Hosts {
 		b, err := h.backend(names)
 		if err != nil {
-			log.Warn("entry of the list ignored", "host", h.Host, "err", err)
+			log.Warn("invalid entry of the list, the backend counts as gone", "host", h.Host, "err", err)
 		}
 		list.Backends = append(list.Backends, b)
 		addrs[h.Host] = h.Dial
 	}
-	told(list, addrs)
+	deliver(list, addrs)
 }
 
-// failed notes that a call has failed that last brought something whole, or began, at a time.
-func (d *Client) failed(err error, heard time.Time) {
+// reportFailure reports a failed call. lastReceived is the time of its last complete list or heartbeat, or of
+// its start.
+func (d *Client) reportFailure(err error, lastReceived time.Time) {
 	if d.ctx.Err() != nil {
-		return // the agent stops
+		return // the agent is stopping
 	}
 	d.log.Warn("discovery", "err", err)
 	defer d.firstListDone()
-	if d.ask {
-		soon := within
-		if !d.missing.Load() {
-			soon = max(within, askAgain-time.Since(heard))
+	if d.onDemand {
+		retryWithin := retryAfterSilence
+		if !d.fellSilent.Load() {
+			retryWithin = max(retryAfterSilence, retryInterval-time.Since(lastReceived))
 		}
-		d.told(balance.List{Kind: balance.ListFailed, Within: soon}, nil)
+		d.deliver(balance.List{Kind: balance.ListFailed, Within: retryWithin}, nil)
 	}
 }
 
-// Run keeps a watch open until the context ends, where lists come unasked.
+// Run keeps a watch open until the context ends, where lists are pushed; otherwise it returns at once.
 func (d *Client) Run() {
-	if d.ask {
+	if d.onDemand {
 		return
 	}
-	wait := reopenFirst
+	wait := initialReopenInterval
 	for d.ctx.Err() == nil {
 		began := time.Now()
-		received, heard, err := d.follow(d.ctx)
+		received, lastReceived, err := d.follow(d.ctx)
 		if received {
-			wait = reopenFirst
+			wait = initialReopenInterval
 		}
-		d.failed(err, heard)
-		// Guards against a drain that is told while no call is open: what the service has counts as told all the same. So
-		// only a call that ended soon is followed by a pause; one that hung or fell silent has lasted for long enough.
+		d.reportFailure(err, lastReceived)
+		// No call is open during a pause, and a drain that the service gets then still counts as known on
+		// time. So only a call that ended soon is followed by a pause; one that hung or fell silent has
+		// lasted long enough.
 		if pause := time.Duration(rand.Float64()*float64(wait)) - time.Since(began); pause > 0 {
 			select {
 			case <-d.after(pause):
 			case <-d.wake:
-				wait = reopenFirst
+				wait = initialReopenInterval
 				continue
 			case <-d.ctx.Done():
 			}
 		}
-		wait = min(2*wait, reopenMost)
+		wait = min(2*wait, maxReopenInterval)
 	}
 }
 
 var (
-	errSilent = errors.New("watch is silent")
-	errMoved  = errors.New("discovery has moved")
+	errSilent          = errors.New("watch is silent")
+	errServiceReplaced = errors.New("the discovery service was replaced")
 )
 
-// follow watches the list until the connection ends or falls silent, or the service moves. It reports whether anything came,
-// and when the last list or heartbeat was whole, or, if none was, when the call began.
-func (d *Client) follow(ctx context.Context) (received bool, heard time.Time, err error) {
-	heard = time.Now()
+// follow watches the list until the connection ends or falls silent, or the service is replaced. It reports
+// whether any data arrived, and when the last list or heartbeat was complete or, if there was none, when the
+// call began.
+func (d *Client) follow(ctx context.Context) (received bool, lastReceived time.Time, err error) {
+	lastReceived = time.Now()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(d.patience(), func() { cancel(errSilent) })
+	watchdog := time.AfterFunc(d.currentOpenTimeout(), func() { cancel(errSilent) })
 	defer watchdog.Stop()
 	begun := false
 	defer func() {
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
-		// A call that never began has missed nothing: haste of a whole fleet would keep its service from coming back.
+		// A call that never began has missed nothing, and a whole fleet retrying fast would keep its service
+		// from recovering.
 		if begun && errors.Is(err, errSilent) {
-			d.missing.Store(true)
+			d.fellSilent.Store(true)
 		}
-		d.hung.Store(!begun && errors.Is(err, errSilent) && !d.hung.Load())
+		d.lastCallHung.Store(!begun && errors.Is(err, errSilent) && !d.lastCallHung.Load())
 	}()
 	d.mu.Lock()
 	from := d.source()
-	d.watch = func() { cancel(errMoved) }
+	d.cancelWatch = func() { cancel(errServiceReplaced) }
 	d.mu.Unlock()
 	query := "?follow=1"
-	if !from.fresh { // versions of another service mean nothing
+	if !from.needWholeList { // a version of another service is meaningless
 		query += "&since=" + strconv.FormatInt(from.since, 10)
 	}
-	body, err := d.get(ctx, from.base+query)
+	body, err := d.get(ctx, from.url+query)
 	if err != nil {
-		return false, heard, err
+		return false, lastReceived, err
 	}
 	defer body.Close()
 	begun = true
-	watchdog.Reset(d.silence)
-	var in *objects
-	in = newObjects(body, d.silence, func() {
+	watchdog.Reset(d.silenceTimeout)
+	var lists *listReader
+	lists = newListReader(body, d.silenceTimeout, func() {
 		received = true
-		if in.apart {
-			heard = time.Now()
+		if lists.betweenLists {
+			lastReceived = time.Now()
 		}
-		// Guards against a list that begins, trickles and then stops: its own time is over before a silence would show.
-		watchdog.Reset(in.left())
+		// A list that begins, trickles and then stops reaches its own time limit before the silence timeout.
+		watchdog.Reset(lists.timeLeft())
 	})
 	for {
-		l, err := in.next()
+		l, err := lists.next()
 		if errors.Is(err, io.EOF) {
-			return received, heard, errors.New("watch ended")
+			return received, lastReceived, errors.New("watch ended")
 		}
 		if err != nil {
-			return received, heard, fmt.Errorf("watch: %w", err)
+			return received, lastReceived, fmt.Errorf("watch: %w", err)
 		}
-		heard = time.Now()
-		watchdog.Reset(in.left())
-		if err := d.take(l, from, true); err != nil {
-			return received, heard, err
+		lastReceived = time.Now()
+		watchdog.Reset(lists.timeLeft())
+		if err := d.accept(l, from, true); err != nil {
+			return received, lastReceived, err
 		}
 	}
 }
 
-// patience is how long a call may take to begin: the one after a call that hung may take longer. Guards against a service
-// that is too slow for the shorter time, and would never be heard.
-func (d *Client) patience() time.Duration {
-	if d.hung.Load() {
-		return max(d.opening, d.silence)
+// currentOpenTimeout returns how long the next call may take to begin. The call after one that hung may take
+// longer, so that a service that is too slow for the shorter timeout is still followed.
+func (d *Client) currentOpenTimeout() time.Duration {
+	if d.lastCallHung.Load() {
+		return max(d.openTimeout, d.silenceTimeout)
 	}
-	return d.opening
+	return d.openTimeout
 }
 
-// take passes on one list.
-func (d *Client) take(l List, from source, watched bool) error {
+// accept delivers a list unless it is outdated.
+func (d *Client) accept(l List, from source, fromWatch bool) error {
 	d.mu.Lock()
-	defer d.mu.Unlock() // lists reach the module in the order of their versions
-	if from.moved != d.moved && watched {
-		return errors.New("watch of a service that was replaced")
+	defer d.mu.Unlock() // held while delivering, so that lists reach the module in the order of their versions
+	if from.moves != d.moves && fromWatch {
+		return errors.New("the watched service was replaced")
 	}
-	// Guards against changes that are older than what is known, which would bring drained backends back: they don't
-	// follow on it, so that the next watch asks for all. A whole list is taken: its service may count anew.
-	if watched && !d.fresh && !l.Whole && l.Seq < d.seq {
-		d.fresh = true
-		return fmt.Errorf("list: seq: %d after %d: all of it is asked for anew", l.Seq, d.seq)
+	// A delta that is older than the known version does not apply to it and would bring drained backends
+	// back, so the next watch requests the whole list. A whole list is accepted: its service may have
+	// restarted its versions.
+	if fromWatch && !d.needWholeList && !l.Whole && l.Seq < d.seq {
+		d.needWholeList = true
+		return fmt.Errorf("list: seq: %d after %d: the whole list is requested", l.Seq, d.seq)
 	}
-	// Guards against a fetched list that a watch or another service has overtaken: it would bring
-	// drained backends back. Its call is still owed an answer: nothing has changed.
-	if from.moved != d.moved || !watched && !d.fresh && l.Seq < d.seq {
+	// A fetched list that is older than one from a watch or another service would bring drained backends
+	// back. The module still needs a response to its call, so it gets a list without changes.
+	if from.moves != d.moves || !fromWatch && !d.needWholeList && l.Seq < d.seq {
 		l = List{Seq: d.seq}
 	} else {
-		d.seq, d.fresh = l.Seq, false
+		d.seq, d.needWholeList = l.Seq, false
 	}
 	kind := balance.ListDelta
 	if l.Whole {
 		kind = balance.ListFull
 	}
-	d.missing.Store(false)
+	d.fellSilent.Store(false)
 	d.Tell(l, kind)
 	d.firstListDone()
 	return nil
 }
 
-// source is called with the lock held.
-func (d *Client) source() source { return source{d.base, d.seq, d.fresh, d.moved} }
+// source returns the source for a new call. The caller holds the lock.
+func (d *Client) source() source { return source{d.url, d.seq, d.needWholeList, d.moves} }
 
+// get starts a GET request and returns the body of the response, which the caller closes.
 func (d *Client) get(ctx context.Context, url string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -372,47 +387,48 @@
 	return resp.Body, nil
 }
 
-// Subscribe opens a watch, anew if there is one. Where lists come unasked one is always open.
+// Subscribe opens a watch in place of the open one, if any. Where lists are pushed it does nothing, since Run
+// has one.
 func (d *Client) Subscribe() {
-	if !d.ask {
+	if !d.onDemand {
 		return
 	}
 	d.Unsubscribe()
 	ctx, cancel := context.WithCancel(d.ctx)
-	d.stop = cancel
+	d.cancelSubscription = cancel
 	go func() {
 		defer cancel()
 		for {
-			_, heard, err := d.follow(ctx)
-			if errors.Is(err, errMoved) && ctx.Err() == nil {
-				continue // it was asked for, of whichever service
+			_, lastReceived, err := d.follow(ctx)
+			if errors.Is(err, errServiceReplaced) && ctx.Err() == nil {
+				continue // the module's subscription holds for the new service too
 			}
-			if ctx.Err() == nil { // not ended by unsubscribe
-				d.failed(err, heard)
+			if ctx.Err() == nil { // not ended by Unsubscribe
+				d.reportFailure(err, lastReceived)
 			}
 			return
 		}
 	}()
 }
 
-// Unsubscribe ends the watch that was asked for.
+// Unsubscribe ends the watch that Subscribe opened.
 func (d *Client) Unsubscribe() {
-	if d.stop != nil {
-		d.stop()
-		d.stop = nil
+	if d.cancelSubscription != nil {
+		d.cancelSubscription()
+		d.cancelSubscription = nil
 	}
 }
 
-// Fetch gets the whole list once.
+// Fetch gets the whole list once, in the background.
 func (d *Client) Fetch() {
 	began := time.Now()
 	go func() {
-		ctx, cancel := context.WithTimeout(d.ctx, fetchLimit)
+		ctx, cancel := context.WithTimeout(d.ctx, fetchTimeout)
 		defer cancel()
 		d.mu.Lock()
 		from := d.source()
 		d.mu.Unlock()
-		body, err := d.get(ctx, from.base)
+		body, err := d.get(ctx, from.url)
 		if err == nil {
 			var raw []byte
 			raw, err = io.ReadAll(io.LimitReader(body, maxListBytes))
@@ -422,11 +438,11 @@
 				l, err = parseList(raw)
 			}
 			if err == nil {
-				err = d.take(l, from, false)
+				err = d.accept(l, from, false)
 			}
 		}
 		if err != nil {
-			d.failed(err, began)
+			d.reportFailure(err, began)
 		}
 	}()
 }
--- a/internal/roster/watch_test.go
+++ b/internal/roster/watch_test.go
@@ -19,52 +19,52 @@
 	"lemonrail/internal/wire"
 )
 
-// laidOut is two lists with heartbeats between them, laid out in every way that JSON allows.
-var laidOut = map[string]string{
+// listLayouts holds the same two lists, with heartbeats between them, in various JSON layouts.
+var listLayouts = map[string]string{
 	"a line each":          "\n{\"seq\":42,\"whole\":false,\"hosts\":[]}\n\n\n{\"seq\":43,\"hosts\":[{\"host\":\"h{1\",\"health\":\"gone\"}]}\n\n",
 	"indented":             "\r\n{\r\n  \"seq\": 42,\r\n\r\n  \"whole\": false,\r\n  \"hosts\": [\r\n  ]\r\n}\r\n\r\n{\n\t\"seq\": 43,\n\t\"hosts\": [\n\t\t{\n\"host\": \"h{1\",\n\"health\": \"gone\" } ]\n}\n",
 	"two in one line":      `{"seq":42,"hosts":[]} {"seq":43,"hosts":[{"host":"h{1","health":"gone"}]}`,
 	"one behind the other": `{"seq":42,"hosts":[]}{"seq":43,"hosts":[{"host":"h{1","health":"gone"}]}` + "\n",
 }
 
-// Lists are read alike however they are laid out and wherever their bytes are cut, and every byte feeds the watchdog.
-func TestLayoutOfLists(t *testing.T) {
-	for name, text := range laidOut {
-		for cut := range len(text) + 1 { // in two at every byte; at last byte by byte
-			pieces := io.MultiReader(strings.NewReader(text[:cut]), strings.NewReader(text[cut:]))
-			if cut == len(text) {
+// Lists are read alike in any layout and wherever their bytes are split, and every byte resets the watchdog.
+func TestReadListLayouts(t *testing.T) {
+	for name, text := range listLayouts {
+		for split := range len(text) + 1 { // in two parts at each byte, finally byte by byte
+			pieces := io.MultiReader(strings.NewReader(text[:split]), strings.NewReader(text[split:]))
+			if split == len(text) {
 				pieces = iotest.OneByteReader(strings.NewReader(text))
 			}
-			fed := 0
-			o := newObjects(pieces, silence, func() { fed++ })
+			reads := 0
+			lr := newListReader(pieces, silenceTimeout, func() { reads++ })
 			for want := int64(42); want <= 43; want++ {
-				if l, err := o.next(); err != nil || l.Seq != want || len(l.Hosts) != int(want-42) {
-					t.Fatalf("%s, cut at %d: got %+v, %v", name, cut, l, err)
+				if l, err := lr.next(); err != nil || l.Seq != want || len(l.Hosts) != int(want-42) {
+					t.Fatalf("%s, split at %d: got %+v, %v", name, split, l, err)
 				}
 			}
-			if _, err := o.next(); !errors.Is(err, io.EOF) {
-				t.Errorf("%s, cut at %d: ended with %v", name, cut, err)
+			if _, err := lr.next(); !errors.Is(err, io.EOF) {
+				t.Errorf("%s, split at %d: ended with %v", name, split, err)
 			}
-			if cut == len(text) && fed != len(text) {
-				t.Errorf("%s: fed %d times by %d bytes", name, fed, len(text))
+			if split == len(text) && reads != len(text) {
+				t.Errorf("%s: onData called %d times for %d bytes", name, reads, len(text))
 			}
 		}
 	}
 }
 
-// A list that ends too soon at whatever byte is an error, never a shorter list.
-func TestListsCutShort(t *testing.T) {
+// A list that is truncated at any byte is an error, never a shorter list.
+func TestTruncatedLists(t *testing.T) {
 	text := `{"seq":42,"whole":true,"hosts":[{"host":"h1","dial":"127.0.0.1:1","site":"a","class":"m1","health":"ready"}]}`
 	for cut := 1; cut < len(text); cut++ {
-		if l, err := newObjects(strings.NewReader(text[:cut]), silence, func() {}).next(); err == nil || errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+		if l, err := newListReader(strings.NewReader(text[:cut]), silenceTimeout, func() {}).next(); err == nil || errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("cut at %d: got %+v, %v", cut, l, err)
 		}
 	}
 }
 
-// What a list can't go without is named where it lacks. Without the check a whole list without backends would take
-// all of them, and one without a version would have the next watch ask from the beginning.
-func TestListsThatMakeNoSense(t *testing.T) {
+// An error names the required field that a list lacks. Without the check, a whole list without backends would
+// remove all of them, and the watch after a list without a version would start at the first version.
+func TestInvalidLists(t *testing.T) {
 	for text, want := range map[string]string{
 		`{}`:                        "seq: missing",
 		`null`:                      "seq: missing",
@@ -77,67 +77,68 @@
 		`{"seq":42,`:                "list",
 		`nonsense`:                  "list",
 	} {
-		if l, err := newObjects(strings.NewReader(text+"\n"), silence, func() {}).next(); err == nil || !strings.Contains(err.Error(), want) {
+		if l, err := newListReader(strings.NewReader(text+"\n"), silenceTimeout, func() {}).next(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %+v, %v", text, l, err)
 		}
 	}
 }
 
-// Heartbeats leave nothing behind, however long nothing else comes; a list without end is given up.
-func TestListsAreBounded(t *testing.T) {
-	o := newObjects(io.MultiReader(io.LimitReader(endless(" \n"), 3*maxListBytes), strings.NewReader(`{"seq":42}`)), silence, func() {})
-	if l, err := o.next(); err != nil || l.Seq != 42 {
+// Heartbeats use no memory, however long no list arrives. A list that is too long or takes too long is an
+// error.
+func TestListReaderIsBounded(t *testing.T) {
+	lr := newListReader(io.MultiReader(io.LimitReader(repeatedText(" \n"), 3*maxListBytes), strings.NewReader(`{"seq":42}`)), silenceTimeout, func() {})
+	if l, err := lr.next(); err != nil || l.Seq != 42 {
 		t.Errorf("got %+v, %v", l, err)
 	}
-	o = newObjects(io.MultiReader(strings.NewReader(`{"seq":42,"hosts":[`), endless(" \n")), silence, func() {})
-	if _, err := o.next(); err == nil {
-		t.Error("no end, and no error")
+	lr = newListReader(io.MultiReader(strings.NewReader(`{"seq":42,"hosts":[`), repeatedText(" \n")), silenceTimeout, func() {})
+	if _, err := lr.next(); err == nil {
+		t.Error("a list over the size limit is not an error")
 	}
-	o = newObjects(strings.NewReader(` {"seq"`), silence, func() {})
-	o.apart, o.begun = false, time.Now().Add(-silence-time.Second)
-	if _, err := o.next(); err == nil || !strings.Contains(err.Error(), "not whole after") {
+	lr = newListReader(strings.NewReader(` {"seq"`), silenceTimeout, func() {})
+	lr.betweenLists, lr.startedAt = false, time.Now().Add(-silenceTimeout-time.Second)
+	if _, err := lr.next(); err == nil || !strings.Contains(err.Error(), "list not complete after") {
 		t.Errorf("got %v", err)
 	}
 }
 
-// endless gives a text over and over.
-type endless string
+// repeatedText is a reader that returns a text over and over.
+type repeatedText string
 
-func (e endless) Read(p []byte) (n int, err error) {
+func (e repeatedText) Read(p []byte) (n int, err error) {
 	for n < len(p) {
 		n += copy(p[n:], e)
 	}
 	return n, nil
 }
 
-// A field of the wrong kind takes its entry, which counts as gone, and not the list.
-func TestEntryOfTheWrongKind(t *testing.T) {
+// An entry with a field of the wrong type counts as gone, and the other entries of the list are used.
+func TestEntryWithWrongFieldType(t *testing.T) {
 	r := newService(t)
-	d, lists := following(t, r, false)
+	d, lists := newClient(t, r, false)
 	go d.Run()
 	c := await(t, r.calls)
-	c.lines <- roll(42, false, `{"host":"h1","dial":"127.0.0.1:1","site":"a","class":"m1","block":"three","health":"ready"}`, `7`, entry("h2", "a", "m1", "draining"))
+	c.lines <- listJSON(42, false, `{"host":"h1","dial":"127.0.0.1:1","site":"a","class":"m1","block":"three","health":"ready"}`, `7`, entryJSON("h2", "a", "m1", "draining"))
 	got := await(t, lists).list.Backends
 	if len(got) != 3 || got[0].ID != "h1" || got[0].State != balance.Gone || got[1].State != balance.Gone || got[2].State != balance.Draining {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// A deployment may have no zones and no kinds.
-func TestNoZonesNoKinds(t *testing.T) {
+// A deployment may have no zone and kind names.
+func TestBackendWithoutZonesAndKinds(t *testing.T) {
 	b, err := Host{Host: "h1", Dial: "127.0.0.1:1", Health: "ready"}.backend(wire.Names{})
 	if err != nil || b.State != balance.Up || b.Zone != 0 || b.Kind != 0 {
 		t.Errorf("got %+v, %v", b, err)
 	}
 }
 
-// An indented list on a watch, and a drain behind it in the same line.
-func TestIndentedOnAWatch(t *testing.T) {
+// A watch delivers an indented list and a drain after it in the same line.
+func TestWatchIndentedList(t *testing.T) {
 	r := newService(t)
-	d, lists := following(t, r, false)
+	d, lists := newClient(t, r, false)
 	go d.Run()
 	c := await(t, r.calls)
-	c.lines <- "{\n \"seq\": 42,\n\n \"whole\": true,\n \"hosts\": [\n" + entry("h1", "a", "m1", "ready") + "\n ]\n} " + roll(43, false, entry("h1", "a", "m1", "draining"))
+	c.lines <- "{\n \"seq\": 42,\n\n \"whole\": true,\n \"hosts\": [\n" + entryJSON("h1", "a", "m1", "ready") + "\n ]\n} " + listJSON(43, false, entryJSON("h1", "a", "m1", "draining"))
 	if got := await(t, lists); got.list.Kind != balance.ListFull || got.list.Backends[0].State != balance.Up {
 		t.Errorf("got %+v", got)
 	}
@@ -146,94 +147,97 @@
 	}
 }
 
-// Changes that are older than what is known would bring drained backends back: they are left aside, and the next
-// watch asks for all. A whole list of a service that counts anew is taken.
-func TestVersionGoesBack(t *testing.T) {
+// Guards against a delta with a version below the known one, which would bring drained backends back: it is
+// ignored, and the next watch requests the whole list. A whole list of a service that restarted its versions
+// is accepted.
+func TestWatchIgnoresOlderDelta(t *testing.T) {
 	r := newService(t)
-	d, lists := following(t, r, false)
+	d, lists := newClient(t, r, false)
 	go d.Run()
 	c := await(t, r.calls)
-	c.lines <- roll(50, false, entry("h1", "a", "m1", "draining"))
+	c.lines <- listJSON(50, false, entryJSON("h1", "a", "m1", "draining"))
 	await(t, lists)
-	c.lines <- roll(49, false, entry("h1", "a", "m1", "ready"))
+	c.lines <- listJSON(49, false, entryJSON("h1", "a", "m1", "ready"))
 	c = await(t, r.calls)
 	if c.query != "follow=1" || len(lists) != 0 {
-		t.Errorf("asked %q, told %d more", c.query, len(lists))
+		t.Errorf("query %q, %d more lists delivered", c.query, len(lists))
 	}
-	c.lines <- roll(3, true, entry("h1", "a", "m1", "draining"))
+	c.lines <- listJSON(3, true, entryJSON("h1", "a", "m1", "draining"))
 	if got := await(t, lists); got.list.Version != 3 || got.list.Kind != balance.ListFull {
 		t.Errorf("got %+v", got)
 	}
-	c.lines <- roll(2, true, entry("h1", "a", "m1", "ready"))
+	c.lines <- listJSON(2, true, entryJSON("h1", "a", "m1", "ready"))
 	if got := await(t, lists); got.list.Version != 2 {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// A watch that falls silent behind its head, and one whose call hangs, are each opened anew: what they miss counts as
-// told 6 s after the silence, which the times have to stay under with one call that hangs between.
-func TestSilenceIsFoundOutInTime(t *testing.T) {
-	if worst := silence + reopenFirst + opening + 2*reopenFirst; worst > 5*time.Second {
-		t.Errorf("%v until the second call", worst)
+// A watch that falls silent after its response header, and one whose call hangs, are both reopened. A change
+// that they miss counts as known 6 s after the silence began, so the timeouts must add up to less, with one
+// call that hangs.
+func TestSilentWatchIsReopenedInTime(t *testing.T) {
+	if longest := silenceTimeout + initialReopenInterval + openTimeout + 2*initialReopenInterval; longest > 5*time.Second {
+		t.Errorf("%v until the second call", longest)
 	}
 	r := newService(t)
-	d, lists := following(t, r, false)
-	d.opening, d.silence = 100*time.Millisecond, 50*time.Millisecond
+	d, lists := newClient(t, r, false)
+	d.openTimeout, d.silenceTimeout = 100*time.Millisecond, 50*time.Millisecond
 	go d.Run()
-	await(t, r.calls) // hangs in its head
+	await(t, r.calls) // no response header
 	for _, seq := range []int{42, 43} {
-		for told := false; !told; { // each watch says one thing and falls silent; a slow machine may need several
+		for delivered := false; !delivered; { // each watch sends one list and falls silent; a slow machine may need several
 			select {
 			case c := <-r.calls:
-				c.lines <- roll(seq, false)
+				c.lines <- listJSON(seq, false)
 			case got := <-lists:
-				told = got.list.Version == int64(seq)
-			case <-time.After(patient):
-				t.Fatal("nothing came")
+				delivered = got.list.Version == int64(seq)
+			case <-time.After(testTimeout):
+				t.Fatal("no call and no list in time")
 			}
 		}
 	}
 }
 
-// No call is open between two: what the service is told then would be known too late. So a watch that has hung, or fallen
-// silent, is opened anew without a pause, and one that ended at once after one.
-func TestOpenedAnewWithoutAPause(t *testing.T) {
+// Guards against pauses without an open call, after which a change would be known too late: a watch that hung
+// or fell silent is reopened at once, and only one that ended soon is reopened after a pause.
+func TestReopenWithoutPause(t *testing.T) {
 	r := newService(t)
-	d, lists := following(t, r, false)
-	d.opening, d.silence = 2*reopenMost, 2*reopenMost
+	d, lists := newClient(t, r, false)
+	d.openTimeout, d.silenceTimeout = 2*maxReopenInterval, 2*maxReopenInterval
 	pauses := make(chan time.Duration, 100)
 	d.after = func(p time.Duration) <-chan time.Time {
 		pauses <- p
 		return time.After(p)
 	}
 	go d.Run()
-	await(t, r.calls)           // hangs in its head
-	for told := false; !told; { // the next says one thing and falls silent; a slow machine may need several
+	await(t, r.calls)                     // no response header
+	for delivered := false; !delivered; { // the next watch sends one list and falls silent; a slow machine may need several
 		select {
 		case c := <-r.calls:
-			c.lines <- roll(42, false)
+			c.lines <- listJSON(42, false)
 		case <-lists:
-			told = true
-		case <-time.After(patient):
-			t.Fatal("nothing came")
+			delivered = true
+		case <-time.After(testTimeout):
+			t.Fatal("no call and no list in time")
 		}
 	}
 	c := await(t, r.calls)
 	for len(pauses) > 0 {
 		t.Errorf("a pause of %v after a call that hung, or a watch that fell silent", <-pauses)
 	}
-	for len(pauses) == 0 { // chance may have it that none is left
+	for len(pauses) == 0 { // the random pause may be shorter than the call
 		close(c.lines)
 		c = await(t, r.calls)
 	}
-	if p := <-pauses; p > reopenMost {
+	if p := <-pauses; p > maxReopenInterval {
 		t.Errorf("a pause of %v", p)
 	}
 }
 
-// A list that comes byte by byte keeps a watch from falling silent, and is not whole in time: the watch is opened anew.
-func TestListThatTrickles(t *testing.T) {
-	trickle, whole := make(chan struct{}), roll(43, false, entry("h1", "a", "m1", "draining"))
+// Guards against a list that arrives byte by byte: it keeps the watch from falling silent, but is not
+// complete in time, so the watch is reopened.
+func TestTricklingListReopensWatch(t *testing.T) {
+	trickle, whole := make(chan struct{}), listJSON(43, false, entryJSON("h1", "a", "m1", "draining"))
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) > 1 {
@@ -242,7 +246,7 @@
 			<-r.Context().Done()
 			return
 		}
-		for n := 0; n < len(whole)-1; n++ { // never the last one
+		for n := 0; n < len(whole)-1; n++ { // the last byte is never sent
 			io.WriteString(w, whole[n:n+1])
 			w.(http.Flusher).Flush()
 			select {
@@ -253,7 +257,7 @@
 			}
 		}
 		<-r.Context().Done()
-		t.Error("all but the last byte was waited for")
+		t.Error("the client waited for all but the last byte")
 		close(trickle)
 	}))
 	ctx, stop := context.WithCancel(t.Context())
@@ -262,7 +266,7 @@
 	lists := make(chan balance.List, 10)
 	d := New(ctx, Config{Service: netip.MustParseAddrPort(srv.Listener.Addr().String()), Names: wire.Names{Zones: []string{"a"}, Kinds: []string{"m1"}}},
 		func(l balance.List, _ map[string]string) { lists <- l }, slog.New(slog.DiscardHandler))
-	d.silence = 200 * time.Millisecond
+	d.silenceTimeout = 200 * time.Millisecond
 	go d.Run()
 	await(t, trickle)
 	if got := await(t, lists); got.Version != 43 || got.Backends[0].State != balance.Draining {
@@ -270,66 +274,68 @@
 	}
 }
 
-// Where lists are asked for, the module learns within which time it has to ask again: soon after a silence, until a list
-// has come; after any other failure in what is left of askAgain since the call began, or last brought a list or a heartbeat.
-func TestSilenceHurriesTheModule(t *testing.T) {
+// On demand, the module learns within which time it must request the list again: soon after a silence, until
+// a list has arrived; after any other failure in the rest of retryInterval since the call began or last got a
+// list or a heartbeat.
+func TestFailureRetryTime(t *testing.T) {
 	r := newService(t)
-	d, lists := following(t, r, true)
+	d, lists := newClient(t, r, true)
 	var began time.Time
-	// Only the step that is to fall silent may: a slow machine must not turn the verdict of the others.
-	open := func(opening, silence time.Duration) *rosterCall {
-		d.opening, d.silence = opening, silence
+	// Only the step that tests a silence has a short timeout, so that a slow machine does not fail the
+	// others.
+	open := func(opening, silence time.Duration) *discoveryCall {
+		d.openTimeout, d.silenceTimeout = opening, silence
 		began = time.Now()
 		d.Subscribe()
 		return await(t, r.calls)
 	}
-	failed := func(most time.Duration) {
+	failed := func(longest time.Duration) {
 		t.Helper()
 		got := await(t, lists)
-		least := min(most, max(within, askAgain-time.Since(began)))
-		if got.list.Kind != balance.ListFailed || got.list.Within < least || got.list.Within > most {
-			t.Errorf("got %+v, want within %v to %v", got, least, most)
+		shortest := min(longest, max(retryAfterSilence, retryInterval-time.Since(began)))
+		if got.list.Kind != balance.ListFailed || got.list.Within < shortest || got.list.Within > longest {
+			t.Errorf("got %+v, want Within between %v and %v", got, shortest, longest)
 		}
 	}
-	close(open(patient, patient).lines)
-	failed(askAgain)
+	close(open(testTimeout, testTimeout).lines)
+	failed(retryInterval)
 	const hang = 2 * time.Second
-	open(hang, patient)
-	failed(askAgain - hang) // a call that hangs
-	open(patient, 50*time.Millisecond).lines <- ""
-	failed(within) // silent
-	close(open(patient, patient).lines)
-	failed(within) // nothing has come since
-	c := open(patient, patient)
-	c.lines <- roll(42, false)
+	open(hang, testTimeout)
+	failed(retryInterval - hang) // a call that hangs
+	open(testTimeout, 50*time.Millisecond).lines <- ""
+	failed(retryAfterSilence) // a watch that falls silent
+	close(open(testTimeout, testTimeout).lines)
+	failed(retryAfterSilence) // no list has arrived since
+	c := open(testTimeout, testTimeout)
+	c.lines <- listJSON(42, false)
 	await(t, lists)
 	close(c.lines)
-	failed(askAgain)
+	failed(retryInterval)
 }
 
-const patient = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// Where lists are asked for, a watch goes on at the new service without the module having to ask.
-func TestAskedWatchMoves(t *testing.T) {
+// On demand, the watch continues at the new service without another request of the module.
+func TestOnDemandWatchFollowsNewService(t *testing.T) {
 	one, two := newService(t), newService(t)
-	d, lists := following(t, one, true)
+	d, lists := newClient(t, one, true)
 	d.Subscribe()
 	c := await(t, one.calls)
-	c.lines <- roll(42, false)
+	c.lines <- listJSON(42, false)
 	await(t, lists)
 	d.Move(netip.MustParseAddrPort(two.srv.Listener.Addr().String()))
 	c = await(t, two.calls)
-	c.lines <- roll(3, true)
+	c.lines <- listJSON(3, true)
 	if got := await(t, lists); got.list.Kind != balance.ListFull || c.query != "follow=1" {
-		t.Errorf("asked %q, got %+v", c.query, got)
+		t.Errorf("query %q, got %+v", c.query, got)
 	}
 }
 
-// SIGHUP in the instant of a silence, of a break and of a list, over and over: the last service is followed at the
-// end, and no list of an earlier one comes behind its first.
-func TestMovesCross(t *testing.T) {
+// Replaces the service 100 times, at the same moment as the watch ends, a list arrives, or neither: the
+// client follows the last service, and no list of an earlier one is delivered after its first.
+func TestServiceReplacedDuringFailures(t *testing.T) {
 	services := []*service{newService(t), newService(t)}
-	d, lists := following(t, services[0], false)
+	d, lists := newClient(t, services[0], false)
 	go d.Run()
 	c := await(t, services[0].calls)
 	for n := range 100 {
@@ -343,16 +349,16 @@
 		case 0:
 			close(c.lines)
 		case 1:
-			c.lines <- roll(1000-n, false)
+			c.lines <- listJSON(1000-n, false)
 		}
 		await(t, moved)
-		for { // the old one may be called once more before it has moved
+		for { // the previous service may be called once more before the replacement
 			c = await(t, to.calls)
 			if c.query == "follow=1" {
 				break
 			}
 		}
-		c.lines <- roll(n, true, entry(fmt.Sprint("h", n), "a", "m1", "ready"))
+		c.lines <- listJSON(n, true, entryJSON(fmt.Sprint("h", n), "a", "m1", "ready"))
 		for {
 			got := await(t, lists)
 			if got.list.Kind == balance.ListFull {
@@ -362,7 +368,7 @@
 				break
 			}
 		}
-		for len(services[n%2].calls) > 0 { // of a watch that has ended
+		for len(services[n%2].calls) > 0 { // calls of a watch that has ended
 			<-services[n%2].calls
 		}
 	}
