--- a/internal/agent/processgroup.go
+++ b/internal/agent/processgroup.go
@@ -21,82 +21,82 @@
 )
 
 const (
-	lookEvery = 100 * time.Millisecond // at what other processes of this agent have written
-	lookOften = 20 * time.Millisecond  // the same while there are any
+	pollInterval       = 100 * time.Millisecond // between reads of the state shared with other processes of this agent
+	sharedPollInterval = 20 * time.Millisecond  // the same while other processes run
 )
 
-// Inherit makes a listener of a descriptor that the platform hands to each process of an agent. It has to
-// listen where the configuration says.
-func Inherit(fd int, at netip.AddrPort) (net.Listener, error) {
-	listens, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
+// InheritListener returns the listener of a descriptor that the platform passes to each process of an agent. It must
+// listen at want, unless the port of want is 0.
+func InheritListener(fd int, want netip.AddrPort) (net.Listener, error) {
+	listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 	if err != nil {
 		return nil, fmt.Errorf("clients: descriptor %d (LB_FD): %w", fd, err)
 	}
-	if listens == 0 {
-		return nil, fmt.Errorf("clients: descriptor %d (LB_FD) is no listener", fd)
+	if listening == 0 {
+		return nil, fmt.Errorf("clients: descriptor %d (LB_FD) is not a listener", fd)
 	}
 	f := os.NewFile(uintptr(fd), "clients")
-	defer f.Close() // the listener has its own
+	defer f.Close() // the listener has a duplicate
 	ln, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("clients: descriptor %d (LB_FD): %w", fd, err)
 	}
-	if got, err := netip.ParseAddrPort(ln.Addr().String()); err != nil || at.Port() != 0 && got != at {
+	if got, err := netip.ParseAddrPort(ln.Addr().String()); err != nil || want.Port() != 0 && got != want {
 		ln.Close()
-		return nil, fmt.Errorf("clients: descriptor %d (LB_FD) listens on %v, not on %v", fd, ln.Addr(), at)
+		return nil, fmt.Errorf("clients: descriptor %d (LB_FD) listens on %v, not on %v", fd, ln.Addr(), want)
 	}
 	return ln, nil
 }
 
-// claim takes this process's place among those of the agent; nil where it is the only one there can be.
-func claim(cfg *Config, log *slog.Logger) (*takeover.Claim, takeover.State) {
+// claimPlace registers this process among those of the agent; it returns nil where the processes share no folder.
+func claimPlace(cfg *Config, log *slog.Logger) (*takeover.Claim, takeover.State) {
 	if cfg.SharedDir == "" {
 		return nil, takeover.State{}
 	}
 	c, s, err := takeover.Take(cfg.SharedDir, cfg.Name)
-	if err != nil { // serving comes first
+	if err != nil { // the agent serves even without knowing the others
 		log.Error("other processes of this agent are not known", "err", err)
 	}
 	return c, s
 }
 
-// processGroup keeps a process in step with the others of its agent.
+// processGroup coordinates a process with the other processes of its agent.
 type processGroup struct {
-	claim   *takeover.Claim
-	shared  takeover.State // as it was when this process took its place
-	loop    *core.Loop
-	peers   core.Peers                          // nil where agents don't talk
-	members *link.Link                          // nil: no membership
-	inHand  func() int                          // requests of this process
-	memory  int64                               // bytes that all may use together; 0: not told
-	open    func() int                          // connections of this process
-	room    func(connections int, memory int64) // puts bounds in force
-	most    int                                 // connections that this process may hold where it is the only one; 0: not told
-	log     *slog.Logger
-
-	version int64   // of the state that was adopted last; the loop's
-	leaves  bool    // a successor speaks for the agent from now on; the loop's
-	mine    float64 // of the agent's budget, as told last
+	claim           *takeover.Claim
+	shared          takeover.State // at the time when this process registered
+	loop            *core.Loop
+	peers           core.Peers                          // nil: no peer messages
+	members         *link.Link                          // nil: no membership
+	activeRequests  func() int                          // number of requests in hand in this process
+	memory          int64                               // bytes for all processes of the agent together; 0: unknown
+	openConnections func() int                          // number of connections of this process
+	setLimits       func(connections int, memory int64) // applies limits to clients and backends
+	maxConnections  int                                 // for a process that is the only one of its agent; 0: unknown
+	log             *slog.Logger
+
+	adoptedVersion int64   // of the shared state adopted last; owned by the loop
+	handedOver     bool    // a successor exchanges messages with peers from now on; owned by the loop
+	budgetShare    float64 // of the agent's budget, as passed last to the balancer
 }
 
-// newProcessGroup takes this process's place among those of the agent; nil where it is the only one there can be.
-func newProcessGroup(cfg *Config, l *core.Loop, up *upstream.Upstream, socks *upstream.Sockets, listener *clientListener, members *link.Link,
+// newProcessGroup registers this process among those of the agent; it returns nil where the processes share no folder.
+func newProcessGroup(cfg *Config, l *core.Loop, up *upstream.Upstream, sockets *upstream.Sockets, listener *clientListener, members *link.Link,
 	log *slog.Logger) *processGroup {
-	place, shared := claim(cfg, log)
-	if place == nil {
+	claim, shared := claimPlace(cfg, log)
+	if claim == nil {
 		return nil
 	}
-	return &processGroup{claim: place, shared: shared, loop: l, peers: l.Peers, members: members, inHand: func() int { return int(l.Figures.Active.Load()) },
-		memory: cfg.MemoryMB << 20, log: log, most: int(socks.Limit), open: func() int { return int(socks.Open.Load()) },
-		room: func(connections int, memory int64) {
+	return &processGroup{claim: claim, shared: shared, loop: l, peers: l.Peers, members: members, activeRequests: func() int { return int(l.Figures.Active.Load()) },
+		memory: cfg.MemoryMB << 20, log: log, maxConnections: int(sockets.Limit), openConnections: func() int { return int(sockets.Open.Load()) },
+		setLimits: func(connections int, memory int64) {
 			if err := listener.Resize(admission.DefaultConfig(connections, memory)); err != nil {
-				log.Error("bounds stay as they were", "err", err)
+				log.Error("connection and memory limits are unchanged", "err", err)
 			}
 			up.Room(connections)
 		}}
 }
 
-// part is ahead of the list's: what staff did comes before what is known.
+// part comes before the list's part: operators' changes apply before the configured list does.
 func (h *processGroup) part() *part {
 	if h == nil {
 		return &part{name: "processes"}
@@ -104,67 +104,67 @@
 	return &part{name: "processes",
 		start: func(t *tasks) {
 			if h.claim.View().Plan().Mute {
-				h.loop.Post(func() { h.speak(false) })
+				h.loop.Post(func() { h.setPeerMessaging(false) })
 			}
 			h.loop.Post(func() { h.adopt(h.shared) })
-			t.Go(func(ctx context.Context) error { h.look(ctx); return nil })
+			t.Go(func(ctx context.Context) error { h.watch(ctx); return nil })
 		},
-		leave: func(time.Time) {
+		beginStop: func(time.Time) {
 			if h.successorServes() {
-				h.loop.Post(h.leave)
+				h.loop.Post(h.handOver)
 			}
 		},
 		close: h.claim.Close}
 }
 
-// adopt takes a state over, unless a later one has been. It belongs to the loop.
+// adopt applies a shared state, unless a later one has been applied. It runs in the loop.
 func (h *processGroup) adopt(s takeover.State) {
-	if s.Version > h.version {
-		h.version = s.Version
+	if s.Version > h.adoptedVersion {
+		h.adoptedVersion = s.Version
 		h.loop.Adopt(s.Out, s.Back, s.Zones)
 	}
 }
 
-// look reads what other processes have written, until ctx ends.
-func (h *processGroup) look(ctx context.Context) {
-	tick := time.NewTicker(lookEvery)
+// watch follows the state that other processes write, until ctx ends.
+func (h *processGroup) watch(ctx context.Context) {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	alone, broken := true, false
-	room := h.most
-	h.mine = 1
+	alone, unreadable := true, false
+	limit := h.maxConnections
+	h.budgetShare = 1
 	for {
 		s, v, err := h.claim.Look()
 		if err != nil {
-			if !broken {
-				h.log.Warn("state shared with other processes is left aside", "err", err)
+			if !unreadable {
+				h.log.Warn("state shared with other processes can't be read", "err", err)
 			}
-			broken = true
+			unreadable = true
 		} else {
-			broken = false
+			unreadable = false
 			h.loop.Post(func() { h.adopt(s) })
 		}
-		if h.members != nil { // two processes are one member: the later one, which gets what others send
+		if h.members != nil { // two processes are one member: the later one, which receives the datagrams of others
 			h.members.Mute(v.Later)
 		}
-		mine := h.inHand()
-		if err := h.claim.Tell(mine, h.open()); err != nil {
-			h.log.Warn("requests in hand are not told", "err", err)
+		active := h.activeRequests()
+		if err := h.claim.Tell(active, h.openConnections()); err != nil {
+			h.log.Warn("requests in hand are not reported to other processes", "err", err)
 		}
 		if p := v.Plan(); p.Alone != alone {
 			alone = p.Alone
 			h.log.Info("other processes of this agent", "alone", alone)
-			h.limit(alone)
-			room = 0
-			h.loop.Post(func() { h.speak(!p.Mute) })
-			tick.Reset(map[bool]time.Duration{true: lookEvery, false: lookOften}[alone])
+			h.setMemoryLimit(alone)
+			limit = 0
+			h.loop.Post(func() { h.setPeerMessaging(!p.Mute) })
+			tick.Reset(map[bool]time.Duration{true: pollInterval, false: sharedPollInterval}[alone])
 		}
-		if now := h.places(v); now != room {
-			room = now
-			h.room(now, h.share(alone))
+		if newLimit := h.connectionLimit(v); newLimit != limit {
+			limit = newLimit
+			h.setLimits(newLimit, h.memoryShare(alone))
 		}
-		if part := v.Part(mine); part != h.mine {
-			h.mine = part
-			h.loop.Post(func() { h.loop.Event(balance.Part{Of: part}) })
+		if share := v.Part(active); share != h.budgetShare {
+			h.budgetShare = share
+			h.loop.Post(func() { h.loop.Event(balance.Part{Of: share}) })
 		}
 		select {
 		case <-tick.C:
@@ -174,60 +174,60 @@
 	}
 }
 
-// speak lets this process speak to peers, or not: others would hear two voices under one number. It belongs to
-// the loop.
-func (h *processGroup) speak(may bool) {
-	if may && !h.leaves {
+// setPeerMessaging turns messages to peers on or off: peers must not receive two processes' messages under one agent's
+// number. It runs in the loop.
+func (h *processGroup) setPeerMessaging(allowed bool) {
+	if allowed && !h.handedOver {
 		h.loop.Peers = h.peers
 	} else {
 		h.loop.Peers = nil
 	}
 }
 
-// leave is called at a stop once a successor serves. It belongs to the loop.
-func (h *processGroup) leave() {
-	h.leaves = true
-	h.speak(false)
+// handOver is called at a stop once a successor serves. It runs in the loop.
+func (h *processGroup) handOver() {
+	h.handedOver = true
+	h.setPeerMessaging(false)
 }
 
-// limit divides the memory among the processes that live.
-func (h *processGroup) limit(alone bool) {
+// setMemoryLimit applies this process's share of the agent's memory.
+func (h *processGroup) setMemoryLimit(alone bool) {
 	if h.memory > 0 {
-		debug.SetMemoryLimit(CollectAt(h.share(alone)))
+		debug.SetMemoryLimit(CollectAt(h.memoryShare(alone)))
 	}
 }
 
-// share is the memory that this process may use.
-func (h *processGroup) share(alone bool) int64 {
+// memoryShare returns the bytes that this process may use: all, or half while another process runs.
+func (h *processGroup) memoryShare(alone bool) int64 {
 	if alone {
 		return h.memory
 	}
 	return h.memory / 2
 }
 
-// places is how many connections this process may hold. Another has descriptors of its own besides.
-func (h *processGroup) places(v takeover.View) int {
-	if h.most == 0 || v.Plan().Alone {
-		return h.most
+// connectionLimit returns how many connections this process may hold. Another process needs descriptors of its own.
+func (h *processGroup) connectionLimit(v takeover.View) int {
+	if h.maxConnections == 0 || v.Plan().Alone {
+		return h.maxConnections
 	}
-	return v.Room(max(h.most-reservedSockets, reservedSockets))
+	return v.Room(max(h.maxConnections-reservedSockets, reservedSockets))
 }
 
-// CollectAt is the memory above which the collector works harder; the rest is for what it does not count.
+// CollectAt returns the soft memory limit for the garbage collector; the rest is for memory that it doesn't count.
 func CollectAt(memory int64) int64 { return memory * 3 / 4 }
 
 // successorServes reports whether a successor serves.
 func (h *processGroup) successorServes() bool { return h != nil && h.claim.View().Plan().Successor }
 
-const holdStep = 5 * time.Millisecond
+const readyPollInterval = 5 * time.Millisecond
 
-// hold waits, where a process of an earlier generation serves, until this one is ready to. Guards against clients
-// that are taken by a process that ends before it has ever served.
-func (h *processGroup) hold(ctx context.Context, ready func() bool) {
+// waitReady waits until this process is ready, if a process of an earlier generation still runs. Otherwise this process
+// could take clients and end before it has ever served.
+func (h *processGroup) waitReady(ctx context.Context, ready func() bool) {
 	if h == nil || !h.claim.View().Earlier {
 		return
 	}
-	tick := time.NewTicker(holdStep)
+	tick := time.NewTicker(readyPollInterval)
 	defer tick.Stop()
 	for !ready() {
 		select {
--- a/internal/agent/processgroup_test.go
+++ b/internal/agent/processgroup_test.go
@@ -17,15 +17,15 @@
 	"lemonrail/internal/scripted"
 )
 
-// process is one of those that are one agent.
-type process struct {
-	staff string
-	stop  context.CancelFunc
-	done  chan struct{}
+// groupMember is one of the processes of an agent.
+type groupMember struct {
+	controlURL string
+	stop       context.CancelFunc
+	done       chan struct{}
 }
 
-// startProcess runs one on a listener that all have inherited.
-func startProcess(t *testing.T, dir string, held *os.File, backends ...string) *process {
+// startProcess starts a process on the inherited listener held, and waits until it is ready.
+func startProcess(t *testing.T, dir string, held *os.File, backends ...string) *groupMember {
 	t.Helper()
 	cfg := testConfig(t, backends...)
 	cfg.SharedDir, cfg.Name = dir, "n0"
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &process{staff: "http://" + controlListener.Addr().String(), stop: cancel, done: make(chan struct{})}
+	p := &groupMember{controlURL: "http://" + controlListener.Addr().String(), stop: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(p.done)
 		defer controlListener.Close()
@@ -53,13 +53,13 @@
 		cancel()
 		await(t, p.done)
 	})
-	untilReady(t, p.staff)
+	waitUntilReady(t, p.controlURL)
 	return p
 }
 
-// Under load one process after another replaces the one before: no request is refused, reset or lost, and what
-// staff took out stays out, also where the call goes to the one that is about to leave.
-func TestReplacedUnderLoad(t *testing.T) {
+// Processes replace one another under load: no request is refused, reset or lost, and backends excluded by operators stay
+// excluded, also if the call goes to the process that is about to stop.
+func TestProcessReplacementUnderLoad(t *testing.T) {
 	ln := listen(t)
 	held, err := ln.(*net.TCPListener).File() // as the platform holds it
 	if err != nil {
@@ -77,7 +77,7 @@
 	ended := make(chan struct{})
 	for c := range 8 {
 		load.Go(func() {
-			kept, anew := newClient(t), &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+			kept, anew := newClient(t), &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: timeout}
 			for i := 0; ; i++ {
 				select {
 				case <-ended:
@@ -88,7 +88,7 @@
 				if c%2 == 0 {
 					client = anew
 				}
-				resp, _, err := ask(client, url, fmt.Sprint(c, "-", i))
+				resp, _, err := sendRead(client, url, fmt.Sprint(c, "-", i))
 				if asked.Add(1); err != nil || resp.StatusCode != http.StatusOK {
 					failed.Add(1)
 					t.Error(resp, err)
@@ -96,24 +96,24 @@
 			}
 		})
 	}
-	if status, text := call(t, "PUT", old.staff+"/api/exclude/h1"); status != 200 {
+	if status, text := call(t, "PUT", old.controlURL+"/api/exclude/h1"); status != 200 {
 		t.Fatal(status, text)
 	}
 	for i := range 3 {
 		before := asked.Load()
 		fresh := startProcess(t, dir, held, a, b)
-		if i == 1 { // the process that is about to leave hears of it, too
-			if status, text := call(t, "PUT", fresh.staff+"/api/include/h1"); status != 200 {
+		if i == 1 { // calls to the process that is about to stop count too
+			if status, text := call(t, "PUT", fresh.controlURL+"/api/include/h1"); status != 200 {
 				t.Fatal(status, text)
 			}
-			if status, text := call(t, "PUT", old.staff+"/api/exclude/h0"); status != 200 {
+			if status, text := call(t, "PUT", old.controlURL+"/api/exclude/h0"); status != 200 {
 				t.Fatal(status, text)
 			}
 		}
 		old.stop()
 		await(t, old.done)
 		for asked.Load() < before+50 {
-			ask(newClient(t), url, fmt.Sprint("more-", i, "-", asked.Load()))
+			sendRead(newClient(t), url, fmt.Sprint("more-", i, "-", asked.Load()))
 			asked.Add(1)
 		}
 		old = fresh
@@ -123,27 +123,27 @@
 	if failed.Load() != 0 {
 		t.Errorf("%d of %d requests failed", failed.Load(), asked.Load())
 	}
-	if _, text := call(t, "GET", old.staff+"/api/telemetry"); !strings.Contains(text, "svc_pool_ejected 1\n") {
-		t.Errorf("what is out is forgotten:\n%s", text)
+	if _, text := call(t, "GET", old.controlURL+"/api/telemetry"); !strings.Contains(text, "svc_pool_ejected 1\n") {
+		t.Errorf("the excluded backend is not known:\n%s", text)
 	}
-	if status, _ := call(t, "PUT", old.staff+"/api/exclude/h9"); status != 404 {
+	if status, _ := call(t, "PUT", old.controlURL+"/api/exclude/h9"); status != 404 {
 		t.Errorf("unknown backend: %d", status)
 	}
 }
 
-// A process that inherits what is no listener says so.
-func TestInheritNonsense(t *testing.T) {
+// InheritListener refuses a file, a listener at another address and a connection.
+func TestInheritInvalidDescriptors(t *testing.T) {
 	f, err := os.Open(os.DevNull)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	fd, err := syscall.Dup(int(f.Fd())) // Inherit closes those that listen
+	fd, err := syscall.Dup(int(f.Fd())) // InheritListener closes descriptors of listeners
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer syscall.Close(fd)
-	if ln, err := Inherit(fd, netip.AddrPort{}); err == nil {
+	if ln, err := InheritListener(fd, netip.AddrPort{}); err == nil {
 		ln.Close()
 		t.Error("no error for a file")
 	}
@@ -156,7 +156,7 @@
 	if fd, err = syscall.Dup(int(held.Fd())); err != nil {
 		t.Fatal(err)
 	}
-	if ln, err := Inherit(fd, netip.MustParseAddrPort("127.0.0.1:1")); err == nil || !strings.Contains(err.Error(), "LB_FD") {
+	if ln, err := InheritListener(fd, netip.MustParseAddrPort("127.0.0.1:1")); err == nil || !strings.Contains(err.Error(), "LB_FD") {
 		ln.Close()
 		t.Errorf("another address: %v", err)
 	}
@@ -170,7 +170,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if _, err := Inherit(int(conn.Fd()), netip.AddrPort{}); err == nil || !strings.Contains(err.Error(), "no listener") {
+	if _, err := InheritListener(int(conn.Fd()), netip.AddrPort{}); err == nil || !strings.Contains(err.Error(), "not a listener") {
 		t.Errorf("a connection: %v", err)
 	}
 }
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -9,39 +9,38 @@
 )
 
 const (
-	rereadFirst = 50 * time.Millisecond // a file that can't be read may be half written: try again after it
-	rereadTries = 8                     // with twice the wait each time
+	firstReloadWait   = 50 * time.Millisecond // wait after a file that can't be read, which may be half written
+	maxReloadAttempts = 8                     // with twice the wait each time
 )
 
-// follow reads the configuration at path anew with each signal and hands on where discovery is.
-// Nothing else takes effect. Guards against a file that makes no sense: what held goes on to hold.
-// A signal that comes while a file is to be tried again begins anew with it: what it speaks of counts soon. First is the
-// wait before the second try.
-func follow(ctx context.Context, hup <-chan os.Signal, path string, first time.Duration, move func(netip.AddrPort), log *slog.Logger) {
+// reloadOnSignal reads the configuration at path again on each signal from hup and passes the address of discovery to
+// setDiscovery. No other change takes effect. An invalid file changes nothing and is read again, the first time after
+// firstWait. A signal during such a wait starts over at once, since the change that it announces has to take effect soon.
+func reloadOnSignal(ctx context.Context, hup <-chan os.Signal, path string, firstWait time.Duration, setDiscovery func(netip.AddrPort), log *slog.Logger) {
 	for {
 		select {
 		case <-hup:
 		case <-ctx.Done():
 			return
 		}
-		wait := first
-		for tries := 0; tries < rereadTries; tries++ {
+		wait := firstWait
+		for attempt := 0; attempt < maxReloadAttempts; attempt++ {
 			cfg, err := ReadConfig(path)
 			if err == nil {
 				log.Info("configuration read again", "discovery", cfg.Discovery)
-				move(cfg.Discovery)
+				setDiscovery(cfg.Discovery)
 				break
 			}
 			log.Warn("configuration kept as it was", "err", err)
-			pause := time.NewTimer(wait)
+			retry := time.NewTimer(wait)
 			select {
-			case <-pause.C:
+			case <-retry.C:
 				wait *= 2
 			case <-hup:
-				pause.Stop()
-				wait, tries = first, -1
+				retry.Stop()
+				wait, attempt = firstWait, -1
 			case <-ctx.Done():
-				pause.Stop()
+				retry.Stop()
 				return
 			}
 		}
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// A signal moves the watch; a file that is half written when it comes is read again, and what
-// held goes on to hold.
+// On a signal the agent follows discovery to its new address. A file that is half written then is read again, and until
+// it is valid the old configuration stays.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
@@ -28,9 +28,9 @@
 	t.Cleanup(cancel)
 	hup := make(chan os.Signal)
 	moved := make(chan netip.AddrPort, 1)
-	warned := make(lines, 100)
-	go follow(ctx, hup, path, rereadFirst, func(a netip.AddrPort) { moved <- a }, slog.New(slog.NewTextHandler(warned, nil)))
-	hup <- os.Interrupt // any signal will do
+	warned := make(logLines, 100)
+	go reloadOnSignal(ctx, hup, path, firstReloadWait, func(a netip.AddrPort) { moved <- a }, slog.New(slog.NewTextHandler(warned, nil)))
+	hup <- os.Interrupt // any signal triggers a reload
 	if w := await(t, (<-chan string)(warned)); !strings.Contains(w, "kept") {
 		t.Errorf("logged %q", w)
 	}
@@ -40,25 +40,25 @@
 	}
 }
 
-// lines is a log that a test reads.
-type lines chan string
+// logLines is a writer for logs that passes each line to a test.
+type logLines chan string
 
-func (l lines) Write(p []byte) (int, error) {
+func (l logLines) Write(p []byte) (int, error) {
 	l <- string(p)
 	return len(p), nil
 }
 
-// With discovery down an agent starts from the list that it last had.
+// With discovery down an agent serves from the list in its configuration.
 func TestDiscoveryDown(t *testing.T) {
-	base, _, _ := running(t, testConfig(t, backend(t, always(hello))), nil)
-	if resp, body, err := ask(newClient(t), base, "d1"); err != nil || resp.StatusCode != http.StatusOK || body != "hello" {
+	base, _, _ := startAgent(t, testConfig(t, backend(t, always(hello))), nil)
+	if resp, body, err := sendRead(newClient(t), base, "d1"); err != nil || resp.StatusCode != http.StatusOK || body != "hello" {
 		t.Errorf("got %v, %q, %v", resp, body, err)
 	}
 }
 
-// A signal that crosses with the wait after a file that made no sense: the new file is read at once, not when that
-// wait is over, which grows to seconds while what the signal speaks of counts after four.
-func TestSignalCrossesWithARetry(t *testing.T) {
+// A signal comes during the wait after an invalid file: the new file is read at once, not at the end of the wait. The
+// wait grows to seconds, but the change announced by the signal has to take effect within four.
+func TestSignalDuringReloadRetry(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -71,9 +71,9 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		follow(ctx, hup, path, time.Hour, func(to netip.AddrPort) { moved <- to }, slog.New(keptLog{quiet.Handler(), kept}))
+		reloadOnSignal(ctx, hup, path, time.Hour, func(to netip.AddrPort) { moved <- to }, slog.New(keptLog{quiet.Handler(), kept}))
 	}()
-	for range 3 { // as often as it comes
+	for range 3 { // more than one signal during a wait
 		hup <- syscall.SIGHUP
 		await(t, kept)
 	}
@@ -87,7 +87,7 @@
 	await(t, ended)
 }
 
-// keptLog tells when a configuration is kept as it was.
+// keptLog signals on kept that an invalid configuration was ignored.
 type keptLog struct {
 	slog.Handler
 	kept chan struct{}
--- a/internal/agent/restart_test.go
+++ b/internal/agent/restart_test.go
@@ -15,36 +15,36 @@
 	"time"
 )
 
-// troubled is a discovery whose calls come to nothing until it recovers: refused, hung or answered in part, or as slowly as
-// its kind says. From then on it answers calls in turn.
-type troubled struct {
-	address string
-	list    string
-	mu      sync.Mutex
-	rng     *rand.Rand
-	up      bool
-	turn    sync.Mutex // a call is worked on
-	asked   bool       // lists are asked for: calls are worked on in turn
-	slow    bool       // it answers after a second, byte by byte
+// failingDiscovery is a discovery whose calls fail until it recovers: they are refused, hang, are truncated or, if slow is
+// set, answered very slowly. After that it answers; if subscribe is set, one call at a time.
+type failingDiscovery struct {
+	address   string
+	list      string
+	mu        sync.Mutex
+	rng       *rand.Rand
+	recovered bool
+	callSlot  sync.Mutex // held by the call that is being processed
+	subscribe bool       // agents ask for lists: calls are processed one at a time
+	slow      bool       // until it recovers, answers begin after 1 s and come byte by byte
 }
 
-func newTroubled(t *testing.T, seed uint64, asked, slow bool, list string) *troubled {
-	d := &troubled{rng: rand.New(rand.NewPCG(seed, 1)), asked: asked, slow: slow, list: list + "\n"}
+func newFailingDiscovery(t *testing.T, seed uint64, subscribe, slow bool, list string) *failingDiscovery {
+	d := &failingDiscovery{rng: rand.New(rand.NewPCG(seed, 1)), subscribe: subscribe, slow: slow, list: list + "\n"}
 	d.address = backend(t, d.serve)
 	return d
 }
 
-func (d *troubled) recover() {
+func (d *failingDiscovery) recover() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.up = true
+	d.recovered = true
 }
 
-const callTime = 20 * time.Millisecond // of discovery, for a call that is worked on in turn
+const subscribeCallTime = 20 * time.Millisecond // processing time of a call if subscribe is set
 
-func (d *troubled) serve(c net.Conn, r *bufio.Reader) {
+func (d *failingDiscovery) serve(c net.Conn, r *bufio.Reader) {
 	d.mu.Lock()
-	up, way, wait := d.up, d.rng.IntN(5), time.Duration(d.rng.Int64N(int64(time.Second)))
+	up, way, wait := d.recovered, d.rng.IntN(5), time.Duration(d.rng.Int64N(int64(time.Second)))
 	d.mu.Unlock()
 	if _, err := http.ReadRequest(r); err != nil {
 		return
@@ -61,10 +61,10 @@
 	}
 	switch {
 	case up:
-		if d.asked {
-			d.turn.Lock()
-			time.Sleep(callTime)
-			d.turn.Unlock()
+		if d.subscribe {
+			d.callSlot.Lock()
+			time.Sleep(subscribeCallTime)
+			d.callSlot.Unlock()
 		}
 		io.WriteString(c, head)
 		for text := d.list; write(text); text = "\n" {
@@ -77,7 +77,7 @@
 		for i := 0; i < len(d.list)/2 && write(d.list[i:i+1]); i++ {
 			time.Sleep(20 * time.Millisecond)
 		}
-	case way == 0: // reset
+	case way == 0: // a reset
 		return
 	case way == 1:
 		time.Sleep(wait)
@@ -92,7 +92,7 @@
 	<-gone
 }
 
-// fleetSize is how many processes TestMassRestart runs: FLEET, up to 200.
+// fleetSize returns how many processes TestMassRestart runs: FLEET, from 10 to 200; default 50.
 func fleetSize(t *testing.T) int {
 	text := os.Getenv("FLEET")
 	if text == "" {
@@ -105,29 +105,29 @@
 	return n
 }
 
-// Nine in ten processes of a fleet are killed and started anew at once, while discovery is down, slow, or at its limit of
-// connections, and lists are pushed or asked for. Nine in ten of those are ready within 10 s. When discovery can be reached
-// again, with a change, each agent knows it 6 s later, whatever calls have failed before.
+// Nine in ten processes of a fleet are killed and restarted at once, while discovery is failing, slow or at its limit of
+// connections, and lists are pushed or asked for. Nine in ten of the restarted ones are ready within 10 s. Once discovery
+// can be reached again, with a changed list, each agent has that list within 6 s, however many calls have failed before.
 func TestMassRestart(t *testing.T) {
-	const readyWithin, toldWithin = 10 * time.Second, 6 * time.Second
+	const readyWithin, updatedWithin = 10 * time.Second, 6 * time.Second
 	n := fleetSize(t)
 	known := backend(t, always(hello))
 	list := listText(77, known, backend(t, always(hello)))
 
 	type kind struct {
 		name      string
-		asked     bool
-		discovery *troubled
+		subscribe bool
+		discovery *failingDiscovery
 		full      *lateListener
 	}
 	var kinds []kind
-	for i, asked := range []bool{false, true} {
+	for i, subscribe := range []bool{false, true} {
 		what := []string{"pushed", "asked for"}[i]
-		failing, slow := newTroubled(t, uint64(i), asked, false, list), newTroubled(t, uint64(i), asked, true, list)
-		full := newTroubled(t, uint64(i), asked, false, list)
+		failing, slow := newFailingDiscovery(t, uint64(i), subscribe, false, list), newFailingDiscovery(t, uint64(i), subscribe, true, list)
+		full := newFailingDiscovery(t, uint64(i), subscribe, false, list)
 		full.recover()
-		kinds = append(kinds, kind{what + ", failing", asked, failing, nil}, kind{what + ", slow", asked, slow, nil},
-			kind{what + ", full", asked, nil, newLateListener(t, full.serve)})
+		kinds = append(kinds, kind{what + ", failing", subscribe, failing, nil}, kind{what + ", slow", subscribe, slow, nil},
+			kind{what + ", full", subscribe, nil, newLateListener(t, full.serve)})
 	}
 	var fleet []*agentProcess
 	for i := range n {
@@ -141,7 +141,7 @@
 		}
 		text := strings.Replace(configJSON(address, "", known), `"Balancers":2`, fmt.Sprintf(`"Balancers":%d`, n), 1)
 		text = strings.Replace(text, `"Contract":{`, `"Contract":{"AskWithinMs":10000,`, 1)
-		if k.asked {
+		if k.subscribe {
 			text = strings.Replace(text, `"TickMs":5`, `"TickMs":5,"MembershipMode":"subscribe"`, 1)
 		}
 		p.configure(text)
@@ -149,7 +149,7 @@
 		fleet = append(fleet, p)
 	}
 	for _, p := range fleet {
-		p.ready()
+		p.awaitReady()
 	}
 
 	restarted := fleet[:n*9/10]
@@ -166,7 +166,7 @@
 	ready, slowest := 0, time.Duration(0)
 	for _, p := range restarted {
 		all.Go(func() {
-			p.wait(func() bool { return p.isUp() && p.isReady() })
+			p.becomes(func() bool { return p.isUp() && p.isReady() })
 			took := time.Since(began[p])
 			mu.Lock()
 			defer mu.Unlock()
@@ -180,7 +180,7 @@
 		t.Errorf("%d of %d restarted processes were ready within %v", ready, len(restarted), readyWithin)
 	}
 
-	time.Sleep(3 * time.Second) // calls go on to fail
+	time.Sleep(3 * time.Second) // calls keep failing
 	reached := time.Now()
 	for _, k := range kinds {
 		if k.full != nil {
@@ -192,20 +192,20 @@
 	latest := time.Duration(0)
 	for _, p := range fleet {
 		all.Go(func() {
-			p.wait(func() bool { return strings.Contains(p.call("/api/telemetry"), "svc_pool_size 2\n") })
+			p.becomes(func() bool { return strings.Contains(p.call("/api/telemetry"), "svc_pool_size 2\n") })
 			took := time.Since(reached)
 			mu.Lock()
 			defer mu.Unlock()
-			if latest = max(latest, took); took > toldWithin {
-				t.Errorf("%s: told after %v", p.name, took)
+			if latest = max(latest, took); took > updatedWithin {
+				t.Errorf("%s: updated after %v", p.name, took)
 			}
 		})
 	}
 	all.Wait()
-	t.Logf("%d processes, %d restarted: %d ready within %v, the slowest after %v; the last was told after %v", n, len(restarted), ready, readyWithin, slowest, latest)
+	t.Logf("%d processes, %d restarted: %d ready within %v, the slowest after %v; the last one updated after %v", n, len(restarted), ready, readyWithin, slowest, latest)
 }
 
-// isUp reports whether clients are told that the process serves.
+// isUp reports whether the process answers clients' health checks with 200.
 func (p *agentProcess) isUp() bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get(p.url() + "/up")
--- a/internal/agent/sites.go
+++ b/internal/agent/sites.go
@@ -13,29 +13,29 @@
 	"lemonrail/internal/takeover"
 )
 
-// sitesSet is what a file on sites says.
-type sitesSet struct {
+// sitesSettings holds the contents of the file on sites.
+type sitesSettings struct {
 	file    *site.File
 	problem site.Problem
 }
 
-// WithSites has the agent watch whole sites, by a file's text; name is what errors call it.
+// WithSites has the agent watch whole sites, as raw, the text of a file, says. Errors refer to the file as name.
 func (c *Config) WithSites(name string, raw []byte) error {
 	f, p, err := site.ParseFile(name, raw)
 	if err != nil {
 		return err
 	}
 	if len(c.Names.Zones) == 0 {
-		return errors.New("sites: the platform names none")
+		return errors.New("sites: the platform's settings name no zones")
 	}
-	c.sites = &sitesSet{f, p}
+	c.sites = &sitesSettings{f, p}
 	if _, err := c.controllerConfig(); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	return nil
 }
 
-// controllerConfig is what the file and the platform say together.
+// controllerConfig combines the settings of the file and of the platform.
 func (c *Config) controllerConfig() (site.ControllerConfig, error) {
 	var classes []site.Class
 	for i, k := range c.Settings.Classes {
@@ -56,7 +56,7 @@
 	return s, err
 }
 
-// sitesPart makes the driver, which watches the loop.
+// sitesPart creates the driver that watches the sites through the loop.
 func sitesPart(cfg *Config, l *core.Loop, members *link.Link, operators *controlAPI, log *slog.Logger) (*part, *driver.Driver, error) {
 	if cfg.sites == nil {
 		return &part{name: "sites"}, nil, nil
@@ -65,27 +65,27 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	own := cfg.Settings.Zone
-	if own >= len(cfg.Names.Zones) {
-		own = -1
+	ownZone := cfg.Settings.Zone
+	if ownZone >= len(cfg.Names.Zones) {
+		ownZone = -1
 	}
-	o := driver.Options{Controller: config, Own: own, Seed: cfg.Seed, Log: log, Hand: operators.excludeZone}
+	o := driver.Options{Controller: config, Own: ownZone, Seed: cfg.Seed, Log: log, Hand: operators.excludeZone}
 	if members != nil {
 		o.Members = members
 	}
-	p, err := driver.New(o, l)
+	sites, err := driver.New(o, l)
 	if err != nil {
 		return nil, nil, err
 	}
 	return &part{name: "sites",
-		start:  func(t *tasks) { t.Go(p.Run) },
-		routes: p.Routes(), figures: p.Gauges()}, p, nil
+		start:  func(t *tasks) { t.Go(sites.Run) },
+		routes: sites.Routes(), gauges: sites.Gauges()}, sites, nil
 }
 
-// excludeZone takes a whole zone out, or puts it back.
+// excludeZone takes a whole zone out, or puts it back if out is false.
 func (s *controlAPI) excludeZone(ctx context.Context, zone int, out bool) error {
 	if s.processes == nil {
-		return s.ask(ctx, func() error {
+		return s.runInLoop(ctx, func() error {
 			s.loop.ExcludeZone(zone, out)
 			return nil
 		})
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	return s.ask(ctx, func() error {
+	return s.runInLoop(ctx, func() error {
 		s.processes.adopt(state)
 		return nil
 	})
