--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -50,7 +50,7 @@
 	}
 	for i, c := range next.Classes {
 		if c.Deadline > longest {
-			return fmt.Errorf("balance: settings: Classes[%d].Deadline: %v exceeds %v, the longest deadline at the start", i, c.Deadline, longest)
+			return fmt.Errorf("balance: settings: Classes[%d].Deadline: %v is over %v, the longest deadline at the start", i, c.Deadline, longest)
 		}
 	}
 	return nil
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -99,5 +99,5 @@
 
 // invalidSettingError names a field of Settings and its invalid value.
 func invalidSettingError(field string, v any) error {
-	return fmt.Errorf("balance: settings: %s: %v is not allowed", field, v)
+	return fmt.Errorf("balance: settings: %s: %v makes no sense", field, v)
 }
--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -125,7 +125,7 @@
 	}
 	longest := longestDeadline(platformClasses(&c.Settings))
 	if requested := longestDeadline(platformClasses(next)); requested > longest {
-		return fmt.Errorf("deadline: %v exceeds %v, the longest of the platform's classes at the start, for which planned stops allow time", requested, longest)
+		return fmt.Errorf("deadline: %v is over %v, the longest of the platform's classes at the start, by which a stop is planned", requested, longest)
 	}
 	return nil
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -57,7 +57,7 @@
 }
 
 // ErrEnded is returned for operations that need the loop after it has ended.
-var ErrEnded = errors.New("the decision loop has ended")
+var ErrEnded = errors.New("the loop has ended")
 
 // Backend makes attempts. An attempt is written at most once, only while its Permit allows it, and is never
 // resent by the Backend itself.
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -24,7 +24,7 @@
 // Errors of Exclude and Include.
 var (
 	ErrUnknown = errors.New("unknown backend")
-	ErrTooMany = fmt.Errorf("more than %d backends are excluded", MaxOut)
+	ErrTooMany = fmt.Errorf("more than %d backends are out", MaxOut)
 )
 
 // Pool holds the listed backends and their overrides. It is not safe for concurrent use.
