--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// served starts a server behind a Listener that answers each request with a few bytes.
-func served(b *testing.B, cfg Config) (*Listener, func()) {
+// startServer starts a server behind a Listener that answers each request with a few bytes.
+func startServer(b *testing.B, cfg Config) (*Listener, func()) {
 	b.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,11 +24,11 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	srv := &http.Server{ConnContext: Context, ConnState: StateChanged, ErrorLog: log.New(io.Discard, "", 0),
+	srv := &http.Server{ConnContext: ConnContext, ConnState: StateChanged, ErrorLog: log.New(io.Discard, "", 0),
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			c := Of(r.Context())
-			c.Taken()
-			if !c.Answer() {
+			c := ConnFromContext(r.Context())
+			c.RequestRead()
+			if !c.BeginAnswer() {
 				w.Header().Set("Connection", "close")
 			}
 			io.WriteString(w, "hello")
@@ -61,21 +61,21 @@
 
 // BenchmarkAccepted is a connection, one request on it and its end, client and server together.
 func BenchmarkAccepted(b *testing.B) {
-	l, stop := served(b, DefaultConfig(1000, 0))
+	l, stop := startServer(b, DefaultConfig(1000, 0))
 	defer stop()
-	oneByOne(b, l, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", http.StatusOK)
+	benchmarkConnections(b, l, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", http.StatusOK)
 }
 
 // BenchmarkRefused is a connection that is turned away, client and server together: the cap is
 // taken by a connection that may not give way.
 func BenchmarkRefused(b *testing.B) {
-	l, stop := served(b, Config{Most: 1, Spare: 16, Fresh: time.Hour})
+	l, stop := startServer(b, Config{MaxConnections: 1, MaxRefusals: 16, NewGrace: time.Hour})
 	defer stop()
 	defer syscall.Close(rawClient(b, l.Addr().(*net.TCPAddr).Port))
-	oneByOne(b, l, "GET / HTTP/1.1\r\nHost: x\r\n\r\n", http.StatusServiceUnavailable)
+	benchmarkConnections(b, l, "GET / HTTP/1.1\r\nHost: x\r\n\r\n", http.StatusServiceUnavailable)
 }
 
-func oneByOne(b *testing.B, l *Listener, request string, want int) {
+func benchmarkConnections(b *testing.B, l *Listener, request string, want int) {
 	r := bufio.NewReader(nil)
 	for b.Loop() {
 		c, err := net.Dial("tcp", l.Addr().String())
@@ -96,7 +96,7 @@
 // BenchmarkSilent holds b.N connections that say nothing, and tells what each takes in the server's
 // heap and stacks. Run with -benchtime 10000x; two descriptors a connection are needed.
 func BenchmarkSilent(b *testing.B) {
-	l, stop := served(b, Config{Spare: 1})
+	l, stop := startServer(b, Config{MaxRefusals: 1})
 	defer stop()
 	port := l.Addr().(*net.TCPAddr).Port
 	memory := func() uint64 {
@@ -134,11 +134,11 @@
 			}
 			for i := 0; b.Loop(); i++ {
 				now, e := time.Duration(i), held[i%n]
-				g.Arrived(e, now)
-				g.HeadWhole(e, now)
-				g.Taken(e, now)
-				g.Answer(e, now)
-				g.Answered(e, now)
+				g.BytesArrived(e, now)
+				g.HeadRead(e, now)
+				g.RequestRead(e, now)
+				g.BeginAnswer(e, now)
+				g.EndAnswer(e, now)
 			}
 		})
 	}
--- a/internal/admission/governor.go
+++ b/internal/admission/governor.go
@@ -1,27 +1,25 @@
-// Package admission governs the connections that clients open: how many there may be, which of
-// them gives way when one more wants in, when accepting pauses, and when an answer ends its
-// connection. It is there so that no request is ever read and then dropped, whatever a hostile
-// crowd does, and so that backends and discovery keep their share of the descriptors.
+// Package admission limits the connections that clients open: how many there may be, which of them is closed
+// when another one needs room, when accepting pauses, and which answers end their connection. No request is read
+// and then dropped, even when clients are hostile, and backends and discovery keep their share of the descriptors.
 //
-// The Governor decides. It performs no I/O, has no clock and starts no goroutine; any front can
-// ask it. A connection passes through these states:
+// Governor makes the decisions. It performs no I/O, reads no clock and starts no goroutine, so that any front end
+// can use it. A connection passes through these states:
 //
-//	New ──bytes──▶ Head ──head whole──▶ Body ──all read──▶ InHand ──answer──▶ Answering
-//	 │              │ ▲                  │                                      │   │
-//	 │ gives way    │ └── next request ──┼──────────── Idle ◀───── kept ────────┘   │
-//	 ▼              ▼                    ▼               ▼                          ▼
-//	 └──────────────┴────────────────────┴── Closing ────┴──────────────────────────┘
+//	New ──bytes──▶ Head ─head complete─▶ Body ──all read──▶ Processing ─answer─▶ Answering
+//	 │              │ ▲                    │                     │                 │   │
+//	 │ evicted      │ └── next request ────┼───────── Idle ◀─────┼── kept alive ───┘   │
+//	 ▼              ▼                      ▼            ▼        ▼                     ▼
+//	 └──────────────┴──────────────────────┴── Closing ─┴────────┴─────────────────────┘
 //
-// A connection gives way only in New, Head and Idle, only after it has been asked to, and only by
-// itself: the goroutine that reads it looks once more whether anything has come, and only then
-// says Yield. From Body on nothing but its answer ends it.
+// A connection is evicted only in New, Head and Idle, and only by its own reader: Governor requests the close, the
+// reading goroutine checks once more whether bytes have arrived, and only then calls ConfirmClose. From Body on,
+// a connection ends only with its answer.
 //
-// Listener and Conn are the thin shell round net/http: they carry the decisions out. Each Conn
-// is read by the goroutine of its server; the mutex of the Listener guards the Governor, and no
-// call is made on a socket while it is held, but for deadlines.
+// Listener and Conn connect Governor with net/http and carry out its decisions. The server's goroutine reads each
+// Conn. The mutex of Listener guards Governor; while it is held, the only socket calls are those that set deadlines.
 //
-// Bounds: connections by Config.Most (those turned away by Config.Spare besides), requests being
-// read by Config.Reading, their bodies' bytes together by Config.Bytes, each wait by a time.
+// Limits: Config.MaxConnections for connections (plus Config.MaxRefusals for those being refused),
+// Config.MaxBodyReads for bodies being read, Config.MaxBodyBytes for the total size of bodies; every wait has a timeout.
 package admission
 
 import (
@@ -30,120 +28,121 @@
 	"time"
 )
 
-// State is what a connection is doing.
+// State is the phase of a connection's current request.
 type State uint8
 
 const (
-	New       State = iota // accepted, nothing has come
-	Head                   // part of a request's head has come
-	Body                   // the head is whole; the body is being read
-	InHand                 // a whole request has been read; its answer is owed
-	Answering              // the answer is being written
-	Idle                   // answered, and nothing of a next request has come
-	Closing                // takes no more requests; its descriptor is still held
-	states
+	StateNew        State = iota // accepted, nothing has been received
+	StateHead                    // part of a request's head has been received
+	StateBody                    // the head is complete and the body is being read
+	StateProcessing              // a whole request has been read and is not yet answered
+	StateAnswering               // the answer is being written
+	StateIdle                    // answered, and nothing of the next request has been received
+	StateClosing                 // accepts no more requests; its descriptor is still open
+	stateCount
 )
 
-var stateNames = [states]string{"new", "head", "body", "in hand", "answering", "idle", "closing"}
+var stateNames = [stateCount]string{"new", "head", "body", "in hand", "answering", "idle", "closing"}
 
 func (s State) String() string {
-	if s < states {
+	if s < stateCount {
 		return stateNames[s]
 	}
 	return fmt.Sprintf("State(%d)", uint8(s))
 }
 
-// Config bounds what clients may hold. Times are durations, sizes bytes.
+// Config bounds the resources that clients may use.
 type Config struct {
-	Most    int // connections of clients, closing ones included; 0: no bound
-	Total   int // the same, where each with a request in hand counts twice: it may need another descriptor; 0: no bound
-	Spare   int // connections beyond Most that are being turned away at a time; at least 1
-	Reading int // requests whose body is being read at a time; 0: no bound
-	Bytes   int // bytes that bodies may hold together, from the first read to the answer; 0: no bound
-
-	Fresh    time.Duration // a new connection is left alone for so long: its request is on its way
-	Stall    time.Duration // one that began a request and sent nothing for so long doesn't go on
-	Granted  time.Duration // an idle one may be closed after so long (PROTOCOL: 2 s)
-	Patience time.Duration // how long a newcomer waits before it is turned away
-	Pressed  time.Duration // so long after one had to wait no connection is kept
-	Settle   time.Duration // at the end of a planned stop a new one is left alone for so long: its request is on its way
-}
-
-// DefaultConfig is for a process that may hold so many descriptors for connections of all kinds,
-// and so many bytes of memory; 0 means no bound. Clients get three quarters of the descriptors, as far as their
-// requests in hand leave one for each to a backend.
+	MaxConnections int // client connections, including those in StateClosing; 0: unlimited
+	MaxDescriptors int // descriptors, where a connection with a request counts twice, as it may need one to a backend; 0: unlimited
+	MaxRefusals    int // connections beyond MaxConnections that are being refused at a time; at least 1
+	MaxBodyReads   int // requests whose body is being read at a time; 0: unlimited
+	MaxBodyBytes   int // total bytes reserved for bodies, from the first read to the answer; 0: unlimited
+
+	NewGrace     time.Duration // a new connection isn't evicted for this long: its request may be in transit
+	StallTimeout time.Duration // a connection in StateHead may be evicted after this long without bytes
+	MinIdle      time.Duration // an idle connection may be evicted after this long (PROTOCOL: 2 s)
+	AdmitTimeout time.Duration // how long a new connection waits for room before it is refused
+	PressureTime time.Duration // no connection is kept alive for this long after a new one had to wait
+	DrainGrace   time.Duration // during Finish a new connection isn't closed for this long: its request may be in transit
+}
+
+// DefaultConfig returns the limits for a process that may use that many descriptors for connections of all kinds
+// and that many bytes of memory; 0 means unlimited. Clients get three quarters of the descriptors, as long as each
+// request in progress can still get a descriptor for its backend.
 func DefaultConfig(descriptors int, memory int64) Config {
-	most := descriptors * 3 / 4
-	return Config{Most: most, Total: descriptors, Spare: max(1, min(16, descriptors/32)), Reading: (most + 1) / 2, Bytes: int(memory / 8),
-		Fresh: 50 * time.Millisecond, Stall: 500 * time.Millisecond, Granted: 2 * time.Second,
-		Patience: 250 * time.Millisecond, Pressed: time.Second, Settle: 300 * time.Millisecond}
+	maxConnections := descriptors * 3 / 4
+	return Config{MaxConnections: maxConnections, MaxDescriptors: descriptors, MaxRefusals: max(1, min(16, descriptors/32)), MaxBodyReads: (maxConnections + 1) / 2, MaxBodyBytes: int(memory / 8),
+		NewGrace: 50 * time.Millisecond, StallTimeout: 500 * time.Millisecond, MinIdle: 2 * time.Second,
+		AdmitTimeout: 250 * time.Millisecond, PressureTime: time.Second, DrainGrace: 300 * time.Millisecond}
 }
 
-// check names the first field that makes no sense.
+// check returns an error for the first invalid field. It names fields by their established outer names, which
+// differ from the Go names.
 func (c *Config) check() error {
 	for _, f := range []struct {
-		name string
-		v    int
-		min  int
-	}{{"Most", c.Most, 0}, {"Total", c.Total, 0}, {"Spare", c.Spare, 1}, {"Reading", c.Reading, 0}, {"Bytes", c.Bytes, 0},
-		{"Fresh", int(c.Fresh), 0}, {"Stall", int(c.Stall), 0}, {"Granted", int(c.Granted), 0},
-		{"Patience", int(c.Patience), 0}, {"Pressed", int(c.Pressed), 0},
-		{"Settle", int(c.Settle), 0}} {
-		if f.v < f.min {
-			return fmt.Errorf("admission: %s: %d makes no sense", f.name, f.v)
+		name  string
+		value int
+		min   int
+	}{{"Most", c.MaxConnections, 0}, {"Total", c.MaxDescriptors, 0}, {"Spare", c.MaxRefusals, 1}, {"Reading", c.MaxBodyReads, 0}, {"Bytes", c.MaxBodyBytes, 0},
+		{"Fresh", int(c.NewGrace), 0}, {"Stall", int(c.StallTimeout), 0}, {"Granted", int(c.MinIdle), 0},
+		{"Patience", int(c.AdmitTimeout), 0}, {"Pressed", int(c.PressureTime), 0},
+		{"Settle", int(c.DrainGrace), 0}} {
+		if f.value < f.min {
+			return fmt.Errorf("admission: %s: %d is too small", f.name, f.value)
 		}
 	}
 	return nil
 }
 
-// Entry is one connection as the Governor knows it.
+// Entry is Governor's record of one connection.
 type Entry struct {
-	Tag any // what the front knows it by
+	Tag any // set by the front end to identify the connection
 
-	state  State
-	since  time.Duration // when it came into this state; in Head: when bytes last came
-	place  *list.Element // in the list of its state
-	asked  bool          // to give way
-	early  bool          // bytes of a next request came before its answer was out
-	served int           // requests answered
-	bytes  int           // reserved for its request's body
+	state          State
+	since          time.Duration // when it entered this state; in StateHead: when bytes last arrived
+	element        *list.Element // its position in the list of its state
+	closeRequested bool          // the reader has been asked to close it
+	pipelined      bool          // bytes of the next request arrived before the current answer was written
+	served         int           // number of requests answered
+	reservedBytes  int           // reserved for the current request's body
 }
 
-// State is what the connection is doing now.
+// State returns the connection's current state.
 func (e *Entry) State() State { return e.state }
 
-// Served is how many requests on it have been answered.
+// Served returns the number of requests answered on the connection.
 func (e *Entry) Served() int { return e.served }
 
-// Asked reports whether it has been asked to give way and has not yet done so.
-func (e *Entry) Asked() bool { return e.asked }
+// CloseRequested reports whether a close has been requested and not yet confirmed.
+func (e *Entry) CloseRequested() bool { return e.closeRequested }
 
-// Counts is what a front, a planned stop or an operator may ask for.
+// Counts holds the current number of connections and the totals since the start.
 type Counts struct {
-	Held      int         // connections, closing ones included
-	By        [states]int // the same by State
-	Asked     int         // asked to give way, and not yet Closing
-	Bytes     int         // reserved for bodies
-	TurnedNow int         // connections being turned away now
+	Held           int             // open connections, including those in StateClosing
+	ByState        [stateCount]int // Held by State
+	CloseRequested int             // asked to close, and not yet in StateClosing
+	ReservedBytes  int             // reserved for bodies
+	Refusing       int             // connections being refused now
 
-	Accepted, TurnedAway, GaveWay, Ended uint64 // since the start; Ended: closed with an answer
+	Accepted, Refused, Evicted, EndedByAnswer uint64 // totals since the start; EndedByAnswer: closed with an answer
 }
 
-// Governor decides about clients' connections. It belongs to whoever holds its lock. All times
-// are on one monotonic clock; its zero is of no matter.
+// Governor makes the decisions about client connections. It isn't safe for concurrent use. All times are on one
+// monotonic clock with an arbitrary zero.
 type Governor struct {
-	cfg      Config
-	lists    [states]list.List // the longest in the state first
-	counts   Counts
-	pausedAt time.Duration // when the newcomer at the head of the backlog began to wait
-	paused   bool
-	waitedAt time.Duration // when a newcomer last had to wait
-	waited   bool          // one ever had to
-	draining bool
-	lasting  bool // idle connections stay all the same
-}
-
-// New returns a Governor without connections.
+	cfg          Config
+	lists        [stateCount]list.List // connections by state, the one that entered first in front
+	counts       Counts
+	waitingSince time.Duration // when the new connection that waits now began to wait
+	waiting      bool          // a new connection waits for room
+	lastWaitAt   time.Duration // when a new connection last had to wait
+	everWaited   bool          // lastWaitAt is set
+	draining     bool          // answers end their connections
+	keepIdle     bool          // while draining, idle connections are not closed
+}
+
+// NewGovernor returns a Governor without connections.
 func NewGovernor(cfg Config) (*Governor, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -151,7 +150,7 @@
 	return &Governor{cfg: cfg}, nil
 }
 
-// Resize puts other bounds in force. What is held beyond them stays until newcomers need the places.
+// Resize replaces the limits. Connections beyond them are evicted only when new ones need room.
 func (g *Governor) Resize(cfg Config) error {
 	if err := cfg.check(); err != nil {
 		return err
@@ -160,332 +159,330 @@
 	return nil
 }
 
-// Counts tells what is held now and what has passed.
+// Counts returns the current counts and totals.
 func (g *Governor) Counts() Counts { return g.counts }
 
-// Verdict is what becomes of a newcomer.
-type Verdict struct {
-	Admit    bool          // it is taken: Open
-	TurnAway bool          // it gets a short refusal: Turn
-	Ask      []*Entry      // to be woken: each may give way, or find that it can't
-	Wait     time.Duration // neither: ask again after so long, or when a connection has closed
+// Decision says what to do with a new connection.
+type Decision struct {
+	Admit        bool          // accept it: call Open
+	Refuse       bool          // send a short refusal: call BeginRefusal
+	RequestClose []*Entry      // connections to wake: each either closes or has received bytes and stays
+	Wait         time.Duration // if neither: decide again after this long, or when a connection has closed
 }
 
-// Newcomer decides about one more connection. While it waits, all behind it wait in the
-// listener's backlog.
-func (g *Governor) Newcomer(now time.Duration) Verdict {
-	over := g.over()
+// Decide decides about one new connection. While it waits, all later ones wait in the listener's backlog.
+func (g *Governor) Decide(now time.Duration) Decision {
+	over := g.excess()
 	if over < 0 {
-		g.paused = false
-		return Verdict{Admit: true}
+		g.waiting = false
+		return Decision{Admit: true}
 	}
-	var v Verdict
-	g.waited, g.waitedAt = true, now
-	// Closing ones are leaving, asked ones may be: as many as are needed are enough.
-	if need := over + 1 - g.counts.By[Closing] - g.counts.Asked; need > 0 {
-		v.Ask, v.Wait = g.pick(now, need)
+	var decision Decision
+	g.everWaited, g.lastWaitAt = true, now
+	// Connections that are closing or have been asked to close count as room that becomes free.
+	if need := over + 1 - g.counts.ByState[StateClosing] - g.counts.CloseRequested; need > 0 {
+		decision.RequestClose, decision.Wait = g.selectEvictable(now, need)
 	}
-	if !g.paused {
-		g.paused, g.pausedAt = true, now
+	if !g.waiting {
+		g.waiting, g.waitingSince = true, now
 	}
-	left := g.pausedAt + g.cfg.Patience - now
-	if left <= 0 && g.counts.TurnedNow < g.cfg.Spare {
-		v.TurnAway = true
-		return v
+	remaining := g.waitingSince + g.cfg.AdmitTimeout - now
+	if remaining <= 0 && g.counts.Refusing < g.cfg.MaxRefusals {
+		decision.Refuse = true
+		return decision
 	}
-	if left <= 0 {
-		left = g.cfg.Patience
+	if remaining <= 0 {
+		remaining = g.cfg.AdmitTimeout
 	}
-	if v.Wait <= 0 || v.Wait > left {
-		v.Wait = left
+	if decision.Wait <= 0 || decision.Wait > remaining {
+		decision.Wait = remaining
 	}
-	return v
+	return decision
 }
 
-// over is by how many places more than are free are held; below 0: there is room for one more.
-func (g *Governor) over() int {
-	over := -1
-	if g.cfg.Most > 0 {
-		over = g.counts.Held - g.cfg.Most
+// excess returns by how many places the limits are exceeded; below 0 there is room for another connection.
+func (g *Governor) excess() int {
+	excess := -1
+	if g.cfg.MaxConnections > 0 {
+		excess = g.counts.Held - g.cfg.MaxConnections
 	}
-	if g.cfg.Total > 0 {
-		by := &g.counts.By
-		over = max(over, g.counts.Held+by[Body]+by[InHand]+by[Answering]+2*g.cfg.Spare-g.cfg.Total)
+	if g.cfg.MaxDescriptors > 0 {
+		by := &g.counts.ByState
+		excess = max(excess, g.counts.Held+by[StateBody]+by[StateProcessing]+by[StateAnswering]+2*g.cfg.MaxRefusals-g.cfg.MaxDescriptors)
 	}
-	return over
+	return excess
 }
 
-// pick chooses up to need connections that may give way: those that never asked, then those that
-// began a request and don't go on, then those idle for longer than they are granted, the longest
-// first. It also returns how long it is until one more may; 0: not known.
-func (g *Governor) pick(now time.Duration, need int) (ask []*Entry, wait time.Duration) {
-	for _, kind := range []struct {
-		s    State
-		rest time.Duration
-	}{{New, g.cfg.Fresh}, {Head, g.cfg.Stall}, {Idle, g.cfg.Granted}} {
-		for at := g.lists[kind.s].Front(); at != nil && len(ask) < need; at = at.Next() {
+// selectEvictable requests the close of up to need connections: first those that never sent anything, then those
+// with a stalled head, then those idle for longer than MinIdle, in each case the longest first. It also returns
+// the time until the next one may be closed; 0: unknown.
+func (g *Governor) selectEvictable(now time.Duration, need int) (requested []*Entry, wait time.Duration) {
+	for _, candidates := range []struct {
+		state  State
+		minAge time.Duration
+	}{{StateNew, g.cfg.NewGrace}, {StateHead, g.cfg.StallTimeout}, {StateIdle, g.cfg.MinIdle}} {
+		for at := g.lists[candidates.state].Front(); at != nil && len(requested) < need; at = at.Next() {
 			e := at.Value.(*Entry)
-			if e.asked {
+			if e.closeRequested {
 				continue
 			}
-			if left := e.since + kind.rest - now; left > 0 {
-				if wait == 0 || left < wait {
-					wait = left
+			if remaining := e.since + candidates.minAge - now; remaining > 0 {
+				if wait == 0 || remaining < wait {
+					wait = remaining
 				}
-				break // those behind it came later
+				break // all further ones entered this state later
 			}
-			g.ask(e)
-			ask = append(ask, e)
+			g.requestClose(e)
+			requested = append(requested, e)
 		}
 	}
-	return ask, wait
+	return requested, wait
 }
 
-func (g *Governor) ask(e *Entry) {
-	if !e.asked {
-		e.asked = true
-		g.counts.Asked++
+func (g *Governor) requestClose(e *Entry) {
+	if !e.closeRequested {
+		e.closeRequested = true
+		g.counts.CloseRequested++
 	}
 }
 
-func (g *Governor) unask(e *Entry) {
-	if e.asked {
-		e.asked = false
-		g.counts.Asked--
+func (g *Governor) cancelCloseRequest(e *Entry) {
+	if e.closeRequested {
+		e.closeRequested = false
+		g.counts.CloseRequested--
 	}
 }
 
-// Shed picks one connection that may give way though the cap isn't reached: descriptors have run
-// out. nil: none may.
-func (g *Governor) Shed(now time.Duration) *Entry {
-	if ask, _ := g.pick(now, 1); len(ask) > 0 {
+// RequestCloseOne selects one connection to close although the limit isn't reached, because the process is out of
+// descriptors. It returns nil if none may be closed.
+func (g *Governor) RequestCloseOne(now time.Duration) *Entry {
+	if ask, _ := g.selectEvictable(now, 1); len(ask) > 0 {
 		return ask[0]
 	}
 	return nil
 }
 
-// Open takes a connection that was admitted.
+// Open registers a connection that was admitted.
 func (g *Governor) Open(now time.Duration, tag any) *Entry {
-	e := &Entry{Tag: tag, state: states}
+	e := &Entry{Tag: tag, state: stateCount}
 	g.counts.Held++
 	g.counts.Accepted++
-	g.move(e, New, now)
+	g.move(e, StateNew, now)
 	return e
 }
 
 func (g *Governor) move(e *Entry, s State, now time.Duration) {
-	if e.state < states {
-		g.lists[e.state].Remove(e.place)
-		g.counts.By[e.state]--
+	if e.state < stateCount {
+		g.lists[e.state].Remove(e.element)
+		g.counts.ByState[e.state]--
 	}
 	e.state, e.since = s, now
-	e.place = g.lists[s].PushBack(e)
-	g.counts.By[s]++
+	e.element = g.lists[s].PushBack(e)
+	g.counts.ByState[s]++
 }
 
-// Arrived notes that bytes have come. Whoever had been asked to give way is asked no longer.
-func (g *Governor) Arrived(e *Entry, now time.Duration) {
+// BytesArrived records that bytes have been received. It cancels a close request.
+func (g *Governor) BytesArrived(e *Entry, now time.Duration) {
 	switch e.state {
-	case New, Idle, Head:
-		g.unask(e)
-		g.move(e, Head, now)
-	case InHand, Answering:
-		e.early = true
+	case StateNew, StateIdle, StateHead:
+		g.cancelCloseRequest(e)
+		g.move(e, StateHead, now)
+	case StateProcessing, StateAnswering:
+		e.pipelined = true
 	}
 }
 
-// Early notes that a byte has come of what follows a request that is in hand, and reports whether one is.
-func (g *Governor) Early(e *Entry) bool {
-	if e.state != Body && e.state != InHand && e.state != Answering {
+// PipelinedByte records a byte received after a request in progress. It reports whether there is such a request.
+func (g *Governor) PipelinedByte(e *Entry) bool {
+	if e.state != StateBody && e.state != StateProcessing && e.state != StateAnswering {
 		return false
 	}
-	e.early = true
+	e.pipelined = true
 	return true
 }
 
-// HeadWhole notes that the head of a request has been read: from here on nothing but its answer
-// ends the connection. It may be the head of a request that came together with the one before.
-func (g *Governor) HeadWhole(e *Entry, now time.Duration) {
-	if e.state == New || e.state == Head || e.state == Idle {
-		g.unask(e)
-		g.move(e, Body, now)
+// HeadRead records that the head of a request has been read: from now on only its answer ends the connection. The
+// head may have arrived together with the previous request.
+func (g *Governor) HeadRead(e *Entry, now time.Duration) {
+	if e.state == StateNew || e.state == StateHead || e.state == StateIdle {
+		g.cancelCloseRequest(e)
+		g.move(e, StateBody, now)
 	}
 }
 
-// Reserve asks for room for a body. Without it the request is refused: none of it has run.
+// Reserve reserves memory for a body. If it returns false the request is refused before it is processed.
 func (g *Governor) Reserve(e *Entry, bytes int) bool {
-	if e.state != Body || g.cfg.Reading > 0 && g.counts.By[Body] > g.cfg.Reading ||
-		g.cfg.Bytes > 0 && bytes > g.cfg.Bytes-g.counts.Bytes {
+	if e.state != StateBody || g.cfg.MaxBodyReads > 0 && g.counts.ByState[StateBody] > g.cfg.MaxBodyReads ||
+		g.cfg.MaxBodyBytes > 0 && bytes > g.cfg.MaxBodyBytes-g.counts.ReservedBytes {
 		return false
 	}
-	e.bytes += bytes
-	g.counts.Bytes += bytes
+	e.reservedBytes += bytes
+	g.counts.ReservedBytes += bytes
 	return true
 }
 
-// Hold asks for more room for a body, so that all of it is held where it could be streamed as well. Half of the
-// bytes are left to those who need room: else a few long bodies would turn away many short ones.
-func (g *Governor) Hold(e *Entry, bytes int) bool {
-	if g.cfg.Bytes > 0 && bytes > g.cfg.Bytes/2-g.counts.Bytes {
+// ReserveExtra reserves more memory to hold a body that could be streamed instead. It leaves half of MaxBodyBytes
+// to Reserve: otherwise a few long bodies would cause many short ones to be refused.
+func (g *Governor) ReserveExtra(e *Entry, bytes int) bool {
+	if g.cfg.MaxBodyBytes > 0 && bytes > g.cfg.MaxBodyBytes/2-g.counts.ReservedBytes {
 		return false
 	}
 	return g.Reserve(e, bytes)
 }
 
-// Settle notes that a body has come to its end, and how long it is.
-func (g *Governor) Settle(e *Entry, bytes int) {
-	if over := e.bytes - bytes; over > 0 {
-		e.bytes -= over
-		g.counts.Bytes -= over
+// ShrinkReservation releases what was reserved beyond the actual size of a body that has been read to its end.
+func (g *Governor) ShrinkReservation(e *Entry, bytes int) {
+	if excess := e.reservedBytes - bytes; excess > 0 {
+		e.reservedBytes -= excess
+		g.counts.ReservedBytes -= excess
 	}
 }
 
-// Stall is how long a body's next bytes may take: less while a newcomer waits for room.
-func (g *Governor) Stall() time.Duration {
-	if g.paused {
-		return g.cfg.Stall
+// BodyReadTimeout returns how long to wait for more of a body: less while a new connection waits for room.
+func (g *Governor) BodyReadTimeout() time.Duration {
+	if g.waiting {
+		return g.cfg.StallTimeout
 	}
-	return 3 * g.cfg.Stall
+	return 3 * g.cfg.StallTimeout
 }
 
-// Taken notes that a whole request has been read.
-func (g *Governor) Taken(e *Entry, now time.Duration) {
-	if e.state == Body {
-		g.move(e, InHand, now)
+// RequestRead records that a whole request has been read.
+func (g *Governor) RequestRead(e *Entry, now time.Duration) {
+	if e.state == StateBody {
+		g.move(e, StateProcessing, now)
 	}
 }
 
-// Answer notes that an answer is about to be written, and reports whether the connection is to be
-// kept. An answer that says it is the last ends a connection in a way that can't be mistaken, so
-// this is how room is made while many connections are idle: clients that ask once and stay would
-// hold the rest for as long as they are granted.
-func (g *Governor) Answer(e *Entry, now time.Duration) (keep bool) {
-	if e.state == Body || e.state == InHand {
-		g.move(e, Answering, now)
+// BeginAnswer records that an answer is about to be written, and reports whether the connection is kept alive.
+// Closing with an answer that says so is unambiguous to the client, so this is how room is made while many
+// connections are idle: clients that send one request and stay connected would occupy them for MinIdle.
+func (g *Governor) BeginAnswer(e *Entry, now time.Duration) (keep bool) {
+	if e.state == StateBody || e.state == StateProcessing {
+		g.move(e, StateAnswering, now)
 	}
-	crowded := g.cfg.Most > 0 && 2*g.counts.Held >= g.cfg.Most && 4*g.counts.By[Idle] >= g.cfg.Most
-	lately := g.waited && now-g.waitedAt < g.cfg.Pressed
-	return !g.draining && !g.paused && !crowded && !lately
+	manyIdle := g.cfg.MaxConnections > 0 && 2*g.counts.Held >= g.cfg.MaxConnections && 4*g.counts.ByState[StateIdle] >= g.cfg.MaxConnections
+	recentlyWaited := g.everWaited && now-g.lastWaitAt < g.cfg.PressureTime
+	return !g.draining && !g.waiting && !manyIdle && !recentlyWaited
 }
 
-// Answered notes that an answer is out and its connection is kept. It reports whether the
-// connection is to be woken since it was asked to give way at once.
-func (g *Governor) Answered(e *Entry, now time.Duration) (wake bool) {
-	if e.state != Answering {
+// EndAnswer records that an answer has been written and its connection is kept alive. It reports whether the reader
+// is to be woken because a close has been requested.
+func (g *Governor) EndAnswer(e *Entry, now time.Duration) (wake bool) {
+	if e.state != StateAnswering {
 		return false
 	}
-	g.release(e)
+	g.releaseBytes(e)
 	e.served++
-	if e.early {
-		e.early = false
-		g.move(e, Head, now)
+	if e.pipelined {
+		e.pipelined = false
+		g.move(e, StateHead, now)
 		return false
 	}
-	g.move(e, Idle, now)
-	if g.draining && !g.lasting {
-		g.ask(e)
+	g.move(e, StateIdle, now)
+	if g.draining && !g.keepIdle {
+		g.requestClose(e)
 	}
-	return e.asked
+	return e.closeRequested
 }
 
-func (g *Governor) release(e *Entry) {
-	g.counts.Bytes -= e.bytes
-	e.bytes = 0
+func (g *Governor) releaseBytes(e *Entry) {
+	g.counts.ReservedBytes -= e.reservedBytes
+	e.reservedBytes = 0
 }
 
-// Yield is said by the reader of a connection that was asked to give way, once it has seen that
-// nothing more has come. It reports whether the connection closes now.
-func (g *Governor) Yield(e *Entry, now time.Duration) bool {
-	if !e.asked || e.state != New && e.state != Head && e.state != Idle {
+// ConfirmClose is called by the reader of a connection whose close was requested, once it has checked that no more
+// bytes have arrived. It reports whether the connection is to be closed now.
+func (g *Governor) ConfirmClose(e *Entry, now time.Duration) bool {
+	if !e.closeRequested || e.state != StateNew && e.state != StateHead && e.state != StateIdle {
 		return false
 	}
-	g.counts.GaveWay++
+	g.counts.Evicted++
 	g.close(e, now)
 	return true
 }
 
-// Close notes that a connection takes no more requests.
+// Close records that a connection accepts no more requests.
 func (g *Governor) Close(e *Entry, now time.Duration) {
-	if e.state < Closing {
-		if e.state == Answering {
+	if e.state < StateClosing {
+		if e.state == StateAnswering {
 			e.served++
-			g.counts.Ended++
+			g.counts.EndedByAnswer++
 		}
 		g.close(e, now)
 	}
 }
 
 func (g *Governor) close(e *Entry, now time.Duration) {
-	g.unask(e)
-	g.release(e)
-	g.move(e, Closing, now)
+	g.cancelCloseRequest(e)
+	g.releaseBytes(e)
+	g.move(e, StateClosing, now)
 }
 
-// Gone notes that a connection's descriptor is free again.
-func (g *Governor) Gone(e *Entry, now time.Duration) {
-	if e.state == states {
+// DescriptorFreed records that a connection's descriptor has been closed.
+func (g *Governor) DescriptorFreed(e *Entry, now time.Duration) {
+	if e.state == stateCount {
 		return
 	}
 	g.Close(e, now)
-	g.lists[Closing].Remove(e.place)
-	g.counts.By[Closing]--
+	g.lists[StateClosing].Remove(e.element)
+	g.counts.ByState[StateClosing]--
 	g.counts.Held--
-	e.state = states
-	if g.over() < 0 {
-		g.paused = false
+	e.state = stateCount
+	if g.excess() < 0 {
+		g.waiting = false
 	}
 }
 
-// Turn notes that a newcomer is being turned away, Turned that its descriptor is free again.
-func (g *Governor) Turn() {
-	g.counts.TurnedAway++
-	g.counts.TurnedNow++
+// BeginRefusal records that a new connection is being refused; EndRefusal that its descriptor has been closed.
+func (g *Governor) BeginRefusal() {
+	g.counts.Refused++
+	g.counts.Refusing++
 }
 
-// LastSpare is how many may be turned away at a time once nothing else is accepted: what is left for requests in hand is
-// theirs too.
-func (g *Governor) LastSpare() int {
-	spare := max(g.cfg.Spare, lastSpare)
-	if by := &g.counts.By; g.cfg.Total > 0 {
-		spare = min(spare, g.cfg.Total-g.counts.Held-by[Body]-by[InHand]-by[Answering])
+// MaxFinalRefusals returns how many connections may be refused at a time once accepting has ended. The descriptors
+// that are then left may be used for refusals too, except for those of requests in progress.
+func (g *Governor) MaxFinalRefusals() int {
+	limit := max(g.cfg.MaxRefusals, finalRefusals)
+	if by := &g.counts.ByState; g.cfg.MaxDescriptors > 0 {
+		limit = min(limit, g.cfg.MaxDescriptors-g.counts.Held-by[StateBody]-by[StateProcessing]-by[StateAnswering])
 	}
-	return max(g.cfg.Spare, spare)
+	return max(g.cfg.MaxRefusals, limit)
 }
 
-const lastSpare = 64
+const finalRefusals = 64
 
-// Turned ends a Turn.
-func (g *Governor) Turned() { g.counts.TurnedNow-- }
+// EndRefusal ends a refusal that BeginRefusal began.
+func (g *Governor) EndRefusal() { g.counts.Refusing-- }
 
-// Last has each answer end its connection from now on. Idle ones stay: a request that is on its way to one
-// is read and answered, where a close would cross it.
-func (g *Governor) Last() { g.draining, g.lasting = true, true }
+// CloseAfterAnswers makes each answer end its connection from now on. Idle connections stay open: a request in
+// transit on one is read and answered, where a close would race with it.
+func (g *Governor) CloseAfterAnswers() { g.draining, g.keepIdle = true, true }
 
-// Drain begins a planned stop: answers end their connections, idle ones are asked to go. Those
-// returned are to be woken.
+// Drain begins a planned stop: answers end their connections, and idle connections are asked to close. The readers
+// of the returned connections are to be woken.
 func (g *Governor) Drain(now time.Duration) []*Entry {
-	g.draining, g.lasting = true, false
-	return g.askAll(Idle, now)
+	g.draining, g.keepIdle = true, false
+	return g.requestCloseAll(StateIdle, now)
 }
 
-// Finish ends it: nothing is accepted any longer, so those on which nothing has come are asked as
-// well, but for those that came a moment ago. It is to be called again after wait; 0: there is no need.
-func (g *Governor) Finish(now time.Duration) (ask []*Entry, wait time.Duration) {
-	g.draining, g.lasting = true, false
-	ask = append(g.askAll(Idle, now), g.askAll(New, now-g.cfg.Settle)...)
-	if last := g.lists[New].Back(); last != nil {
-		wait = max(0, last.Value.(*Entry).since+g.cfg.Settle-now)
+// Finish ends a planned stop once nothing is accepted any more: connections that have sent nothing are asked to
+// close as well, except those accepted within DrainGrace. Call it again after wait; 0: not needed.
+func (g *Governor) Finish(now time.Duration) (requested []*Entry, wait time.Duration) {
+	g.draining, g.keepIdle = true, false
+	requested = append(g.requestCloseAll(StateIdle, now), g.requestCloseAll(StateNew, now-g.cfg.DrainGrace)...)
+	if newest := g.lists[StateNew].Back(); newest != nil {
+		wait = max(0, newest.Value.(*Entry).since+g.cfg.DrainGrace-now)
 	}
-	return ask, wait
+	return requested, wait
 }
 
-// askAll asks those that have been in a state since a time or longer.
-func (g *Governor) askAll(s State, since time.Duration) (ask []*Entry) {
+// requestCloseAll requests the close of all connections that have been in a state since the given time or longer.
+func (g *Governor) requestCloseAll(s State, since time.Duration) (requested []*Entry) {
 	for at := g.lists[s].Front(); at != nil && at.Value.(*Entry).since <= since; at = at.Next() {
-		if e := at.Value.(*Entry); !e.asked {
-			g.ask(e)
-			ask = append(ask, e)
+		if e := at.Value.(*Entry); !e.closeRequested {
+			g.requestClose(e)
+			requested = append(requested, e)
 		}
 	}
-	return ask
+	return requested
 }
--- a/internal/admission/listener.go
+++ b/internal/admission/listener.go
@@ -18,59 +18,57 @@
 )
 
 const (
-	lingerTime  = 300 * time.Millisecond // for a client to read the last answer and to close
-	lingerBytes = 256 << 10              // of what still comes in meanwhile
-	lingerStep  = 10 * time.Millisecond  // of silence after which an answer that has arrived is left alone
-	turnTime    = 100 * time.Millisecond // the same for one that is turned away
-	turnBytes   = 64 << 10
-	exhausted   = 50 * time.Millisecond // pause after an accept that found no descriptor free
-	bodyChunk   = 16 << 10              // bytes of a body that are read with one deadline
-
-	sweepStep = 10 * time.Millisecond  // without another connection in the backlog, after which a listener closes
-	sweepMost = 100 * time.Millisecond // for all that lie there
+	lingerTime         = 300 * time.Millisecond // for a client to read the last answer and to close
+	lingerBytes        = 256 << 10              // maximum bytes read and discarded meanwhile
+	lingerPoll         = 10 * time.Millisecond  // silence after which a fully delivered answer needs no more lingering
+	refusalLingerTime  = 100 * time.Millisecond // lingerTime for a refused connection
+	refusalLingerBytes = 64 << 10               // lingerBytes for a refused connection
+	descriptorPause    = 50 * time.Millisecond  // pause after an accept that found no free descriptor
+	bodyChunk          = 16 << 10               // bytes of a body that are read under one deadline
+
+	backlogIdleTime = 10 * time.Millisecond  // a listener closes after this long without a connection in its backlog
+	maxBacklogDrain = 100 * time.Millisecond // limit on accepting the whole backlog before closing
 )
 
-// Listener accepts clients' connections as its Governor decides.
+// Listener accepts client connections as its Governor decides.
 type Listener struct {
 	net.Listener
-	opened   func()        // called for each connection that came, with its descriptor held
-	closed   func()        // and when it is free again
-	room     func()        // called when descriptors have run out, to free some elsewhere
-	turnAway []byte        // what a connection that is turned away gets
-	start    time.Time     // zero of the Governor's clock
-	freed    chan struct{} // says that a Newcomer may be decided on anew
-	stopped  chan struct{}
-	stop     sync.Once
-	begun    atomic.Bool   // Accept has been called
-	ended    chan struct{} // it returns nothing more
-	end      sync.Once
-	sweepBy  time.Time // set before stopped is closed
-	turning  sync.WaitGroup
-	lingers  atomic.Bool  // connections are given time to read their last answer
-	ahead    atomic.Int64 // bytes taken in ahead of answers
-
-	mu  sync.Mutex
-	gov *Governor
-}
-
-// Hooks let the owner follow what descriptors are held. Each may be nil.
+	opened          func()        // called for each accepted connection, while it holds a descriptor
+	closed          func()        // called when that descriptor has been closed
+	freeDescriptors func()        // called when the process is out of descriptors, to free some elsewhere
+	refusal         []byte        // the answer for a refused connection
+	start           time.Time     // zero of the Governor's clock
+	freed           chan struct{} // signals that room may be available
+	stopped         chan struct{} // closed when the listener begins to close
+	stopOnce        sync.Once
+	accepting       atomic.Bool   // Accept has been called
+	acceptEnded     chan struct{} // closed when Accept returns no more connections
+	endOnce         sync.Once
+	drainDeadline   time.Time // end of accepting the backlog; set before stopped is closed
+	refusals        sync.WaitGroup
+	lingerEnabled   atomic.Bool  // closing waits for clients to read their last answer
+	readAheadBytes  atomic.Int64 // held by all connections in their readAhead
+	mu              sync.Mutex
+	governor        *Governor
+}
+
+// Hooks notify the owner about descriptors. Each may be nil.
 type Hooks struct {
-	Opened func() // a connection has come
-	Closed func() // its descriptor is free again
-	Room   func() // descriptors have run out: free some that are kept for convenience
+	Opened func() // a connection was accepted
+	Closed func() // its descriptor has been closed
+	Room   func() // the process is out of descriptors: close connections that are kept only for reuse
 }
 
-// Listen puts a Governor in front of a listener. Those that are turned away are told to come
-// back after retryAfter; 0: not told when.
+// Listen wraps a listener with a Governor. Refused clients are told to retry after retryAfter; 0 omits the time.
 func Listen(ln net.Listener, cfg Config, retryAfter time.Duration, h Hooks) (*Listener, error) {
 	gov, err := NewGovernor(cfg)
 	if err != nil {
 		return nil, err
 	}
 	nothing := func() {}
-	l := &Listener{Listener: ln, gov: gov, opened: nothing, closed: nothing, room: nothing, start: time.Now(),
-		freed: make(chan struct{}, 1), stopped: make(chan struct{}), ended: make(chan struct{}), turnAway: Refusal(http.StatusServiceUnavailable, retryAfter)}
-	l.lingers.Store(true)
+	l := &Listener{Listener: ln, governor: gov, opened: nothing, closed: nothing, freeDescriptors: nothing, start: time.Now(),
+		freed: make(chan struct{}, 1), stopped: make(chan struct{}), acceptEnded: make(chan struct{}), refusal: RefusalResponse(http.StatusServiceUnavailable, retryAfter)}
+	l.lingerEnabled.Store(true)
 	if h.Opened != nil {
 		l.opened = h.Opened
 	}
@@ -78,14 +76,14 @@
 		l.closed = h.Closed
 	}
 	if h.Room != nil {
-		l.room = h.Room
+		l.freeDescriptors = h.Room
 	}
 	return l, nil
 }
 
-// Refusal is a whole answer without a body that ends its connection. RetryAfter is left out where
-// it is 0.
-func Refusal(status int, retryAfter time.Duration) []byte {
+// RefusalResponse returns a whole HTTP answer without a body that ends its connection. A retryAfter of 0 omits the
+// Retry-After header.
+func RefusalResponse(status int, retryAfter time.Duration) []byte {
 	after := ""
 	if retryAfter > 0 {
 		after = "Retry-After: " + strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64) + "\r\n"
@@ -95,59 +93,58 @@
 
 func (l *Listener) now() time.Duration { return time.Since(l.start) }
 
-// Counts tells what is held now and what has passed.
+// Counts returns the current counts and totals.
 func (l *Listener) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.gov.Counts()
+	return l.governor.Counts()
 }
 
-// Resize puts other bounds in force.
+// Resize replaces the limits.
 func (l *Listener) Resize(cfg Config) error {
 	l.mu.Lock()
-	err := l.gov.Resize(cfg)
+	err := l.governor.Resize(cfg)
 	l.mu.Unlock()
-	l.wake()
+	l.signalFreed()
 	return err
 }
 
-// wake lets a waiting Accept look again.
-func (l *Listener) wake() {
+// signalFreed makes a waiting Accept or Finish check again.
+func (l *Listener) signalFreed() {
 	select {
 	case l.freed <- struct{}{}:
 	default:
 	}
 }
 
-// Accept returns the next connection for which there is room. It returns an error only when the
-// listener is closed or broken: want of descriptors is waited out here, since net/http would
-// sleep for up to a second on it.
+// Accept returns the next connection for which there is room. It returns an error only when the listener is closed
+// or broken: when the process is out of descriptors it waits itself, since net/http would sleep for up to 1 s.
 func (l *Listener) Accept() (net.Conn, error) {
-	l.begun.Store(true)
+	l.accepting.Store(true)
 	for {
-		until, sweeps := l.sweep()
-		tries := !sweeps || time.Now().Before(until)
+		until, draining := l.boundBacklogAccept()
+		beforeDeadline := !draining || time.Now().Before(until)
 		nc, err := l.Listener.Accept()
 		if err != nil {
-			if errors.Is(err, os.ErrDeadlineExceeded) && (!sweeps || !tries && time.Now().Before(l.sweepBy)) {
-				continue // the listener is to close: a last look
+			if errors.Is(err, os.ErrDeadlineExceeded) && (!draining || !beforeDeadline && time.Now().Before(l.drainDeadline)) {
+				continue // the listener is closing: accept what is left in the backlog
 			}
-			if !outOfDescriptors(err) || sweeps && !time.Now().Before(l.sweepBy) {
-				l.end.Do(func() { close(l.ended) })
-				if sweeps {
+			if !outOfDescriptors(err) || draining && !time.Now().Before(l.drainDeadline) {
+				l.endOnce.Do(func() { close(l.acceptEnded) })
+				if draining {
 					err = net.ErrClosed
 				}
 				return nil, err
 			}
-			l.room()
+			l.freeDescriptors()
 			l.mu.Lock()
-			e := l.gov.Shed(l.now())
+			e := l.governor.RequestCloseOne(l.now())
 			l.mu.Unlock()
 			if e != nil {
-				e.Tag.(*Conn).rouse()
+				e.Tag.(*Conn).wake()
 			}
-			if !l.wait(exhausted) {
-				time.Sleep(sweepStep)
+			if !l.wait(descriptorPause) {
+				time.Sleep(backlogIdleTime)
 			}
 			continue
 		}
@@ -158,29 +155,29 @@
 	}
 }
 
-// sweep bounds the next accept of a listener that is to close: what lies in its backlog has been accepted by this machine,
-// and is owed an answer.
-func (l *Listener) sweep() (until time.Time, sweeps bool) {
+// boundBacklogAccept bounds the next accept of a listener that is closing. The kernel has already accepted the
+// connections in the backlog, so each of them must be answered.
+func (l *Listener) boundBacklogAccept() (until time.Time, draining bool) {
 	select {
 	case <-l.stopped:
 	default:
 		return time.Time{}, false
 	}
-	until = time.Now().Add(sweepStep)
-	if until.After(l.sweepBy) {
-		until = l.sweepBy
+	until = time.Now().Add(backlogIdleTime)
+	if until.After(l.drainDeadline) {
+		until = l.drainDeadline
 	}
 	l.wakeAccept(until)
 	return until, true
 }
 
-// wakeAccept has an Accept return by a time, where the listener can.
+// wakeAccept makes a blocked Accept return by the given time, if the listener supports deadlines.
 func (l *Listener) wakeAccept(by time.Time) bool {
 	d, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
 	return ok && d.SetDeadline(by) == nil
 }
 
-// outOfDescriptors reports whether accepting failed for want of something that comes back.
+// outOfDescriptors reports whether accepting failed for lack of a resource that becomes available again.
 func outOfDescriptors(err error) bool {
 	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
 		if errors.Is(err, e) {
@@ -190,47 +187,46 @@
 	return false
 }
 
-// admit waits until there is room for nc; nil: it was turned away, or the listener has closed.
+// admit waits until there is room for nc. It returns nil if nc was refused or the listener has closed.
 func (l *Listener) admit(nc net.Conn) *Conn {
 	for {
 		l.mu.Lock()
-		v := l.gov.Newcomer(l.now())
+		decision := l.governor.Decide(l.now())
 		var c *Conn
 		switch {
-		case v.Admit:
-			c = &Conn{Conn: nc, l: l, gone: make(chan struct{})}
-			c.e = l.gov.Open(l.now(), c)
-		case v.TurnAway:
-			l.gov.Turn()
+		case decision.Admit:
+			c = &Conn{Conn: nc, listener: l, clientGone: make(chan struct{})}
+			c.entry = l.governor.Open(l.now(), c)
+		case decision.Refuse:
+			l.governor.BeginRefusal()
 		}
 		l.mu.Unlock()
-		for _, e := range v.Ask {
-			e.Tag.(*Conn).rouse()
+		for _, e := range decision.RequestClose {
+			e.Tag.(*Conn).wake()
 		}
 		switch {
 		case c != nil:
 			return c
-		case v.TurnAway:
-			l.turning.Go(func() { l.turn(nc) })
+		case decision.Refuse:
+			l.refusals.Go(func() { l.refuse(nc) })
 			return nil
 		}
-		if !l.wait(v.Wait) { // the listener closes: what was accepted gets its word all the same
+		if !l.wait(decision.Wait) { // the listener is closing: an accepted connection is still answered
 			l.mu.Lock()
-			l.gov.Turn()
-			few := l.gov.counts.TurnedNow <= l.gov.LastSpare()
+			l.governor.BeginRefusal()
+			belowLimit := l.governor.counts.Refusing <= l.governor.MaxFinalRefusals()
 			l.mu.Unlock()
-			if few {
-				l.turning.Go(func() { l.turn(nc) })
+			if belowLimit {
+				l.refusals.Go(func() { l.refuse(nc) })
 			} else {
-				l.turn(nc)
+				l.refuse(nc)
 			}
 			return nil
 		}
 	}
 }
 
-// wait pauses accepting until something has closed, or for so long. It reports whether the
-// listener is still open.
+// wait pauses accepting until a connection has closed, or for d. It reports whether the listener is still open.
 func (l *Listener) wait(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -243,33 +239,32 @@
 	return true
 }
 
-// turn gives a newcomer for which there is no room a short refusal. Its request, if one comes, is
-// not looked at.
-func (l *Listener) turn(nc net.Conn) {
-	nc.SetWriteDeadline(time.Now().Add(turnTime))
-	if _, err := nc.Write(l.turnAway); err == nil {
-		linger(nc, turnTime, turnBytes)
+// refuse sends a short refusal to a new connection for which there is no room, and closes it. A request on it is
+// not parsed.
+func (l *Listener) refuse(nc net.Conn) {
+	nc.SetWriteDeadline(time.Now().Add(refusalLingerTime))
+	if _, err := nc.Write(l.refusal); err == nil {
+		linger(nc, refusalLingerTime, refusalLingerBytes)
 	}
 	nc.Close()
 	l.mu.Lock()
-	l.gov.Turned()
+	l.governor.EndRefusal()
 	l.mu.Unlock()
 	l.closed()
-	l.wake()
+	l.signalFreed()
 }
 
-// linger ends the writing side and takes in what still comes, up to a bound: until the client
-// closes, or has the whole answer and has been silent for a moment. Guards against a close with
-// unread bytes, which becomes a reset that can destroy the answer just written. RFC 9112, section
-// 9.6.
+// linger closes the writing side and discards what still arrives, up to bytes and d: until the client closes, or has
+// received the whole answer and is silent for lingerPoll. Closing with unread bytes would send a reset, which can
+// destroy the answer just written (RFC 9112, section 9.6).
 func linger(nc net.Conn, d time.Duration, bytes int) {
-	half, ok := nc.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	closer, ok := nc.(interface{ CloseWrite() error })
+	if !ok || closer.CloseWrite() != nil {
 		return
 	}
 	buf := make([]byte, 4<<10)
 	for end := time.Now().Add(d); bytes > 0 && time.Now().Before(end); {
-		nc.SetReadDeadline(time.Now().Add(lingerStep))
+		nc.SetReadDeadline(time.Now().Add(lingerPoll))
 		n, err := nc.Read(buf)
 		bytes -= n
 		if err != nil && (!errors.Is(err, os.ErrDeadlineExceeded) || peek.Unsent(nc) == 0) {
@@ -278,333 +273,332 @@
 	}
 }
 
-// Close ends accepting, once what lies in the backlog has been taken in. Connections go on. Guards against those that are
-// reset with their requests unread, since the loop that accepts was behind or waited for room.
+// Close stops accepting after the backlog has been accepted; open connections continue. Without that, connections
+// in the backlog would be reset with their requests unread when the accept loop is late or waits for room.
 func (l *Listener) Close() error {
-	l.stop.Do(func() {
-		l.sweepBy = time.Now().Add(sweepMost)
+	l.stopOnce.Do(func() {
+		l.drainDeadline = time.Now().Add(maxBacklogDrain)
 		close(l.stopped)
-		if l.begun.Load() && l.wakeAccept(time.Now().Add(sweepStep)) {
+		if l.accepting.Load() && l.wakeAccept(time.Now().Add(backlogIdleTime)) {
 			select {
-			case <-l.ended:
-			case <-time.After(sweepMost + sweepStep):
+			case <-l.acceptEnded:
+			case <-time.After(maxBacklogDrain + backlogIdleTime):
 			}
 		}
 	})
 	return l.Listener.Close()
 }
 
-// Leave ends accepting, where another process goes on with it, and has each answer end its connection. What
-// was accepted is served; idle connections stay until Drain.
+// Leave stops accepting when another process accepts on the same address, and makes each answer end its connection.
+// Accepted connections are served; idle connections stay open until Drain.
 func (l *Listener) Leave() {
 	l.mu.Lock()
-	l.gov.Last()
+	l.governor.CloseAfterAnswers()
 	l.mu.Unlock()
 	l.Listener.Close()
 }
 
-// Drain begins a planned stop: each answer ends its connection, and idle ones are closed.
+// Drain begins a planned stop: each answer ends its connection, and idle connections are closed.
 func (l *Listener) Drain() {
-	l.rouseAll(func(g *Governor, now time.Duration) []*Entry { return g.Drain(now) })
+	l.wakeAll(func(g *Governor, now time.Duration) []*Entry { return g.Drain(now) })
 }
 
-// Finish closes the listener, lets the connections on which nothing has come go as well, and
-// waits until none is held or ctx ends; it returns how many are left then.
+// Finish closes the listener, closes the connections that have sent nothing, and waits until none is open or ctx
+// ends. It returns the number of connections that are still open.
 func (l *Listener) Finish(ctx context.Context) int {
 	l.Close()
-	idle := make(chan struct{})
+	refused := make(chan struct{})
 	go func() {
-		defer close(idle)
-		l.turning.Wait()
+		defer close(refused)
+		l.refusals.Wait()
 	}()
-	<-idle // bounded by turnTime
+	<-refused // takes refusalLingerTime at most
 	for {
 		var wait time.Duration
-		l.rouseAll(func(g *Governor, now time.Duration) (ask []*Entry) {
-			ask, wait = g.Finish(now)
-			return ask
+		l.wakeAll(func(g *Governor, now time.Duration) (requested []*Entry) {
+			requested, wait = g.Finish(now)
+			return requested
 		})
 		held := l.Counts().Held
 		if held == 0 {
 			return 0
 		}
-		var again <-chan time.Time
+		var retry <-chan time.Time
 		if wait > 0 {
-			again = time.After(wait)
+			retry = time.After(wait)
 		}
 		select {
 		case <-l.freed:
-		case <-again:
+		case <-retry:
 		case <-ctx.Done():
-			l.lingers.Store(false)
+			l.lingerEnabled.Store(false)
 			return held
 		}
 	}
 }
 
-func (l *Listener) rouseAll(which func(*Governor, time.Duration) []*Entry) {
+func (l *Listener) wakeAll(request func(*Governor, time.Duration) []*Entry) {
 	l.mu.Lock()
-	ask := which(l.gov, l.now())
+	requested := request(l.governor, l.now())
 	l.mu.Unlock()
-	for _, e := range ask {
-		e.Tag.(*Conn).rouse()
+	for _, e := range requested {
+		e.Tag.(*Conn).wake()
 	}
 }
 
-// Conn is a client's connection. What net/http reads from it and the states it reports tell the
-// Governor what the connection is doing.
+// Conn is a client connection. It derives the connection's state for the Governor from net/http's reads and from the
+// states that net/http reports.
 type Conn struct {
 	net.Conn
-	l *Listener
-	e *Entry // guarded by l.mu
-
-	mu       sync.Mutex
-	deadline time.Time // for reads, as the server has set it
-	roused   bool      // the deadline in force is past, to wake the reader
-	head     []byte    // what has come of the next head
-	headless bool      // what comes is none of it
-	ahead    *ahead    // takes in what comes while a request is in hand; nil: nothing does
-	early    []byte    // what it took in
-	earlyErr error     // and how the client's side ended meanwhile
-	gone     chan struct{}
-
-	got   atomic.Bool // something of a request has come
-	wrote atomic.Bool // something of its answer has gone out
-	gave  atomic.Bool // it gave way in the middle of a request, and has said so
-	ended atomic.Bool // the client's side has ended, or is broken
-	shut  sync.Once
-}
-
-// decide runs f on the Governor with the connection's entry.
-func (c *Conn) decide(f func(g *Governor, e *Entry, now time.Duration)) {
-	c.l.mu.Lock()
-	defer c.l.mu.Unlock()
-	f(c.l.gov, c.e, c.l.now())
-}
-
-// rouse wakes the reader, which then sees whether the connection gives way.
-func (c *Conn) rouse() {
+	listener *Listener
+	entry    *Entry // guarded by listener.mu
+
+	mu          sync.Mutex
+	deadline    time.Time     // for reads, as set by the server
+	woken       bool          // a past deadline is in force to wake the reader
+	head        []byte        // received bytes of the next head
+	ignoreHead  bool          // received bytes do not belong to a head
+	readAhead   *readAhead    // reads while a request is being processed; nil: not running
+	buffered    []byte        // bytes that readAhead has received
+	bufferedErr error         // the error with which the client's side ended during readAhead
+	clientGone  chan struct{} // closed when readAhead sees the client's side end
+
+	receivedBytes atomic.Bool // part of a request has been received
+	wroteAnswer   atomic.Bool // part of its answer has been written
+	evicted       atomic.Bool // it was evicted within a request, and the refusal has been written
+	clientEnded   atomic.Bool // the client's side has ended or failed
+	closeOnce     sync.Once
+}
+
+// withGovernor calls f with the Governor locked, the connection's entry and the current time.
+func (c *Conn) withGovernor(f func(g *Governor, e *Entry, now time.Duration)) {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	f(c.listener.governor, c.entry, c.listener.now())
+}
+
+// wake interrupts the reader, which then checks whether the connection is to be closed.
+func (c *Conn) wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.roused = true
-	c.inForce()
+	c.woken = true
+	c.applyDeadline()
 }
 
-// inForce has the connection's deadline for reads be what it is to be. It is called with the lock held.
-func (c *Conn) inForce() error {
+// applyDeadline sets the socket's read deadline from the connection's fields. The caller holds c.mu.
+func (c *Conn) applyDeadline() error {
 	at := c.deadline
-	if c.roused {
-		at = longAgo
+	if c.woken {
+		at = pastDeadline
 	}
-	if c.ahead != nil {
+	if c.readAhead != nil {
 		select {
-		case <-c.ahead.stop:
-			at = longAgo
+		case <-c.readAhead.stop:
+			at = pastDeadline
 		default:
 		}
 	}
 	return c.Conn.SetReadDeadline(at)
 }
 
-var longAgo = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
-// calm puts the server's own deadline back in force.
-func (c *Conn) calm() {
+// restoreDeadline puts the server's own deadline back in force after wake.
+func (c *Conn) restoreDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.roused {
-		c.roused = false
-		c.inForce()
+	if c.woken {
+		c.woken = false
+		c.applyDeadline()
 	}
 }
 
-// SetReadDeadline keeps a reader awake that has been roused.
+// SetReadDeadline sets the server's read deadline. A reader that is being woken is still interrupted.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
-	return c.inForce()
+	return c.applyDeadline()
 }
 
-// SetDeadline bounds reads and writes.
+// SetDeadline sets the deadlines for reads and writes.
 func (c *Conn) SetDeadline(t time.Time) error {
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// errGaveWay ends the reads of a connection that has given way. It is a net.Error itself, since
-// net/http unwraps nothing and would answer any other error with a 400.
-var errGaveWay net.Error = gaveWay{}
+// errEvicted ends the reads of an evicted connection. It implements net.Error directly because net/http doesn't
+// unwrap errors and would answer any other error with a 400.
+var errEvicted net.Error = evictedError{}
 
-type gaveWay struct{}
+type evictedError struct{}
 
-func (gaveWay) Error() string   { return "admission: gave way" }
-func (gaveWay) Timeout() bool   { return true }
-func (gaveWay) Temporary() bool { return true }
-func (gaveWay) Unwrap() error   { return os.ErrDeadlineExceeded }
+func (evictedError) Error() string   { return "admission: connection closed to make room" }
+func (evictedError) Timeout() bool   { return true }
+func (evictedError) Temporary() bool { return true }
+func (evictedError) Unwrap() error   { return os.ErrDeadlineExceeded }
 
-// Read reads for the server, and gives way where the Governor has asked for it and nothing has
-// come. It runs in the goroutine that reads requests, and in net/http's background read while a
-// request is in hand: the Governor tells them apart by the state.
+// Read reads for the server, and ends with errEvicted if the Governor has requested a close and nothing has arrived.
+// It is called by the goroutine that reads requests and by net/http's background read while a request is being
+// processed; the Governor distinguishes them by the state.
 func (c *Conn) Read(p []byte) (int, error) {
-	c.endAhead()
+	c.stopReadAhead()
 	for {
-		n, early, err := c.takeEarly(p)
-		if !early {
+		n, fromBuffer, err := c.readBuffered(p)
+		if !fromBuffer {
 			n, err = c.Conn.Read(p)
 		}
 		if n > 0 {
-			c.keepHead(p[:n])
-			c.got.Store(true)
-			inHand := false
-			c.decide(func(g *Governor, e *Entry, now time.Duration) {
-				if inHand = len(p) == 1 && g.Early(e); !inHand {
-					g.Arrived(e, now)
+			c.captureHead(p[:n])
+			c.receivedBytes.Store(true)
+			pipelined := false
+			c.withGovernor(func(g *Governor, e *Entry, now time.Duration) {
+				if pipelined = len(p) == 1 && g.PipelinedByte(e); !pipelined {
+					g.BytesArrived(e, now)
 				}
 			})
-			c.calm()
-			if inHand && err == nil { // net/http's look at whether the client leaves ends with this byte
-				c.lookAhead()
+			c.restoreDeadline()
+			if pipelined && err == nil { // net/http's background read, which detects that the client leaves, ends with this byte
+				c.startReadAhead()
 			}
 			return n, err
 		}
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
-			c.ended.Store(true)
+			c.clientEnded.Store(true)
 			return n, err
 		}
 		c.mu.Lock()
-		over := !c.deadline.IsZero() && !c.deadline.After(time.Now())
-		roused := c.roused
+		expired := !c.deadline.IsZero() && !c.deadline.After(time.Now())
+		woken := c.woken
 		c.mu.Unlock()
-		c.l.mu.Lock()
-		between := c.e.state == New || c.e.state == Idle
-		c.l.mu.Unlock()
-		// Guards against bytes that came in the same instant as the deadline: a read past its
-		// deadline doesn't look for them, and a close would drop a request that is there.
-		if (over && between || roused) && peek.Look(c.Conn) == peek.Waiting {
-			c.decide(func(g *Governor, e *Entry, now time.Duration) { g.Arrived(e, now) })
-			c.again(over && between)
+		c.listener.mu.Lock()
+		betweenRequests := c.entry.state == StateNew || c.entry.state == StateIdle
+		c.listener.mu.Unlock()
+		// A read past its deadline doesn't look for bytes that arrived at the same moment: without this check a
+		// close would drop a request that has arrived.
+		if (expired && betweenRequests || woken) && peek.Look(c.Conn) == peek.Waiting {
+			c.withGovernor(func(g *Governor, e *Entry, now time.Duration) { g.BytesArrived(e, now) })
+			c.retryRead(expired && betweenRequests)
 			continue
 		}
-		if over {
-			return 0, err // between requests or within one, its time is up
+		if expired {
+			return 0, err // the server's deadline has passed
 		}
-		if !roused {
-			continue // was calmed meanwhile
+		if !woken {
+			continue // the deadline has been restored meanwhile
 		}
-		gone := false
-		c.decide(func(g *Governor, e *Entry, now time.Duration) { gone = g.Yield(e, now) })
-		if gone {
-			if c.got.Load() { // part of a request: none of it has run, and it may come again
-				c.Write(c.l.turnAway)
-				c.gave.Store(true)
+		closing := false
+		c.withGovernor(func(g *Governor, e *Entry, now time.Duration) { closing = g.ConfirmClose(e, now) })
+		if closing {
+			if c.receivedBytes.Load() { // part of a request: it wasn't processed, so the client may retry it
+				c.Write(c.listener.refusal)
+				c.evicted.Store(true)
 			}
-			return 0, errGaveWay
+			return 0, errEvicted
 		}
-		c.calm()
+		c.restoreDeadline()
 	}
 }
 
-// again gives a reader whose deadline crossed with bytes the time to take them.
-func (c *Conn) again(over bool) {
-	if over {
+// retryRead extends the deadline for a reader whose deadline passed while bytes arrived.
+func (c *Conn) retryRead(expired bool) {
+	if expired {
 		c.mu.Lock()
-		c.deadline = time.Now().Add(crossing)
-		c.roused = false
-		c.inForce()
+		c.deadline = time.Now().Add(lateRequestTimeout)
+		c.woken = false
+		c.applyDeadline()
 		c.mu.Unlock()
 		return
 	}
-	c.calm()
+	c.restoreDeadline()
 }
 
-// crossing is the time in which a request is to be read whose first bytes came in the instant in
-// which its connection would have been closed. A server sets its own once it has seen them.
-const crossing = 500 * time.Millisecond
+// lateRequestTimeout is the time for reading a request whose first bytes arrived just as its connection would have
+// been closed. The server sets its own deadline once it has seen them.
+const lateRequestTimeout = 500 * time.Millisecond
 
-// Write passes on what the server writes. Guards against a second answer: net/http takes a line
-// that was cut short for a whole one, and answers a connection that gave way in it with a 400.
+// Write passes on what the server writes, but discards it after an eviction: net/http takes a truncated request line
+// for a complete one and would answer it with a 400, a second answer behind the refusal.
 func (c *Conn) Write(p []byte) (int, error) {
-	if c.gave.Load() {
+	if c.evicted.Load() {
 		return len(p), nil
 	}
-	c.wrote.Store(true)
+	c.wroteAnswer.Store(true)
 	n, err := c.Conn.Write(p)
 	if err != nil {
-		c.ended.Store(true)
+		c.clientEnded.Store(true)
 	}
 	return n, err
 }
 
-// CloseWrite ends the writing side, for a server that closes in two steps.
+// CloseWrite closes the writing side, for a server that closes in two steps.
 func (c *Conn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return closer.CloseWrite()
 	}
 	return errors.ErrUnsupported
 }
 
-// Close ends the connection so that the client can't mistake it: one that began a request and did
-// not go on gets a 408, an answer already written is left time to be read. It may wait for
-// lingerTime.
+// Close closes the connection such that the client knows the outcome: an incomplete request gets a 408, and an answer
+// already written is left time to be read. It may block for lingerTime.
 func (c *Conn) Close() error {
 	var err error
-	c.shut.Do(func() {
-		c.endAhead()
-		var was State
-		c.decide(func(g *Governor, e *Entry, now time.Duration) { was = e.state; g.Close(e, now) })
-		if !c.ended.Load() && c.l.lingers.Load() {
-			if c.got.Load() && !c.wrote.Load() && was != InHand {
-				c.Write(Refusal(http.StatusRequestTimeout, 0))
+	c.closeOnce.Do(func() {
+		c.stopReadAhead()
+		var previous State
+		c.withGovernor(func(g *Governor, e *Entry, now time.Duration) { previous = e.state; g.Close(e, now) })
+		if !c.clientEnded.Load() && c.listener.lingerEnabled.Load() {
+			if c.receivedBytes.Load() && !c.wroteAnswer.Load() && previous != StateProcessing {
+				c.Write(RefusalResponse(http.StatusRequestTimeout, 0))
 			}
-			if c.wrote.Load() { // else nothing has gone out lately that a reset could destroy
+			if c.wroteAnswer.Load() { // otherwise there is no recent answer that a reset could destroy
 				c.Conn.SetWriteDeadline(time.Now().Add(lingerTime))
 				linger(c.Conn, lingerTime, lingerBytes)
 			}
 		}
 		err = c.Conn.Close()
-		c.decide(func(g *Governor, e *Entry, now time.Duration) { g.Gone(e, now) })
-		c.l.closed()
-		c.l.wake()
+		c.withGovernor(func(g *Governor, e *Entry, now time.Duration) { g.DescriptorFreed(e, now) })
+		c.listener.closed()
+		c.listener.signalFreed()
 	})
 	return err
 }
 
-// Reserve asks for room for a body of so many bytes; without it the request is to be refused.
+// Reserve reserves memory for that many bytes of a body; if it returns false the request must be refused.
 func (c *Conn) Reserve(bytes int) (ok bool) {
-	c.decide(func(g *Governor, e *Entry, _ time.Duration) { ok = g.Reserve(e, bytes) })
+	c.withGovernor(func(g *Governor, e *Entry, _ time.Duration) { ok = g.Reserve(e, bytes) })
 	return ok
 }
 
-// Hold asks for more, where the rest of the body could be streamed as well.
-func (c *Conn) Hold(bytes int) (ok bool) {
-	c.decide(func(g *Governor, e *Entry, _ time.Duration) { ok = g.Hold(e, bytes) })
+// ReserveExtra reserves more memory, where the rest of the body could be streamed instead.
+func (c *Conn) ReserveExtra(bytes int) (ok bool) {
+	c.withGovernor(func(g *Governor, e *Entry, _ time.Duration) { ok = g.ReserveExtra(e, bytes) })
 	return ok
 }
 
-// Settle notes how long the whole body is.
-func (c *Conn) Settle(bytes int) {
-	c.decide(func(g *Governor, e *Entry, _ time.Duration) { g.Settle(e, bytes) })
+// ShrinkReservation releases what was reserved beyond the actual size of the body.
+func (c *Conn) ShrinkReservation(bytes int) {
+	c.withGovernor(func(g *Governor, e *Entry, _ time.Duration) { g.ShrinkReservation(e, bytes) })
 }
 
-// Taken notes that a whole request has been read.
-func (c *Conn) Taken() {
-	c.keepHeads()
-	c.decide((*Governor).Taken)
+// RequestRead records that a whole request has been read.
+func (c *Conn) RequestRead() {
+	c.resumeHeadCapture()
+	c.withGovernor((*Governor).RequestRead)
 }
 
-// Answer notes that an answer is about to be written and reports whether the connection is kept;
-// if not, the answer must say that it is the last.
-func (c *Conn) Answer() (keep bool) {
-	c.keepHeads()
-	c.decide(func(g *Governor, e *Entry, now time.Duration) { keep = g.Answer(e, now) })
+// BeginAnswer records that an answer is about to be written and reports whether the connection is kept alive; if
+// not, the answer must carry "Connection: close".
+func (c *Conn) BeginAnswer() (keep bool) {
+	c.resumeHeadCapture()
+	c.withGovernor(func(g *Governor, e *Entry, now time.Duration) { keep = g.BeginAnswer(e, now) })
 	return keep
 }
 
-// ReadBody reads a part of a request's body, until a time; a client that sends nothing for a while is given up
-// sooner.
+// ReadBody reads part of a request's body until a deadline, or a shorter one if the client stalls (see
+// Governor.BodyReadTimeout).
 func (c *Conn) ReadBody(body io.Reader, buf []byte, until time.Time) (int, error) {
 	var stall time.Duration
-	c.decide(func(g *Governor, _ *Entry, _ time.Duration) { stall = g.Stall() })
+	c.withGovernor(func(g *Governor, _ *Entry, _ time.Duration) { stall = g.BodyReadTimeout() })
 	if next := time.Now().Add(stall); next.Before(until) {
 		until = next
 	}
@@ -614,44 +608,44 @@
 	return body.Read(buf[:min(len(buf), bodyChunk)])
 }
 
-const headMost = 20 << 10 // bytes of a head that are kept as they came
+const maxKeptHead = 20 << 10 // bytes of a head that are kept as received
 
-// keepHead keeps what comes before a head is whole.
-func (c *Conn) keepHead(p []byte) {
+// captureHead appends p to the raw bytes of the next head.
+func (c *Conn) captureHead(p []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.headless && len(c.head) < headMost {
-		c.head = append(c.head, p[:min(len(p), headMost-len(c.head))]...)
+	if !c.ignoreHead && len(c.head) < maxKeptHead {
+		c.head = append(c.head, p[:min(len(p), maxKeptHead-len(c.head))]...)
 	}
 }
 
-// TakeHead returns the bytes of the head that has been read, with what came behind it, as they came. Nothing is
-// kept then until the request has been taken or answered.
+// TakeHead returns the raw bytes of the head that has been read, and any received after it. Further bytes are not
+// captured until the request has been read or is being answered.
 func (c *Conn) TakeHead() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	head := c.head
-	c.head, c.headless = nil, true
+	c.head, c.ignoreHead = nil, true
 	return head
 }
 
-func (c *Conn) keepHeads() {
+func (c *Conn) resumeHeadCapture() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.headless = false
+	c.ignoreHead = false
 }
 
 type connKey struct{}
 
-// Context lets a handler find its connection. It is to be the server's ConnContext.
-func Context(ctx context.Context, nc net.Conn) context.Context {
+// ConnContext stores the connection for ConnFromContext. Use it as http.Server.ConnContext.
+func ConnContext(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, nc)
 }
 
-// Of returns the connection of a handler's request. The server must have got it from a Listener.
-func Of(ctx context.Context) *Conn { return ctx.Value(connKey{}).(*Conn) }
+// ConnFromContext returns the connection of a handler's request, which must come from a Listener.
+func ConnFromContext(ctx context.Context) *Conn { return ctx.Value(connKey{}).(*Conn) }
 
-// StateChanged follows net/http's states. It is to be the server's ConnState.
+// StateChanged passes net/http's connection states to the Governor. Use it as http.Server.ConnState.
 func StateChanged(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*Conn)
 	if !ok {
@@ -659,18 +653,18 @@
 	}
 	switch state {
 	case http.StateActive:
-		// The head has been read, or can't be: net/http tells so only then.
-		c.decide((*Governor).HeadWhole)
-		c.calm()
+		// The head has been read, or was invalid: net/http reports the state only then.
+		c.withGovernor((*Governor).HeadRead)
+		c.restoreDeadline()
 	case http.StateIdle:
-		c.wrote.Store(false)
+		c.wroteAnswer.Store(false)
 		wake := false
-		c.decide(func(g *Governor, e *Entry, now time.Duration) {
-			wake = g.Answered(e, now)
-			c.got.Store(e.state == Head) // bytes that came early are the next request's
+		c.withGovernor(func(g *Governor, e *Entry, now time.Duration) {
+			wake = g.EndAnswer(e, now)
+			c.receivedBytes.Store(e.state == StateHead) // bytes received early belong to the next request
 		})
 		if wake {
-			c.rouse()
+			c.wake()
 		}
 	}
 }
--- a/internal/admission/listener_test.go
+++ b/internal/admission/listener_test.go
@@ -26,45 +26,45 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const longWait = 20 * time.Second // bounds every wait of a test; none is expected to last nearly so long
+const testTimeout = 20 * time.Second // bounds every wait of a test; none is expected to last nearly so long
 
 var seed = flag.Uint64("seed", 1, "seed of the races")
 
-// site is a server behind a Listener whose handler notes each request that it has read whole.
-type site struct {
-	l    *Listener
-	srv  *http.Server
-	done chan struct{}
+// testServer is a server behind a Listener whose handler notes each request that it has read whole.
+type testServer struct {
+	listener *Listener
+	srv      *http.Server
+	done     chan struct{}
 
-	mu   sync.Mutex
-	read map[string]int // by id
-	hold map[string]chan struct{}
+	mu    sync.Mutex
+	reads map[string]int // by id
+	held  map[string]chan struct{}
 
 	opened, closed atomic.Int64
 }
 
-func newSite(t *testing.T, cfg Config) *site {
+func newTestServer(t *testing.T, cfg Config) *testServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return newSiteOn(t, ln, cfg)
+	return newTestServerOn(t, ln, cfg)
 }
 
-func newSiteOn(t *testing.T, ln net.Listener, cfg Config) *site {
+func newTestServerOn(t *testing.T, ln net.Listener, cfg Config) *testServer {
 	t.Helper()
-	s := &site{done: make(chan struct{}), read: map[string]int{}, hold: map[string]chan struct{}{}}
+	s := &testServer{done: make(chan struct{}), reads: map[string]int{}, held: map[string]chan struct{}{}}
 	var err error
-	s.l, err = Listen(ln, cfg, 250*ms, Hooks{Opened: func() { s.opened.Add(1) }, Closed: func() { s.closed.Add(1) }})
+	s.listener, err = Listen(ln, cfg, 250*ms, Hooks{Opened: func() { s.opened.Add(1) }, Closed: func() { s.closed.Add(1) }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.srv = &http.Server{Handler: s, ReadTimeout: 5 * time.Second, IdleTimeout: 5 * time.Second, MaxHeaderBytes: 4096,
-		ConnContext: Context, ConnState: StateChanged, ErrorLog: log.New(io.Discard, "", 0)}
+		ConnContext: ConnContext, ConnState: StateChanged, ErrorLog: log.New(io.Discard, "", 0)}
 	go func() {
 		defer close(s.done)
-		if err := s.srv.Serve(s.l); !errors.Is(err, net.ErrClosed) && !errors.Is(err, http.ErrServerClosed) {
+		if err := s.srv.Serve(s.listener); !errors.Is(err, net.ErrClosed) && !errors.Is(err, http.ErrServerClosed) {
 			t.Errorf("Serve ended with %v", err)
 		}
 	}()
@@ -78,19 +78,19 @@
 }
 
 // stop ends the site; no connection may be left by then.
-func (s *site) stop(t *testing.T) {
+func (s *testServer) stop(t *testing.T) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), longWait)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	if left := s.l.Finish(ctx); left != 0 {
-		t.Errorf("%d connections are left: %+v", left, s.l.Counts())
+	if left := s.listener.Finish(ctx); left != 0 {
+		t.Errorf("%d connections are left: %+v", left, s.listener.Counts())
 	}
 	s.srv.Close()
 	<-s.done
 }
 
-func (s *site) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := Of(r.Context())
+func (s *testServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	c := ConnFromContext(r.Context())
 	id := r.Header.Get("X-Id")
 	status := http.StatusOK
 	if !c.Reserve(int(r.ContentLength)) {
@@ -98,26 +98,26 @@
 	} else if err := s.body(c, r); err != nil {
 		status = http.StatusRequestTimeout
 	} else {
-		c.Taken()
+		c.RequestRead()
 		s.mu.Lock()
-		s.read[id]++
-		hold := s.hold[id]
+		s.reads[id]++
+		hold := s.held[id]
 		s.mu.Unlock()
 		if hold != nil {
 			<-hold
 		}
 	}
-	if !c.Answer() || status != http.StatusOK {
+	if !c.BeginAnswer() || status != http.StatusOK {
 		w.Header().Set("Connection", "close")
 	}
 	w.WriteHeader(status)
 	fmt.Fprintf(w, "answer to %s", id)
 }
 
-func (s *site) body(c *Conn, r *http.Request) error {
+func (s *testServer) body(c *Conn, r *http.Request) error {
 	buf := make([]byte, r.ContentLength)
 	for at := 0; at < len(buf); {
-		n, err := c.ReadBody(r.Body, buf[at:], time.Now().Add(longWait))
+		n, err := c.ReadBody(r.Body, buf[at:], time.Now().Add(testTimeout))
 		if at += n; err != nil && at < len(buf) {
 			return err
 		}
@@ -125,27 +125,27 @@
 	return nil
 }
 
-// holding makes the handler wait with the answer to a request until the returned function is called.
-func (s *site) holding(id string) (release func()) {
+// holdAnswer makes the handler wait with the answer to a request until the returned function is called.
+func (s *testServer) holdAnswer(id string) (release func()) {
 	c := make(chan struct{})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hold[id] = c
+	s.held[id] = c
 	return sync.OnceFunc(func() { close(c) })
 }
 
-func (s *site) hasRead(id string) int {
+func (s *testServer) readCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.read[id]
+	return s.reads[id]
 }
 
-// until waits until the listener's counts are as they should be.
-func (s *site) until(t *testing.T, what string, ok func(Counts) bool) {
+// waitForCounts waits until the listener's counts are as they should be.
+func (s *testServer) waitForCounts(t *testing.T, what string, ok func(Counts) bool) {
 	t.Helper()
-	for end := time.Now().Add(longWait); !ok(s.l.Counts()); time.Sleep(100 * time.Microsecond) {
+	for end := time.Now().Add(testTimeout); !ok(s.listener.Counts()); time.Sleep(100 * time.Microsecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: never; %+v", what, s.l.Counts())
+			t.Fatalf("%s: never; %+v", what, s.listener.Counts())
 		}
 	}
 }
@@ -157,14 +157,14 @@
 	r *bufio.Reader
 }
 
-func (s *site) dial(t testing.TB) *client {
+func (s *testServer) dial(t testing.TB) *client {
 	t.Helper()
-	nc, err := net.Dial("tcp", s.l.Addr().String())
+	nc, err := net.Dial("tcp", s.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(longWait))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	return &client{t, nc, bufio.NewReader(nc)}
 }
 
@@ -172,8 +172,8 @@
 	return fmt.Sprintf("POST /sub HTTP/1.1\r\nHost: x\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// answer reads one answer. 0: the connection ended with none.
-func (c *client) answer() (status int, body string, last bool, err error) {
+// readAnswer reads one answer. 0: the connection ended with none.
+func (c *client) readAnswer() (status int, body string, last bool, err error) {
 	if _, err := c.r.Peek(1); err != nil {
 		if e, ok := err.(net.Error); ok && e.Timeout() {
 			return 0, "", false, err
@@ -189,11 +189,11 @@
 	return resp.StatusCode, string(b), resp.Close, err
 }
 
-// ask sends a request and requires its answer.
-func (c *client) ask(id string) (last bool) {
+// exchange sends a request and requires its answer.
+func (c *client) exchange(id string) (last bool) {
 	c.t.Helper()
 	io.WriteString(c, request(id, "body"))
-	status, body, last, err := c.answer()
+	status, body, last, err := c.readAnswer()
 	if err != nil || status != http.StatusOK || body != "answer to "+id {
 		c.t.Fatalf("%s got %d %q, %v", id, status, body, err)
 	}
@@ -203,15 +203,15 @@
 // A request that crosses the arrival of a newcomer at the cap. Whatever has been read whole is
 // answered whole; what ends without an answer had not been read. The seed decides how many bytes
 // the request has sent when the newcomer comes, and whether the answer is on its way just then.
-func TestRequestCrossesNewcomer(t *testing.T) {
+func TestRequestRacesEviction(t *testing.T) {
 	for _, granted := range []time.Duration{0, time.Hour} {
 		t.Run(fmt.Sprintf("granted %v", granted), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(*seed, uint64(granted)))
-			cfg := Config{Most: 1, Spare: 1, Fresh: 0, Stall: 0, Granted: granted, Patience: longWait}
+			cfg := Config{MaxConnections: 1, MaxRefusals: 1, NewGrace: 0, StallTimeout: 0, MinIdle: granted, AdmitTimeout: testTimeout}
 			if granted > 0 {
-				cfg.Stall = time.Hour
+				cfg.StallTimeout = time.Hour
 			}
-			s := newSite(t, cfg)
+			s := newTestServer(t, cfg)
 			served, closed, timedOut := 0, 0, 0
 			for i := range 1000 {
 				if t.Failed() {
@@ -219,13 +219,13 @@
 				}
 				id := fmt.Sprint("crossing-", i)
 				kept := s.dial(t)
-				kept.ask(fmt.Sprint("first-", i))
+				kept.exchange(fmt.Sprint("first-", i))
 				text := request(id, strings.Repeat("b", rng.IntN(200)))
 				head := strings.Index(text, "\r\n\r\n") + 4
 				cut := []int{0, 1 + rng.IntN(head-1), head, head + (len(text)-head)/2, len(text)}[rng.IntN(5)]
 				release := func() {}
 				if cut == len(text) && rng.IntN(2) == 0 {
-					release = s.holding(id)
+					release = s.holdAnswer(id)
 				}
 				var newcomer *client
 				var both sync.WaitGroup
@@ -242,14 +242,14 @@
 				close(together)
 				both.Wait()
 				io.WriteString(kept, text[cut:])
-				status, body, _, err := kept.answer()
+				status, body, _, err := kept.readAnswer()
 				switch {
 				case err != nil:
 					t.Errorf("round %d, cut at %d of %d: %v", i, cut, len(text), err)
-				case status == http.StatusOK && body == "answer to "+id && s.hasRead(id) == 1:
+				case status == http.StatusOK && body == "answer to "+id && s.readCount(id) == 1:
 					served++
-				case s.hasRead(id) != 0:
-					t.Errorf("round %d, cut at %d of %d: read %d times and answered %d %q", i, cut, len(text), s.hasRead(id), status, body)
+				case s.readCount(id) != 0:
+					t.Errorf("round %d, cut at %d of %d: read %d times and answered %d %q", i, cut, len(text), s.readCount(id), status, body)
 				case granted > 0:
 					t.Errorf("round %d, cut at %d of %d: got %d %q within what is granted", i, cut, len(text), status, body)
 				case status == http.StatusServiceUnavailable || status == http.StatusRequestTimeout:
@@ -272,11 +272,11 @@
 
 // Those that ask once and keep their connection for good, more of them than the cap: others can
 // still connect and are served at once, since answers begin to end their connections.
-func TestAskOnceAndStay(t *testing.T) {
-	s := newSite(t, Config{Most: 8, Spare: 1, Fresh: time.Hour, Stall: time.Hour, Granted: time.Hour, Patience: time.Hour})
+func TestIdleClientsBeyondLimit(t *testing.T) {
+	s := newTestServer(t, Config{MaxConnections: 8, MaxRefusals: 1, NewGrace: time.Hour, StallTimeout: time.Hour, MinIdle: time.Hour, AdmitTimeout: time.Hour})
 	kept := 0
 	for i := range 40 {
-		if !s.dial(t).ask(fmt.Sprint("once-", i)) {
+		if !s.dial(t).exchange(fmt.Sprint("once-", i)) {
 			kept++
 		}
 	}
@@ -286,14 +286,14 @@
 }
 
 // When nobody may give way newcomers wait, then get a short refusal that says when to come back.
-func TestNoRoom(t *testing.T) {
-	s := newSite(t, Config{Most: 2, Spare: 1, Fresh: 0, Patience: 20 * ms, Granted: time.Hour})
-	release := s.holding("a")
-	releaseB := s.holding("b")
+func TestRefusalWhenFull(t *testing.T) {
+	s := newTestServer(t, Config{MaxConnections: 2, MaxRefusals: 1, NewGrace: 0, AdmitTimeout: 20 * ms, MinIdle: time.Hour})
+	release := s.holdAnswer("a")
+	releaseB := s.holdAnswer("b")
 	a, b := s.dial(t), s.dial(t)
 	io.WriteString(a, request("a", "body"))
 	io.WriteString(b, request("b", "body"))
-	s.until(t, "both in hand", func(c Counts) bool { return c.By[InHand] == 2 })
+	s.waitForCounts(t, "both in hand", func(c Counts) bool { return c.ByState[StateProcessing] == 2 })
 	for i := range 3 {
 		c := s.dial(t)
 		io.WriteString(c, request("none", "body"))
@@ -311,34 +311,34 @@
 	}
 	waits := s.dial(t)
 	release()
-	if status, body, _, err := a.answer(); status != http.StatusOK || body != "answer to a" {
+	if status, body, _, err := a.readAnswer(); status != http.StatusOK || body != "answer to a" {
 		t.Errorf("got %d %q, %v", status, body, err)
 	}
 	a.Close()
 	waits.Close()
-	s.until(t, "room", func(c Counts) bool { return c.Held == 1 && c.TurnedNow == 0 })
-	s.dial(t).ask("after")
+	s.waitForCounts(t, "room", func(c Counts) bool { return c.Held == 1 && c.Refusing == 0 })
+	s.dial(t).exchange("after")
 	releaseB()
-	if status, _, _, err := b.answer(); status != http.StatusOK {
+	if status, _, _, err := b.readAnswer(); status != http.StatusOK {
 		t.Errorf("got %d, %v", status, err)
 	}
-	if n := s.hasRead("none"); n != 0 {
+	if n := s.readCount("none"); n != 0 {
 		t.Errorf("requests of those turned away were read %d times", n)
 	}
-	if c := s.l.Counts(); c.TurnedAway < 3 {
+	if c := s.listener.Counts(); c.Refused < 3 {
 		t.Errorf("got %+v", c)
 	}
 }
 
 // A crowd that connects and says nothing makes room for those that ask, one by one.
-func TestSilentCrowd(t *testing.T) {
-	s := newSite(t, Config{Most: 10, Spare: 1, Fresh: 0, Granted: time.Hour, Stall: time.Hour, Patience: time.Hour})
+func TestSilentConnectionsAreEvicted(t *testing.T) {
+	s := newTestServer(t, Config{MaxConnections: 10, MaxRefusals: 1, NewGrace: 0, MinIdle: time.Hour, StallTimeout: time.Hour, AdmitTimeout: time.Hour})
 	var crowd []*client
 	for i := range 100 {
 		crowd = append(crowd, s.dial(t))
 		if i%10 == 9 {
 			c := s.dial(t)
-			c.ask(fmt.Sprint("usual-", i))
+			c.exchange(fmt.Sprint("usual-", i))
 			c.Close()
 		}
 	}
@@ -350,13 +350,13 @@
 }
 
 // One that begins a request and does not go on is told so, and makes room.
-func TestBegunAndNotGoneOn(t *testing.T) {
-	s := newSite(t, Config{Most: 1, Spare: 1, Fresh: time.Hour, Stall: 10 * ms, Granted: time.Hour, Patience: time.Hour})
+func TestStalledHeadIsEvicted(t *testing.T) {
+	s := newTestServer(t, Config{MaxConnections: 1, MaxRefusals: 1, NewGrace: time.Hour, StallTimeout: 10 * ms, MinIdle: time.Hour, AdmitTimeout: time.Hour})
 	begun := s.dial(t)
 	io.WriteString(begun, "POST /sub HT")
-	s.until(t, "begun", func(c Counts) bool { return c.By[Head] == 1 })
-	s.dial(t).ask("usual")
-	if status, _, last, err := begun.answer(); status != http.StatusServiceUnavailable || !last || err != nil {
+	s.waitForCounts(t, "begun", func(c Counts) bool { return c.ByState[StateHead] == 1 })
+	s.dial(t).exchange("usual")
+	if status, _, last, err := begun.readAnswer(); status != http.StatusServiceUnavailable || !last || err != nil {
 		t.Errorf("got %d, last: %v, %v", status, last, err)
 	}
 	if _, err := begun.r.ReadByte(); err != io.EOF {
@@ -365,37 +365,37 @@
 }
 
 // A body that stops coming is given up, one that drips goes on until the limit on the whole.
-func TestBodyStops(t *testing.T) {
-	s := newSite(t, Config{Most: 4, Spare: 1, Fresh: time.Hour, Stall: 10 * ms, Granted: time.Hour, Patience: time.Hour})
+func TestStalledBodyTimesOut(t *testing.T) {
+	s := newTestServer(t, Config{MaxConnections: 4, MaxRefusals: 1, NewGrace: time.Hour, StallTimeout: 10 * ms, MinIdle: time.Hour, AdmitTimeout: time.Hour})
 	c := s.dial(t)
 	text := request("stops", "a body")
 	io.WriteString(c, text[:len(text)-3])
-	if status, _, last, err := c.answer(); status != http.StatusRequestTimeout || !last || err != nil {
+	if status, _, last, err := c.readAnswer(); status != http.StatusRequestTimeout || !last || err != nil {
 		t.Errorf("got %d, last: %v, %v", status, last, err)
 	}
-	if s.hasRead("stops") != 0 {
+	if s.readCount("stops") != 0 {
 		t.Error("a request that never came was taken")
 	}
 }
 
 // Bodies beyond the bound are refused unread.
-func TestBodiesBeyondTheBound(t *testing.T) {
-	s := newSite(t, Config{Most: 4, Spare: 1, Bytes: 100, Fresh: time.Hour, Stall: time.Hour, Granted: time.Hour})
-	release := s.holding("a")
+func TestBodyBytesLimit(t *testing.T) {
+	s := newTestServer(t, Config{MaxConnections: 4, MaxRefusals: 1, MaxBodyBytes: 100, NewGrace: time.Hour, StallTimeout: time.Hour, MinIdle: time.Hour})
+	release := s.holdAnswer("a")
 	a := s.dial(t)
 	io.WriteString(a, request("a", strings.Repeat("b", 60)))
-	s.until(t, "in hand", func(c Counts) bool { return c.By[InHand] == 1 && c.Bytes == 60 })
+	s.waitForCounts(t, "in hand", func(c Counts) bool { return c.ByState[StateProcessing] == 1 && c.ReservedBytes == 60 })
 	b := s.dial(t)
 	io.WriteString(b, request("b", strings.Repeat("b", 60)))
-	if status, _, _, err := b.answer(); status != http.StatusServiceUnavailable || err != nil {
+	if status, _, _, err := b.readAnswer(); status != http.StatusServiceUnavailable || err != nil {
 		t.Errorf("got %d, %v", status, err)
 	}
 	release()
-	if status, _, _, err := a.answer(); status != http.StatusOK || err != nil {
+	if status, _, _, err := a.readAnswer(); status != http.StatusOK || err != nil {
 		t.Errorf("got %d, %v", status, err)
 	}
-	s.until(t, "free again", func(c Counts) bool { return c.Bytes == 0 })
-	if s.hasRead("b") != 0 {
+	s.waitForCounts(t, "free again", func(c Counts) bool { return c.ReservedBytes == 0 })
+	if s.readCount("b") != 0 {
 		t.Error("one beyond the bound was taken")
 	}
 }
@@ -403,20 +403,20 @@
 // Two requests sent at once on one connection: both are answered, in order, also when a newcomer
 // wants the place between the two.
 func TestPipelined(t *testing.T) {
-	s := newSite(t, Config{Most: 1, Spare: 1, Fresh: 0, Stall: 0, Granted: 0, Patience: longWait})
+	s := newTestServer(t, Config{MaxConnections: 1, MaxRefusals: 1, NewGrace: 0, StallTimeout: 0, MinIdle: 0, AdmitTimeout: testTimeout})
 	for i := range 200 {
 		c := s.dial(t)
 		a, b := fmt.Sprint("a-", i), fmt.Sprint("b-", i)
-		release := s.holding(a)
+		release := s.holdAnswer(a)
 		io.WriteString(c, request(a, "body")+request(b, "body"))
 		newcomer := s.dial(t)
 		release()
-		if status, body, _, err := c.answer(); status != http.StatusOK || body != "answer to "+a {
+		if status, body, _, err := c.readAnswer(); status != http.StatusOK || body != "answer to "+a {
 			t.Fatalf("got %d %q, %v", status, body, err)
 		}
-		status, body, _, err := c.answer()
-		if err != nil || s.hasRead(b) > 0 && body != "answer to "+b || status == 0 && s.hasRead(b) > 0 {
-			t.Fatalf("got %d %q, %v; read %d times", status, body, err, s.hasRead(b))
+		status, body, _, err := c.readAnswer()
+		if err != nil || s.readCount(b) > 0 && body != "answer to "+b || status == 0 && s.readCount(b) > 0 {
+			t.Fatalf("got %d %q, %v; read %d times", status, body, err, s.readCount(b))
 		}
 		c.Close()
 		newcomer.Close()
@@ -424,9 +424,9 @@
 }
 
 // A planned stop while clients ask as fast as they can: whatever was read is answered whole.
-func TestStopWhileAsked(t *testing.T) {
+func TestDrainUnderLoad(t *testing.T) {
 	for round := range 20 {
-		s := newSite(t, Config{Most: 16, Spare: 2, Fresh: time.Hour, Stall: time.Hour, Granted: time.Hour, Patience: time.Hour})
+		s := newTestServer(t, Config{MaxConnections: 16, MaxRefusals: 2, NewGrace: time.Hour, StallTimeout: time.Hour, MinIdle: time.Hour, AdmitTimeout: time.Hour})
 		var clients sync.WaitGroup
 		begun := make(chan struct{}, 8)
 		for n := range 8 {
@@ -436,17 +436,17 @@
 				for i := 0; ; i++ {
 					id := fmt.Sprintf("%d-%d-%d", round, n, i)
 					if c == nil {
-						nc, err := net.Dial("tcp", s.l.Addr().String())
+						nc, err := net.Dial("tcp", s.listener.Addr().String())
 						if err != nil {
 							return // stopped
 						}
 						defer nc.Close()
-						nc.SetDeadline(time.Now().Add(longWait))
+						nc.SetDeadline(time.Now().Add(testTimeout))
 						c = &client{t, nc, bufio.NewReader(nc)}
 					}
 					io.WriteString(c, request(id, "body"))
-					status, body, last, err := c.answer()
-					if s.hasRead(id) > 0 && (err != nil || status != http.StatusOK || body != "answer to "+id) {
+					status, body, last, err := c.readAnswer()
+					if s.readCount(id) > 0 && (err != nil || status != http.StatusOK || body != "answer to "+id) {
 						t.Errorf("%s was read and answered %d %q, %v", id, status, body, err)
 						return
 					}
@@ -462,7 +462,7 @@
 		for range 8 {
 			<-begun
 		}
-		s.l.Drain()
+		s.listener.Drain()
 		s.stop(t)
 		clients.Wait()
 	}
@@ -470,12 +470,12 @@
 
 // The listener closes while connections lie in its backlog, each with a whole request: this machine has accepted them,
 // so each is owed an answer, if only that there is no room.
-func TestStopWithABacklog(t *testing.T) {
-	s := newSite(t, Config{Most: 1, Spare: 1, Fresh: time.Hour, Stall: time.Hour, Granted: time.Hour, Patience: time.Hour})
-	release := s.holding("held")
+func TestCloseAnswersBacklog(t *testing.T) {
+	s := newTestServer(t, Config{MaxConnections: 1, MaxRefusals: 1, NewGrace: time.Hour, StallTimeout: time.Hour, MinIdle: time.Hour, AdmitTimeout: time.Hour})
+	release := s.holdAnswer("held")
 	held := s.dial(t)
 	io.WriteString(held, request("held", "body"))
-	for s.hasRead("held") == 0 {
+	for s.readCount("held") == 0 {
 		runtime.Gosched()
 	}
 	var waiting []*client
@@ -484,36 +484,36 @@
 		io.WriteString(c, request(fmt.Sprint("waits", n), "body"))
 		waiting = append(waiting, c)
 	}
-	s.l.Close()
+	s.listener.Close()
 	for n, c := range waiting {
-		if status, _, last, err := c.answer(); err != nil || status != http.StatusServiceUnavailable || !last {
+		if status, _, last, err := c.readAnswer(); err != nil || status != http.StatusServiceUnavailable || !last {
 			t.Errorf("%d in the backlog got %d, %v", n, status, err)
 		}
 	}
 	release()
-	if status, body, _, err := held.answer(); err != nil || status != http.StatusOK || body != "answer to held" {
+	if status, body, _, err := held.readAnswer(); err != nil || status != http.StatusOK || body != "answer to held" {
 		t.Errorf("the one in hand got %d %q, %v", status, body, err)
 	}
 	s.stop(t)
-	if nc, err := net.Dial("tcp", s.l.Addr().String()); err == nil {
+	if nc, err := net.Dial("tcp", s.listener.Addr().String()); err == nil {
 		t.Error("it still listens")
 		nc.Close()
 	}
 }
 
-// scarce is a listener that is out of descriptors as often as it is told, and not before it may be.
-type scarce struct {
+// exhaustedListener is a listener that is out of descriptors as often as it is told, and not before it may be.
+type exhaustedListener struct {
 	net.Listener
-	left  atomic.Int64
-	calls atomic.Int64
-	may   chan struct{}
+	failures atomic.Int64
+	calls    atomic.Int64
+	release  chan struct{}
 }
 
-func (s *scarce) Accept() (net.Conn, error) {
-	out := s.left.Add(-1) >= 0
+func (s *exhaustedListener) Accept() (net.Conn, error) {
+	out := s.failures.Add(-1) >= 0
 	s.calls.Add(1)
 	if out {
-		<-s.may
+		<-s.release
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
 	return s.Listener.Accept()
@@ -526,34 +526,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sc := &scarce{Listener: ln, may: make(chan struct{})}
-	s := newSiteOn(t, sc, Config{Most: 10, Spare: 1, Fresh: 0, Stall: time.Hour, Granted: time.Hour})
+	sc := &exhaustedListener{Listener: ln, release: make(chan struct{})}
+	s := newTestServerOn(t, sc, Config{MaxConnections: 10, MaxRefusals: 1, NewGrace: 0, StallTimeout: time.Hour, MinIdle: time.Hour})
 	kept, silent := s.dial(t), s.dial(t)
-	kept.ask("before")
-	s.until(t, "both have come", func(c Counts) bool { return c.Held == 2 })
+	kept.exchange("before")
+	s.waitForCounts(t, "both have come", func(c Counts) bool { return c.Held == 2 })
 	for sc.calls.Load() < 3 { // the third accept has seen that there are descriptors
 		runtime.Gosched()
 	}
-	sc.left.Store(3)
+	sc.failures.Store(3)
 	first := s.dial(t) // takes the accept that already waits
-	first.ask("first")
+	first.exchange("first")
 	first.Close()
-	close(sc.may) // only now: a connection that has said nothing yet would be let go
+	close(sc.release) // only now: a connection that has said nothing yet would be let go
 	calls := sc.calls.Load()
-	kept.ask("meanwhile")
-	s.dial(t).ask("after")
+	kept.exchange("meanwhile")
+	s.dial(t).exchange("after")
 	if n := sc.calls.Load() - calls; n > 8 {
 		t.Errorf("%d accepts for one connection", n)
 	}
 	if _, err := silent.r.ReadByte(); err != io.EOF {
 		t.Errorf("the silent one got %v", err)
 	}
-	kept.ask("still there")
+	kept.exchange("still there")
 }
 
 func TestRefusal(t *testing.T) {
 	for after, want := range map[time.Duration]string{0: "", 1500 * ms: "1.500"} {
-		resp, err := http.ReadResponse(bufio.NewReader(strings.NewReader(string(Refusal(503, after)))), nil)
+		resp, err := http.ReadResponse(bufio.NewReader(strings.NewReader(string(RefusalResponse(503, after)))), nil)
 		if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") != want || !resp.Close || resp.ContentLength != 0 {
 			t.Errorf("%s: got %+v, %v", strconv.Quote(want), resp, err)
 		}
--- a/internal/admission/readahead.go
+++ b/internal/admission/readahead.go
@@ -11,58 +11,57 @@
 )
 
 const (
-	aheadMost  = 256 << 10              // bytes that are taken in ahead of an answer
-	aheadStep  = 4 << 10                // at a time
-	aheadShare = 4                      // of Config.Bytes that all connections together take in so, as 1 over it
-	aheadLook  = 100 * time.Millisecond // how often one that has sent more is looked at
+	maxReadAhead       = 256 << 10              // bytes read ahead on one connection
+	readAheadChunk     = 4 << 10                // bytes per read
+	readAheadShare     = 4                      // all connections together read ahead up to Config.MaxBodyBytes divided by this
+	hangUpPollInterval = 100 * time.Millisecond // how often a client is checked once its bytes are no longer read
 )
 
-// ahead takes in what a client sends while its request is in hand. Guards against clients that send much at once, or
-// requests one behind the other, and go: net/http reads one byte to see whether a client leaves, and once it has got
-// one it sees nothing any more; the request would wait, be sent on and be tried again for nobody. Of a client that
-// sends more than aheadMost and what the kernel holds behind it nobody can see the end without taking it in: its
-// request ends with its time.
-type ahead struct {
-	buf   []byte
-	err   error // the client's side has ended, or is broken
+// readAhead reads what a client sends while its request is being processed, to detect that the client leaves.
+// net/http's background read detects this only until it has received one byte: the request of a client that
+// pipelines and then leaves would otherwise wait, be forwarded and be retried for nobody. Beyond maxReadAhead
+// and the kernel's buffer the end of a client can't be seen without reading on: its request ends at its deadline.
+type readAhead struct {
+	data  []byte
+	err   error // set when the client's side has ended or failed
 	total *atomic.Int64
 	stop  chan struct{}
 	done  chan struct{}
 }
 
-// lookAhead begins to take in what comes while a request is in hand; the reader's next Read ends it.
-func (c *Conn) lookAhead() {
-	a := &ahead{total: &c.l.ahead, stop: make(chan struct{}), done: make(chan struct{})}
+// startReadAhead starts reading while a request is being processed; the next Read of the connection stops it.
+func (c *Conn) startReadAhead() {
+	a := &readAhead{total: &c.listener.readAheadBytes, stop: make(chan struct{}), done: make(chan struct{})}
 	c.mu.Lock()
-	c.ahead = a
+	c.readAhead = a
 	c.mu.Unlock()
 	go func() {
 		defer close(a.done)
-		a.read(c.Conn, c.l.aheadMost())
+		a.read(c.Conn, c.listener.maxReadAheadTotal())
 		if a.err != nil {
-			c.ended.Store(true)
-			close(c.gone)
+			c.clientEnded.Store(true)
+			close(c.clientGone)
 		}
 	}()
 }
 
-// aheadMost is how many bytes may be held ahead of their answers by all connections; 0: no bound.
-func (l *Listener) aheadMost() int64 {
+// maxReadAheadTotal returns how many bytes all connections together may read ahead; 0: unlimited.
+func (l *Listener) maxReadAheadTotal() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return int64(l.gov.cfg.Bytes / aheadShare)
+	return int64(l.governor.cfg.MaxBodyBytes / readAheadShare)
 }
 
-func (a *ahead) read(nc net.Conn, most int64) {
-	for len(a.buf) < aheadMost && (most == 0 || a.total.Load() < most) {
-		n := len(a.buf)
-		if cap(a.buf)-n < aheadStep {
-			a.buf = append(make([]byte, 0, max(aheadStep, 2*cap(a.buf))+aheadStep), a.buf...)
+func (a *readAhead) read(nc net.Conn, maxTotal int64) {
+	for len(a.data) < maxReadAhead && (maxTotal == 0 || a.total.Load() < maxTotal) {
+		n := len(a.data)
+		if cap(a.data)-n < readAheadChunk {
+			a.data = append(make([]byte, 0, max(readAheadChunk, 2*cap(a.data))+readAheadChunk), a.data...)
 		}
-		m, err := nc.Read(a.buf[n : n+aheadStep])
-		a.buf = a.buf[:n+m]
+		m, err := nc.Read(a.data[n : n+readAheadChunk])
+		a.data = a.data[:n+m]
 		a.total.Add(int64(m))
-		if errors.Is(err, os.ErrDeadlineExceeded) { // the reader wants to go on
+		if errors.Is(err, os.ErrDeadlineExceeded) { // stopReadAhead interrupted the read
 			return
 		}
 		if err != nil {
@@ -70,8 +69,8 @@
 			return
 		}
 	}
-	// What lies behind is not taken in: whether the client's side has ended shows without.
-	tick := time.NewTicker(aheadLook)
+	// Further bytes are not read; peek.HungUp detects the end of the client's side without reading them.
+	tick := time.NewTicker(hangUpPollInterval)
 	defer tick.Stop()
 	for !peek.HungUp(nc) {
 		select {
@@ -83,54 +82,56 @@
 	a.err = errHungUp
 }
 
-var errHungUp = errors.New("admission: the client has gone")
+var errHungUp = errors.New("admission: client disconnected")
 
-// Gone is closed when the client is seen to have gone while its request is in hand, where net/http can't see it.
-func (c *Conn) Gone() <-chan struct{} { return c.gone }
+// ClientGone returns a channel that is closed when readAhead sees that the client has disconnected while its request
+// is being processed, where net/http can't see it.
+func (c *Conn) ClientGone() <-chan struct{} { return c.clientGone }
 
-// HungUp reports whether the client's side has ended by now, whatever it has sent before that.
+// HungUp reports whether the client's side has ended, even if unread bytes precede its end.
 func (c *Conn) HungUp() bool { return peek.HungUp(c.Conn) }
 
-// endAhead ends the look ahead, if there is one. What was taken in is read next.
-func (c *Conn) endAhead() {
+// stopReadAhead stops readAhead, if it is running. The bytes that it read are returned by the next Read.
+func (c *Conn) stopReadAhead() {
 	c.mu.Lock()
-	a := c.ahead
+	a := c.readAhead
 	if a == nil {
 		c.mu.Unlock()
 		return
 	}
 	select {
-	case <-a.stop: // another is at it
+	case <-a.stop: // another goroutine is stopping it
 	default:
 		close(a.stop)
 	}
-	c.inForce()
+	c.applyDeadline()
 	c.mu.Unlock()
 	<-a.done
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ahead != a {
+	if c.readAhead != a {
 		return
 	}
-	c.ahead, c.early, c.earlyErr = nil, append(c.early, a.buf...), a.err
-	a.total.Add(-int64(len(a.buf)))
-	c.inForce()
+	c.readAhead, c.buffered, c.bufferedErr = nil, append(c.buffered, a.data...), a.err
+	a.total.Add(-int64(len(a.data)))
+	c.applyDeadline()
 }
 
-// takeEarly reads what came ahead. Of a client that has gone since nothing more is taken: nobody waits for it.
-func (c *Conn) takeEarly(p []byte) (n int, ok bool, err error) {
+// readBuffered returns bytes that were read ahead. If the client has disconnected since, they are dropped: nobody
+// waits for an answer.
+func (c *Conn) readBuffered(p []byte) (n int, ok bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.earlyErr != nil {
-		c.early = nil
-		return 0, true, c.earlyErr
+	if c.bufferedErr != nil {
+		c.buffered = nil
+		return 0, true, c.bufferedErr
 	}
-	if len(c.early) == 0 {
+	if len(c.buffered) == 0 {
 		return 0, false, nil
 	}
-	n = copy(p, c.early)
-	if c.early = c.early[n:]; len(c.early) == 0 {
-		c.early = nil
+	n = copy(p, c.buffered)
+	if c.buffered = c.buffered[n:]; len(c.buffered) == 0 {
+		c.buffered = nil
 	}
 	return n, true, nil
 }
--- a/internal/backend/http1/conn.go
+++ b/internal/backend/http1/conn.go
@@ -23,23 +23,23 @@
 
 // This file writes requests to a connection and reads their answers.
 
-// conn is a connection that carries one request at a time.
+// conn is a connection to a backend that carries one request at a time.
 type conn struct {
 	net.Conn
-	limit *io.LimitedReader
-	r     *bufio.Reader
-	since time.Time // idle since
-	tries *atomic.Int64
+	limited   *io.LimitedReader
+	r         *bufio.Reader
+	idleSince time.Time
+	attempts  *atomic.Int64
 }
 
-// errSpoilt is an answer that can't be read, or not to its end. The backend is there, and has
-// run the request.
-var errSpoilt = errors.New("spoilt answer")
+// errBrokenAnswer marks an answer that can't be parsed or ended early. The backend is reachable and has run the
+// request.
+var errBrokenAnswer = errors.New("spoilt answer")
 
-// roundTrip writes the request and reads the whole answer. Whatever breaks before the last
-// byte is written proves that the request never ran; after that it may have.
+// roundTrip writes the request and reads its answer. A failure before the last byte is written proves that the
+// request never ran; after that it may have run.
 func (c *conn) roundTrip(ctx context.Context, p *core.Permit, out *http1.Request) (r core.Response, reusable bool) {
-	buf := make([]byte, 0, len(out.Head)+len(out.Rest)+len(http1.TimeLeft)+24+joined)
+	buf := make([]byte, 0, len(out.Head)+len(out.Rest)+len(http1.TimeLeft)+24+maxJoinedBody)
 	buf = append(buf, out.Head...)
 	if out.Stream != nil {
 		buf = fmt.Appendf(buf, "%s: %du\r\n", http1.TimeLeft, out.Stream.Left.Microseconds())
@@ -49,9 +49,9 @@
 	buf = append(buf, out.Rest...)
 	if by := p.By(); !by.IsZero() {
 		c.SetWriteDeadline(by)
-		c.heed(ctx)
+		c.applyCancellation(ctx)
 	}
-	if !p.Begin(func() { c.SetDeadline(longAgo) }) {
+	if !p.Begin(func() { c.SetDeadline(pastDeadline) }) {
 		return core.Response{Result: balance.Withdrawn}, true
 	}
 	if err := c.send(buf, out); err != nil {
@@ -66,17 +66,17 @@
 		}
 		return core.Response{Result: balance.ConnectFailed}, false
 	}
-	if p.Whole() { // the cut came too late: what has been written may run, and its answer is read
+	if p.Whole() { // the permit was revoked too late: the whole request is written and may run, so read its answer
 		c.SetDeadline(time.Time{})
-		c.heed(ctx)
+		c.applyCancellation(ctx)
 	}
 	var sent time.Time
-	if out.Stream != nil { // its time counts from here
+	if out.Stream != nil { // its time left counts from here
 		sent = time.Now()
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, out.Stream.Left)
 		defer cancel()
-		stop := context.AfterFunc(ctx, func() { c.SetDeadline(longAgo) })
+		stop := context.AfterFunc(ctx, func() { c.SetDeadline(pastDeadline) })
 		defer func() {
 			if !stop() {
 				reusable = false
@@ -84,43 +84,43 @@
 		}()
 		defer func() { r.Sent = sent }()
 	}
-	c.tries.Add(1)
-	resp, body, whole, err := c.answer(ctx, out.Method)
+	c.attempts.Add(1)
+	resp, body, complete, err := c.readAnswer(ctx, out.Method)
 	switch {
 	case err == nil:
 	case errors.Is(ctx.Err(), context.Canceled):
 		return core.Response{Result: balance.Cancelled}, false
 	case ctx.Err() != nil:
 		return core.Response{Result: balance.TimedOut}, false
-	case errors.Is(err, errSpoilt):
+	case errors.Is(err, errBrokenAnswer):
 		return core.Response{Result: balance.Errored}, false
 	default:
 		return core.Response{Result: balance.Reset}, false
 	}
 	a := &http1.Answer{Header: resp.Header, Body: body}
-	if !whole {
-		until, _ := ctx.Deadline()
-		a.Length, a.More = resp.ContentLength, &stream{c: c, body: resp.Body, until: until, long: resp.ContentLength >= 0, read: len(body)}
+	if !complete {
+		deadline, _ := ctx.Deadline()
+		a.Length, a.More = resp.ContentLength, &stream{conn: c, body: resp.Body, deadline: deadline, knownLong: resp.ContentLength >= 0, bytesRead: len(body)}
 	}
-	r = core.Response{Result: result(resp), Payload: a}
+	r = core.Response{Result: outcomeOf(resp), Payload: a}
 	if report := resp.Header[http1.Load]; len(report) == 1 {
 		if l, err := wire.ParseLoad([]byte(report[0])); err == nil {
 			r.Load = l
 		}
 	}
-	return r, !resp.Close && (!whole || c.r.Buffered() == 0)
+	return r, !resp.Close && (!complete || c.r.Buffered() == 0)
 }
 
-const joined = 16 << 10 // bytes of a body that are written together with its head
+const maxJoinedBody = 16 << 10 // bytes of a body that are written together with its head
 
-// send writes a request whose head is in buf.
+// send writes a request; buf holds its head.
 func (c *conn) send(buf []byte, out *http1.Request) error {
 	chunked := out.Stream != nil && out.Stream.Length < 0
 	if chunked && len(out.Body) > 0 {
 		buf = fmt.Appendf(buf, "%x\r\n", len(out.Body))
 	}
 	body := out.Body
-	if len(body) <= joined {
+	if len(body) <= maxJoinedBody {
 		buf, body = append(buf, body...), nil
 	}
 	if _, err := c.Write(buf); err != nil {
@@ -154,23 +154,23 @@
 	return err
 }
 
-// answer reads the final answer, of a long one the first part. An error that is no errSpoilt comes from a
-// connection that broke before the answer began, or from the end of ctx.
-func (c *conn) answer(ctx context.Context, method string) (resp *http.Response, body []byte, whole bool, err error) {
-	begun := false
+// readAnswer reads the final answer, or the first part of a long one. Errors other than errBrokenAnswer mean that the
+// connection broke before the answer began, or that ctx ended.
+func (c *conn) readAnswer(ctx context.Context, method string) (resp *http.Response, body []byte, complete bool, err error) {
+	started := false
 	defer func() {
-		// What breaks once bytes have come is a spoilt answer, unless the connection was reset.
-		if err != nil && begun && !errors.Is(err, syscall.ECONNRESET) {
-			err = fmt.Errorf("%w: %w", errSpoilt, err)
+		// A failure after the first bytes is a broken answer, unless the connection was reset.
+		if err != nil && started && !errors.Is(err, syscall.ECONNRESET) {
+			err = fmt.Errorf("%w: %w", errBrokenAnswer, err)
 		}
 	}()
-	c.limit.N = int64(maxInfos*maxHead) + mostReply
-	for range maxInfos {
+	c.limited.N = int64(maxInformational*maxHead) + maxBody
+	for range maxInformational {
 		if _, err := c.r.Peek(1); err != nil {
 			return nil, nil, false, err
 		}
-		begun = true
-		if err := c.head(ctx); err != nil {
+		started = true
+		if err := c.awaitHead(ctx); err != nil {
 			return nil, nil, false, err
 		}
 		resp, err = http.ReadResponse(c.r, &http.Request{Method: method})
@@ -180,48 +180,48 @@
 		if resp.StatusCode >= 200 {
 			break
 		}
-		c.within(ctx, 0) // the final answer takes its time
+		c.setReadTimeout(ctx, 0) // the final answer may take until the end of ctx
 	}
 	switch {
 	case resp.StatusCode < 200:
-		return nil, nil, false, errors.New("no final answer")
+		return nil, nil, false, errors.New("no final answer after the informational ones")
 	case resp.StatusCode != http.StatusOK && resp.ContentLength < 0:
-		resp.Close = true // the status says it all, and the connection is of no further use
+		resp.Close = true // only the status is needed, and without a length the connection can't be reused
 		return resp, nil, true, nil
-	case resp.ContentLength > mostReply:
-		return nil, nil, false, errors.New("too long") // and not read first
+	case resp.ContentLength > maxBody:
+		return nil, nil, false, errors.New("answer body too long") // rejected before it is read
 	}
 	if len(resp.TransferEncoding) > 0 {
 		resp.Body = io.NopCloser(http1.NewChunkReader(c.r))
 	}
-	body, whole, err = c.body(ctx, resp)
-	return resp, body, whole, err
+	body, complete, err = c.readBody(ctx, resp)
+	return resp, body, complete, err
 }
 
-// body reads an answer's body, of a long one the first part. What goes on coming is no spoilt one, however slow:
-// a long one, or one of unknown length, is passed on when it is not there soon. One without a length ends with
-// its connection; what was cut short ends with a reset or not at all.
-func (c *conn) body(ctx context.Context, resp *http.Response) (body []byte, whole bool, err error) {
-	long, unknown := resp.ContentLength > wholeReply, resp.ContentLength < 0
-	room := int(resp.ContentLength)
+// readBody reads an answer's body, or the first part of a long one. A slow body that keeps arriving is not broken: if
+// it is long or of unknown length it is streamed when it isn't complete soon. A body without a length ends with its
+// connection; a truncated one ends with a reset or not at all.
+func (c *conn) readBody(ctx context.Context, resp *http.Response) (body []byte, complete bool, err error) {
+	long, unknown := resp.ContentLength > maxBufferedBody, resp.ContentLength < 0
+	capacity := int(resp.ContentLength)
 	if unknown || long {
-		room = bodyPart
+		capacity = initialBodySize
 	}
-	body = make([]byte, 0, room)
-	first := wholeReply
-	if long { // there is no whole one to wait for, and each first part is held until its client takes it
-		first = bodyPart
+	body = make([]byte, 0, capacity)
+	maxFirstPart := maxBufferedBody
+	if long { // not read whole, and each first part occupies memory until its client takes it
+		maxFirstPart = initialBodySize
 	}
-	began := time.Now()
-	for len(body) <= first {
+	start := time.Now()
+	for len(body) <= maxFirstPart {
 		if len(body) == cap(body) {
-			if len(body) == room && !unknown && !long {
+			if len(body) == capacity && !unknown && !long {
 				return body, true, nil
 			}
 			body = slices.Grow(body, cap(body))
 		}
-		c.within(ctx, stallLimit)
-		n, err := resp.Body.Read(body[len(body):min(cap(body), first+1)])
+		c.setReadTimeout(ctx, stallTimeout)
+		n, err := resp.Body.Read(body[len(body):min(cap(body), maxFirstPart+1)])
 		body = body[:len(body)+n]
 		switch {
 		case errors.Is(err, io.EOF):
@@ -230,60 +230,59 @@
 			return body, false, nil
 		case err != nil:
 			return body, false, err
-		case (long || unknown) && time.Since(began) >= firstWait:
+		case (long || unknown) && time.Since(start) >= firstPartWait:
 			return body, false, nil
 		}
 	}
 	return body, false, nil
 }
 
-// within bounds the wait for what is read next of an answer; 0 lifts the bound. The end of ctx
-// stays in force.
-func (c *conn) within(ctx context.Context, d time.Duration) {
+// setReadTimeout bounds the wait for the next read of an answer; 0 removes the bound. The end of ctx stays in force.
+func (c *conn) setReadTimeout(ctx context.Context, d time.Duration) {
 	var at time.Time
 	if d > 0 {
 		at = time.Now().Add(d)
 	}
 	c.SetReadDeadline(at)
-	c.heed(ctx)
+	c.applyCancellation(ctx)
 }
 
-// heed keeps the end of ctx in force behind another deadline: it may have struck before, and been overwritten.
-func (c *conn) heed(ctx context.Context) {
+// applyCancellation restores the past deadline if ctx has already ended and its deadline was overwritten.
+func (c *conn) applyCancellation(ctx context.Context) {
 	if ctx.Err() != nil {
-		c.SetDeadline(longAgo)
+		c.SetDeadline(pastDeadline)
 	}
 }
 
-// head waits for a whole head without taking it. Guards against noise, of which ReadResponse
-// would wait for the end of the line, and against heads that give two lengths or don't end.
-func (c *conn) head(ctx context.Context) error {
+// awaitHead waits for a whole head without consuming it. It detects invalid data, for which ReadResponse would wait
+// until the end of the line, and rejects heads with two lengths or without an end.
+func (c *conn) awaitHead(ctx context.Context) error {
 	const version = "HTTP/1."
 	for n := 1; ; {
 		seen, _ := c.r.Peek(c.r.Buffered())
 		if m := min(len(seen), len(version)); string(seen[:m]) != version[:m] {
-			return errors.New("no HTTP")
+			return errors.New("not an HTTP/1 response")
 		}
 		if i := bytes.Index(seen, []byte("\r\n\r\n")); i >= 0 {
-			low := bytes.ToLower(seen[:i])
-			if bytes.Contains(low, []byte("\r\ntransfer-encoding:")) && bytes.Contains(low, []byte("\r\ncontent-length:")) {
-				return errors.New("two lengths")
+			lowered := bytes.ToLower(seen[:i])
+			if bytes.Contains(lowered, []byte("\r\ntransfer-encoding:")) && bytes.Contains(lowered, []byte("\r\ncontent-length:")) {
+				return errors.New("both Transfer-Encoding and Content-Length")
 			}
 			return nil
 		}
 		n = len(seen) + 1
 		if n > maxHead {
-			return errors.New("head without end")
+			return errors.New("response head too long")
 		}
-		c.within(ctx, stallLimit)
+		c.setReadTimeout(ctx, stallTimeout)
 		if _, err := c.r.Peek(n); err != nil {
 			return err
 		}
 	}
 }
 
-// result reads the outcome of an attempt off an answer.
-func result(resp *http.Response) balance.Result {
+// outcomeOf returns the result of an attempt from its answer.
+func outcomeOf(resp *http.Response) balance.Result {
 	switch resp.StatusCode {
 	case http.StatusOK:
 		return balance.OK
--- a/internal/backend/http1/connections.go
+++ b/internal/backend/http1/connections.go
@@ -13,27 +13,27 @@
 	"lemonrail/internal/peek"
 )
 
-// This file keeps idle connections, within the limit on sockets.
+// This file manages idle connections within the socket limit.
 
-// Sockets counts the client and backend connections of the process against its limit.
+// Sockets counts the process's client and backend connections against its limit.
 type Sockets struct {
-	Limit int64 // 0: none
-	Open  atomic.Int64
-	room  atomic.Int64 // beyond which idle ones are let go; 0: Limit
+	Limit         int64 // 0: unlimited
+	Open          atomic.Int64
+	idleThreshold atomic.Int64 // open connections from which idle ones are closed; 0: Limit applies
 }
 
-// Full reports whether none is left.
+// Full reports whether the limit is reached.
 func (s *Sockets) Full() bool { return s.Limit > 0 && s.Open.Load() >= s.Limit }
 
-// Tight reports whether idle connections are to make room.
+// Tight reports whether idle connections are to be closed.
 func (s *Sockets) Tight() bool {
-	if room := s.room.Load(); room > 0 && s.Open.Load() >= room {
+	if room := s.idleThreshold.Load(); room > 0 && s.Open.Load() >= room {
 		return true
 	}
 	return s.Full()
 }
 
-// dial opens a connection. At the limit on sockets an idle one makes room for it.
+// dial opens a connection. At the socket limit it first closes an idle one.
 func (u *Upstream) dial(ctx context.Context, addr string) (*conn, error) {
 	for u.sockets.Full() {
 		if !u.Evict() {
@@ -41,20 +41,20 @@
 		}
 	}
 	u.sockets.Open.Add(1)
-	began := time.Now()
-	nc, err := u.connect(ctx, "tcp", addr)
+	start := time.Now()
+	nc, err := u.dialContext(ctx, "tcp", addr)
 	if err != nil {
 		u.sockets.Open.Add(-1)
-		// Guards against a backend that says nothing and is taken for a client that had no time: net's own
-		// time-out, too, counts as context.DeadlineExceeded.
+		// A backend that does not answer must not be confused with a client whose deadline passed: net's own
+		// dial timeout also counts as context.DeadlineExceeded.
 		until, bounded := ctx.Deadline()
-		if errors.Is(err, context.DeadlineExceeded) && (!bounded || until.After(began.Add(u.connectTimeout))) {
+		if errors.Is(err, context.DeadlineExceeded) && (!bounded || until.After(start.Add(u.connectTimeout))) {
 			return nil, fmt.Errorf("dial backend: %w in %v", errNoConnection, u.connectTimeout)
 		}
 		return nil, fmt.Errorf("dial backend: %w", err)
 	}
 	limit := &io.LimitedReader{R: nc}
-	return &conn{Conn: nc, limit: limit, r: bufio.NewReaderSize(limit, maxHead), tries: u.tries}, nil
+	return &conn{Conn: nc, limited: limit, r: bufio.NewReaderSize(limit, maxHead), attempts: u.attempts}, nil
 }
 
 func (u *Upstream) close(c *conn) {
@@ -62,18 +62,18 @@
 	u.sockets.Open.Add(-1)
 }
 
-// take returns the newest idle connection to a backend that has rested, nil if there is none.
-func (u *Upstream) take(to core.Target) *conn {
+// takeIdle returns the newest usable connection to a backend that has been idle for reuseDelay, or nil.
+func (u *Upstream) takeIdle(to core.Target) *conn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for i := len(u.idle[to]) - 1; i >= 0; i-- {
 		c := u.idle[to][i]
-		age := time.Since(c.since)
-		if age < restTime {
+		age := time.Since(c.idleSince)
+		if age < reuseDelay {
 			continue
 		}
-		u.drop(to, i)
-		if age < u.idleTime && c.silent() {
+		u.removeIdle(to, i)
+		if age < u.idleTimeout && c.openAndEmpty() {
 			return c
 		}
 		u.close(c)
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// drop takes the connection at place i off the idle ones.
-func (u *Upstream) drop(to core.Target, i int) {
+// removeIdle removes the connection at index i from the idle ones of a backend. The caller holds u.mu.
+func (u *Upstream) removeIdle(to core.Target, i int) {
 	list := u.idle[to]
 	copy(list[i:], list[i+1:])
 	list[len(list)-1] = nil
@@ -91,30 +91,31 @@
 	}
 }
 
-func (u *Upstream) keep(to core.Target, c *conn) {
-	c.since = time.Now()
+func (u *Upstream) putIdle(to core.Target, c *conn) {
+	c.idleSince = time.Now()
 	u.mu.Lock()
 	u.idle[to] = append(u.idle[to], c)
 	u.mu.Unlock()
-	if u.sockets.room.Load() > 0 && u.sockets.Tight() {
+	if u.sockets.idleThreshold.Load() > 0 && u.sockets.Tight() {
 		u.Evict()
 	}
 }
 
-// Room sets beyond how many connections of the process idle ones are let go; from its limit on that alone holds.
+// Room sets the number of open connections from which idle ones are closed. At or above the socket limit, only the
+// limit applies.
 func (u *Upstream) Room(n int) {
 	room := int64(n)
 	if room >= u.sockets.Limit {
 		room = 0
 	}
-	u.sockets.room.Store(room)
+	u.sockets.idleThreshold.Store(room)
 	for u.sockets.Tight() && u.Evict() {
 	}
 }
 
-// silent reports whether an idle connection is open with nothing to read. Guards against a
-// request on a connection that the backend has closed: it would end as a reset, that may have run.
-func (c *conn) silent() bool { return peek.Look(c.Conn) == peek.Silent }
+// openAndEmpty reports whether an idle connection is open with nothing to read. A request on a connection that the
+// backend has closed would end as a reset, after which it can't be known whether the request ran.
+func (c *conn) openAndEmpty() bool { return peek.Look(c.Conn) == peek.Silent }
 
 // Evict closes the connection that has been idle for longest. It reports whether there was one.
 func (u *Upstream) Evict() bool {
@@ -122,7 +123,7 @@
 	defer u.mu.Unlock()
 	var oldest core.Target
 	for to, list := range u.idle {
-		if oldest == (core.Target{}) || list[0].since.Before(u.idle[oldest][0].since) {
+		if oldest == (core.Target{}) || list[0].idleSince.Before(u.idle[oldest][0].idleSince) {
 			oldest = to
 		}
 	}
@@ -130,25 +131,25 @@
 		return false
 	}
 	u.close(u.idle[oldest][0])
-	u.drop(oldest, 0)
+	u.removeIdle(oldest, 0)
 	return true
 }
 
-// sweep drops the connections that have been idle for too long or that the backend has closed.
-func (u *Upstream) sweep() {
+// closeStaleIdle closes the connections that have been idle for too long or that the backend has closed.
+func (u *Upstream) closeStaleIdle() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for to, list := range u.idle {
 		for i := len(list) - 1; i >= 0; i-- {
-			if c := list[i]; time.Since(c.since) >= u.idleTime || !c.silent() {
-				u.drop(to, i)
+			if c := list[i]; time.Since(c.idleSince) >= u.idleTimeout || !c.openAndEmpty() {
+				u.removeIdle(to, i)
 				u.close(c)
 			}
 		}
 	}
 }
 
-// Keep closes the idle connections to all backends but those that are wanted.
+// Keep closes the idle connections to all backends for which wanted returns false.
 func (u *Upstream) Keep(wanted func(core.Target) bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -163,14 +164,14 @@
 	}
 }
 
-// Run sweeps until ctx ends, then closes what is idle.
+// Run closes stale idle connections periodically until ctx ends, then closes all idle ones.
 func (u *Upstream) Run(ctx context.Context) {
-	tick := time.NewTicker(min(time.Second, max(u.idleTime/8, time.Millisecond)))
+	tick := time.NewTicker(min(time.Second, max(u.idleTimeout/8, time.Millisecond)))
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			u.sweep()
+			u.closeStaleIdle()
 		case <-ctx.Done():
 			for u.Evict() {
 			}
--- a/internal/backend/http1/helpers_test.go
+++ b/internal/backend/http1/helpers_test.go
@@ -9,16 +9,16 @@
 
 // Short names for what the tests use on most lines.
 const (
-	patience = scripted.Patience
-	hello    = scripted.Hello
+	testTimeout = scripted.Patience
+	hello       = scripted.Hello
 )
 
 var (
-	quiet    = slog.New(slog.DiscardHandler)
-	deadAddr = scripted.DeadAddr
-	backend  = scripted.Backend
-	receive  = scripted.Receive
-	always   = scripted.Always
+	discardLog = slog.New(slog.DiscardHandler)
+	deadAddr   = scripted.DeadAddr
+	backend    = scripted.Backend
+	receive    = scripted.Receive
+	always     = scripted.Always
 )
 
 func await[T any](t testing.TB, c <-chan T) T {
--- a/internal/backend/http1/permit_test.go
+++ b/internal/backend/http1/permit_test.go
@@ -15,11 +15,11 @@
 	"lemonrail/internal/core"
 )
 
-const rounds = 300 // of each crossing
+const crossingRounds = 300 // of each crossing
 
-// watched is a backend that tells how many requests it got, and counts what breaks before its end as none.
-func watched(t *testing.T) (addr string, got chan string) {
-	got = make(chan string, 2*rounds)
+// countingBackend is a backend that tells how many requests it got, and counts what breaks before its end as none.
+func countingBackend(t *testing.T) (addr string, got chan string) {
+	got = make(chan string, 2*crossingRounds)
 	return backend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			req, _, err := receive(r)
@@ -34,48 +34,48 @@
 
 // exchange makes an attempt beside the test.
 func exchange(t *testing.T, u *Upstream, p *core.Permit, addr string, out any) <-chan core.Response {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	done := make(chan core.Response, 1)
-	go func() { done <- u.Exchange(ctx, p, at(addr), out) }()
+	go func() { done <- u.Exchange(ctx, p, target(addr), out) }()
 	return done
 }
 
 // A permit that is taken back while the connection is being made: nothing is written, whether the dial ends with it
 // or the connection comes up in the same instant. The backend is not blamed, and no socket is left over.
-func TestTakenBackInADial(t *testing.T) {
-	back := map[string]func(*core.Permit){"dropped": func(p *core.Permit) { p.Drop() }, "withdrawn": (*core.Permit).Withdraw}
-	for name, take := range back {
-		for _, comesUp := range []bool{false, true} {
-			addr, got := watched(t)
+func TestPermitRevokedDuringDial(t *testing.T) {
+	revocations := map[string]func(*core.Permit){"dropped": func(p *core.Permit) { p.Drop() }, "withdrawn": (*core.Permit).Withdraw}
+	for name, revoke := range revocations {
+		for _, connects := range []bool{false, true} {
+			addr, got := countingBackend(t)
 			u := newTestUpstream(t)
-			real := u.connect
+			real := u.dialContext
 			dialling, goOn := make(chan struct{}), make(chan struct{})
-			u.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			u.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				dialling <- struct{}{}
-				if comesUp { // as late as can be: it has begun to be there, and the cancel finds nothing to end
+				if connects { // as late as can be: it has begun to be there, and the cancel finds nothing to end
 					<-goOn
 					return real(context.Background(), network, addr)
 				}
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
-			for range rounds {
+			for range crossingRounds {
 				p := &core.Permit{}
-				done := exchange(t, u, p, addr, read)
+				done := exchange(t, u, p, addr, readRequest)
 				await(t, dialling)
-				take(p)
-				if comesUp {
+				revoke(p)
+				if connects {
 					goOn <- struct{}{}
 				}
 				if r := await(t, done); r.Result != balance.Withdrawn {
-					t.Fatalf("%s, comes up %v: got %v", name, comesUp, r.Result)
+					t.Fatalf("%s, comes up %v: got %v", name, connects, r.Result)
 				}
 				for u.Evict() { // else the next one needs no dial
 				}
 			}
 			if n := len(got); n != 0 {
-				t.Errorf("%s, comes up %v: %d of %d were sent on", name, comesUp, n, rounds)
+				t.Errorf("%s, comes up %v: %d of %d were sent on", name, connects, n, crossingRounds)
 			}
 		}
 	}
@@ -83,27 +83,27 @@
 
 // Behind a kept connection that turns out to have gone stale when it is written to, the attempt goes on to another:
 // one whose permit is taken back in that instant does not get it.
-func TestTakenBackBehindAStaleConnection(t *testing.T) {
-	for name, take := range map[string]func(*core.Permit){"dropped": func(p *core.Permit) { p.Drop() }, "withdrawn": (*core.Permit).Withdraw} {
-		addr, got := watched(t)
+func TestPermitRevokedAfterStaleConnection(t *testing.T) {
+	for name, revoke := range map[string]func(*core.Permit){"dropped": func(p *core.Permit) { p.Drop() }, "withdrawn": (*core.Permit).Withdraw} {
+		addr, got := countingBackend(t)
 		u := newTestUpstream(t)
-		for range rounds {
+		for range crossingRounds {
 			p := &core.Permit{}
 			c, err := u.dial(context.Background(), addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.Conn = &staleConn{TCPConn: c.Conn.(*net.TCPConn), write: func() { take(p) }}
-			u.keep(at(addr), c)
+			c.Conn = &staleConn{TCPConn: c.Conn.(*net.TCPConn), write: func() { revoke(p) }}
+			u.putIdle(target(addr), c)
 			u.mu.Lock()
-			c.since = c.since.Add(-restTime)
+			c.idleSince = c.idleSince.Add(-reuseDelay)
 			u.mu.Unlock()
-			if r := await(t, exchange(t, u, p, addr, read)); r.Result != balance.Withdrawn {
+			if r := await(t, exchange(t, u, p, addr, readRequest)); r.Result != balance.Withdrawn {
 				t.Fatalf("%s: got %v", name, r.Result)
 			}
 		}
 		if n := len(got); n != 0 {
-			t.Errorf("%s: %d of %d were sent on", name, n, rounds)
+			t.Errorf("%s: %d of %d were sent on", name, n, crossingRounds)
 		}
 	}
 }
@@ -121,9 +121,9 @@
 
 // A body that a backend is slow to take: until its last byte is out it has not been sent. Dropped, it ends there and
 // then; withdrawn, it goes on, since for its backend it counts from its first byte.
-func TestTakenBackWhileItIsWritten(t *testing.T) {
+func TestPermitRevokedDuringWrite(t *testing.T) {
 	body := strings.Repeat("x", 16<<20) // more than the kernel takes
-	out := rendered(http.MethodPost, "/sub", http.Header{"X-Correlation-Id": {"d1"}}, body)
+	out := renderRequest(http.MethodPost, "/sub", http.Header{"X-Correlation-Id": {"d1"}}, body)
 	for _, dropped := range []bool{true, false} {
 		began, goOn, whole := make(chan struct{}), make(chan struct{}), make(chan bool, 1)
 		addr := backend(t, func(c net.Conn, r *bufio.Reader) {
@@ -161,28 +161,28 @@
 }
 
 // Once its last byte is out an attempt is read to its end, whatever becomes of its permit in that instant.
-func TestTakenBackAsItIsSent(t *testing.T) {
-	addr, got := watched(t)
+func TestPermitRevokedAfterLastByte(t *testing.T) {
+	addr, got := countingBackend(t)
 	u := newTestUpstream(t)
-	for range rounds {
+	for range crossingRounds {
 		p := &core.Permit{}
 		c, err := u.dial(context.Background(), addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.Conn = &lateConn{TCPConn: c.Conn.(*net.TCPConn), written: func() { p.Drop() }}
-		u.keep(at(addr), c)
+		u.putIdle(target(addr), c)
 		u.mu.Lock()
-		c.since = c.since.Add(-restTime)
+		c.idleSince = c.idleSince.Add(-reuseDelay)
 		u.mu.Unlock()
-		if r := await(t, exchange(t, u, p, addr, read)); r.Result != balance.OK {
+		if r := await(t, exchange(t, u, p, addr, readRequest)); r.Result != balance.OK {
 			t.Fatalf("got %v", r.Result)
 		}
 		for u.Evict() {
 		}
 	}
-	if n := len(got); n != rounds {
-		t.Errorf("%d of %d came", n, rounds)
+	if n := len(got); n != crossingRounds {
+		t.Errorf("%d of %d came", n, crossingRounds)
 	}
 }
 
@@ -200,26 +200,26 @@
 
 // A connection that comes up when the attempt may not be written any more, and a backend that does not take all of
 // it by then: no whole request arrives.
-func TestTooLateToBeWritten(t *testing.T) {
-	addr, got := watched(t)
+func TestWriteDeadlinePassed(t *testing.T) {
+	addr, got := countingBackend(t)
 	u := newTestUpstream(t)
-	real := u.connect
-	u.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	real := u.dialContext
+	u.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		<-ctx.Done()
 		return real(context.Background(), network, addr) // it comes up in that instant
 	}
 	for range 50 {
-		if r := await(t, exchange(t, u, core.NewPermit(time.Now().Add(time.Millisecond)), addr, read)); r.Result != balance.Withdrawn {
+		if r := await(t, exchange(t, u, core.NewPermit(time.Now().Add(time.Millisecond)), addr, readRequest)); r.Result != balance.Withdrawn {
 			t.Fatalf("got %v", r.Result)
 		}
 		for u.Evict() {
 		}
 	}
-	u.connect = real
-	if r := await(t, exchange(t, u, core.NewPermit(time.Now()), addr, read)); r.Result != balance.Withdrawn {
+	u.dialContext = real
+	if r := await(t, exchange(t, u, core.NewPermit(time.Now()), addr, readRequest)); r.Result != balance.Withdrawn {
 		t.Errorf("got %v", r.Result)
 	}
-	if r := await(t, exchange(t, u, core.NewPermit(time.Now().Add(patience)), addr, read)); r.Result != balance.OK {
+	if r := await(t, exchange(t, u, core.NewPermit(time.Now().Add(testTimeout)), addr, readRequest)); r.Result != balance.OK {
 		t.Errorf("in time: got %v", r.Result)
 	}
 	if n := len(got); n != 1 {
@@ -232,10 +232,10 @@
 		_, body, err := receive(r)
 		whole <- err == nil && len(body) == 16<<20
 	})
-	out := rendered(http.MethodPost, "/sub", http.Header{"X-Correlation-Id": {"d1"}}, strings.Repeat("x", 16<<20))
+	out := renderRequest(http.MethodPost, "/sub", http.Header{"X-Correlation-Id": {"d1"}}, strings.Repeat("x", 16<<20))
 	u = newTestUpstream(t)
 	connected := false
-	u.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	u.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := real(ctx, network, addr)
 		connected = err == nil
 		return c, err
--- a/internal/backend/http1/standing_test.go
+++ b/internal/backend/http1/standing_test.go
@@ -16,7 +16,7 @@
 
 // A connection that breaks beside one that stands is no end of the process; one that breaks with all
 // the others may be.
-func TestStandingConnectionsAreTold(t *testing.T) {
+func TestReportsSurvivingConnections(t *testing.T) {
 	for _, all := range []bool{false, true} {
 		t.Run(fmt.Sprint("all break ", all), func(t *testing.T) {
 			u := newTestUpstream(t)
@@ -47,13 +47,13 @@
 			var two sync.WaitGroup
 			for range 2 {
 				two.Go(func() {
-					if r := attemptOf(t, u, addr, read); r.Result != balance.OK {
+					if r := exchangeRested(t, u, addr, readRequest); r.Result != balance.OK {
 						t.Errorf("got %v", r.Result)
 					}
 				})
 			}
 			two.Wait()
-			r := attemptOf(t, u, addr, read)
+			r := exchangeRested(t, u, addr, readRequest)
 			if r.Result != balance.Reset || r.Standing == all {
 				t.Errorf("got %v, standing %v", r.Result, r.Standing)
 			}
@@ -62,9 +62,9 @@
 }
 
 // Answers over 64 KiB come in parts: each part has its time, not the whole.
-func TestLongAnswerInPartsIsServed(t *testing.T) {
+func TestLongAnswerIsStreamed(t *testing.T) {
 	u := newTestUpstream(t)
-	part := strings.Repeat("x", bodyPart)
+	part := strings.Repeat("x", initialBodySize)
 	const parts = 25
 	addr := backend(t, func(c net.Conn, r *bufio.Reader) {
 		receive(r)
@@ -74,9 +74,9 @@
 		}
 		receive(r)
 	})
-	r := attemptOf(t, u, addr, read)
+	r := exchangeRested(t, u, addr, readRequest)
 	a := r.Payload.(*http1.Answer)
-	if r.Result != balance.OK || a.More == nil || a.Length != parts*bodyPart || len(a.Body) > wholeReply+1 {
+	if r.Result != balance.OK || a.More == nil || a.Length != parts*initialBodySize || len(a.Body) > maxBufferedBody+1 {
 		t.Fatalf("got %v, first %d bytes of %d", r.Result, len(a.Body), a.Length)
 	}
 	rest, err := io.ReadAll(a.More)
@@ -84,13 +84,13 @@
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
 	a.Discard()
-	if len(u.idle[at(addr)]) != 1 {
+	if len(u.idle[target(addr)]) != 1 {
 		t.Error("the connection is not kept")
 	}
 }
 
 // What goes on coming slowly is passed on: neither spoilt nor waited for, also where its length isn't told.
-func TestSlowAnswerPassedOn(t *testing.T) {
+func TestSlowAnswerIsStreamed(t *testing.T) {
 	for _, head := range []string{"Content-Length: 100000", "Transfer-Encoding: chunked", "X-Until: close"} {
 		u := newTestUpstream(t)
 		over := make(chan struct{})
@@ -111,7 +111,7 @@
 				}
 			}
 		})
-		r := attemptOf(t, u, addr, read)
+		r := exchangeRested(t, u, addr, readRequest)
 		close(over)
 		if a, ok := r.Payload.(*http1.Answer); !ok || r.Result != balance.OK || a.More == nil || len(a.Body) == 0 {
 			t.Errorf("%s: %+v", head, r)
@@ -122,7 +122,7 @@
 }
 
 // What is long and not read to its end, or is not whole, ends its connection.
-func TestLongAnswerGivenUp(t *testing.T) {
+func TestDiscardedLongAnswerClosesConnection(t *testing.T) {
 	for _, head := range []string{"Content-Length: 9999999", "Transfer-Encoding: chunked", "X-Until: close"} {
 		u := newTestUpstream(t)
 		ended := make(chan struct{})
@@ -130,13 +130,13 @@
 			receive(r)
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", head)
 			if head[0] == 'T' {
-				fmt.Fprintf(c, "%x\r\n", 2*wholeReply)
+				fmt.Fprintf(c, "%x\r\n", 2*maxBufferedBody)
 			}
-			io.WriteString(c, strings.Repeat("x", wholeReply+bodyPart))
+			io.WriteString(c, strings.Repeat("x", maxBufferedBody+initialBodySize))
 			io.Copy(io.Discard, r)
 			close(ended)
 		})
-		r := attemptOf(t, u, addr, read)
+		r := exchangeRested(t, u, addr, readRequest)
 		a, ok := r.Payload.(*http1.Answer)
 		if !ok || r.Result != balance.OK || a.More == nil {
 			t.Fatalf("%s: %+v", head, r)
@@ -147,15 +147,15 @@
 }
 
 // A long answer whose first part stops is passed on; a short one that stops is spoilt.
-func TestStopWithinFirstPart(t *testing.T) {
-	for length, want := range map[int]balance.Result{wholeReply: balance.Errored, wholeReply + 1: balance.OK} {
+func TestStallWithinFirstPart(t *testing.T) {
+	for length, want := range map[int]balance.Result{maxBufferedBody: balance.Errored, maxBufferedBody + 1: balance.OK} {
 		u := newTestUpstream(t)
 		addr := backend(t, func(c net.Conn, r *bufio.Reader) {
 			receive(r)
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nhello", length)
 			io.Copy(io.Discard, r)
 		})
-		r := attemptOf(t, u, addr, read)
+		r := exchangeRested(t, u, addr, readRequest)
 		if r.Result != want {
 			t.Errorf("%d bytes: %v", length, r.Result)
 		}
--- a/internal/backend/http1/stream.go
+++ b/internal/backend/http1/stream.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// This file hands on answers that are too long to be waited for.
+// This file streams answers that are too long to be buffered.
 
 // stream is the rest of a long answer.
 type stream struct {
-	c     *conn
-	body  io.Reader
-	until time.Time // the client's deadline
-	long  bool      // for sure: of others it shows once more than wholeReply has come
-	read  int
-	whole bool
-	end   func()
-	once  sync.Once
+	conn      *conn
+	body      io.Reader
+	deadline  time.Time // of the client
+	knownLong bool      // known from its length; otherwise long once more than maxBufferedBody has been read
+	bytesRead int
+	complete  bool
+	release   func()
+	closeOnce sync.Once
 }
 
-// by is until when the next bytes are waited for. Guards against a spoilt answer of no known length that stops coming:
-// of a short one the last byte counts, so that it has to end when its client's time is up, while a long one may pause.
-func (s *stream) by(now time.Time) time.Time {
-	if s.long || s.read > wholeReply {
-		return now.Add(streamStall)
+// readDeadline returns the deadline for the next read. An answer of unknown length that stalls may be broken: while
+// it is short it must end by its client's deadline, as its last byte counts, while a long one may pause.
+func (s *stream) readDeadline(now time.Time) time.Time {
+	if s.knownLong || s.bytesRead > maxBufferedBody {
+		return now.Add(streamStallTimeout)
 	}
-	if soon := now.Add(stallLimit); s.until.Before(soon) {
+	if soon := now.Add(stallTimeout); s.deadline.Before(soon) {
 		return soon
 	}
-	return s.until
+	return s.deadline
 }
 
-// Read reads what comes next.
+// Read reads the next part of the answer.
 func (s *stream) Read(p []byte) (int, error) {
-	s.c.SetReadDeadline(s.by(time.Now()))
+	s.conn.SetReadDeadline(s.readDeadline(time.Now()))
 	n, err := s.body.Read(p)
-	s.read += n
+	s.bytesRead += n
 	if errors.Is(err, io.EOF) {
-		if s.c.limit.N <= 0 {
-			return n, io.ErrUnexpectedEOF // the bound, not the end
+		if s.conn.limited.N <= 0 {
+			return n, io.ErrUnexpectedEOF // the size limit was reached, not the end of the answer
 		}
-		s.whole = true
+		s.complete = true
 	}
 	return n, err
 }
 
-// Close gives the connection back, or up if the answer has not been read to its end.
+// Close returns the connection to the idle ones, or closes it if the answer has not been read to its end.
 func (s *stream) Close() error {
-	s.once.Do(s.end)
+	s.closeOnce.Do(s.release)
 	return nil
 }
--- a/internal/backend/http1/stream_test.go
+++ b/internal/backend/http1/stream_test.go
@@ -13,18 +13,18 @@
 )
 
 // How long the rest of an answer is waited for: of a short one its last byte counts.
-func TestStreamIsBound(t *testing.T) {
+func TestStreamReadDeadline(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, tt := range map[string]struct {
 		s    *stream
 		want time.Duration
 	}{
-		"of unknown length, in time": {&stream{until: now.Add(time.Second), read: 100}, time.Second},
-		"of unknown length, late":    {&stream{until: now.Add(-time.Hour), read: 100}, stallLimit},
-		"of unknown length, long":    {&stream{until: now.Add(time.Second), read: wholeReply + 1}, streamStall},
-		"long":                       {&stream{until: now.Add(time.Second), long: true}, streamStall},
+		"of unknown length, in time": {&stream{deadline: now.Add(time.Second), bytesRead: 100}, time.Second},
+		"of unknown length, late":    {&stream{deadline: now.Add(-time.Hour), bytesRead: 100}, stallTimeout},
+		"of unknown length, long":    {&stream{deadline: now.Add(time.Second), bytesRead: maxBufferedBody + 1}, streamStallTimeout},
+		"long":                       {&stream{deadline: now.Add(time.Second), knownLong: true}, streamStallTimeout},
 	} {
-		if got := tt.s.by(now).Sub(now); got != tt.want {
+		if got := tt.s.readDeadline(now).Sub(now); got != tt.want {
 			t.Errorf("%s: %v, want %v", name, got, tt.want)
 		}
 	}
@@ -32,7 +32,7 @@
 
 // An answer in chunks that passes on and then never ends: its end is an error when the client's time is up, and the
 // connection is of no further use.
-func TestAnswerThatNeverEnds(t *testing.T) {
+func TestChunkedAnswerWithoutEnd(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
 	passed := make(chan struct{}, 1)
@@ -56,7 +56,7 @@
 	for range 20 { // on a slow machine it may look as if it had stopped before: then it is spoilt, and tried again
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		if r := u.Exchange(ctx, nil, at(addr), read); r.Result == balance.OK {
+		if r := u.Exchange(ctx, nil, target(addr), readRequest); r.Result == balance.OK {
 			a = r.Payload.(*http1.Answer)
 			break
 		}
--- a/internal/backend/http1/upstream.go
+++ b/internal/backend/http1/upstream.go
@@ -1,6 +1,5 @@
-// Package http1 makes attempts over HTTP/1.1: one connection carries one request at a time, and is kept for
-// further ones while the backend lets it. It counts its sockets with those of the process, and closes what
-// has been idle for too long.
+// Package http1 makes attempts over HTTP/1.1: a connection carries one request at a time and is reused while the
+// backend allows it. Its sockets count towards the process's limit, and it closes connections that are idle too long.
 package http1
 
 import (
@@ -22,85 +21,85 @@
 )
 
 const (
-	wholeReply = 64 << 10 // bytes of an answer's body that are waited for: shorter ones can go to another backend when they are spoilt
-	mostReply  = 64 << 20 // bytes of an answer's body at the most; peers send up to 32 MB
-	maxHead    = 8 << 10  // bytes of an answer's head
-	maxInfos   = 8        // 1xx answers ahead of the final one
-
-	// An answer that has begun goes on: one of which nothing comes for so long is spoilt.
-	stallLimit = 100 * time.Millisecond
-	// One that may be long and is not there by then passes on as it comes: its first bytes are waited for.
-	firstWait = 10 * time.Millisecond
-	bodyPart  = 16 << 10 // bytes of a body that there is room for at first, where its length says no less
-
-	// Behind the first part of a long one a backend may take its time, but not for ever.
-	streamStall = 10 * time.Second
-
-	// What a backend sends behind an answer shows by then; until it has rested for so long, a
-	// connection takes no request, which could be given those bytes for its answer.
-	restTime = 10 * time.Millisecond
-
-	idleShare   = 0.75 // of the time after which a backend closes an idle connection
-	maxIdleTime = time.Minute
-	probeLimit  = time.Second
+	maxBufferedBody  = 64 << 10 // bytes of an answer's body that are read before it is passed on: shorter ones can be retried when broken
+	maxBody          = 64 << 20 // bytes of an answer's body; peers send up to 32 MB
+	maxHead          = 8 << 10  // bytes of an answer's head
+	maxInformational = 8        // 1xx answers before the final one
+
+	// An answer that has begun and stalls for this long is broken.
+	stallTimeout = 100 * time.Millisecond
+	// An answer that may be long and isn't complete by then is streamed; its first bytes are waited for.
+	firstPartWait   = 10 * time.Millisecond
+	initialBodySize = 16 << 10 // initial buffer for a body, unless its length is shorter
+
+	// After the first part of a long answer a backend may pause for this long.
+	streamStallTimeout = 10 * time.Second
+
+	// A connection is not reused until it has been idle for this long: extra bytes that a backend sends after an
+	// answer arrive by then, and could otherwise be taken for the next answer.
+	reuseDelay = 10 * time.Millisecond
+
+	idleShare          = 0.75 // of the time after which a backend closes an idle connection
+	defaultIdleTimeout = time.Minute
+	probeTimeout       = time.Second
 )
 
-// Upstream makes attempts and keeps connections to backends. net/http's Transport would resend
-// by itself on a broken connection, which counts as an attempt; this does not.
+// Upstream makes attempts and keeps connections to backends. net/http's Transport isn't used because it resends
+// requests itself on a broken connection, which would count as another attempt.
 type Upstream struct {
 	connectTimeout time.Duration
-	idleTime       time.Duration // an idle connection is dropped after it
+	idleTimeout    time.Duration // idle connections are closed after this long
 	sockets        *Sockets
-	reports        bool // probes bring them
+	loadReports    bool // probes request load reports
 	log            *slog.Logger
-	tries          *atomic.Int64 // attempts written whole
-	connect        func(ctx context.Context, network, addr string) (net.Conn, error)
+	attempts       *atomic.Int64 // attempts whose request was written whole
+	dialContext    func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	mu   sync.Mutex
-	idle map[core.Target][]*conn // the newest last
+	idle map[core.Target][]*conn // ordered by idleSince, the newest last
 	busy map[core.Target]int     // connections with an attempt on them
 }
 
-// New returns an upstream.
+// New returns an Upstream without connections.
 func New(s *balance.Settings, socks *Sockets, log *slog.Logger) *Upstream {
 	idle := time.Duration(idleShare * float64(s.IdleClose))
 	if idle == 0 {
-		idle = maxIdleTime
+		idle = defaultIdleTimeout
 	}
 	d := net.Dialer{Timeout: s.ConnectTimeout, KeepAlive: -1}
-	return &Upstream{connect: d.DialContext, connectTimeout: s.ConnectTimeout, idleTime: idle, sockets: socks, log: log, reports: s.Reports != balance.ReportsOff,
-		tries: new(atomic.Int64), idle: map[core.Target][]*conn{}, busy: map[core.Target]int{}}
+	return &Upstream{dialContext: d.DialContext, connectTimeout: s.ConnectTimeout, idleTimeout: idle, sockets: socks, log: log, loadReports: s.Reports != balance.ReportsOff,
+		attempts: new(atomic.Int64), idle: map[core.Target][]*conn{}, busy: map[core.Target]int{}}
 }
 
-// CountTries counts attempts that are written whole in n.
-func (u *Upstream) CountTries(n *atomic.Int64) { u.tries = n }
+// CountTries makes n count the attempts whose request was written whole.
+func (u *Upstream) CountTries(n *atomic.Int64) { u.attempts = n }
 
-// Exchange makes one attempt: one request (an *http1.Request) on one connection, written once.
+// Exchange makes one attempt: it writes request (an *http1.Request) once, on one connection.
 func (u *Upstream) Exchange(ctx context.Context, p *core.Permit, to core.Target, request any) core.Response {
 	out := request.(*http1.Request)
-	r, broke := u.once(ctx, p, to, out)
-	if broke && (r.Result == balance.Reset || r.Result == balance.ConnectFailed) {
-		r.Standing = u.stands(ctx, to)
+	r, connected := u.attempt(ctx, p, to, out)
+	if connected && (r.Result == balance.Reset || r.Result == balance.ConnectFailed) {
+		r.Standing = u.otherConnectionsAlive(ctx, to)
 	}
 	return r
 }
 
-// once is exchange but for what else is known of the backend. It reports whether there was a
-// connection, which may have broken.
-func (u *Upstream) once(ctx context.Context, p *core.Permit, to core.Target, out *http1.Request) (r core.Response, connected bool) {
-	if c := u.take(to); c != nil {
-		// Guards against blame for a kept connection that has gone stale: what could not be written
-		// to it is no attempt yet, and goes out on a new one.
-		if r := u.use(ctx, p, c, to, out); r.Result != balance.ConnectFailed {
+// attempt makes one attempt without the check of other connections that Exchange adds. It reports whether there was
+// a connection, which may have broken.
+func (u *Upstream) attempt(ctx context.Context, p *core.Permit, to core.Target, out *http1.Request) (r core.Response, connected bool) {
+	if c := u.takeIdle(to); c != nil {
+		// A reused connection may have gone stale: if the request could not be written whole, it doesn't count as
+		// an attempt, and a new connection is tried without blaming the backend.
+		if r := u.attemptOn(ctx, p, c, to, out); r.Result != balance.ConnectFailed {
 			return r, true
 		}
 	}
-	// Guards against a request that is written when its connection comes up at last, though its client has left
-	// meanwhile or its backend drains.
+	// The wait for a connection ends when the permit is revoked: otherwise a request could be written although its
+	// client has disconnected meanwhile or its backend is draining.
 	wait, stop := context.WithCancel(ctx)
 	defer stop()
-	if by := p.By(); !by.IsZero() {
-		wait, stop = context.WithDeadline(wait, by)
+	if writeBy := p.By(); !writeBy.IsZero() {
+		wait, stop = context.WithDeadline(wait, writeBy)
 		defer stop()
 	}
 	if !p.Await(stop) {
@@ -113,16 +112,16 @@
 		}
 		return core.Response{Result: dialResult(ctx, err), Load: balance.NoLoad(), Refused: errors.Is(err, syscall.ECONNREFUSED)}, false
 	}
-	return u.use(ctx, p, c, to, out), true
+	return u.attemptOn(ctx, p, c, to, out), true
 }
 
-// settle is how long after a connection broke the others of the same process have broken too, if
-// it has ended. It is less than most retries wait.
-const settle = 5 * time.Millisecond
+// breakSettleTime is the time after a connection breaks within which the other connections to the same process
+// break too, if it has ended. It is shorter than most retry delays.
+const breakSettleTime = 5 * time.Millisecond
 
-// stands reports whether other connections to a backend outlive one that broke.
-func (u *Upstream) stands(ctx context.Context, to core.Target) bool {
-	wait := time.NewTimer(settle)
+// otherConnectionsAlive reports whether other connections to a backend survive one that broke.
+func (u *Upstream) otherConnectionsAlive(ctx context.Context, to core.Target) bool {
+	wait := time.NewTimer(breakSettleTime)
 	defer wait.Stop()
 	select {
 	case <-wait.C:
@@ -131,11 +130,11 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.busy[to] > 0 || slices.ContainsFunc(u.idle[to], (*conn).silent)
+	return u.busy[to] > 0 || slices.ContainsFunc(u.idle[to], (*conn).openAndEmpty)
 }
 
-// count notes a connection that takes an attempt, or has done with it.
-func (u *Upstream) count(to core.Target, n int) {
+// addBusy changes the number of connections with an attempt on them by n.
+func (u *Upstream) addBusy(to core.Target, n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.busy[to] += n; u.busy[to] == 0 {
@@ -143,18 +142,18 @@
 	}
 }
 
-// use makes an attempt on a connection, and keeps or closes it.
-func (u *Upstream) use(ctx context.Context, p *core.Permit, c *conn, to core.Target, out *http1.Request) core.Response {
-	u.count(to, 1)
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(longAgo) })
+// attemptOn makes an attempt on a connection, and keeps or closes the connection.
+func (u *Upstream) attemptOn(ctx context.Context, p *core.Permit, c *conn, to core.Target, out *http1.Request) core.Response {
+	u.addBusy(to, 1)
+	stop := context.AfterFunc(ctx, func() { c.SetDeadline(pastDeadline) })
 	r, reusable := c.roundTrip(ctx, p, out)
 	if a, ok := r.Payload.(*http1.Answer); ok && a.More != nil {
-		// The rest of a long answer outlives the attempt.
+		// The rest of a long answer is read after the attempt has ended.
 		if s := a.More.(*stream); stop() && c.SetDeadline(time.Time{}) == nil {
-			s.end = func() {
-				u.count(to, -1)
-				if s.whole && c.r.Buffered() == 0 && reusable && c.SetDeadline(time.Time{}) == nil {
-					u.keep(to, c)
+			s.release = func() {
+				u.addBusy(to, -1)
+				if s.complete && c.r.Buffered() == 0 && reusable && c.SetDeadline(time.Time{}) == nil {
+					u.putIdle(to, c)
 				} else {
 					u.close(c)
 				}
@@ -169,11 +168,10 @@
 			r.Result = balance.Cancelled
 		}
 	}
-	u.count(to, -1)
-	// Guards against a kept connection whose deadline has passed: once stop is too late, the
-	// deadline may strike at any time.
+	u.addBusy(to, -1)
+	// If stop comes too late, the past deadline may be set at any time, so the connection is not kept.
 	if stop() && reusable && c.SetDeadline(time.Time{}) == nil {
-		u.keep(to, c)
+		u.putIdle(to, c)
 	} else {
 		u.close(c)
 	}
@@ -184,20 +182,20 @@
 }
 
 var (
-	longAgo         = time.Unix(1, 0)
-	errOutOfSockets = errors.New("out of sockets")
-	errNoConnection = errors.New("no connection")
+	pastDeadline    = time.Unix(1, 0)
+	errOutOfSockets = errors.New("socket limit reached")
+	errNoConnection = errors.New("backend did not accept the connection")
 )
 
-// dialResult tells what a dial that failed says. Guards against blame for the wrong one: want of
-// sockets and a client's deadline that cuts a dial short say nothing of the backend.
+// dialResult classifies a failed dial. A lack of sockets, or a client's deadline that ends the dial early, must not
+// be blamed on the backend.
 func dialResult(ctx context.Context, err error) balance.Result {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return balance.Cancelled
 	}
-	for _, own := range []error{errOutOfSockets, context.DeadlineExceeded, syscall.EMFILE, syscall.ENFILE,
+	for _, local := range []error{errOutOfSockets, context.DeadlineExceeded, syscall.EMFILE, syscall.ENFILE,
 		syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
-		if errors.Is(err, own) {
+		if errors.Is(err, local) {
 			return balance.NotSent
 		}
 	}
@@ -207,12 +205,12 @@
 	return balance.ConnectFailed
 }
 
-// Probe asks a backend how it is.
+// Probe checks a backend's health, with its load report if reports are in use.
 func (u *Upstream) Probe(to core.Target) core.Response {
-	ctx, cancel := context.WithTimeout(context.Background(), probeLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	path := "/alive"
-	if u.reports {
+	if u.loadReports {
 		path = "/metrics/load"
 	}
 	out, err := http1.Render(http.MethodGet, path, to.Addr, http.Header{}, nil, nil)
@@ -220,7 +218,7 @@
 		return core.Response{Result: balance.NotSent, Load: balance.NoLoad()}
 	}
 	r := u.Exchange(ctx, nil, to, out)
-	if r.Result == balance.OK && u.reports && !r.Load.Valid {
+	if r.Result == balance.OK && u.loadReports && !r.Load.Valid {
 		r.Load, _ = wire.ParseLoad(r.Payload.(*http1.Answer).Body)
 	}
 	return r
--- a/internal/backend/http1/upstream_test.go
+++ b/internal/backend/http1/upstream_test.go
@@ -20,7 +20,7 @@
 )
 
 func newTestUpstream(t *testing.T) *Upstream {
-	u := New(&balance.Settings{ConnectTimeout: patience, IdleClose: time.Minute}, &Sockets{}, quiet)
+	u := New(&balance.Settings{ConnectTimeout: testTimeout, IdleClose: time.Minute}, &Sockets{}, discardLog)
 	t.Cleanup(func() {
 		for u.Evict() {
 		}
@@ -31,7 +31,7 @@
 	return u
 }
 
-func rendered(method, path string, header http.Header, body string) *http1.Request {
+func renderRequest(method, path string, header http.Header, body string) *http1.Request {
 	out, err := http1.Render(method, path, "api.internal", header, []byte(body), nil)
 	if err != nil {
 		panic(err)
@@ -39,22 +39,22 @@
 	return out
 }
 
-var read = rendered(http.MethodGet, "/read", http.Header{"X-Correlation-Id": {"d1"}}, "")
+var readRequest = renderRequest(http.MethodGet, "/read", http.Header{"X-Correlation-Id": {"d1"}}, "")
 
-// at is the backend that the tests of attempts speak to.
-func at(addr string) core.Target { return core.Target{ID: "h0", Addr: addr} }
+// target is the backend that the tests of attempts speak to.
+func target(addr string) core.Target { return core.Target{ID: "h0", Addr: addr} }
 
-// attemptOf makes an attempt once what is kept has rested.
-func attemptOf(t *testing.T, u *Upstream, addr string, out *http1.Request) core.Response {
+// exchangeRested makes an attempt once what is kept has rested.
+func exchangeRested(t *testing.T, u *Upstream, addr string, out *http1.Request) core.Response {
 	t.Helper()
 	u.mu.Lock()
-	for _, c := range u.idle[at(addr)] {
-		c.since = c.since.Add(-restTime)
+	for _, c := range u.idle[target(addr)] {
+		c.idleSince = c.idleSince.Add(-reuseDelay)
 	}
 	u.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	return u.Exchange(ctx, nil, at(addr), out)
+	return u.Exchange(ctx, nil, target(addr), out)
 }
 
 // The protocol's table of outcomes.
@@ -76,7 +76,7 @@
 		{"a short body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", balance.Errored},
 		{"a short chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel", balance.Errored},
 		{"noise", "hello, world\r\n\r\n", balance.Errored},
-		{"too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nhello", mostReply+1), balance.Errored},
+		{"too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nhello", maxBody+1), balance.Errored},
 		{"no length but the end of the connection", "HTTP/1.1 200 OK\r\n\r\nhello", balance.OK},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\ncontent-length: 5\r\n\r\nhello", balance.Errored},
 		{"a length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", balance.Errored},
@@ -90,7 +90,7 @@
 				receive(r)
 				io.WriteString(c, tt.answer)
 			})
-			r := attemptOf(t, u, addr, read)
+			r := exchangeRested(t, u, addr, readRequest)
 			if r.Result != tt.want {
 				t.Errorf("got %v, want %v", r.Result, tt.want)
 			}
@@ -105,14 +105,14 @@
 }
 
 func TestRefusedConnectionNeverRan(t *testing.T) {
-	if r := attemptOf(t, newTestUpstream(t), deadAddr(t), read); r.Result != balance.ConnectFailed {
+	if r := exchangeRested(t, newTestUpstream(t), deadAddr(t), readRequest); r.Result != balance.ConnectFailed {
 		t.Errorf("got %v", r.Result)
 	}
 }
 
 // A machine that has vanished says nothing: waiting for its answer ends with the attempt, which
 // may have run.
-func TestSilentMachine(t *testing.T) {
+func TestUnresponsiveBackendTimesOut(t *testing.T) {
 	u := newTestUpstream(t)
 	over := make(chan struct{})
 	addr := backend(t, func(c net.Conn, r *bufio.Reader) {
@@ -122,7 +122,7 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second) // enough to connect in
 	defer cancel()
-	if r := u.Exchange(ctx, nil, at(addr), read); r.Result != balance.TimedOut {
+	if r := u.Exchange(ctx, nil, target(addr), readRequest); r.Result != balance.TimedOut {
 		t.Errorf("got %v", r.Result)
 	}
 	await(t, over) // giving up closed the connection
@@ -138,13 +138,13 @@
 		io.Copy(io.Discard, r)
 		close(over)
 	})
-	if r := u.Exchange(ctx, nil, at(addr), read); r.Result != balance.Cancelled {
+	if r := u.Exchange(ctx, nil, target(addr), readRequest); r.Result != balance.Cancelled {
 		t.Errorf("got %v", r.Result)
 	}
 	await(t, over)
 }
 
-func TestWhatGoesOn(t *testing.T) {
+func TestForwardedRequest(t *testing.T) {
 	u := newTestUpstream(t)
 	got := make(chan string, 1)
 	addr := backend(t, func(c net.Conn, r *bufio.Reader) {
@@ -153,7 +153,7 @@
 			" ", body, " ", strings.HasSuffix(req.Header.Get("X-Time-Left"), "u"))
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Backend-Load: {\"backlog\":2,\"recent_ms\":14.5}\r\n\r\n")
 	})
-	r := attemptOf(t, u, addr, rendered(http.MethodPost, "/sub/a%2Fb?key=7f&x=%20",
+	r := exchangeRested(t, u, addr, renderRequest(http.MethodPost, "/sub/a%2Fb?key=7f&x=%20",
 		http.Header{"Idempotency-Key": {"5c"}}, "payload"))
 	if want, sent := "POST /sub/a%2Fb?key=7f&x=%20 api.internal 5c payload true", await(t, got); sent != want {
 		t.Errorf("got %q, want %q", sent, want)
@@ -163,17 +163,17 @@
 	}
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	u := newTestUpstream(t)
 	addr, conns, _, _ := scripted.Counting(t)
 	for range 3 {
-		attemptOf(t, u, addr, read)
+		exchangeRested(t, u, addr, readRequest)
 	}
 	if n := conns.Load(); n != 1 {
 		t.Errorf("%d connections for three requests in turn", n)
 	}
 	u.Keep(func(core.Target) bool { return false })
-	attemptOf(t, u, addr, read)
+	exchangeRested(t, u, addr, readRequest)
 	if n := conns.Load(); n != 2 {
 		t.Errorf("%d connections after the idle one was closed", n)
 	}
@@ -181,20 +181,20 @@
 
 // A backend that restarts closes what was kept. A request written to such a connection would
 // end as a reset, and a library that sends it again by itself would make two attempts of one.
-func TestStaleConnectionIsNotUsed(t *testing.T) {
+func TestStaleConnectionIsNotReused(t *testing.T) {
 	u := newTestUpstream(t)
 	addr, conns, requests, restart := scripted.Counting(t)
-	attemptOf(t, u, addr, read)
+	exchangeRested(t, u, addr, readRequest)
 	u.mu.Lock()
-	kept := u.idle[at(addr)][0]
+	kept := u.idle[target(addr)][0]
 	u.mu.Unlock()
 	restart()
-	for begun := time.Now(); kept.silent(); time.Sleep(time.Millisecond) {
-		if time.Since(begun) > patience {
+	for begun := time.Now(); kept.openAndEmpty(); time.Sleep(time.Millisecond) {
+		if time.Since(begun) > testTimeout {
 			t.Fatal("the close does not show")
 		}
 	}
-	r := attemptOf(t, u, addr, read)
+	r := exchangeRested(t, u, addr, readRequest)
 	if r.Result != balance.OK || conns.Load() != 2 || requests.Load() != 2 {
 		t.Errorf("got %v, %d connections, %d requests", r.Result, conns.Load(), requests.Load())
 	}
@@ -215,71 +215,71 @@
 			io.WriteString(c, hello)
 		}
 	})
-	attemptOf(t, u, addr, read)
-	if err := u.idle[at(addr)][0].Conn.(*net.TCPConn).CloseWrite(); err != nil {
+	exchangeRested(t, u, addr, readRequest)
+	if err := u.idle[target(addr)][0].Conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	if r := attemptOf(t, u, addr, read); r.Result != balance.OK {
+	if r := exchangeRested(t, u, addr, readRequest); r.Result != balance.OK {
 		t.Errorf("got %v", r.Result)
 	}
 }
 
-func TestResetIsNotSentAgain(t *testing.T) {
+func TestResetIsNotResent(t *testing.T) {
 	u := newTestUpstream(t)
 	var requests atomic.Int64
 	addr := backend(t, func(c net.Conn, r *bufio.Reader) {
 		receive(r)
 		requests.Add(1)
 	})
-	if r := attemptOf(t, u, addr, read); r.Result != balance.Reset || requests.Load() != 1 {
+	if r := exchangeRested(t, u, addr, readRequest); r.Result != balance.Reset || requests.Load() != 1 {
 		t.Errorf("got %v after %d requests", r.Result, requests.Load())
 	}
 }
 
-func TestIdleConnectionsAreDropped(t *testing.T) {
+func TestIdleConnectionsExpire(t *testing.T) {
 	u := newTestUpstream(t)
 	addr, conns, _, _ := scripted.Counting(t)
-	attemptOf(t, u, addr, read)
+	exchangeRested(t, u, addr, readRequest)
 	u.mu.Lock()
-	u.idle[at(addr)][0].since = time.Now().Add(-u.idleTime)
+	u.idle[target(addr)][0].idleSince = time.Now().Add(-u.idleTimeout)
 	u.mu.Unlock()
-	attemptOf(t, u, addr, read)
+	exchangeRested(t, u, addr, readRequest)
 	if n := conns.Load(); n != 2 {
 		t.Errorf("%d connections: one that was idle for too long was used", n)
 	}
 	u.mu.Lock()
-	u.idle[at(addr)][0].since = time.Now().Add(-u.idleTime)
+	u.idle[target(addr)][0].idleSince = time.Now().Add(-u.idleTimeout)
 	u.mu.Unlock()
-	u.sweep()
+	u.closeStaleIdle()
 	if n := u.sockets.Open.Load(); n != 0 {
 		t.Errorf("%d sockets after the sweep", n)
 	}
 }
 
 // At the limit on sockets an idle connection gives way before a dial fails.
-func TestIdleConnectionGivesWay(t *testing.T) {
+func TestIdleConnectionEvictedAtSocketLimit(t *testing.T) {
 	u := newTestUpstream(t)
 	u.sockets.Limit = 1
 	one, _, _, _ := scripted.Counting(t)
 	two, _, _, _ := scripted.Counting(t)
 	for _, addr := range []string{one, two, one} {
-		if r := attemptOf(t, u, addr, read); r.Result != balance.OK {
+		if r := exchangeRested(t, u, addr, readRequest); r.Result != balance.OK {
 			t.Errorf("got %v", r.Result)
 		}
 	}
 	u.sockets.Open.Add(1) // a client's; nothing idle is left after the next
 	u.Evict()
-	if r := attemptOf(t, u, two, read); r.Result != balance.NotSent { // no fault of the backend's
+	if r := exchangeRested(t, u, two, readRequest); r.Result != balance.NotSent { // no fault of the backend's
 		t.Errorf("got %v with no socket to be had", r.Result)
 	}
 	u.sockets.Open.Add(-1)
 }
 
-func TestBytesBehindAnAnswerEndTheConnection(t *testing.T) {
+func TestExtraBytesAfterAnswerCloseConnection(t *testing.T) {
 	u := newTestUpstream(t)
 	addr := backend(t, always(hello+hello))
 	for range 2 {
-		if r := attemptOf(t, u, addr, read); r.Result != balance.OK {
+		if r := exchangeRested(t, u, addr, readRequest); r.Result != balance.OK {
 			t.Fatalf("got %v", r.Result)
 		}
 	}
@@ -287,16 +287,16 @@
 
 func TestProbe(t *testing.T) {
 	u := newTestUpstream(t)
-	u.reports = true
+	u.loadReports = true
 	addr := backend(t, always("HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"backlog\":3}"))
-	if r := u.Probe(at(addr)); r.Result != balance.OK || r.Load.Queue != 3 {
+	if r := u.Probe(target(addr)); r.Result != balance.OK || r.Load.Queue != 3 {
 		t.Errorf("got %+v", r)
 	}
 }
 
 // The connection stays open behind what is spoilt: waiting for more would last until the client
 // has gone, and the request could not be tried again.
-func TestSpoiltAnswersEndAtOnce(t *testing.T) {
+func TestBrokenAnswersFailImmediately(t *testing.T) {
 	for _, answer := range []string{"noise", "HTTP/1.1 200 OK\r\nX-Pad: ", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello",
 		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello", "HTTP/1.1 200 OK\r\n\r\nhello"} {
 		u := newTestUpstream(t)
@@ -305,8 +305,8 @@
 			io.WriteString(c, answer)
 			io.Copy(io.Discard, r) // until the agent gives up
 		})
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		if r := u.Exchange(ctx, nil, at(addr), read); r.Result != balance.Errored || ctx.Err() != nil {
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+		if r := u.Exchange(ctx, nil, target(addr), readRequest); r.Result != balance.Errored || ctx.Err() != nil {
 			t.Errorf("%q: got %v, %v", answer, r.Result, ctx.Err())
 		}
 		cancel()
@@ -314,7 +314,7 @@
 }
 
 // Bytes that come a moment behind an answer must not be taken for the answer to the next request.
-func TestLateBytesBehindAnAnswer(t *testing.T) {
+func TestLateBytesAfterAnswer(t *testing.T) {
 	u := newTestUpstream(t)
 	var conns atomic.Int64
 	addr := backend(t, func(c net.Conn, r *bufio.Reader) {
@@ -329,10 +329,10 @@
 			io.WriteString(c, one)
 		}
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for want := 1; want <= 3; want++ { // without a rest between
-		if r := u.Exchange(ctx, nil, at(addr), read); r.Result != balance.OK || string(r.Payload.(*http1.Answer).Body) != fmt.Sprint(want) {
+		if r := u.Exchange(ctx, nil, target(addr), readRequest); r.Result != balance.OK || string(r.Payload.(*http1.Answer).Body) != fmt.Sprint(want) {
 			t.Errorf("got %v %q, want %d", r.Result, r.Payload.(*http1.Answer).Body, want)
 		}
 	}
@@ -340,28 +340,28 @@
 
 // A new backend at the address of one that has gone is another: it is not sent what a connection
 // to the old one was kept for, and that connection holds no socket.
-func TestConnectionsGoWithTheirBackend(t *testing.T) {
+func TestConnectionsClosedWithTheirBackend(t *testing.T) {
 	u := newTestUpstream(t)
 	addr, conns, _, _ := scripted.Counting(t)
-	attemptOf(t, u, addr, read)
+	exchangeRested(t, u, addr, readRequest)
 	u.Keep(func(to core.Target) bool { return to == core.Target{ID: "h1", Addr: addr} })
 	if n := u.sockets.Open.Load(); n != 0 {
 		t.Errorf("%d sockets", n)
 	}
-	attemptOf(t, u, addr, read)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	exchangeRested(t, u, addr, readRequest)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	if r := u.Exchange(ctx, nil, core.Target{ID: "h1", Addr: addr}, read); r.Result != balance.OK || conns.Load() != 3 {
+	if r := u.Exchange(ctx, nil, core.Target{ID: "h1", Addr: addr}, readRequest); r.Result != balance.OK || conns.Load() != 3 {
 		t.Errorf("got %v, %d connections", r.Result, conns.Load())
 	}
 }
 
 // Neither a client whose time runs out while a connection is being made nor the agent's own
 // limits are the backend's fault.
-func TestBlameForDials(t *testing.T) {
-	over, cancel := context.WithDeadline(context.Background(), longAgo)
+func TestDialFailureResults(t *testing.T) {
+	over, cancel := context.WithDeadline(context.Background(), pastDeadline)
 	defer cancel()
-	if r := newTestUpstream(t).Exchange(over, nil, at(deadAddr(t)), read); r.Result != balance.NotSent {
+	if r := newTestUpstream(t).Exchange(over, nil, target(deadAddr(t)), readRequest); r.Result != balance.NotSent {
 		t.Errorf("got %v", r.Result)
 	}
 	for err, want := range map[error]balance.Result{errOutOfSockets: balance.NotSent, syscall.EMFILE: balance.NotSent,
@@ -374,7 +374,7 @@
 
 // A backend that says nothing to a connection has failed to connect; a client whose time runs out first
 // says nothing of it, though net words both time-outs alike.
-func TestBlameForSilence(t *testing.T) {
+func TestDialTimeoutResults(t *testing.T) {
 	for _, tt := range []struct {
 		name          string
 		connect, left time.Duration
@@ -388,7 +388,7 @@
 			u.connectTimeout = tt.connect
 			ctx, cancel := context.WithTimeout(context.Background(), tt.left)
 			defer cancel()
-			if r := u.Exchange(ctx, nil, at(deadAddr(t)), read); r.Result != tt.want {
+			if r := u.Exchange(ctx, nil, target(deadAddr(t)), readRequest); r.Result != tt.want {
 				t.Errorf("result %v, want %v", r.Result, tt.want)
 			}
 		})
