--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -1,5 +1,5 @@
-// Package http1 takes clients' requests over HTTP/1.1, as the protocol page describes them, and answers them
-// as the core decides. Connections come by internal/admission, whose governor says which are kept.
+// Package http1 receives client requests over HTTP/1.1 and answers them as the core decides. Connections are
+// accepted through internal/admission, whose Governor decides which are kept.
 package http1
 
 import (
@@ -25,77 +25,77 @@
 	"lemonrail/internal/wire"
 )
 
-// Limits on what a client may take.
+// Limits on what a client may use.
 const (
-	HeadLimit    = 2600 * time.Millisecond // for a request's head: 3 s are owed to who never ends it
-	IdleLimit    = 2200 * time.Millisecond // for a connection without a request: 2 s are due to it
-	writeLimit   = 2 * time.Second         // for an answer, to a client that does not read it
-	maxLeft      = time.Hour               // a client that waits for longer has lost its way
-	maxHeadBytes = 16 << 10
-	MaxBody      = 33 << 20 // bytes of a request's body: clients send up to 32 MB
-	maxID        = 256      // bytes of an id
-
-	firstPart  = 64 << 10        // bytes of a body that are read before the module hears of the request
-	holdShare  = 32              // of the memory that one body may take, as 1 over it: more is streamed
-	holdMost   = 4 << 20         // and the most without a limit on memory
-	slowest    = 48 << 10        // bytes a second in which a body has to come: clients give 64 kB
-	bodyGrace  = 2 * time.Second // and besides
-	uploadMost = 10 * time.Minute
+	HeadLimit          = 2600 * time.Millisecond // for a request's head; the protocol allows 3 s for ending an unfinished one
+	IdleLimit          = 2200 * time.Millisecond // for an idle connection; the protocol grants it 2 s
+	answerWriteTimeout = 2 * time.Second         // for writing an answer to a client that does not read
+	maxTimeLeft        = time.Hour               // a longer time left is taken for a client's error
+	maxHeadBytes       = 16 << 10
+	MaxBodyBytes       = 33 << 20 // bytes of a request's body; clients send up to 32 MB
+	maxIDBytes         = 256      // bytes of a request id
+
+	firstPartBytes  = 64 << 10        // of a body, read before the core gets the request
+	bodyMemoryShare = 32              // one body may occupy Memory divided by this; longer ones are streamed
+	maxHeldBody     = 4 << 20         // bytes of one body held in memory at the most
+	minUploadRate   = 48 << 10        // bytes per second at which a body must arrive: clients send 64 kB/s
+	uploadGrace     = 2 * time.Second // added to the time that minUploadRate allows
+	maxUploadTime   = 10 * time.Minute
 )
 
-// single are the headers that say what becomes of a request: two values contradict each other.
-var single = []string{http1.ID, http1.Tenant, http1.TimeLeft, http1.Repeat, http1.Work, http1.Effect, "Content-Length"}
+// singleValued are the headers that decide how a request is handled: two values would contradict each other.
+var singleValued = []string{http1.ID, http1.Tenant, http1.TimeLeft, http1.Repeat, http1.Work, http1.Effect, "Content-Length"}
 
-// hopByHop headers belong to one connection and are not passed on.
+// hopByHop headers apply to one connection and are not forwarded.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
 
-// Server takes clients' requests. It owes each the one answer that the loop decides on.
+// Server serves client requests. Each request gets one answer, as the loop decides.
 type Server struct {
 	Loop     *core.Loop
-	Settings *balance.Settings // of the start; of what may change while the server runs, see Advise
+	Settings *balance.Settings // settings at the start; Advise replaces MaxRetryAfter
 	Names    wire.Names
-	Memory   int64       // bytes that the process may use; 0: not told
-	Ready    atomic.Bool // what /up answers
+	Memory   int64       // bytes of memory that the process may use; 0: unknown
+	Ready    atomic.Bool // the state that /up reports
 	Figures  *figures.Figures
 
-	advice atomic.Int64 // the longest wait that clients heed, since Advise: as nanoseconds plus 1; 0: as Settings say
+	maxRetryAfter atomic.Int64 // set by Advise, in nanoseconds plus 1; 0: Settings.MaxRetryAfter applies
 }
 
-// HTTP returns the server of clients' connections. Its limits guard against clients that
-// connect and say nothing, begin and never end, or don't read.
+// HTTP returns the server of client connections. Its timeouts protect against clients that connect and send
+// nothing, send incomplete requests, or don't read.
 func (s *Server) HTTP(log *slog.Logger) *http.Server {
 	return &http.Server{Handler: s, ReadHeaderTimeout: HeadLimit, IdleTimeout: IdleLimit, MaxHeaderBytes: maxHeadBytes,
 		ErrorLog:    slog.NewLogLogger(log.Handler(), slog.LevelDebug),
-		ConnContext: admission.Context, ConnState: admission.StateChanged}
+		ConnContext: admission.ConnContext, ConnState: admission.StateChanged}
 }
 
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	conn := admission.Of(r.Context())
-	if status, err := framing(r, conn.TakeHead()); err != nil {
-		refuse(conn, w, status, err)
+	conn := admission.ConnFromContext(r.Context())
+	if status, err := checkFraming(r, conn.TakeHead()); err != nil {
+		reject(conn, w, status, err)
 		return
 	}
 	if r.URL.Path == "/up" {
-		last(conn, w)
+		beginAnswer(conn, w)
 		if !s.Ready.Load() {
 			http.Error(w, "starting", http.StatusServiceUnavailable)
 		}
 		return
 	}
-	c, status, err := s.read(conn, w, r)
+	c, status, err := s.readCall(conn, w, r)
 	if err != nil {
-		refuse(conn, w, status, err)
+		reject(conn, w, status, err)
 		return
 	}
 	stream := c.Request.(*http1.Request).Stream
-	// Guards against a request that is sent on long after its client has left: it lay in the kernel while this process
-	// was busy, or had just been started.
+	// A request may have been in the kernel's buffer while this process was busy or starting. Without this check it
+	// would be forwarded long after its client has disconnected.
 	if conn.HungUp() {
-		leave(conn, w, stream)
+		endAbandoned(conn, w, stream)
 		return
 	}
 	if stream == nil {
-		conn.Taken()
+		conn.RequestRead()
 	}
 	s.Figures.Active.Add(1)
 	defer s.Figures.Active.Add(-1)
@@ -105,99 +105,99 @@
 	select {
 	case a = <-c.Reply:
 	case <-s.Loop.Dead:
-		select { // the loop may have answered on its way out
+		select { // the loop may have answered before it ended
 		case a = <-c.Reply:
 		default:
 			a.Kind = core.Failed
 		}
-	case <-conn.Gone():
-		s.left(conn, w, c, stream)
+	case <-conn.ClientGone():
+		s.clientLeft(conn, w, c, stream)
 		return
 	case <-r.Context().Done():
-		s.left(conn, w, c, stream)
+		s.clientLeft(conn, w, c, stream)
 		return
 	}
 	if a.Kind == core.Abandoned {
-		leave(conn, w, stream)
+		endAbandoned(conn, w, stream)
 		return
 	}
 	if stream != nil && !stream.Whole() {
-		w.Header().Set("Connection", "close") // the rest of the body is not looked at
+		w.Header().Set("Connection", "close") // the rest of the body is not read
 	}
-	last(conn, w)
-	result := results[a.Kind]
-	if err := write(conn, w, a); err != nil && a.Kind == core.Served {
-		result = figures.Errors
+	beginAnswer(conn, w)
+	outcome := results[a.Kind]
+	if err := writeAnswer(conn, w, a); err != nil && a.Kind == core.Served {
+		outcome = figures.Errors
 	}
-	s.Figures.Ended(c.Event.Class, result)
-	if result == figures.Errors && a.Kind == core.Served {
-		panic(http.ErrAbortHandler) // the client can tell: neither the length nor the last chunk has come
+	s.Figures.Ended(c.Event.Class, outcome)
+	if outcome == figures.Errors && a.Kind == core.Served {
+		panic(http.ErrAbortHandler) // the client sees a truncated answer: short of its length, or without the last chunk
 	}
 }
 
-// left ends what is in hand for a client that has gone.
-func (s *Server) left(conn *admission.Conn, w http.ResponseWriter, c *core.Call, stream *http1.Stream) {
+// clientLeft cancels the call of a client that has disconnected.
+func (s *Server) clientLeft(conn *admission.Conn, w http.ResponseWriter, c *core.Call, stream *http1.Stream) {
 	s.Loop.Post(func() { s.Loop.Left(c) })
-	leave(conn, w, stream)
+	endAbandoned(conn, w, stream)
 }
 
-// leave ends a request for whom nobody waits.
-func leave(conn *admission.Conn, w http.ResponseWriter, stream *http1.Stream) {
+// endAbandoned ends a request whose client has disconnected.
+func endAbandoned(conn *admission.Conn, w http.ResponseWriter, stream *http1.Stream) {
 	if stream != nil {
-		stream.Whole() // nobody reads the body once this returns
+		stream.Whole() // marks the end of reading: nobody reads the body after this returns
 	}
-	// Guards against a client that has ended its sending only: a handler that returns without
-	// a word would serve it an empty answer that no backend made.
-	refuse(conn, w, http.StatusBadGateway, errors.New("the client has gone away"))
+	// The client may have closed only its sending side. A handler that returns without writing would send it an
+	// empty 200 that no backend made.
+	reject(conn, w, http.StatusBadGateway, errors.New("client disconnected"))
 }
 
-// results are under what an answer counts.
+// results maps the kind of an answer to the result that metrics count.
 var results = map[core.Kind]figures.Result{core.Served: figures.OK, core.Refused: figures.Shed,
 	core.Failed: figures.Errors, core.Duplicate: figures.Errors}
 
-// last notes that an answer is about to be written, and says in it if it is its connection's last.
-// A client that doesn't read it holds the connection no longer than for writeLimit.
-func last(conn *admission.Conn, w http.ResponseWriter) {
-	if !conn.Answer() {
+// beginAnswer records that an answer is about to be written, and adds "Connection: close" if it is the last on its
+// connection. A client that doesn't read it holds the connection for answerWriteTimeout at the most.
+func beginAnswer(conn *admission.Conn, w http.ResponseWriter) {
+	if !conn.BeginAnswer() {
 		w.Header().Set("Connection", "close")
 	}
-	conn.SetWriteDeadline(time.Now().Add(writeLimit))
+	conn.SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 }
 
-// refuse turns away what makes no sense, and ends the connection. Guards against what else such a
-// client has sent: it may be no request of its own.
-func refuse(conn *admission.Conn, w http.ResponseWriter, status int, err error) {
-	last(conn, w)
+// reject answers an invalid request and ends the connection: bytes that follow an invalid request may not be a request
+// of their own.
+func reject(conn *admission.Conn, w http.ResponseWriter, status int, err error) {
+	beginAnswer(conn, w)
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), status)
 }
 
-// framing checks what tells where a request begins and ends. Head holds the bytes of its head as they came.
-func framing(r *http.Request, head []byte) (status int, err error) {
+// checkFraming rejects requests whose end is ambiguous. head holds the raw bytes of the request's head.
+func checkFraming(r *http.Request, head []byte) (status int, err error) {
 	switch {
-	case len(r.TransferEncoding) > 0 && !onlyCoded(r, head):
-		// Guards against a request that hides another: where the two ways to tell a body's length
-		// meet, net/http drops one of them.
-		return http.StatusLengthRequired, errors.New("a body needs one Content-Length or chunks")
+	case len(r.TransferEncoding) > 0 && !chunkedOnly(r, head):
+		// A request that has both Content-Length and Transfer-Encoding can smuggle another one: net/http drops
+		// one of the two headers.
+		return http.StatusLengthRequired, errors.New("a body needs either one Content-Length or chunked encoding")
 	case len(r.TransferEncoding) == 0 && r.ContentLength < 0:
-		return http.StatusLengthRequired, errors.New("a body needs a length")
-	case !r.ProtoAtLeast(1, 1): // there net/http reads past the other way altogether
-		return http.StatusHTTPVersionNotSupported, errors.New("HTTP/1.1 is needed")
-	case target(r) == "" || r.Host == "":
-		// Guards against targets that would not go on as they came.
-		return http.StatusBadRequest, errors.New("a path and a host are needed")
+		return http.StatusLengthRequired, errors.New("a body needs a Content-Length or chunked encoding")
+	case !r.ProtoAtLeast(1, 1): // for HTTP/1.0 net/http ignores Transfer-Encoding entirely
+		return http.StatusHTTPVersionNotSupported, errors.New("HTTP/1.1 is required")
+	case requestTarget(r) == "" || r.Host == "":
+		// Other request targets could not be forwarded unchanged.
+		return http.StatusBadRequest, errors.New("a path and a host are required")
 	case r.Method == http.MethodGet && r.ContentLength != 0:
-		return http.StatusBadRequest, errors.New("GET takes no body")
+		return http.StatusBadRequest, errors.New("GET must not have a body")
 	}
 	return 0, nil
 }
 
-// onlyCoded reports whether a head that names a transfer coding surely names no length beside it.
-func onlyCoded(r *http.Request, head []byte) bool {
+// chunkedOnly reports whether the raw head of a request with a transfer coding certainly has no Content-Length.
+func chunkedOnly(r *http.Request, head []byte) bool {
 	line := []byte(r.Method + " " + r.RequestURI + " ")
 	head = bytes.TrimLeft(head, "\r\n")
 	if !bytes.HasPrefix(head, line) {
-		return false // it is not this request's: what came early was not seen
+		return false // the captured bytes are not the head of this request, as parts that arrived early were not captured
 	}
 	end := len(head)
 	for _, empty := range []string{"\r\n\r\n", "\n\n", "\n\r\n"} {
@@ -208,9 +208,9 @@
 	return end < len(head) && !bytes.Contains(bytes.ToLower(head[:end]), []byte("\ncontent-length"))
 }
 
-// target is a request's path and query as they came, without the scheme and host that may stand before them (RFC
-// 9112, section 3.2.2); empty: there is none.
-func target(r *http.Request) string {
+// requestTarget returns a request's path and query as received, without the scheme and host that may precede them
+// (RFC 9112, section 3.2.2); empty if there is no path.
+func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
 	}
@@ -224,40 +224,40 @@
 	return ""
 }
 
-// read takes in a whole request. An error comes with the status that tells the client.
-func (s *Server) read(conn *admission.Conn, w http.ResponseWriter, r *http.Request) (*core.Call, int, error) {
+// readCall reads and validates a request. With an error it returns the status for the client.
+func (s *Server) readCall(conn *admission.Conn, w http.ResponseWriter, r *http.Request) (*core.Call, int, error) {
 	query, err := url.ParseQuery(r.URL.RawQuery)
 	if err != nil || len(query["key"]) > 1 {
-		return nil, http.StatusBadRequest, errors.New("the query makes no sense")
+		return nil, http.StatusBadRequest, errors.New("the query string is invalid, or has more than one key")
 	}
-	for _, h := range single {
+	for _, h := range singleValued {
 		if len(r.Header[h]) > 1 {
-			return nil, http.StatusBadRequest, fmt.Errorf("%s: more than one", h)
+			return nil, http.StatusBadRequest, fmt.Errorf("%s: more than one value", h)
 		}
 	}
-	path, _, _ := strings.Cut(target(r)[1:], "?")
+	path, _, _ := strings.Cut(requestTarget(r)[1:], "?")
 	name, _, _ := strings.Cut(path, "/")
 	class := slices.Index(s.Names.Classes, name)
 	if class < 0 {
 		return nil, http.StatusNotFound, fmt.Errorf("unknown class %q", name)
 	}
-	want := http.MethodPost
+	method := http.MethodPost
 	effect := s.Settings.Classes[class].Effect
 	if effect == balance.Safe {
-		want = http.MethodGet
+		method = http.MethodGet
 	}
-	if r.Method != want {
-		w.Header().Set("Allow", want)
-		return nil, http.StatusMethodNotAllowed, fmt.Errorf("%s takes %s", name, want)
+	if r.Method != method {
+		w.Header().Set("Allow", method)
+		return nil, http.StatusMethodNotAllowed, fmt.Errorf("%s requires %s", name, method)
 	}
 	id := r.Header.Get(http1.ID)
-	if id == "" || len(id) > maxID {
+	if id == "" || len(id) > maxIDBytes {
 		return nil, http.StatusBadRequest, errors.New(http1.ID + ": missing or too long")
 	}
 	if effect == balance.Keyed && r.Header.Get(http1.Effect) == "" {
 		return nil, http.StatusBadRequest, errors.New(http1.Effect + ": missing")
 	}
-	left, err := parseTimeLeft(r.Header.Get(http1.TimeLeft))
+	timeLeft, err := parseTimeLeft(r.Header.Get(http1.TimeLeft))
 	if err != nil {
 		return nil, http.StatusBadRequest, err
 	}
@@ -268,25 +268,25 @@
 		}
 	}
 	var work time.Duration
-	if hint := r.Header.Get(http1.Work); hint != "" {
-		if work, err = decimal(hint, time.Microsecond); err != nil {
+	if workHint := r.Header.Get(http1.Work); workHint != "" {
+		if work, err = parseDecimal(workHint, time.Microsecond); err != nil {
 			return nil, http.StatusBadRequest, fmt.Errorf("%s: %w", http1.Work, err)
 		}
 	}
-	if r.ContentLength > MaxBody { // not one byte of it is read
-		return nil, http.StatusRequestEntityTooLarge, fmt.Errorf("body over %d bytes", MaxBody)
+	if r.ContentLength > MaxBodyBytes { // rejected before any of it is read
+		return nil, http.StatusRequestEntityTooLarge, fmt.Errorf("body over %d bytes", MaxBodyBytes)
 	}
-	body, stream, status, err := s.body(conn, r, left)
-	if status == http.StatusServiceUnavailable { // the rest has not been read, and may come again
-		if after := s.ComeBack(); after > 0 {
-			w.Header().Set("Retry-After", seconds(after))
+	body, stream, status, err := s.readBody(conn, r, timeLeft)
+	if status == http.StatusServiceUnavailable { // nothing was processed, so the client may retry
+		if retryAfter := s.ComeBack(); retryAfter > 0 {
+			w.Header().Set("Retry-After", formatSeconds(retryAfter))
 		}
 		s.Figures.Ended(class, figures.Shed)
 	}
 	if err != nil {
 		return nil, status, err
 	}
-	out, err := encode(r, body, stream)
+	rendered, err := renderRequest(r, body, stream)
 	if err != nil {
 		return nil, http.StatusBadRequest, err
 	}
@@ -297,51 +297,51 @@
 	return &core.Call{
 		Event: balance.Request{ID: id, Class: class, Tenant: tenant, Key: query.Get("key"),
 			Work: work, Repeat: r.Header.Get(http1.Repeat) == "1"},
-		Request:  out,
-		Deadline: time.Now().Add(upload + left), // counted from its last byte
+		Request:  rendered,
+		Deadline: time.Now().Add(upload + timeLeft), // the time left counts from the body's last byte
 		Upload:   upload,
 		Reply:    make(chan core.Answer, 1),
 	}, 0, nil
 }
 
-// uploadTime is how long the rest of a body may take to come.
+// uploadTime returns how long the rest of a body may take to arrive. A negative length is unknown.
 func uploadTime(length int64, read int) time.Duration {
 	if length < 0 {
-		length = MaxBody
+		length = MaxBodyBytes
 	}
-	return min(bodyTime(length-int64(read)), uploadMost)
+	return min(bodyTime(length-int64(read)), maxUploadTime)
 }
 
-// bodyTime is the time that so many bytes of a body may take.
+// bodyTime returns how long that many bytes of a body may take to arrive.
 func bodyTime(bytes int64) time.Duration {
-	return bodyGrace + time.Duration(float64(bytes)/slowest*float64(time.Second))
+	return uploadGrace + time.Duration(float64(bytes)/minUploadRate*float64(time.Second))
 }
 
-// hold is how much of one body is held.
-func (s *Server) hold() int64 {
+// heldBodyLimit returns how many bytes of one body are held in memory.
+func (s *Server) heldBodyLimit() int64 {
 	if s.Memory == 0 {
-		return holdMost
+		return maxHeldBody
 	}
-	return min(max(s.Memory/holdShare, firstPart), holdMost)
+	return min(max(s.Memory/bodyMemoryShare, firstPartBytes), maxHeldBody)
 }
 
-// body reads a request's body: all of it where it is short, or may be held and there is room; else its first
-// part, with a stream for the rest.
-func (s *Server) body(conn *admission.Conn, r *http.Request, left time.Duration) (body []byte, stream *http1.Stream, status int, err error) {
+// readBody reads a request's body: all of it if it is short, or if it may be held and there is memory for it;
+// otherwise its first part, with a stream for the rest.
+func (s *Server) readBody(conn *admission.Conn, r *http.Request, timeLeft time.Duration) (body []byte, stream *http1.Stream, status int, err error) {
 	length := r.ContentLength
 	if length == 0 {
 		return nil, nil, 0, nil
 	}
-	first := int64(firstPart)
+	firstSize := int64(firstPartBytes)
 	if length > 0 {
-		first = min(length, firstPart)
+		firstSize = min(length, firstPartBytes)
 	}
-	if !conn.Reserve(int(first)) {
-		return nil, nil, http.StatusServiceUnavailable, errors.New("too many bodies in hand")
+	if !conn.Reserve(int(firstSize)) {
+		return nil, nil, http.StatusServiceUnavailable, errors.New("too many bodies in progress")
 	}
-	reader := &bodyReader{conn: conn, r: r.Body, began: time.Now()}
-	size := first
-	if length > first && length <= s.hold() && conn.Hold(int(length-first)) {
+	reader := &bodyReader{conn: conn, body: r.Body, started: time.Now()}
+	size := firstSize
+	if length > firstSize && length <= s.heldBodyLimit() && conn.ReserveExtra(int(length-firstSize)) {
 		size = length
 	}
 	body = make([]byte, 0, size)
@@ -351,37 +351,37 @@
 		switch {
 		case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
 			if length >= 0 && int64(len(body)) < length {
-				return nil, nil, http.StatusBadRequest, errors.New("the body ends too soon")
+				return nil, nil, http.StatusBadRequest, errors.New("the body is shorter than its Content-Length")
 			}
-			conn.Settle(len(body))
+			conn.ShrinkReservation(len(body))
 			return body, nil, 0, nil
 		case err != nil:
 			return nil, nil, http.StatusRequestTimeout, fmt.Errorf("body: %w", err)
 		case size == length:
 			conn.SetReadDeadline(time.Time{})
 			return body, nil, 0, nil
-		case length < 0 && 2*size <= s.hold() && conn.Hold(int(size)):
+		case length < 0 && 2*size <= s.heldBodyLimit() && conn.ReserveExtra(int(size)):
 			body = append(make([]byte, 0, 2*size), body...)
 			size *= 2
 			continue
 		}
 		abort := func() { conn.SetReadDeadline(time.Unix(1, 0)) }
-		return body, http1.NewStream(reader, length, left, abort), 0, nil
+		return body, http1.NewStream(reader, length, timeLeft, abort), 0, nil
 	}
 }
 
-// bodyReader reads a body that has to come at a rate, and does not end too late.
+// bodyReader reads a body that must arrive at minUploadRate and must not exceed MaxBodyBytes.
 type bodyReader struct {
-	conn  *admission.Conn
-	r     io.Reader
-	began time.Time
-	read  int64
+	conn    *admission.Conn
+	body    io.Reader
+	started time.Time
+	read    int64
 }
 
 func (b *bodyReader) Read(p []byte) (int, error) {
-	n, err := b.conn.ReadBody(b.r, p, b.began.Add(bodyTime(b.read)))
-	if b.read += int64(n); b.read > MaxBody {
-		return n, fmt.Errorf("body over %d bytes", MaxBody)
+	n, err := b.conn.ReadBody(b.body, p, b.started.Add(bodyTime(b.read)))
+	if b.read += int64(n); b.read > MaxBodyBytes {
+		return n, fmt.Errorf("body over %d bytes", MaxBodyBytes)
 	}
 	if errors.Is(err, io.EOF) {
 		b.conn.SetReadDeadline(time.Time{})
@@ -389,40 +389,40 @@
 	return n, err
 }
 
-// encode renders a request as it goes on to a backend, but for the time left. Guards against one
-// that can't be rendered: found out only at a backend, it would count as a failure to connect.
-func encode(r *http.Request, body []byte, stream *http1.Stream) (*http1.Request, error) {
+// renderRequest renders a request for a backend, without the time left. A request that can't be rendered is rejected
+// here: found at a backend, it would count as a failure to connect.
+func renderRequest(r *http.Request, body []byte, stream *http1.Stream) (*http1.Request, error) {
 	header := r.Header.Clone()
 	for _, f := range strings.Split(strings.Join(header["Connection"], ","), ",") {
-		if f = textproto.CanonicalMIMEHeaderKey(textproto.TrimString(f)); !slices.Contains(single, f) {
+		if f = textproto.CanonicalMIMEHeaderKey(textproto.TrimString(f)); !slices.Contains(singleValued, f) {
 			header.Del(f)
 		}
 	}
 	for _, h := range append(hopByHop, http1.TimeLeft, "Content-Length") {
 		header.Del(h)
 	}
-	return http1.Render(r.Method, target(r), r.Host, header, body, stream)
+	return http1.Render(r.Method, requestTarget(r), r.Host, header, body, stream)
 }
 
-// decimal reads a number of units as plain digits, with a point at most: no sign, exponent or
-// hexadecimal form, nor a word that strconv takes for a number.
-func decimal(text string, unit time.Duration) (time.Duration, error) {
+// parseDecimal parses a number of units written as plain digits with at most one point: no sign, exponent or
+// hexadecimal form, and none of the words that strconv accepts, such as Inf.
+func parseDecimal(text string, unit time.Duration) (time.Duration, error) {
 	if strings.Trim(text, "0123456789.") != "" {
-		return 0, fmt.Errorf("%q is no plain number", text)
+		return 0, fmt.Errorf("%q is not a plain decimal number", text)
 	}
 	v, err := strconv.ParseFloat(text, 64)
-	if err != nil || v*float64(unit) > float64(maxLeft) {
-		return 0, fmt.Errorf("%q is no plain number, or too large", text)
+	if err != nil || v*float64(unit) > float64(maxTimeLeft) {
+		return 0, fmt.Errorf("%q is not a plain decimal number, or is too large", text)
 	}
 	return time.Duration(v * float64(unit)), nil
 }
 
-// parseTimeLeft reads a number and a unit: m for milliseconds or u for microseconds.
+// parseTimeLeft parses a number with a unit: m for milliseconds or u for microseconds.
 func parseTimeLeft(text string) (d time.Duration, err error) {
 	if number, ok := strings.CutSuffix(text, "m"); ok {
-		d, err = decimal(number, time.Millisecond)
+		d, err = parseDecimal(number, time.Millisecond)
 	} else if number, ok := strings.CutSuffix(text, "u"); ok {
-		d, err = decimal(number, time.Microsecond)
+		d, err = parseDecimal(number, time.Microsecond)
 	} else {
 		err = fmt.Errorf("%q has no unit, m (milliseconds) or u (microseconds)", text)
 	}
@@ -432,80 +432,80 @@
 	return d, nil
 }
 
-// seconds is a time as Retry-After tells it.
-func seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
+// formatSeconds formats a duration for the Retry-After header.
+func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// ComeBack is when a client may come again that the front turns away by itself; 0 where settings
-// allow no such advice.
+// ComeBack returns the Retry-After for requests that the front end refuses itself; 0 if the settings disable the
+// header.
 func (s *Server) ComeBack() time.Duration {
 	if !s.Settings.RetryAfter {
 		return 0
 	}
-	if advice := s.advice.Load(); advice > 0 {
+	if advice := s.maxRetryAfter.Load(); advice > 0 {
 		return time.Duration(advice - 1)
 	}
 	return s.Settings.MaxRetryAfter
 }
 
-// Advise replaces the longest wait that clients heed. It may be called from any goroutine. The other settings that the
-// server reads can't change while it runs.
-func (s *Server) Advise(longest time.Duration) { s.advice.Store(int64(longest) + 1) }
+// Advise replaces the longest Retry-After. It is safe for concurrent use. The other settings that the server reads
+// can't change while it runs.
+func (s *Server) Advise(longest time.Duration) { s.maxRetryAfter.Store(int64(longest) + 1) }
 
-// statuses are what tells a client of an answer that is not served.
-var statuses = map[core.Kind]int{
+// failureStatuses maps the kind of an answer that was not served to its HTTP status.
+var failureStatuses = map[core.Kind]int{
 	core.Refused:   http.StatusServiceUnavailable,
 	core.Failed:    http.StatusBadGateway,
 	core.Duplicate: http.StatusBadRequest,
 }
 
-// write passes the final answer on. An error means that a client has not got all of a served one: it has gone,
-// or the backend broke off.
-func write(conn *admission.Conn, w http.ResponseWriter, a core.Answer) error {
+// writeAnswer writes the final answer. An error means that the client did not get all of a served answer, because it
+// disconnected or the backend broke off.
+func writeAnswer(conn *admission.Conn, w http.ResponseWriter, a core.Answer) error {
 	h := w.Header()
 	if a.RetryAfter > 0 {
-		h.Set("Retry-After", seconds(a.RetryAfter))
+		h.Set("Retry-After", formatSeconds(a.RetryAfter))
 	}
 	if a.Kind != core.Served {
-		http.Error(w, http.StatusText(statuses[a.Kind]), statuses[a.Kind])
+		http.Error(w, http.StatusText(failureStatuses[a.Kind]), failureStatuses[a.Kind])
 		return nil
 	}
 	served := a.Payload.(*http1.Answer)
-	for _, name := range []string{"Content-Type", "Content-Encoding"} { // what a client needs to read the body
+	for _, name := range []string{"Content-Type", "Content-Encoding"} { // needed to read the body
 		if v := served.Header[name]; v != nil {
 			h[name] = v
 		}
 	}
 	if served.More == nil {
 		h.Set("Content-Length", strconv.Itoa(len(served.Body)))
-		w.Write(served.Body) // what fails here is the client's loss of its own connection
+		w.Write(served.Body) // an error means that the client's own connection failed
 		return nil
 	}
 	defer served.Discard()
 	if served.Length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(served.Length, 10))
 	}
-	return pass(conn, w, served)
+	return streamAnswer(conn, w, served)
 }
 
-const passStall = 10 * time.Second // for a client to take one part: peers take seconds
+const partWriteTimeout = 10 * time.Second // for a client to receive one part; clients may pause for seconds
 
-// pass hands a long answer on as it comes.
-func pass(conn *admission.Conn, w http.ResponseWriter, a *http1.Answer) error {
-	out := http.NewResponseController(w)
+// streamAnswer forwards a long answer as it arrives.
+func streamAnswer(conn *admission.Conn, w http.ResponseWriter, a *http1.Answer) error {
+	controller := http.NewResponseController(w)
 	part := a.Body
-	a.Body = nil // it may be gone before the rest has come
+	a.Body = nil // lets the first part be freed before the rest has arrived
 	buf := http1.TakePart()
 	defer http1.GivePart(buf)
 	for {
 		for len(part) > 0 {
 			n := min(len(part), http1.PartSize)
-			conn.SetWriteDeadline(time.Now().Add(passStall))
+			conn.SetWriteDeadline(time.Now().Add(partWriteTimeout))
 			if _, err := w.Write(part[:n]); err != nil {
 				return err
 			}
 			part = part[n:]
 		}
-		if err := out.Flush(); err != nil {
+		if err := controller.Flush(); err != nil {
 			return err
 		}
 		n, err := a.More.Read(buf[:])
