--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// rawClient is a connection without a goroutine or a buffer of Go's, so that what is measured is
-// the server's.
+// rawClient returns a connection without a goroutine or a buffer in Go, so that the benchmark measures only
+// the server.
 func rawClient(b *testing.B, port int) int {
 	b.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -59,15 +59,15 @@
 	return fd
 }
 
-// BenchmarkAccepted is a connection, one request on it and its end, client and server together.
+// BenchmarkAccepted measures one connection with one request, client and server together.
 func BenchmarkAccepted(b *testing.B) {
 	l, stop := startServer(b, DefaultConfig(1000, 0))
 	defer stop()
 	benchmarkConnections(b, l, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", http.StatusOK)
 }
 
-// BenchmarkRefused is a connection that is turned away, client and server together: the cap is
-// taken by a connection that may not give way.
+// BenchmarkRefused measures a refused connection, client and server together: the only place is taken by a
+// connection that may not be evicted.
 func BenchmarkRefused(b *testing.B) {
 	l, stop := startServer(b, Config{MaxConnections: 1, MaxRefusals: 16, NewGrace: time.Hour})
 	defer stop()
@@ -93,8 +93,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "conns/s")
 }
 
-// BenchmarkSilent holds b.N connections that say nothing, and tells what each takes in the server's
-// heap and stacks. Run with -benchtime 10000x; two descriptors a connection are needed.
+// BenchmarkSilent holds b.N connections that send nothing, and reports how many bytes of heap and stack each
+// takes in the server. Run it with -benchtime 10000x; it needs two descriptors per connection.
 func BenchmarkSilent(b *testing.B) {
 	l, stop := startServer(b, Config{MaxRefusals: 1})
 	defer stop()
@@ -113,14 +113,14 @@
 	for l.Counts().Held < b.N {
 		runtime.Gosched()
 	}
-	time.Sleep(50 * ms) // for their goroutines to come to rest
+	time.Sleep(50 * ms) // until the connections' goroutines block
 	b.ReportMetric(float64(memory()-before)/float64(b.N), "bytes/conn")
 	for _, fd := range fds {
 		syscall.Close(fd)
 	}
 }
 
-// BenchmarkDecisions is what the Governor takes for one request on a kept connection.
+// BenchmarkDecisions measures the Governor's part of one request on a kept connection.
 func BenchmarkDecisions(b *testing.B) {
 	for _, n := range []int{10, 1000} {
 		b.Run(fmt.Sprint(n, " held"), func(b *testing.B) {
--- a/internal/admission/governor.go
+++ b/internal/admission/governor.go
@@ -1,9 +1,10 @@
 // Package admission limits the connections that clients open: how many there may be, which of them is closed
-// when another one needs room, when accepting pauses, and which answers end their connection. No request is read
-// and then dropped, even when clients are hostile, and backends and discovery keep their share of the descriptors.
+// when another one needs room, when accepting pauses, and which answers end their connection. No request is
+// read and then dropped, even when clients are hostile, and backends and discovery keep their share of the
+// descriptors.
 //
-// Governor makes the decisions. It performs no I/O, reads no clock and starts no goroutine, so that any front end
-// can use it. A connection passes through these states:
+// Governor makes the decisions. It performs no I/O, reads no clock and starts no goroutine, so that any front
+// end can use it. A connection passes through these states:
 //
 //	New ──bytes──▶ Head ─head complete─▶ Body ──all read──▶ Processing ─answer─▶ Answering
 //	 │              │ ▲                    │                     │                 │   │
@@ -11,15 +12,17 @@
 //	 ▼              ▼                      ▼            ▼        ▼                     ▼
 //	 └──────────────┴──────────────────────┴── Closing ─┴────────┴─────────────────────┘
 //
-// A connection is evicted only in New, Head and Idle, and only by its own reader: Governor requests the close, the
-// reading goroutine checks once more whether bytes have arrived, and only then calls ConfirmClose. From Body on,
-// a connection ends only with its answer.
+// A connection is evicted only in New, Head and Idle, and only by its own reader: Governor requests the close,
+// the reading goroutine checks once more whether bytes have arrived, and only then calls ConfirmClose. From
+// Body on, a connection ends only with its answer.
 //
-// Listener and Conn connect Governor with net/http and carry out its decisions. The server's goroutine reads each
-// Conn. The mutex of Listener guards Governor; while it is held, the only socket calls are those that set deadlines.
+// Listener and Conn connect Governor with net/http and carry out its decisions. The server's goroutine reads
+// each Conn. The mutex of Listener guards Governor; while it is held, the only socket calls are those that set
+// deadlines.
 //
 // Limits: Config.MaxConnections for connections (plus Config.MaxRefusals for those being refused),
-// Config.MaxBodyReads for bodies being read, Config.MaxBodyBytes for the total size of bodies; every wait has a timeout.
+// Config.MaxBodyReads for bodies being read, Config.MaxBodyBytes for the total size of bodies; every wait has
+// a timeout.
 package admission
 
 import (
@@ -67,9 +70,9 @@
 	DrainGrace   time.Duration // during Finish a new connection isn't closed for this long: its request may be in transit
 }
 
-// DefaultConfig returns the limits for a process that may use that many descriptors for connections of all kinds
-// and that many bytes of memory; 0 means unlimited. Clients get three quarters of the descriptors, as long as each
-// request in progress can still get a descriptor for its backend.
+// DefaultConfig returns the limits for a process that may use that many descriptors for connections of all
+// kinds and that many bytes of memory; 0 means unlimited. Clients get three quarters of the descriptors, as
+// long as each request in progress can still get a descriptor for its backend.
 func DefaultConfig(descriptors int, memory int64) Config {
 	maxConnections := descriptors * 3 / 4
 	return Config{MaxConnections: maxConnections, MaxDescriptors: descriptors, MaxRefusals: max(1, min(16, descriptors/32)), MaxBodyReads: (maxConnections + 1) / 2, MaxBodyBytes: int(memory / 8),
@@ -172,15 +175,15 @@
 
 // Decide decides about one new connection. While it waits, all later ones wait in the listener's backlog.
 func (g *Governor) Decide(now time.Duration) Decision {
-	over := g.excess()
-	if over < 0 {
+	excess := g.excess()
+	if excess < 0 {
 		g.waiting = false
 		return Decision{Admit: true}
 	}
 	var decision Decision
 	g.everWaited, g.lastWaitAt = true, now
 	// Connections that are closing or have been asked to close count as room that becomes free.
-	if need := over + 1 - g.counts.ByState[StateClosing] - g.counts.CloseRequested; need > 0 {
+	if need := excess + 1 - g.counts.ByState[StateClosing] - g.counts.CloseRequested; need > 0 {
 		decision.RequestClose, decision.Wait = g.selectEvictable(now, need)
 	}
 	if !g.waiting {
@@ -213,9 +216,9 @@
 	return excess
 }
 
-// selectEvictable requests the close of up to need connections: first those that never sent anything, then those
-// with a stalled head, then those idle for longer than MinIdle, in each case the longest first. It also returns
-// the time until the next one may be closed; 0: unknown.
+// selectEvictable requests the close of up to need connections: first those that never sent anything, then
+// those with a stalled head, then those idle for longer than MinIdle, in each case the longest first. It also
+// returns the time until the next one may be closed; 0: unknown.
 func (g *Governor) selectEvictable(now time.Duration, need int) (requested []*Entry, wait time.Duration) {
 	for _, candidates := range []struct {
 		state  State
@@ -253,11 +256,11 @@
 	}
 }
 
-// RequestCloseOne selects one connection to close although the limit isn't reached, because the process is out of
-// descriptors. It returns nil if none may be closed.
+// RequestCloseOne selects one connection to close although the limit isn't reached, because the process is out
+// of descriptors. It returns nil if none may be closed.
 func (g *Governor) RequestCloseOne(now time.Duration) *Entry {
-	if ask, _ := g.selectEvictable(now, 1); len(ask) > 0 {
-		return ask[0]
+	if requested, _ := g.selectEvictable(now, 1); len(requested) > 0 {
+		return requested[0]
 	}
 	return nil
 }
@@ -292,7 +295,8 @@
 	}
 }
 
-// PipelinedByte records a byte received after a request in progress. It reports whether there is such a request.
+// PipelinedByte records a byte received after a request in progress. It reports whether there is such a
+// request.
 func (g *Governor) PipelinedByte(e *Entry) bool {
 	if e.state != StateBody && e.state != StateProcessing && e.state != StateAnswering {
 		return false
@@ -301,8 +305,8 @@
 	return true
 }
 
-// HeadRead records that the head of a request has been read: from now on only its answer ends the connection. The
-// head may have arrived together with the previous request.
+// HeadRead records that the head of a request has been read: from now on only its answer ends the connection.
+// The head may have arrived together with the previous request.
 func (g *Governor) HeadRead(e *Entry, now time.Duration) {
 	if e.state == StateNew || e.state == StateHead || e.state == StateIdle {
 		g.cancelCloseRequest(e)
@@ -321,8 +325,8 @@
 	return true
 }
 
-// ReserveExtra reserves more memory to hold a body that could be streamed instead. It leaves half of MaxBodyBytes
-// to Reserve: otherwise a few long bodies would cause many short ones to be refused.
+// ReserveExtra reserves more memory to hold a body that could be streamed instead. It leaves half of
+// MaxBodyBytes to Reserve: otherwise a few long bodies would cause many short ones to be refused.
 func (g *Governor) ReserveExtra(e *Entry, bytes int) bool {
 	if g.cfg.MaxBodyBytes > 0 && bytes > g.cfg.MaxBodyBytes/2-g.counts.ReservedBytes {
 		return false
@@ -365,8 +369,8 @@
 	return !g.draining && !g.waiting && !manyIdle && !recentlyWaited
 }
 
-// EndAnswer records that an answer has been written and its connection is kept alive. It reports whether the reader
-// is to be woken because a close has been requested.
+// EndAnswer records that an answer has been written and its connection is kept alive. It reports whether the
+// reader is to be woken because a close has been requested.
 func (g *Governor) EndAnswer(e *Entry, now time.Duration) (wake bool) {
 	if e.state != StateAnswering {
 		return false
@@ -390,8 +394,8 @@
 	e.reservedBytes = 0
 }
 
-// ConfirmClose is called by the reader of a connection whose close was requested, once it has checked that no more
-// bytes have arrived. It reports whether the connection is to be closed now.
+// ConfirmClose is called by the reader of a connection whose close was requested, once it has checked that no
+// more bytes have arrived. It reports whether the connection is to be closed now.
 func (g *Governor) ConfirmClose(e *Entry, now time.Duration) bool {
 	if !e.closeRequested || e.state != StateNew && e.state != StateHead && e.state != StateIdle {
 		return false
@@ -439,8 +443,8 @@
 	g.counts.Refusing++
 }
 
-// MaxFinalRefusals returns how many connections may be refused at a time once accepting has ended. The descriptors
-// that are then left may be used for refusals too, except for those of requests in progress.
+// MaxFinalRefusals returns how many connections may be refused at a time once accepting has ended. The
+// descriptors that are then left may be used for refusals too, except for those of requests in progress.
 func (g *Governor) MaxFinalRefusals() int {
 	limit := max(g.cfg.MaxRefusals, finalRefusals)
 	if by := &g.counts.ByState; g.cfg.MaxDescriptors > 0 {
@@ -458,8 +462,8 @@
 // transit on one is read and answered, where a close would race with it.
 func (g *Governor) CloseAfterAnswers() { g.draining, g.keepIdle = true, true }
 
-// Drain begins a planned stop: answers end their connections, and idle connections are asked to close. The readers
-// of the returned connections are to be woken.
+// Drain begins a planned stop: answers end their connections, and idle connections are asked to close. The
+// readers of the returned connections are to be woken.
 func (g *Governor) Drain(now time.Duration) []*Entry {
 	g.draining, g.keepIdle = true, false
 	return g.requestCloseAll(StateIdle, now)
@@ -476,7 +480,8 @@
 	return requested, wait
 }
 
-// requestCloseAll requests the close of all connections that have been in a state since the given time or longer.
+// requestCloseAll requests the close of all connections that have been in a state since the given time or
+// longer.
 func (g *Governor) requestCloseAll(s State, since time.Duration) (requested []*Entry) {
 	for at := g.lists[s].Front(); at != nil && at.Value.(*Entry).since <= since; at = at.Next() {
 		if e := at.Value.(*Entry); !e.closeRequested {
--- a/internal/admission/governor_test.go
+++ b/internal/admission/governor_test.go
@@ -16,7 +16,7 @@
 
 const ms = time.Millisecond
 
-// governorHarness is a Governor with a clock that the test moves, and connections by name.
+// governorHarness is a Governor with a clock that the test advances, and connections by name.
 type governorHarness struct {
 	t        testing.TB
 	governor *Governor
@@ -32,7 +32,7 @@
 	return &governorHarness{t: t, governor: g, entries: map[string]*Entry{}}
 }
 
-// open opens connections and brings each into the state that its name's prefix tells.
+// open opens connections and brings each into the state that the prefix of its name gives.
 func (b *governorHarness) open(names ...string) {
 	for _, name := range names {
 		e := b.governor.Open(b.now, name)
@@ -62,7 +62,7 @@
 	return strings.Join(names, " ")
 }
 
-// Who gives way, in which order, and what becomes of the newcomer when nobody may.
+// Tests which connections are evicted, in which order, and what happens to the new one when none may be.
 func TestEvictionOrder(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
@@ -72,14 +72,14 @@
 		wantWait   time.Duration
 		wantRefuse bool
 	}{
-		{"below the cap nobody", "new-1 new-2 idle-1", time.Hour, "", 0, false},
-		{"one that never asked first", "idle-1 head-1 new-1 new-2", 3000 * ms, "new-1", 0, false},
-		{"a fresh one is left alone", "hand-1 hand-2 hand-3 new-1", 49 * ms, "", 1 * ms, false},
-		{"then one that does not go on", "idle-1 hand-1 body-1 head-1", 3000 * ms, "head-1", 0, false},
-		{"one that still goes on is left alone", "hand-1 hand-2 hand-3 head-1", 499 * ms, "", 1 * ms, false},
-		{"then the longest idle past what it is granted", "idle-1 idle-2 hand-1 hand-2", 2000 * ms, "idle-1", 0, false},
-		{"idle ones keep what they are granted", "idle-1 idle-2 hand-1 hand-2", 1900 * ms, "", 100 * ms, false},
-		{"never one with a request arriving or in hand", "hand-1 hand-2 body-1 body-2", time.Hour, "", 250 * ms, false},
+		{"below the limit none", "new-1 new-2 idle-1", time.Hour, "", 0, false},
+		{"one that sent nothing first", "idle-1 head-1 new-1 new-2", 3000 * ms, "new-1", 0, false},
+		{"none that was just accepted", "hand-1 hand-2 hand-3 new-1", 49 * ms, "", 1 * ms, false},
+		{"then one with a stalled head", "idle-1 hand-1 body-1 head-1", 3000 * ms, "head-1", 0, false},
+		{"none whose head still arrives", "hand-1 hand-2 hand-3 head-1", 499 * ms, "", 1 * ms, false},
+		{"then the longest idle beyond the minimum", "idle-1 idle-2 hand-1 hand-2", 2000 * ms, "idle-1", 0, false},
+		{"none idle for less than the minimum", "idle-1 idle-2 hand-1 hand-2", 1900 * ms, "", 100 * ms, false},
+		{"none with a body or a request in progress", "hand-1 hand-2 body-1 body-2", time.Hour, "", 250 * ms, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newGovernorHarness(t, smallConfig())
@@ -102,8 +102,8 @@
 	}
 }
 
-// A newcomer waits for so long, then is turned away; those behind it at once, a bounded number at
-// a time; and accepting goes on as soon as one has closed.
+// A new connection waits for AdmitTimeout and is then refused; later ones are refused at once, up to
+// MaxRefusals at a time; accepting continues as soon as a connection has closed.
 func TestRefusalAfterWait(t *testing.T) {
 	b := newGovernorHarness(t, smallConfig())
 	b.open("hand-1", "hand-2", "hand-3", "hand-4")
@@ -118,7 +118,7 @@
 		b.governor.BeginRefusal()
 	}
 	if v := b.governor.Decide(b.now); v.Refuse || v.Admit {
-		t.Errorf("a third is turned away at a time: %+v", v)
+		t.Errorf("a third connection is being refused at the same time: %+v", v)
 	}
 	b.governor.EndRefusal()
 	if v := b.governor.Decide(b.now); !v.Refuse {
@@ -130,11 +130,11 @@
 	}
 	b.open("hand-5")
 	if v := b.governor.Decide(b.now); v.Refuse || v.Wait != 250*ms {
-		t.Errorf("the next one does not wait anew: %+v", v)
+		t.Errorf("the next connection does not wait for the full time again: %+v", v)
 	}
 }
 
-// One that was asked and then sends something stays, and another is asked in its place.
+// A connection that receives bytes after its close was requested stays open, and another is asked instead.
 func TestBytesCancelCloseRequest(t *testing.T) {
 	b := newGovernorHarness(t, smallConfig())
 	b.open("new-1", "new-2", "hand-1", "hand-2")
@@ -143,20 +143,20 @@
 		t.Fatalf("asked %q", got)
 	}
 	if got := b.closeRequests(b.governor.Decide(b.now)); got != "" {
-		t.Errorf("asked %q though one is on its way", got)
+		t.Errorf("requested the close of %q although one is pending", got)
 	}
 	b.governor.BytesArrived(b.entries["new-1"], b.now)
 	if b.governor.ConfirmClose(b.entries["new-1"], b.now) {
-		t.Error("it gives way with a request on it")
+		t.Error("a connection with a request is closed")
 	}
 	if got := b.closeRequests(b.governor.Decide(b.now)); got != "new-2" {
 		t.Errorf("asked %q", got)
 	}
 	if !b.governor.ConfirmClose(b.entries["new-2"], b.now) || b.entries["new-2"].State() != StateClosing {
-		t.Error("it does not give way")
+		t.Error("the connection is not closed")
 	}
 	if v := b.governor.Decide(b.now); v.Admit || len(v.RequestClose) > 0 {
-		t.Errorf("its descriptor is still held: %+v", v)
+		t.Errorf("admitted, or another close requested, before the descriptor was freed: %+v", v)
 	}
 	b.governor.DescriptorFreed(b.entries["new-2"], b.now)
 	if !b.governor.Decide(b.now).Admit {
@@ -164,7 +164,7 @@
 	}
 }
 
-// A request that came before the answer to the one before it is no idle connection.
+// A connection that received its next request before the answer to the previous one is not idle.
 func TestPipelinedBytesStartHead(t *testing.T) {
 	b := newGovernorHarness(t, smallConfig())
 	b.open("hand-1")
@@ -173,42 +173,42 @@
 	b.governor.BeginAnswer(e, b.now)
 	b.governor.EndAnswer(e, b.now)
 	if e.State() != StateHead || e.Served() != 1 {
-		t.Errorf("it is %v after %d answers", e.State(), e.Served())
+		t.Errorf("state %v after %d answers", e.State(), e.Served())
 	}
 }
 
-// Answers end connections while too many are idle, while a newcomer waits, and at a planned stop.
+// Answers end connections while too many are idle, while a new connection waits, and during a planned stop.
 func TestAnswersThatCloseConnections(t *testing.T) {
 	b := newGovernorHarness(t, smallConfig())
 	b.open("idle-1", "hand-1")
 	if b.governor.BeginAnswer(b.entries["hand-1"], b.now) {
-		t.Error("kept while a quarter is idle and half is held")
+		t.Error("kept alive although a quarter is idle and half is in use")
 	}
 	b.governor.DescriptorFreed(b.entries["hand-1"], b.now)
 	b.governor.DescriptorFreed(b.entries["idle-1"], b.now)
 	b.open("hand-2", "hand-3", "hand-4", "hand-5")
 	if !b.governor.BeginAnswer(b.entries["hand-2"], b.now) {
-		t.Error("not kept though none is idle")
+		t.Error("not kept alive although none is idle")
 	}
 	b.governor.Decide(b.now)
 	if b.governor.BeginAnswer(b.entries["hand-3"], b.now) {
-		t.Error("kept while a newcomer waits")
+		t.Error("kept alive while a new connection waits")
 	}
 	b.governor.DescriptorFreed(b.entries["hand-3"], b.now)
 	if !b.governor.BeginAnswer(b.entries["hand-4"], b.now) {
-		t.Error("not kept when there is room again")
+		t.Error("not kept alive although there is room again")
 	}
 	b.governor.Drain(b.now)
 	if b.governor.BeginAnswer(b.entries["hand-5"], b.now) {
-		t.Error("kept at a planned stop")
+		t.Error("kept alive during a planned stop")
 	}
 	if !b.governor.EndAnswer(b.entries["hand-4"], b.now) || !b.entries["hand-4"].CloseRequested() {
-		t.Error("one that was to be kept is not asked to go")
+		t.Error("no close requested for a connection that was to be kept alive")
 	}
 }
 
-// A planned stop first asks the idle ones, and those that say nothing only when nothing new is
-// accepted any longer.
+// A planned stop first closes idle connections, and closes those that sent nothing only once accepting has
+// ended.
 func TestDrainRequestsClose(t *testing.T) {
 	b := newGovernorHarness(t, smallConfig())
 	b.open("new-1", "idle-1", "hand-1", "head-1")
@@ -221,7 +221,8 @@
 	}
 }
 
-// The last phase of a planned stop leaves those alone that came a moment ago: a close would cross their request.
+// The last phase of a planned stop spares connections that were just accepted: a close would race with their
+// request.
 func TestFinishSparesNewConnections(t *testing.T) {
 	cfg := smallConfig()
 	cfg.DrainGrace = 300 * ms
@@ -257,7 +258,7 @@
 	b.governor.DescriptorFreed(b.entries["body-1"], b.now)
 	b.open("body-3", "body-4")
 	if b.governor.Reserve(b.entries["body-4"], 1) {
-		t.Error("a third body is read at a time")
+		t.Error("a third body is read at the same time")
 	}
 	if n := b.governor.Counts().ReservedBytes; n != 40 {
 		t.Errorf("%d bytes are reserved", n)
@@ -275,8 +276,8 @@
 	}
 }
 
-// Over any order of events: nobody who has a request arriving past its head or in hand is picked
-// or gives way, counts never leak, and the cap holds or accepting is paused.
+// In any order of events no connection with a body or a request in progress is selected or evicted, counts stay
+// consistent, and either the limit holds or accepting is paused.
 func TestGovernorInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := smallConfig()
@@ -297,26 +298,26 @@
 				if e.closeRequested {
 					asked++
 					if e.state != StateNew && e.state != StateHead && e.state != StateIdle {
-						t.Fatalf("one that is %v has been asked to give way", e.state)
+						t.Fatalf("a close is requested in state %v", e.state)
 					}
 				}
 				bytes += e.reservedBytes
 				if e.reservedBytes > 0 && e.state != StateBody && e.state != StateProcessing && e.state != StateAnswering {
-					t.Fatalf("%d bytes stay reserved: %v", e.reservedBytes, e.state)
+					t.Fatalf("%d bytes stay reserved in state %v", e.reservedBytes, e.state)
 				}
 			}
 			for s := range stateCount {
 				sum += c.ByState[s]
 				if c.ByState[s] != by[s] || g.lists[s].Len() != by[s] {
-					t.Fatalf("%d are counted as %v, %d are", c.ByState[s], s, by[s])
+					t.Fatalf("%d connections are counted as %v, want %d", c.ByState[s], s, by[s])
 				}
 			}
 			if c.Held != len(held) || sum != c.Held || c.CloseRequested != asked || c.ReservedBytes != bytes || c.ReservedBytes > cfg.MaxBodyBytes ||
 				c.Refusing != refusing || c.Refusing > cfg.MaxRefusals || int(c.Accepted) != opened || opened-gone != c.Held {
-				t.Fatalf("counts leak: %+v with %d held, %d asked, %d bytes", c, len(held), asked, bytes)
+				t.Fatalf("inconsistent counts: %+v with %d held, %d asked to close, %d bytes", c, len(held), asked, bytes)
 			}
 			if c.Held > cfg.MaxConnections {
-				t.Fatalf("%d held, the cap is %d", c.Held, cfg.MaxConnections)
+				t.Fatalf("%d held, the limit is %d", c.Held, cfg.MaxConnections)
 			}
 		}
 		drawEntry := func(t *rapid.T, s ...State) *Entry {
@@ -347,7 +348,7 @@
 				for _, e := range v.RequestClose {
 					minAge := map[State]time.Duration{StateNew: cfg.NewGrace, StateHead: cfg.StallTimeout, StateIdle: cfg.MinIdle}[e.state]
 					if now-e.since < minAge || minAge == 0 {
-						t.Fatalf("one that is %v since %v is asked at %v", e.state, e.since, now)
+						t.Fatalf("close requested in state %v since %v, at %v", e.state, e.since, now)
 					}
 				}
 				switch {
@@ -358,7 +359,7 @@
 					g.BeginRefusal()
 					refusing++
 				case v.Wait <= 0:
-					t.Fatalf("waits for nothing: %+v", v)
+					t.Fatalf("no time to wait: %+v", v)
 				}
 			},
 			"turned": func(t *rapid.T) {
@@ -385,7 +386,7 @@
 				e := drawEntry(t, StateNew, StateHead, StateBody, StateProcessing, StateAnswering, StateIdle)
 				was, asked := e.state, e.closeRequested
 				if g.ConfirmClose(e, now) != asked || asked && was != StateNew && was != StateHead && was != StateIdle {
-					t.Fatalf("one that is %v (asked: %v) gives way", was, asked)
+					t.Fatalf("closed in state %v (close requested: %v)", was, asked)
 				}
 			},
 			"close": func(t *rapid.T) {
@@ -413,7 +414,8 @@
 	}
 }
 
-// A head under way holds one place, a request in hand two; so there is room for more of the former.
+// A connection without a complete head counts as one descriptor, one with a request as two, so more of the
+// former fit.
 func TestDescriptorLimit(t *testing.T) {
 	g, err := NewGovernor(Config{MaxConnections: 15, MaxDescriptors: 20, MaxRefusals: 1, AdmitTimeout: time.Hour})
 	if err != nil {
@@ -432,15 +434,15 @@
 		return n
 	}
 	if n := open(0); n != 15 {
-		t.Errorf("%d new ones", n)
+		t.Errorf("%d new connections", n)
 	}
 	g, _ = NewGovernor(Config{MaxConnections: 15, MaxDescriptors: 20, MaxRefusals: 1, AdmitTimeout: time.Hour})
-	if n := open(15); n != 9 { // 18 places, and two for who is turned away
-		t.Errorf("%d in hand", n)
+	if n := open(15); n != 9 { // 18 descriptors, and two for a refused connection
+		t.Errorf("%d requests in progress", n)
 	}
 }
 
-// While newcomers have to wait no connection is kept, and for a while after.
+// No connection is kept alive while new ones have to wait, nor for PressureTime afterwards.
 func TestNoKeepAliveUnderPressure(t *testing.T) {
 	g, err := NewGovernor(Config{MaxConnections: 2, MaxRefusals: 1, AdmitTimeout: time.Hour, PressureTime: time.Second})
 	if err != nil {
@@ -456,19 +458,20 @@
 		return keep
 	}
 	if !exchange(a, 0) {
-		t.Error("not kept though nobody waits")
+		t.Error("not kept alive although no connection waits")
 	}
 	g.Decide(time.Second)
 	g.Close(b, time.Second)
 	g.DescriptorFreed(b, time.Second)
 	for now, want := range map[time.Duration]bool{1500 * time.Millisecond: false, 2 * time.Second: true} {
 		if got := exchange(a, now); got != want {
-			t.Errorf("at %v: kept %v", now, got)
+			t.Errorf("at %v: kept alive %v", now, got)
 		}
 	}
 }
 
-// Long bodies that are held leave half of the bytes to others, and what turns out shorter gives back the rest.
+// Extra reservations leave half of the bytes to others, and a body shorter than its reservation releases the
+// rest.
 func TestReserveExtraLeavesHalf(t *testing.T) {
 	g, err := NewGovernor(Config{MaxConnections: 10, MaxRefusals: 1, MaxBodyBytes: 100, AdmitTimeout: time.Hour})
 	if err != nil {
--- a/internal/admission/listener.go
+++ b/internal/admission/listener.go
@@ -59,7 +59,8 @@
 	Room   func() // the process is out of descriptors: close connections that are kept only for reuse
 }
 
-// Listen wraps a listener with a Governor. Refused clients are told to retry after retryAfter; 0 omits the time.
+// Listen wraps a listener with a Governor. Refused clients are told to retry after retryAfter; 0 omits the
+// time.
 func Listen(ln net.Listener, cfg Config, retryAfter time.Duration, h Hooks) (*Listener, error) {
 	gov, err := NewGovernor(cfg)
 	if err != nil {
@@ -81,8 +82,8 @@
 	return l, nil
 }
 
-// RefusalResponse returns a whole HTTP answer without a body that ends its connection. A retryAfter of 0 omits the
-// Retry-After header.
+// RefusalResponse returns a whole HTTP answer without a body that ends its connection. A retryAfter of 0 omits
+// the Retry-After header.
 func RefusalResponse(status int, retryAfter time.Duration) []byte {
 	after := ""
 	if retryAfter > 0 {
@@ -117,8 +118,9 @@
 	}
 }
 
-// Accept returns the next connection for which there is room. It returns an error only when the listener is closed
-// or broken: when the process is out of descriptors it waits itself, since net/http would sleep for up to 1 s.
+// Accept returns the next connection for which there is room. It returns an error only when the listener is
+// closed or broken: when the process is out of descriptors it waits itself, since net/http would sleep for up
+// to 1 s.
 func (l *Listener) Accept() (net.Conn, error) {
 	l.accepting.Store(true)
 	for {
@@ -239,8 +241,8 @@
 	return true
 }
 
-// refuse sends a short refusal to a new connection for which there is no room, and closes it. A request on it is
-// not parsed.
+// refuse sends a short refusal to a new connection for which there is no room, and closes it. A request on it
+// is not parsed.
 func (l *Listener) refuse(nc net.Conn) {
 	nc.SetWriteDeadline(time.Now().Add(refusalLingerTime))
 	if _, err := nc.Write(l.refusal); err == nil {
@@ -254,9 +256,9 @@
 	l.signalFreed()
 }
 
-// linger closes the writing side and discards what still arrives, up to bytes and d: until the client closes, or has
-// received the whole answer and is silent for lingerPoll. Closing with unread bytes would send a reset, which can
-// destroy the answer just written (RFC 9112, section 9.6).
+// linger closes the writing side and discards what still arrives, up to bytes and d: until the client closes,
+// or has received the whole answer and is silent for lingerPoll. Closing with unread bytes would send a reset,
+// which can destroy the answer just written (RFC 9112, section 9.6).
 func linger(nc net.Conn, d time.Duration, bytes int) {
 	closer, ok := nc.(interface{ CloseWrite() error })
 	if !ok || closer.CloseWrite() != nil {
@@ -273,8 +275,9 @@
 	}
 }
 
-// Close stops accepting after the backlog has been accepted; open connections continue. Without that, connections
-// in the backlog would be reset with their requests unread when the accept loop is late or waits for room.
+// Close stops accepting after the backlog has been accepted; open connections continue. Without that,
+// connections in the backlog would be reset with their requests unread when the accept loop is late or waits
+// for room.
 func (l *Listener) Close() error {
 	l.stopOnce.Do(func() {
 		l.drainDeadline = time.Now().Add(maxBacklogDrain)
@@ -289,8 +292,8 @@
 	return l.Listener.Close()
 }
 
-// Leave stops accepting when another process accepts on the same address, and makes each answer end its connection.
-// Accepted connections are served; idle connections stay open until Drain.
+// Leave stops accepting when another process accepts on the same address, and makes each answer end its
+// connection. Accepted connections are served; idle connections stay open until Drain.
 func (l *Listener) Leave() {
 	l.mu.Lock()
 	l.governor.CloseAfterAnswers()
@@ -303,8 +306,8 @@
 	l.wakeAll(func(g *Governor, now time.Duration) []*Entry { return g.Drain(now) })
 }
 
-// Finish closes the listener, closes the connections that have sent nothing, and waits until none is open or ctx
-// ends. It returns the number of connections that are still open.
+// Finish closes the listener, closes the connections that have sent nothing, and waits until none is open or
+// ctx ends. It returns the number of connections that are still open.
 func (l *Listener) Finish(ctx context.Context) int {
 	l.Close()
 	refused := make(chan struct{})
@@ -346,8 +349,8 @@
 	}
 }
 
-// Conn is a client connection. It derives the connection's state for the Governor from net/http's reads and from the
-// states that net/http reports.
+// Conn is a client connection. It derives the connection's state for the Governor from net/http's reads and
+// from the states that net/http reports.
 type Conn struct {
 	net.Conn
 	listener *Listener
@@ -437,9 +440,9 @@
 func (evictedError) Temporary() bool { return true }
 func (evictedError) Unwrap() error   { return os.ErrDeadlineExceeded }
 
-// Read reads for the server, and ends with errEvicted if the Governor has requested a close and nothing has arrived.
-// It is called by the goroutine that reads requests and by net/http's background read while a request is being
-// processed; the Governor distinguishes them by the state.
+// Read reads for the server, and ends with errEvicted if the Governor has requested a close and nothing has
+// arrived. It is called by the goroutine that reads requests and by net/http's background read while a request
+// is being processed; the Governor distinguishes them by the state.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.stopReadAhead()
 	for {
@@ -512,12 +515,12 @@
 	c.restoreDeadline()
 }
 
-// lateRequestTimeout is the time for reading a request whose first bytes arrived just as its connection would have
-// been closed. The server sets its own deadline once it has seen them.
+// lateRequestTimeout is the time for reading a request whose first bytes arrived just as its connection would
+// have been closed. The server sets its own deadline once it has seen them.
 const lateRequestTimeout = 500 * time.Millisecond
 
-// Write passes on what the server writes, but discards it after an eviction: net/http takes a truncated request line
-// for a complete one and would answer it with a 400, a second answer behind the refusal.
+// Write passes on what the server writes, but discards it after an eviction: net/http takes a truncated
+// request line for a complete one and would answer it with a 400, a second answer behind the refusal.
 func (c *Conn) Write(p []byte) (int, error) {
 	if c.evicted.Load() {
 		return len(p), nil
@@ -538,8 +541,8 @@
 	return errors.ErrUnsupported
 }
 
-// Close closes the connection such that the client knows the outcome: an incomplete request gets a 408, and an answer
-// already written is left time to be read. It may block for lingerTime.
+// Close closes the connection such that the client knows the outcome: an incomplete request gets a 408, and an
+// answer already written is left time to be read. It may block for lingerTime.
 func (c *Conn) Close() error {
 	var err error
 	c.closeOnce.Do(func() {
@@ -586,8 +589,8 @@
 	c.withGovernor((*Governor).RequestRead)
 }
 
-// BeginAnswer records that an answer is about to be written and reports whether the connection is kept alive; if
-// not, the answer must carry "Connection: close".
+// BeginAnswer records that an answer is about to be written and reports whether the connection is kept alive;
+// if not, the answer must carry "Connection: close".
 func (c *Conn) BeginAnswer() (keep bool) {
 	c.resumeHeadCapture()
 	c.withGovernor(func(g *Governor, e *Entry, now time.Duration) { keep = g.BeginAnswer(e, now) })
@@ -619,8 +622,8 @@
 	}
 }
 
-// TakeHead returns the raw bytes of the head that has been read, and any received after it. Further bytes are not
-// captured until the request has been read or is being answered.
+// TakeHead returns the raw bytes of the head that has been read, and any received after it. Further bytes are
+// not captured until the request has been read or is being answered.
 func (c *Conn) TakeHead() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/admission/listener_test.go
+++ b/internal/admission/listener_test.go
@@ -26,11 +26,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const testTimeout = 20 * time.Second // bounds every wait of a test; none is expected to last nearly so long
+const testTimeout = 20 * time.Second // limit on every wait of a test; none is expected to last nearly that long
 
-var seed = flag.Uint64("seed", 1, "seed of the races")
+var seed = flag.Uint64("seed", 1, "seed of the race tests")
 
-// testServer is a server behind a Listener whose handler notes each request that it has read whole.
+// testServer is an HTTP server behind a Listener. Its handler counts each request that it has read completely.
 type testServer struct {
 	listener *Listener
 	srv      *http.Server
@@ -71,13 +71,13 @@
 	t.Cleanup(func() {
 		s.stop(t)
 		if o, c := s.opened.Load(), s.closed.Load(); o != c {
-			t.Errorf("%d connections have come, %d descriptors are free again", o, c)
+			t.Errorf("%d connections were opened, %d descriptors were closed", o, c)
 		}
 	})
 	return s
 }
 
-// stop ends the site; no connection may be left by then.
+// stop stops the server and requires that no connection is left.
 func (s *testServer) stop(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// holdAnswer makes the handler wait with the answer to a request until the returned function is called.
+// holdAnswer makes the handler delay the answer to a request until the returned function is called.
 func (s *testServer) holdAnswer(id string) (release func()) {
 	c := make(chan struct{})
 	s.mu.Lock()
@@ -140,7 +140,7 @@
 	return s.reads[id]
 }
 
-// waitForCounts waits until the listener's counts are as they should be.
+// waitForCounts waits until the listener's counts satisfy ok.
 func (s *testServer) waitForCounts(t *testing.T, what string, ok func(Counts) bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(s.listener.Counts()); time.Sleep(100 * time.Microsecond) {
@@ -150,7 +150,7 @@
 	}
 }
 
-// client is one connection to the site.
+// client is one connection to a testServer.
 type client struct {
 	t testing.TB
 	net.Conn
@@ -172,7 +172,7 @@
 	return fmt.Sprintf("POST /sub HTTP/1.1\r\nHost: x\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// readAnswer reads one answer. 0: the connection ended with none.
+// readAnswer reads one answer. Status 0 means that the connection ended without one.
 func (c *client) readAnswer() (status int, body string, last bool, err error) {
 	if _, err := c.r.Peek(1); err != nil {
 		if e, ok := err.(net.Error); ok && e.Timeout() {
@@ -189,7 +189,7 @@
 	return resp.StatusCode, string(b), resp.Close, err
 }
 
-// exchange sends a request and requires its answer.
+// exchange sends a request and requires a successful answer.
 func (c *client) exchange(id string) (last bool) {
 	c.t.Helper()
 	io.WriteString(c, request(id, "body"))
@@ -200,9 +200,10 @@
 	return last
 }
 
-// A request that crosses the arrival of a newcomer at the cap. Whatever has been read whole is
-// answered whole; what ends without an answer had not been read. The seed decides how many bytes
-// the request has sent when the newcomer comes, and whether the answer is on its way just then.
+// A request races with the eviction of its connection for a new one at the limit. A request that was read
+// completely must be answered completely; a connection that ends without an answer must not have been read
+// completely. The seed decides how many bytes have been sent when the new connection arrives, and whether the
+// answer is being written.
 func TestRequestRacesEviction(t *testing.T) {
 	for _, granted := range []time.Duration{0, time.Hour} {
 		t.Run(fmt.Sprintf("granted %v", granted), func(t *testing.T) {
@@ -215,7 +216,7 @@
 			served, closed, timedOut := 0, 0, 0
 			for i := range 1000 {
 				if t.Failed() {
-					t.Fatalf("round %d; again with: go test ./internal/admission -run %s -seed %d", i, "TestRequestCrossesNewcomer", *seed)
+					t.Fatalf("round %d; reproduce with: go test ./internal/admission -run %s -seed %d", i, "TestRequestRacesEviction", *seed)
 				}
 				id := fmt.Sprint("crossing-", i)
 				kept := s.dial(t)
@@ -251,7 +252,7 @@
 				case s.readCount(id) != 0:
 					t.Errorf("round %d, cut at %d of %d: read %d times and answered %d %q", i, cut, len(text), s.readCount(id), status, body)
 				case granted > 0:
-					t.Errorf("round %d, cut at %d of %d: got %d %q within what is granted", i, cut, len(text), status, body)
+					t.Errorf("round %d, cut at %d of %d: got %d %q within the minimum idle time", i, cut, len(text), status, body)
 				case status == http.StatusServiceUnavailable || status == http.StatusRequestTimeout:
 					timedOut++
 				case status == 0:
@@ -262,16 +263,16 @@
 				kept.Close()
 				newcomer.Close()
 			}
-			t.Logf("%d served, %d closed between requests, %d told to begin anew", served, closed, timedOut)
+			t.Logf("%d served, %d closed between requests, %d refused within a request", served, closed, timedOut)
 			if served == 0 || granted == 0 && closed+timedOut == 0 {
-				t.Error("the race was not met from both sides")
+				t.Error("the race did not occur with both outcomes")
 			}
 		})
 	}
 }
 
-// Those that ask once and keep their connection for good, more of them than the cap: others can
-// still connect and are served at once, since answers begin to end their connections.
+// More clients than the limit each send one request and stay connected: others can still connect and are
+// served at once, since answers begin to end their connections.
 func TestIdleClientsBeyondLimit(t *testing.T) {
 	s := newTestServer(t, Config{MaxConnections: 8, MaxRefusals: 1, NewGrace: time.Hour, StallTimeout: time.Hour, MinIdle: time.Hour, AdmitTimeout: time.Hour})
 	kept := 0
@@ -281,11 +282,11 @@
 		}
 	}
 	if kept == 0 || kept > 4 {
-		t.Errorf("%d connections are kept", kept)
+		t.Errorf("%d connections are kept alive", kept)
 	}
 }
 
-// When nobody may give way newcomers wait, then get a short refusal that says when to come back.
+// When no connection may be evicted, new ones wait and then get a short refusal with Retry-After.
 func TestRefusalWhenFull(t *testing.T) {
 	s := newTestServer(t, Config{MaxConnections: 2, MaxRefusals: 1, NewGrace: 0, AdmitTimeout: 20 * ms, MinIdle: time.Hour})
 	release := s.holdAnswer("a")
@@ -323,14 +324,14 @@
 		t.Errorf("got %d, %v", status, err)
 	}
 	if n := s.readCount("none"); n != 0 {
-		t.Errorf("requests of those turned away were read %d times", n)
+		t.Errorf("requests on refused connections were read %d times", n)
 	}
 	if c := s.listener.Counts(); c.Refused < 3 {
 		t.Errorf("got %+v", c)
 	}
 }
 
-// A crowd that connects and says nothing makes room for those that ask, one by one.
+// Connections that send nothing are evicted one by one for clients that send requests.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	s := newTestServer(t, Config{MaxConnections: 10, MaxRefusals: 1, NewGrace: 0, MinIdle: time.Hour, StallTimeout: time.Hour, AdmitTimeout: time.Hour})
 	var crowd []*client
@@ -344,12 +345,12 @@
 	}
 	for _, c := range crowd[:90] {
 		if _, err := c.r.ReadByte(); err != io.EOF {
-			t.Fatalf("one that said nothing got %v", err)
+			t.Fatalf("a silent connection ended with %v", err)
 		}
 	}
 }
 
-// One that begins a request and does not go on is told so, and makes room.
+// A client that begins a request and stalls gets a refusal and is evicted.
 func TestStalledHeadIsEvicted(t *testing.T) {
 	s := newTestServer(t, Config{MaxConnections: 1, MaxRefusals: 1, NewGrace: time.Hour, StallTimeout: 10 * ms, MinIdle: time.Hour, AdmitTimeout: time.Hour})
 	begun := s.dial(t)
@@ -360,11 +361,12 @@
 		t.Errorf("got %d, last: %v, %v", status, last, err)
 	}
 	if _, err := begun.r.ReadByte(); err != io.EOF {
-		t.Errorf("behind the refusal came %v", err)
+		t.Errorf("after the refusal: %v", err)
 	}
 }
 
-// A body that stops coming is given up, one that drips goes on until the limit on the whole.
+// A body that stalls ends its request with a timeout; one that keeps arriving slowly is read until its total
+// time limit.
 func TestStalledBodyTimesOut(t *testing.T) {
 	s := newTestServer(t, Config{MaxConnections: 4, MaxRefusals: 1, NewGrace: time.Hour, StallTimeout: 10 * ms, MinIdle: time.Hour, AdmitTimeout: time.Hour})
 	c := s.dial(t)
@@ -374,11 +376,11 @@
 		t.Errorf("got %d, last: %v, %v", status, last, err)
 	}
 	if s.readCount("stops") != 0 {
-		t.Error("a request that never came was taken")
+		t.Error("an incomplete request was handled")
 	}
 }
 
-// Bodies beyond the bound are refused unread.
+// A body beyond MaxBodyBytes is refused without being read.
 func TestBodyBytesLimit(t *testing.T) {
 	s := newTestServer(t, Config{MaxConnections: 4, MaxRefusals: 1, MaxBodyBytes: 100, NewGrace: time.Hour, StallTimeout: time.Hour, MinIdle: time.Hour})
 	release := s.holdAnswer("a")
@@ -396,12 +398,12 @@
 	}
 	s.waitForCounts(t, "free again", func(c Counts) bool { return c.ReservedBytes == 0 })
 	if s.readCount("b") != 0 {
-		t.Error("one beyond the bound was taken")
+		t.Error("a request beyond the limit was handled")
 	}
 }
 
-// Two requests sent at once on one connection: both are answered, in order, also when a newcomer
-// wants the place between the two.
+// Two requests sent at once on one connection are both answered, in order, even if a new connection needs the
+// place between the two.
 func TestPipelined(t *testing.T) {
 	s := newTestServer(t, Config{MaxConnections: 1, MaxRefusals: 1, NewGrace: 0, StallTimeout: 0, MinIdle: 0, AdmitTimeout: testTimeout})
 	for i := range 200 {
@@ -423,7 +425,7 @@
 	}
 }
 
-// A planned stop while clients ask as fast as they can: whatever was read is answered whole.
+// During a planned stop under load, each request that was read is answered completely.
 func TestDrainUnderLoad(t *testing.T) {
 	for round := range 20 {
 		s := newTestServer(t, Config{MaxConnections: 16, MaxRefusals: 2, NewGrace: time.Hour, StallTimeout: time.Hour, MinIdle: time.Hour, AdmitTimeout: time.Hour})
@@ -468,8 +470,8 @@
 	}
 }
 
-// The listener closes while connections lie in its backlog, each with a whole request: this machine has accepted them,
-// so each is owed an answer, if only that there is no room.
+// The listener closes while connections with whole requests are in its backlog. The kernel has accepted them,
+// so each must be answered, at least with a refusal.
 func TestCloseAnswersBacklog(t *testing.T) {
 	s := newTestServer(t, Config{MaxConnections: 1, MaxRefusals: 1, NewGrace: time.Hour, StallTimeout: time.Hour, MinIdle: time.Hour, AdmitTimeout: time.Hour})
 	release := s.holdAnswer("held")
@@ -492,16 +494,17 @@
 	}
 	release()
 	if status, body, _, err := held.readAnswer(); err != nil || status != http.StatusOK || body != "answer to held" {
-		t.Errorf("the one in hand got %d %q, %v", status, body, err)
+		t.Errorf("the request in progress got %d %q, %v", status, body, err)
 	}
 	s.stop(t)
 	if nc, err := net.Dial("tcp", s.listener.Addr().String()); err == nil {
-		t.Error("it still listens")
+		t.Error("the listener still accepts")
 		nc.Close()
 	}
 }
 
-// exhaustedListener is a listener that is out of descriptors as often as it is told, and not before it may be.
+// exhaustedListener fails its next accepts for lack of descriptors, as often as failures says, once release is
+// closed.
 type exhaustedListener struct {
 	net.Listener
 	failures atomic.Int64
@@ -519,8 +522,8 @@
 	return s.Listener.Accept()
 }
 
-// Want of descriptors neither ends the server nor makes it spin, and costs no request; silent
-// connections give way meanwhile.
+// A lack of descriptors neither ends the server nor makes it spin, and fails no request; silent connections are
+// evicted meanwhile.
 func TestOutOfDescriptors(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -531,14 +534,14 @@
 	kept, silent := s.dial(t), s.dial(t)
 	kept.exchange("before")
 	s.waitForCounts(t, "both have come", func(c Counts) bool { return c.Held == 2 })
-	for sc.calls.Load() < 3 { // the third accept has seen that there are descriptors
+	for sc.calls.Load() < 3 { // the third accept has passed the check for failures
 		runtime.Gosched()
 	}
 	sc.failures.Store(3)
-	first := s.dial(t) // takes the accept that already waits
+	first := s.dial(t) // taken by the accept that is already waiting
 	first.exchange("first")
 	first.Close()
-	close(sc.release) // only now: a connection that has said nothing yet would be let go
+	close(sc.release) // only now: a connection that hasn't sent anything yet would be evicted
 	calls := sc.calls.Load()
 	kept.exchange("meanwhile")
 	s.dial(t).exchange("after")
@@ -546,7 +549,7 @@
 		t.Errorf("%d accepts for one connection", n)
 	}
 	if _, err := silent.r.ReadByte(); err != io.EOF {
-		t.Errorf("the silent one got %v", err)
+		t.Errorf("the silent connection ended with %v", err)
 	}
 	kept.exchange("still there")
 }
--- a/internal/admission/readahead.go
+++ b/internal/admission/readahead.go
@@ -13,14 +13,15 @@
 const (
 	maxReadAhead       = 256 << 10              // bytes read ahead on one connection
 	readAheadChunk     = 4 << 10                // bytes per read
-	readAheadShare     = 4                      // all connections together read ahead up to Config.MaxBodyBytes divided by this
+	readAheadShare     = 4                      // divisor of Config.MaxBodyBytes: limit for all connections together
 	hangUpPollInterval = 100 * time.Millisecond // how often a client is checked once its bytes are no longer read
 )
 
 // readAhead reads what a client sends while its request is being processed, to detect that the client leaves.
 // net/http's background read detects this only until it has received one byte: the request of a client that
 // pipelines and then leaves would otherwise wait, be forwarded and be retried for nobody. Beyond maxReadAhead
-// and the kernel's buffer the end of a client can't be seen without reading on: its request ends at its deadline.
+// and the kernel's buffer the end of a client can't be seen without reading on: its request ends at its
+// deadline.
 type readAhead struct {
 	data  []byte
 	err   error // set when the client's side has ended or failed
@@ -84,8 +85,8 @@
 
 var errHungUp = errors.New("admission: client disconnected")
 
-// ClientGone returns a channel that is closed when readAhead sees that the client has disconnected while its request
-// is being processed, where net/http can't see it.
+// ClientGone returns a channel that is closed when readAhead sees that the client has disconnected while its
+// request is being processed, where net/http can't see it.
 func (c *Conn) ClientGone() <-chan struct{} { return c.clientGone }
 
 // HungUp reports whether the client's side has ended, even if unread bytes precede its end.
@@ -117,8 +118,8 @@
 	c.applyDeadline()
 }
 
-// readBuffered returns bytes that were read ahead. If the client has disconnected since, they are dropped: nobody
-// waits for an answer.
+// readBuffered returns bytes that were read ahead. If the client has disconnected since, they are dropped:
+// nobody waits for an answer.
 func (c *Conn) readBuffered(p []byte) (n int, ok bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/admission/readahead_test.go
+++ b/internal/admission/readahead_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// tcpPair is a connection of the operating system's and its other end.
+// tcpPair returns both ends of a TCP connection.
 func tcpPair(t *testing.T) (ours, theirs net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,8 +26,8 @@
 	return ours, theirs
 }
 
-// What is taken in ahead is bounded over all connections. Where the bound is reached the end of a client shows all the
-// same, behind bytes that are left where they are.
+// Reading ahead is bounded over all connections. When the limit is reached the end of a client is still
+// detected, behind bytes that stay unread in the kernel.
 func TestReadAheadIsBounded(t *testing.T) {
 	for _, ends := range []func(net.Conn){func(c net.Conn) { c.Close() }, func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
 		func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }} {
@@ -48,7 +48,7 @@
 			t.Errorf("ended with %v, %d bytes held, %d counted", a.err, len(a.data), total.Load())
 		}
 	}
-	// Asked to end, it leaves a client alone that stays, and what it sent is there to be read.
+	// Once stopped, readAhead leaves a connected client alone, and the rest of its bytes can be read.
 	ours, theirs := tcpPair(t)
 	var total atomic.Int64
 	a := &readAhead{total: &total, stop: make(chan struct{}), done: make(chan struct{})}
--- a/internal/backend/http1/conn.go
+++ b/internal/backend/http1/conn.go
@@ -34,7 +34,7 @@
 
 // errBrokenAnswer marks an answer that can't be parsed or ended early. The backend is reachable and has run the
 // request.
-var errBrokenAnswer = errors.New("spoilt answer")
+var errBrokenAnswer = errors.New("broken answer")
 
 // roundTrip writes the request and reads its answer. A failure before the last byte is written proves that the
 // request never ran; after that it may have run.
@@ -154,8 +154,8 @@
 	return err
 }
 
-// readAnswer reads the final answer, or the first part of a long one. Errors other than errBrokenAnswer mean that the
-// connection broke before the answer began, or that ctx ended.
+// readAnswer reads the final answer, or the first part of a long one. Errors other than errBrokenAnswer mean
+// that the connection broke before the answer began, or that ctx ended.
 func (c *conn) readAnswer(ctx context.Context, method string) (resp *http.Response, body []byte, complete bool, err error) {
 	started := false
 	defer func() {
@@ -198,9 +198,9 @@
 	return resp, body, complete, err
 }
 
-// readBody reads an answer's body, or the first part of a long one. A slow body that keeps arriving is not broken: if
-// it is long or of unknown length it is streamed when it isn't complete soon. A body without a length ends with its
-// connection; a truncated one ends with a reset or not at all.
+// readBody reads an answer's body, or the first part of a long one. A slow body that keeps arriving is not
+// broken: if it is long or of unknown length it is streamed when it isn't complete soon. A body without a
+// length ends with its connection; a truncated one ends with a reset or not at all.
 func (c *conn) readBody(ctx context.Context, resp *http.Response) (body []byte, complete bool, err error) {
 	long, unknown := resp.ContentLength > maxBufferedBody, resp.ContentLength < 0
 	capacity := int(resp.ContentLength)
@@ -237,7 +237,8 @@
 	return body, false, nil
 }
 
-// setReadTimeout bounds the wait for the next read of an answer; 0 removes the bound. The end of ctx stays in force.
+// setReadTimeout bounds the wait for the next read of an answer; 0 removes the bound. The end of ctx stays in
+// force.
 func (c *conn) setReadTimeout(ctx context.Context, d time.Duration) {
 	var at time.Time
 	if d > 0 {
@@ -254,8 +255,8 @@
 	}
 }
 
-// awaitHead waits for a whole head without consuming it. It detects invalid data, for which ReadResponse would wait
-// until the end of the line, and rejects heads with two lengths or without an end.
+// awaitHead waits for a whole head without consuming it. It detects invalid data, for which ReadResponse would
+// wait until the end of the line, and rejects heads with two lengths or without an end.
 func (c *conn) awaitHead(ctx context.Context) error {
 	const version = "HTTP/1."
 	for n := 1; ; {
--- a/internal/backend/http1/connections.go
+++ b/internal/backend/http1/connections.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Room sets the number of open connections from which idle ones are closed. At or above the socket limit, only the
-// limit applies.
+// Room sets the number of open connections from which idle ones are closed. At or above the socket limit, only
+// the limit applies.
 func (u *Upstream) Room(n int) {
 	room := int64(n)
 	if room >= u.sockets.Limit {
@@ -113,8 +113,8 @@
 	}
 }
 
-// openAndEmpty reports whether an idle connection is open with nothing to read. A request on a connection that the
-// backend has closed would end as a reset, after which it can't be known whether the request ran.
+// openAndEmpty reports whether an idle connection is open with nothing to read. A request on a connection that
+// the backend has closed would end as a reset, after which it can't be known whether the request ran.
 func (c *conn) openAndEmpty() bool { return peek.Look(c.Conn) == peek.Silent }
 
 // Evict closes the connection that has been idle for longest. It reports whether there was one.
--- a/internal/backend/http1/helpers_test.go
+++ b/internal/backend/http1/helpers_test.go
@@ -7,7 +7,7 @@
 	"lemonrail/internal/scripted"
 )
 
-// Short names for what the tests use on most lines.
+// Short names for frequently used helpers of package scripted.
 const (
 	testTimeout = scripted.Patience
 	hello       = scripted.Hello
--- a/internal/backend/http1/permit_test.go
+++ b/internal/backend/http1/permit_test.go
@@ -15,9 +15,9 @@
 	"lemonrail/internal/core"
 )
 
-const crossingRounds = 300 // of each crossing
+const crossingRounds = 300 // rounds of each race
 
-// countingBackend is a backend that tells how many requests it got, and counts what breaks before its end as none.
+// countingBackend returns a backend that reports the id of each request that it received whole.
 func countingBackend(t *testing.T) (addr string, got chan string) {
 	got = make(chan string, 2*crossingRounds)
 	return backend(t, func(c net.Conn, r *bufio.Reader) {
@@ -32,7 +32,7 @@
 	}), got
 }
 
-// exchange makes an attempt beside the test.
+// exchange starts an attempt in a goroutine.
 func exchange(t *testing.T, u *Upstream, p *core.Permit, addr string, out any) <-chan core.Response {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
@@ -41,8 +41,9 @@
 	return done
 }
 
-// A permit that is taken back while the connection is being made: nothing is written, whether the dial ends with it
-// or the connection comes up in the same instant. The backend is not blamed, and no socket is left over.
+// When a permit is revoked while the connection is being made, nothing is written, whether the dial ends with
+// the permit or the connection comes up at the same moment. The backend is not blamed, and no socket is
+// leaked.
 func TestPermitRevokedDuringDial(t *testing.T) {
 	revocations := map[string]func(*core.Permit){"dropped": func(p *core.Permit) { p.Drop() }, "withdrawn": (*core.Permit).Withdraw}
 	for name, revoke := range revocations {
@@ -53,7 +54,7 @@
 			dialling, goOn := make(chan struct{}), make(chan struct{})
 			u.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				dialling <- struct{}{}
-				if connects { // as late as can be: it has begun to be there, and the cancel finds nothing to end
+				if connects { // as late as possible: the connection comes up, and the cancellation is too late
 					<-goOn
 					return real(context.Background(), network, addr)
 				}
@@ -69,20 +70,20 @@
 					goOn <- struct{}{}
 				}
 				if r := await(t, done); r.Result != balance.Withdrawn {
-					t.Fatalf("%s, comes up %v: got %v", name, connects, r.Result)
+					t.Fatalf("%s, connects %v: got %v", name, connects, r.Result)
 				}
-				for u.Evict() { // else the next one needs no dial
+				for u.Evict() { // otherwise the next attempt needs no dial
 				}
 			}
 			if n := len(got); n != 0 {
-				t.Errorf("%s, comes up %v: %d of %d were sent on", name, connects, n, crossingRounds)
+				t.Errorf("%s, connects %v: %d of %d were sent", name, connects, n, crossingRounds)
 			}
 		}
 	}
 }
 
-// Behind a kept connection that turns out to have gone stale when it is written to, the attempt goes on to another:
-// one whose permit is taken back in that instant does not get it.
+// When a write to a stale kept connection fails, the attempt moves to a new connection, unless its permit is
+// revoked at that moment.
 func TestPermitRevokedAfterStaleConnection(t *testing.T) {
 	for name, revoke := range map[string]func(*core.Permit){"dropped": func(p *core.Permit) { p.Drop() }, "withdrawn": (*core.Permit).Withdraw} {
 		addr, got := countingBackend(t)
@@ -103,12 +104,12 @@
 			}
 		}
 		if n := len(got); n != 0 {
-			t.Errorf("%s: %d of %d were sent on", name, n, crossingRounds)
+			t.Errorf("%s: %d of %d were sent", name, n, crossingRounds)
 		}
 	}
 }
 
-// staleConn looks well and can't be written to.
+// staleConn looks open, but every write fails.
 type staleConn struct {
 	*net.TCPConn
 	write func()
@@ -116,13 +117,14 @@
 
 func (c *staleConn) Write([]byte) (int, error) {
 	c.write()
-	return 0, errors.New("it has been closed")
+	return 0, errors.New("connection closed")
 }
 
-// A body that a backend is slow to take: until its last byte is out it has not been sent. Dropped, it ends there and
-// then; withdrawn, it goes on, since for its backend it counts from its first byte.
+// A backend reads a body slowly, so the request is not sent until its last byte is written. A dropped permit
+// ends the write at once; a withdrawn one lets it continue, since the backend counts the request from its
+// first byte.
 func TestPermitRevokedDuringWrite(t *testing.T) {
-	body := strings.Repeat("x", 16<<20) // more than the kernel takes
+	body := strings.Repeat("x", 16<<20) // more than the kernel buffers
 	out := renderRequest(http.MethodPost, "/sub", http.Header{"X-Correlation-Id": {"d1"}}, body)
 	for _, dropped := range []bool{true, false} {
 		began, goOn, whole := make(chan struct{}), make(chan struct{}), make(chan bool, 1)
@@ -141,7 +143,7 @@
 		if dropped {
 			want = balance.Withdrawn
 			if p.Drop() {
-				t.Error("nothing of it is said to be out")
+				t.Error("Drop reports that nothing was written")
 			}
 			if r := await(t, done); r.Result != want {
 				t.Errorf("got %v", r.Result)
@@ -155,12 +157,12 @@
 			}
 		}
 		if got := await(t, whole); got == dropped {
-			t.Errorf("dropped %v, came whole %v", dropped, got)
+			t.Errorf("dropped %v, arrived whole %v", dropped, got)
 		}
 	}
 }
 
-// Once its last byte is out an attempt is read to its end, whatever becomes of its permit in that instant.
+// Once its last byte is written an attempt reads its answer, even if its permit is revoked at that moment.
 func TestPermitRevokedAfterLastByte(t *testing.T) {
 	addr, got := countingBackend(t)
 	u := newTestUpstream(t)
@@ -182,11 +184,11 @@
 		}
 	}
 	if n := len(got); n != crossingRounds {
-		t.Errorf("%d of %d came", n, crossingRounds)
+		t.Errorf("%d of %d arrived", n, crossingRounds)
 	}
 }
 
-// lateConn has its bytes out before anybody learns of it.
+// lateConn calls written after the bytes are written but before its caller learns of it.
 type lateConn struct {
 	*net.TCPConn
 	written func()
@@ -198,15 +200,15 @@
 	return n, err
 }
 
-// A connection that comes up when the attempt may not be written any more, and a backend that does not take all of
-// it by then: no whole request arrives.
+// No whole request arrives when the connection comes up after the permit's write deadline, or when the backend
+// does not read all of the request by then.
 func TestWriteDeadlinePassed(t *testing.T) {
 	addr, got := countingBackend(t)
 	u := newTestUpstream(t)
 	real := u.dialContext
 	u.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		<-ctx.Done()
-		return real(context.Background(), network, addr) // it comes up in that instant
+		return real(context.Background(), network, addr) // it comes up as the deadline passes
 	}
 	for range 50 {
 		if r := await(t, exchange(t, u, core.NewPermit(time.Now().Add(time.Millisecond)), addr, readRequest)); r.Result != balance.Withdrawn {
@@ -223,7 +225,7 @@
 		t.Errorf("in time: got %v", r.Result)
 	}
 	if n := len(got); n != 1 {
-		t.Errorf("%d came, one was in time", n)
+		t.Errorf("%d arrived, want 1", n)
 	}
 	goOn := make(chan struct{})
 	whole := make(chan bool, 1)
@@ -240,7 +242,7 @@
 		connected = err == nil
 		return c, err
 	}
-	for left := 50 * time.Millisecond; !connected; left *= 2 { // on a slow machine the time may be over before there is a connection
+	for left := 50 * time.Millisecond; !connected; left *= 2 { // on a slow machine the time may be over before the connection is up
 		if r := await(t, exchange(t, u, core.NewPermit(time.Now().Add(left)), slow, out)); r.Result != balance.Withdrawn {
 			t.Errorf("half written: got %v", r.Result)
 		}
--- a/internal/backend/http1/standing_test.go
+++ b/internal/backend/http1/standing_test.go
@@ -14,15 +14,15 @@
 	"lemonrail/internal/http1"
 )
 
-// A connection that breaks beside one that stands is no end of the process; one that breaks with all
-// the others may be.
+// A connection that breaks while others to its backend survive doesn't show the end of the process; one that
+// breaks together with all others may.
 func TestReportsSurvivingConnections(t *testing.T) {
 	for _, all := range []bool{false, true} {
 		t.Run(fmt.Sprint("all break ", all), func(t *testing.T) {
 			u := newTestUpstream(t)
 			var mu sync.Mutex
 			var open []net.Conn
-			var both sync.WaitGroup // Guards against a second request on the first one's connection.
+			var both sync.WaitGroup // prevents the second request from reusing the first one's connection
 			both.Add(2)
 			addr := backend(t, func(c net.Conn, r *bufio.Reader) {
 				mu.Lock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// Answers over 64 KiB come in parts: each part has its time, not the whole.
+// An answer over 64 KiB arrives in parts: the timeout applies to each part, not to the whole answer.
 func TestLongAnswerIsStreamed(t *testing.T) {
 	u := newTestUpstream(t)
 	part := strings.Repeat("x", initialBodySize)
@@ -85,11 +85,12 @@
 	}
 	a.Discard()
 	if len(u.idle[target(addr)]) != 1 {
-		t.Error("the connection is not kept")
+		t.Error("the connection is not kept alive")
 	}
 }
 
-// What goes on coming slowly is passed on: neither spoilt nor waited for, also where its length isn't told.
+// An answer that keeps arriving slowly is streamed: it is neither broken nor buffered, even if its length is
+// unknown.
 func TestSlowAnswerIsStreamed(t *testing.T) {
 	for _, head := range []string{"Content-Length: 100000", "Transfer-Encoding: chunked", "X-Until: close"} {
 		u := newTestUpstream(t)
@@ -121,7 +122,7 @@
 	}
 }
 
-// What is long and not read to its end, or is not whole, ends its connection.
+// A long answer that is discarded before its end, or is incomplete, closes its connection.
 func TestDiscardedLongAnswerClosesConnection(t *testing.T) {
 	for _, head := range []string{"Content-Length: 9999999", "Transfer-Encoding: chunked", "X-Until: close"} {
 		u := newTestUpstream(t)
@@ -146,7 +147,7 @@
 	}
 }
 
-// A long answer whose first part stops is passed on; a short one that stops is spoilt.
+// A long answer that stalls within its first part is passed on; a short one that stalls is broken.
 func TestStallWithinFirstPart(t *testing.T) {
 	for length, want := range map[int]balance.Result{maxBufferedBody: balance.Errored, maxBufferedBody + 1: balance.OK} {
 		u := newTestUpstream(t)
--- a/internal/backend/http1/stream.go
+++ b/internal/backend/http1/stream.go
@@ -14,15 +14,15 @@
 	conn      *conn
 	body      io.Reader
 	deadline  time.Time // of the client
-	knownLong bool      // known from its length; otherwise long once more than maxBufferedBody has been read
+	knownLong bool      // by its Content-Length; others count as long once more than maxBufferedBody has been read
 	bytesRead int
 	complete  bool
 	release   func()
 	closeOnce sync.Once
 }
 
-// readDeadline returns the deadline for the next read. An answer of unknown length that stalls may be broken: while
-// it is short it must end by its client's deadline, as its last byte counts, while a long one may pause.
+// readDeadline returns the deadline for the next read. An answer of unknown length that stalls may be broken:
+// while it is short it must end by its client's deadline, as its last byte counts, while a long one may pause.
 func (s *stream) readDeadline(now time.Time) time.Time {
 	if s.knownLong || s.bytesRead > maxBufferedBody {
 		return now.Add(streamStallTimeout)
--- a/internal/backend/http1/stream_test.go
+++ b/internal/backend/http1/stream_test.go
@@ -12,7 +12,7 @@
 	"lemonrail/internal/http1"
 )
 
-// How long the rest of an answer is waited for: of a short one its last byte counts.
+// Tests the read deadline for the rest of an answer: a short one must end by its client's deadline.
 func TestStreamReadDeadline(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, tt := range map[string]struct {
@@ -30,8 +30,8 @@
 	}
 }
 
-// An answer in chunks that passes on and then never ends: its end is an error when the client's time is up, and the
-// connection is of no further use.
+// A chunked answer is streamed and then stalls without an end: reading it fails at the client's deadline, and
+// the connection is not reused.
 func TestChunkedAnswerWithoutEnd(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -39,7 +39,7 @@
 	addr := backend(t, func(c net.Conn, r *bufio.Reader) {
 		receive(r)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		for { // until it passes on; then nothing more comes
+		for { // until the answer is streamed; then it stalls
 			if _, err := io.WriteString(c, "3\r\nabc\r\n"); err != nil {
 				return
 			}
@@ -53,7 +53,7 @@
 	})
 	u := newTestUpstream(t)
 	var a *http1.Answer
-	for range 20 { // on a slow machine it may look as if it had stopped before: then it is spoilt, and tried again
+	for range 20 { // on a slow machine the answer may seem to stall earlier: then it counts as broken, and is retried
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if r := u.Exchange(ctx, nil, target(addr), readRequest); r.Result == balance.OK {
@@ -67,10 +67,10 @@
 	passed <- struct{}{}
 	rest, err := io.ReadAll(a.More)
 	if err == nil {
-		t.Errorf("read %d and %d bytes, and took that for all", len(a.Body), len(rest))
+		t.Errorf("read %d and %d bytes without an error", len(a.Body), len(rest))
 	}
 	a.More.Close()
 	if n := u.sockets.Open.Load(); n != 0 {
-		t.Errorf("%d connections are kept", n)
+		t.Errorf("%d connections are kept alive", n)
 	}
 }
--- a/internal/backend/http1/upstream.go
+++ b/internal/backend/http1/upstream.go
@@ -1,5 +1,6 @@
-// Package http1 makes attempts over HTTP/1.1: a connection carries one request at a time and is reused while the
-// backend allows it. Its sockets count towards the process's limit, and it closes connections that are idle too long.
+// Package http1 makes attempts over HTTP/1.1: a connection carries one request at a time and is reused while
+// the backend allows it. Its sockets count towards the process's limit, and it closes connections that are
+// idle too long.
 package http1
 
 import (
@@ -21,7 +22,7 @@
 )
 
 const (
-	maxBufferedBody  = 64 << 10 // bytes of an answer's body that are read before it is passed on: shorter ones can be retried when broken
+	maxBufferedBody  = 64 << 10 // bytes of a body read before it is passed on: shorter ones can be retried when broken
 	maxBody          = 64 << 20 // bytes of an answer's body; peers send up to 32 MB
 	maxHead          = 8 << 10  // bytes of an answer's head
 	maxInformational = 8        // 1xx answers before the final one
@@ -35,8 +36,8 @@
 	// After the first part of a long answer a backend may pause for this long.
 	streamStallTimeout = 10 * time.Second
 
-	// A connection is not reused until it has been idle for this long: extra bytes that a backend sends after an
-	// answer arrive by then, and could otherwise be taken for the next answer.
+	// A connection is not reused until it has been idle for this long: extra bytes that a backend sends after
+	// an answer arrive by then, and could otherwise be taken for the next answer.
 	reuseDelay = 10 * time.Millisecond
 
 	idleShare          = 0.75 // of the time after which a backend closes an idle connection
@@ -84,18 +85,18 @@
 	return r
 }
 
-// attempt makes one attempt without the check of other connections that Exchange adds. It reports whether there was
-// a connection, which may have broken.
+// attempt makes one attempt without the check of other connections that Exchange adds. It reports whether
+// there was a connection, which may have broken.
 func (u *Upstream) attempt(ctx context.Context, p *core.Permit, to core.Target, out *http1.Request) (r core.Response, connected bool) {
 	if c := u.takeIdle(to); c != nil {
-		// A reused connection may have gone stale: if the request could not be written whole, it doesn't count as
-		// an attempt, and a new connection is tried without blaming the backend.
+		// A reused connection may have gone stale: if the request could not be written whole, it doesn't count
+		// as an attempt, and a new connection is tried without blaming the backend.
 		if r := u.attemptOn(ctx, p, c, to, out); r.Result != balance.ConnectFailed {
 			return r, true
 		}
 	}
-	// The wait for a connection ends when the permit is revoked: otherwise a request could be written although its
-	// client has disconnected meanwhile or its backend is draining.
+	// The wait for a connection ends when the permit is revoked: otherwise a request could be written although
+	// its client has disconnected meanwhile or its backend is draining.
 	wait, stop := context.WithCancel(ctx)
 	defer stop()
 	if writeBy := p.By(); !writeBy.IsZero() {
@@ -187,8 +188,8 @@
 	errNoConnection = errors.New("backend did not accept the connection")
 )
 
-// dialResult classifies a failed dial. A lack of sockets, or a client's deadline that ends the dial early, must not
-// be blamed on the backend.
+// dialResult classifies a failed dial. A lack of sockets, or a client's deadline that ends the dial early,
+// must not be blamed on the backend.
 func dialResult(ctx context.Context, err error) balance.Result {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return balance.Cancelled
--- a/internal/backend/http1/upstream_test.go
+++ b/internal/backend/http1/upstream_test.go
@@ -25,7 +25,7 @@
 		for u.Evict() {
 		}
 		if n := u.sockets.Open.Load(); n != 0 {
-			t.Errorf("%d sockets are left over", n)
+			t.Errorf("%d sockets are leaked", n)
 		}
 	})
 	return u
@@ -41,10 +41,10 @@
 
 var readRequest = renderRequest(http.MethodGet, "/read", http.Header{"X-Correlation-Id": {"d1"}}, "")
 
-// target is the backend that the tests of attempts speak to.
+// target returns the backend at an address.
 func target(addr string) core.Target { return core.Target{ID: "h0", Addr: addr} }
 
-// exchangeRested makes an attempt once what is kept has rested.
+// exchangeRested makes an attempt after making the idle connections old enough for reuse.
 func exchangeRested(t *testing.T, u *Upstream, addr string, out *http1.Request) core.Response {
 	t.Helper()
 	u.mu.Lock()
@@ -57,19 +57,19 @@
 	return u.Exchange(ctx, nil, target(addr), out)
 }
 
-// The protocol's table of outcomes.
+// Tests the result of an attempt for each outcome in the protocol's table.
 func TestOutcomes(t *testing.T) {
 	for _, tt := range []struct {
-		name, answer string // then the connection ends
+		name, answer string // the connection ends after the answer
 		want         balance.Result
 	}{
 		{"served", hello, balance.OK},
 		{"served after a 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + hello, balance.OK},
 		{"an error", "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", balance.Errored},
-		{"turned away", "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balance.Full},
-		{"turned away as over", "HTTP/1.1 504 Gateway Timeout\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balance.Full},
+		{"refused as full", "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balance.Full},
+		{"refused for its deadline", "HTTP/1.1 504 Gateway Timeout\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balance.Full},
 		{"503 that may have run", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", balance.Errored},
-		{"500 can't say that it never ran", "HTTP/1.1 500 Oops\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balance.Errored},
+		{"500 with X-Unprocessed may have run", "HTTP/1.1 500 Oops\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balance.Errored},
 		{"no 200", "HTTP/1.1 204 No Content\r\n\r\n", balance.Errored},
 		{"no answer", "", balance.Reset},
 		{"half a head", "HTTP/1.1 200 OK\r\nContent-", balance.Errored},
@@ -98,7 +98,7 @@
 				t.Errorf("body %q", r.Payload.(*http1.Answer).Body)
 			}
 			if r.Load.Valid || r.Load.Queue >= 0 {
-				t.Errorf("a load from nowhere: %+v", r.Load)
+				t.Errorf("unexpected load report: %+v", r.Load)
 			}
 		})
 	}
@@ -110,14 +110,13 @@
 	}
 }
 
-// A machine that has vanished says nothing: waiting for its answer ends with the attempt, which
-// may have run.
+// A machine that has failed sends nothing: waiting for its answer ends with the attempt, which may have run.
 func TestUnresponsiveBackendTimesOut(t *testing.T) {
 	u := newTestUpstream(t)
 	over := make(chan struct{})
 	addr := backend(t, func(c net.Conn, r *bufio.Reader) {
 		receive(r)
-		io.Copy(io.Discard, r) // until the agent gives up
+		io.Copy(io.Discard, r) // until the attempt ends
 		close(over)
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second) // enough to connect in
@@ -125,7 +124,7 @@
 	if r := u.Exchange(ctx, nil, target(addr), readRequest); r.Result != balance.TimedOut {
 		t.Errorf("got %v", r.Result)
 	}
-	await(t, over) // giving up closed the connection
+	await(t, over) // the end of the attempt closed the connection
 }
 
 func TestCancelledAttemptClosesItsConnection(t *testing.T) {
@@ -179,8 +178,8 @@
 	}
 }
 
-// A backend that restarts closes what was kept. A request written to such a connection would
-// end as a reset, and a library that sends it again by itself would make two attempts of one.
+// A backend that restarts closes the kept connections. A request written to such a connection would end as a
+// reset, and a library that resends it automatically would make two attempts of one.
 func TestStaleConnectionIsNotReused(t *testing.T) {
 	u := newTestUpstream(t)
 	addr, conns, requests, restart := scripted.Counting(t)
@@ -191,7 +190,7 @@
 	restart()
 	for begun := time.Now(); kept.openAndEmpty(); time.Sleep(time.Millisecond) {
 		if time.Since(begun) > testTimeout {
-			t.Fatal("the close does not show")
+			t.Fatal("the close is not detected")
 		}
 	}
 	r := exchangeRested(t, u, addr, readRequest)
@@ -200,8 +199,8 @@
 	}
 }
 
-// What can't be written to a kept connection has not been sent: it goes out on a new one, and the
-// backend is not to blame.
+// A request that can't be written to a kept connection has not been sent: a new connection is used, and the
+// backend is not blamed.
 func TestStaleConnectionIsReplaced(t *testing.T) {
 	u := newTestUpstream(t)
 	over := make(chan struct{})
@@ -209,7 +208,7 @@
 	addr := backend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			if _, _, err := receive(r); err != nil {
-				<-over // an end that the agent can't see
+				<-over // the close is delayed, so that the client side can't detect it
 				return
 			}
 			io.WriteString(c, hello)
@@ -256,7 +255,7 @@
 	}
 }
 
-// At the limit on sockets an idle connection gives way before a dial fails.
+// At the socket limit an idle connection is closed before a dial fails.
 func TestIdleConnectionEvictedAtSocketLimit(t *testing.T) {
 	u := newTestUpstream(t)
 	u.sockets.Limit = 1
@@ -267,10 +266,10 @@
 			t.Errorf("got %v", r.Result)
 		}
 	}
-	u.sockets.Open.Add(1) // a client's; nothing idle is left after the next
+	u.sockets.Open.Add(1) // a client's socket; no idle connection is left after Evict
 	u.Evict()
-	if r := exchangeRested(t, u, two, readRequest); r.Result != balance.NotSent { // no fault of the backend's
-		t.Errorf("got %v with no socket to be had", r.Result)
+	if r := exchangeRested(t, u, two, readRequest); r.Result != balance.NotSent { // not the backend's fault
+		t.Errorf("got %v with no socket available", r.Result)
 	}
 	u.sockets.Open.Add(-1)
 }
@@ -294,8 +293,8 @@
 	}
 }
 
-// The connection stays open behind what is spoilt: waiting for more would last until the client
-// has gone, and the request could not be tried again.
+// A broken answer fails although its connection stays open: waiting for more would last until the client has
+// disconnected, and the request could not be retried.
 func TestBrokenAnswersFailImmediately(t *testing.T) {
 	for _, answer := range []string{"noise", "HTTP/1.1 200 OK\r\nX-Pad: ", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello",
 		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello", "HTTP/1.1 200 OK\r\n\r\nhello"} {
@@ -303,7 +302,7 @@
 		addr := backend(t, func(c net.Conn, r *bufio.Reader) {
 			receive(r)
 			io.WriteString(c, answer)
-			io.Copy(io.Discard, r) // until the agent gives up
+			io.Copy(io.Discard, r) // until the attempt ends
 		})
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		if r := u.Exchange(ctx, nil, target(addr), readRequest); r.Result != balance.Errored || ctx.Err() != nil {
@@ -313,7 +312,7 @@
 	}
 }
 
-// Bytes that come a moment behind an answer must not be taken for the answer to the next request.
+// Bytes that arrive shortly after an answer must not be taken for the answer to the next request.
 func TestLateBytesAfterAnswer(t *testing.T) {
 	u := newTestUpstream(t)
 	var conns atomic.Int64
@@ -331,15 +330,15 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	for want := 1; want <= 3; want++ { // without a rest between
+	for want := 1; want <= 3; want++ { // without a pause in between
 		if r := u.Exchange(ctx, nil, target(addr), readRequest); r.Result != balance.OK || string(r.Payload.(*http1.Answer).Body) != fmt.Sprint(want) {
 			t.Errorf("got %v %q, want %d", r.Result, r.Payload.(*http1.Answer).Body, want)
 		}
 	}
 }
 
-// A new backend at the address of one that has gone is another: it is not sent what a connection
-// to the old one was kept for, and that connection holds no socket.
+// A new backend at the address of a removed one is a different backend: kept connections to the old one are
+// not used for it, and hold no socket.
 func TestConnectionsClosedWithTheirBackend(t *testing.T) {
 	u := newTestUpstream(t)
 	addr, conns, _, _ := scripted.Counting(t)
@@ -356,8 +355,7 @@
 	}
 }
 
-// Neither a client whose time runs out while a connection is being made nor the agent's own
-// limits are the backend's fault.
+// Neither a client's deadline that passes during the dial nor the agent's own limits are blamed on the backend.
 func TestDialFailureResults(t *testing.T) {
 	over, cancel := context.WithDeadline(context.Background(), pastDeadline)
 	defer cancel()
@@ -372,8 +370,8 @@
 	}
 }
 
-// A backend that says nothing to a connection has failed to connect; a client whose time runs out first
-// says nothing of it, though net words both time-outs alike.
+// A backend that does not answer a connection attempt has failed to connect; a client's deadline that passes
+// first is not blamed on it, though net reports both timeouts alike.
 func TestDialTimeoutResults(t *testing.T) {
 	for _, tt := range []struct {
 		name          string
--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -27,7 +27,7 @@
 
 // Limits on what a client may use.
 const (
-	HeadLimit          = 2600 * time.Millisecond // for a request's head; the protocol allows 3 s for ending an unfinished one
+	HeadLimit          = 2600 * time.Millisecond // for a request's head; the protocol allows 3 s for an unfinished one
 	IdleLimit          = 2200 * time.Millisecond // for an idle connection; the protocol grants it 2 s
 	answerWriteTimeout = 2 * time.Second         // for writing an answer to a client that does not read
 	maxTimeLeft        = time.Hour               // a longer time left is taken for a client's error
@@ -88,8 +88,8 @@
 		return
 	}
 	stream := c.Request.(*http1.Request).Stream
-	// A request may have been in the kernel's buffer while this process was busy or starting. Without this check it
-	// would be forwarded long after its client has disconnected.
+	// A request may have been in the kernel's buffer while this process was busy or starting. Without this
+	// check it would be forwarded long after its client has disconnected.
 	if conn.HungUp() {
 		endAbandoned(conn, w, stream)
 		return
@@ -155,8 +155,8 @@
 var results = map[core.Kind]figures.Result{core.Served: figures.OK, core.Refused: figures.Shed,
 	core.Failed: figures.Errors, core.Duplicate: figures.Errors}
 
-// beginAnswer records that an answer is about to be written, and adds "Connection: close" if it is the last on its
-// connection. A client that doesn't read it holds the connection for answerWriteTimeout at the most.
+// beginAnswer records that an answer is about to be written, and adds "Connection: close" if it is the last on
+// its connection. A client that doesn't read it holds the connection for answerWriteTimeout at the most.
 func beginAnswer(conn *admission.Conn, w http.ResponseWriter) {
 	if !conn.BeginAnswer() {
 		w.Header().Set("Connection", "close")
@@ -164,8 +164,8 @@
 	conn.SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 }
 
-// reject answers an invalid request and ends the connection: bytes that follow an invalid request may not be a request
-// of their own.
+// reject answers an invalid request and ends the connection: bytes that follow an invalid request may not be a
+// request of their own.
 func reject(conn *admission.Conn, w http.ResponseWriter, status int, err error) {
 	beginAnswer(conn, w)
 	w.Header().Set("Connection", "close")
@@ -208,8 +208,8 @@
 	return end < len(head) && !bytes.Contains(bytes.ToLower(head[:end]), []byte("\ncontent-length"))
 }
 
-// requestTarget returns a request's path and query as received, without the scheme and host that may precede them
-// (RFC 9112, section 3.2.2); empty if there is no path.
+// requestTarget returns a request's path and query as received, without the scheme and host that may precede
+// them (RFC 9112, section 3.2.2); empty if there is no path.
 func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -389,8 +389,8 @@
 	return n, err
 }
 
-// renderRequest renders a request for a backend, without the time left. A request that can't be rendered is rejected
-// here: found at a backend, it would count as a failure to connect.
+// renderRequest renders a request for a backend, without the time left. A request that can't be rendered is
+// rejected here: found at a backend, it would count as a failure to connect.
 func renderRequest(r *http.Request, body []byte, stream *http1.Stream) (*http1.Request, error) {
 	header := r.Header.Clone()
 	for _, f := range strings.Split(strings.Join(header["Connection"], ","), ",") {
@@ -435,8 +435,8 @@
 // formatSeconds formats a duration for the Retry-After header.
 func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// ComeBack returns the Retry-After for requests that the front end refuses itself; 0 if the settings disable the
-// header.
+// ComeBack returns the Retry-After for requests that the front end refuses itself; 0 if the settings disable
+// the header.
 func (s *Server) ComeBack() time.Duration {
 	if !s.Settings.RetryAfter {
 		return 0
@@ -447,8 +447,8 @@
 	return s.Settings.MaxRetryAfter
 }
 
-// Advise replaces the longest Retry-After. It is safe for concurrent use. The other settings that the server reads
-// can't change while it runs.
+// Advise replaces the longest Retry-After. It is safe for concurrent use. The other settings that the server
+// reads can't change while it runs.
 func (s *Server) Advise(longest time.Duration) { s.maxRetryAfter.Store(int64(longest) + 1) }
 
 // failureStatuses maps the kind of an answer that was not served to its HTTP status.
@@ -458,8 +458,8 @@
 	core.Duplicate: http.StatusBadRequest,
 }
 
-// writeAnswer writes the final answer. An error means that the client did not get all of a served answer, because it
-// disconnected or the backend broke off.
+// writeAnswer writes the final answer. An error means that the client did not get all of a served answer,
+// because it disconnected or the backend broke off.
 func writeAnswer(conn *admission.Conn, w http.ResponseWriter, a core.Answer) error {
 	h := w.Header()
 	if a.RetryAfter > 0 {
