--- a/internal/admission/governor.go
+++ b/internal/admission/governor.go
@@ -80,17 +80,17 @@
 		AdmitTimeout: 250 * time.Millisecond, PressureTime: time.Second, DrainGrace: 300 * time.Millisecond}
 }
 
-// check returns an error for the first invalid field. It names fields by their established outer names, which
-// differ from the Go names.
+// check returns an error that names the first invalid field.
 func (c *Config) check() error {
 	for _, f := range []struct {
 		name  string
 		value int
 		min   int
-	}{{"Most", c.MaxConnections, 0}, {"Total", c.MaxDescriptors, 0}, {"Spare", c.MaxRefusals, 1}, {"Reading", c.MaxBodyReads, 0}, {"Bytes", c.MaxBodyBytes, 0},
-		{"Fresh", int(c.NewGrace), 0}, {"Stall", int(c.StallTimeout), 0}, {"Granted", int(c.MinIdle), 0},
-		{"Patience", int(c.AdmitTimeout), 0}, {"Pressed", int(c.PressureTime), 0},
-		{"Settle", int(c.DrainGrace), 0}} {
+	}{{"MaxConnections", c.MaxConnections, 0}, {"MaxDescriptors", c.MaxDescriptors, 0}, {"MaxRefusals", c.MaxRefusals, 1},
+		{"MaxBodyReads", c.MaxBodyReads, 0}, {"MaxBodyBytes", c.MaxBodyBytes, 0},
+		{"NewGrace", int(c.NewGrace), 0}, {"StallTimeout", int(c.StallTimeout), 0}, {"MinIdle", int(c.MinIdle), 0},
+		{"AdmitTimeout", int(c.AdmitTimeout), 0}, {"PressureTime", int(c.PressureTime), 0},
+		{"DrainGrace", int(c.DrainGrace), 0}} {
 		if f.value < f.min {
 			return fmt.Errorf("admission: %s: %d is too small", f.name, f.value)
 		}
--- a/internal/admission/governor_test.go
+++ b/internal/admission/governor_test.go
@@ -266,7 +266,8 @@
 }
 
 func TestInvalidConfig(t *testing.T) {
-	for field, cfg := range map[string]Config{"Most": {MaxConnections: -1, MaxRefusals: 1}, "Spare": {}, "Stall": {MaxRefusals: 1, StallTimeout: -1}} {
+	for field, cfg := range map[string]Config{"MaxConnections": {MaxConnections: -1, MaxRefusals: 1}, "MaxRefusals": {},
+		"StallTimeout": {MaxRefusals: 1, StallTimeout: -1}} {
 		if _, err := NewGovernor(cfg); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: got %v", field, err)
 		}
--- a/internal/admission/readahead.go
+++ b/internal/admission/readahead.go
@@ -83,7 +83,9 @@
 	a.err = errHungUp
 }
 
-var errHungUp = errors.New("admission: client disconnected")
+// errHungUp ends the reads of a connection whose client's side has ended. A client that closed only its sending
+// side may get the text, as the answer to a pipelined request whose body was cut off.
+var errHungUp = errors.New("admission: the client has gone")
 
 // ClientGone returns a channel that is closed when readAhead sees that the client has disconnected while its
 // request is being processed, where net/http can't see it.
--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -148,7 +148,7 @@
 	}
 	// The client may have closed only its sending side. A handler that returns without writing would send it an
 	// empty 200 that no backend made.
-	reject(conn, w, http.StatusBadGateway, errors.New("client disconnected"))
+	reject(conn, w, http.StatusBadGateway, errors.New("the client has gone away"))
 }
 
 // results maps the kind of an answer to the result that metrics count.
@@ -178,16 +178,16 @@
 	case len(r.TransferEncoding) > 0 && !chunkedOnly(r, head):
 		// A request that has both Content-Length and Transfer-Encoding can smuggle another one: net/http drops
 		// one of the two headers.
-		return http.StatusLengthRequired, errors.New("a body needs either one Content-Length or chunked encoding")
+		return http.StatusLengthRequired, errors.New("a body needs one Content-Length or chunks")
 	case len(r.TransferEncoding) == 0 && r.ContentLength < 0:
-		return http.StatusLengthRequired, errors.New("a body needs a Content-Length or chunked encoding")
+		return http.StatusLengthRequired, errors.New("a body needs a length")
 	case !r.ProtoAtLeast(1, 1): // for HTTP/1.0 net/http ignores Transfer-Encoding entirely
-		return http.StatusHTTPVersionNotSupported, errors.New("HTTP/1.1 is required")
+		return http.StatusHTTPVersionNotSupported, errors.New("HTTP/1.1 is needed")
 	case requestTarget(r) == "" || r.Host == "":
 		// Other request targets could not be forwarded unchanged.
-		return http.StatusBadRequest, errors.New("a path and a host are required")
+		return http.StatusBadRequest, errors.New("a path and a host are needed")
 	case r.Method == http.MethodGet && r.ContentLength != 0:
-		return http.StatusBadRequest, errors.New("GET must not have a body")
+		return http.StatusBadRequest, errors.New("GET takes no body")
 	}
 	return 0, nil
 }
@@ -228,11 +228,11 @@
 func (s *Server) readCall(conn *admission.Conn, w http.ResponseWriter, r *http.Request) (*core.Call, int, error) {
 	query, err := url.ParseQuery(r.URL.RawQuery)
 	if err != nil || len(query["key"]) > 1 {
-		return nil, http.StatusBadRequest, errors.New("the query string is invalid, or has more than one key")
+		return nil, http.StatusBadRequest, errors.New("the query makes no sense")
 	}
 	for _, h := range singleValued {
 		if len(r.Header[h]) > 1 {
-			return nil, http.StatusBadRequest, fmt.Errorf("%s: more than one value", h)
+			return nil, http.StatusBadRequest, fmt.Errorf("%s: more than one", h)
 		}
 	}
 	path, _, _ := strings.Cut(requestTarget(r)[1:], "?")
@@ -248,7 +248,7 @@
 	}
 	if r.Method != method {
 		w.Header().Set("Allow", method)
-		return nil, http.StatusMethodNotAllowed, fmt.Errorf("%s requires %s", name, method)
+		return nil, http.StatusMethodNotAllowed, fmt.Errorf("%s takes %s", name, method)
 	}
 	id := r.Header.Get(http1.ID)
 	if id == "" || len(id) > maxIDBytes {
@@ -337,7 +337,7 @@
 		firstSize = min(length, firstPartBytes)
 	}
 	if !conn.Reserve(int(firstSize)) {
-		return nil, nil, http.StatusServiceUnavailable, errors.New("too many bodies in progress")
+		return nil, nil, http.StatusServiceUnavailable, errors.New("too many bodies in hand")
 	}
 	reader := &bodyReader{conn: conn, body: r.Body, started: time.Now()}
 	size := firstSize
@@ -351,7 +351,7 @@
 		switch {
 		case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
 			if length >= 0 && int64(len(body)) < length {
-				return nil, nil, http.StatusBadRequest, errors.New("the body is shorter than its Content-Length")
+				return nil, nil, http.StatusBadRequest, errors.New("the body ends too soon")
 			}
 			conn.ShrinkReservation(len(body))
 			return body, nil, 0, nil
@@ -408,11 +408,11 @@
 // hexadecimal form, and none of the words that strconv accepts, such as Inf.
 func parseDecimal(text string, unit time.Duration) (time.Duration, error) {
 	if strings.Trim(text, "0123456789.") != "" {
-		return 0, fmt.Errorf("%q is not a plain decimal number", text)
+		return 0, fmt.Errorf("%q is no plain number", text)
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || v*float64(unit) > float64(maxTimeLeft) {
-		return 0, fmt.Errorf("%q is not a plain decimal number, or is too large", text)
+		return 0, fmt.Errorf("%q is no plain number, or too large", text)
 	}
 	return time.Duration(v * float64(unit)), nil
 }
