--- a/internal/backend/http1/helpers_test.go
+++ b/internal/backend/http1/helpers_test.go
@@ -7,18 +7,18 @@
 	"lemonrail/internal/scripted"
 )
 
-// Short names for what the tests use on most lines.
+// Short names for frequently used helpers of package scripted.
 const (
-	patience = scripted.Patience
-	hello    = scripted.Hello
+	testTimeout = scripted.Patience
+	hello       = scripted.Hello
 )
 
 var (
-	quiet    = slog.New(slog.DiscardHandler)
-	deadAddr = scripted.DeadAddr
-	backend  = scripted.Backend
-	receive  = scripted.Receive
-	always   = scripted.Always
+	discardLog = slog.New(slog.DiscardHandler)
+	deadAddr   = scripted.DeadAddr
+	backend    = scripted.Backend
+	receive    = scripted.Receive
+	always     = scripted.Always
 )
 
 func await[T any](t testing.TB, c <-chan T) T {
--- /dev/null
+++ b/internal/backend/http1/idle.go
@@ -0,0 +1,181 @@
+package http1
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"sync/atomic"
+	"time"
+
+	"lemonrail/internal/core"
+	"lemonrail/internal/peek"
+)
+
+// This file manages idle connections within the socket limit.
+
+// Sockets counts the process's client and backend connections against its limit.
+type Sockets struct {
+	Limit         int64 // 0: unlimited
+	Open          atomic.Int64
+	idleThreshold atomic.Int64 // open connections from which idle ones are closed; 0: Limit applies
+}
+
+// Full reports whether the limit is reached.
+func (s *Sockets) Full() bool { return s.Limit > 0 && s.Open.Load() >= s.Limit }
+
+// Tight reports whether idle connections are to be closed.
+func (s *Sockets) Tight() bool {
+	if room := s.idleThreshold.Load(); room > 0 && s.Open.Load() >= room {
+		return true
+	}
+	return s.Full()
+}
+
+// dial opens a connection. At the socket limit it first closes an idle one.
+func (u *Upstream) dial(ctx context.Context, addr string) (*conn, error) {
+	for u.sockets.Full() {
+		if !u.Evict() {
+			return nil, errOutOfSockets
+		}
+	}
+	u.sockets.Open.Add(1)
+	start := time.Now()
+	nc, err := u.dialContext(ctx, "tcp", addr)
+	if err != nil {
+		u.sockets.Open.Add(-1)
+		// A backend that does not answer must not be confused with a client whose deadline passed: net's own
+		// dial timeout also counts as context.DeadlineExceeded.
+		until, bounded := ctx.Deadline()
+		if errors.Is(err, context.DeadlineExceeded) && (!bounded || until.After(start.Add(u.connectTimeout))) {
+			return nil, fmt.Errorf("dial backend: %w in %v", errNoConnection, u.connectTimeout)
+		}
+		return nil, fmt.Errorf("dial backend: %w", err)
+	}
+	limit := &io.LimitedReader{R: nc}
+	return &conn{Conn: nc, limited: limit, r: bufio.NewReaderSize(limit, maxHead), attempts: u.attempts}, nil
+}
+
+func (u *Upstream) close(c *conn) {
+	c.Close()
+	u.sockets.Open.Add(-1)
+}
+
+// takeIdle returns the newest usable connection to a backend that has been idle for reuseDelay, or nil.
+func (u *Upstream) takeIdle(to core.Target) *conn {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for i := len(u.idle[to]) - 1; i >= 0; i-- {
+		c := u.idle[to][i]
+		age := time.Since(c.idleSince)
+		if age < reuseDelay {
+			continue
+		}
+		u.removeIdle(to, i)
+		if age < u.idleTimeout && c.openAndEmpty() {
+			return c
+		}
+		u.close(c)
+	}
+	return nil
+}
+
+// removeIdle removes the connection at index i from the idle ones of a backend. The caller holds u.mu.
+func (u *Upstream) removeIdle(to core.Target, i int) {
+	list := u.idle[to]
+	copy(list[i:], list[i+1:])
+	list[len(list)-1] = nil
+	if u.idle[to] = list[:len(list)-1]; len(list) == 1 {
+		delete(u.idle, to)
+	}
+}
+
+func (u *Upstream) putIdle(to core.Target, c *conn) {
+	c.idleSince = time.Now()
+	u.mu.Lock()
+	u.idle[to] = append(u.idle[to], c)
+	u.mu.Unlock()
+	if u.sockets.idleThreshold.Load() > 0 && u.sockets.Tight() {
+		u.Evict()
+	}
+}
+
+// Room sets the number of open connections from which idle ones are closed. At or above the socket limit, only
+// the limit applies.
+func (u *Upstream) Room(n int) {
+	room := int64(n)
+	if room >= u.sockets.Limit {
+		room = 0
+	}
+	u.sockets.idleThreshold.Store(room)
+	for u.sockets.Tight() && u.Evict() {
+	}
+}
+
+// openAndEmpty reports whether an idle connection is open with nothing to read. A request on a connection that
+// the backend has closed would end as a reset, after which it can't be known whether the request ran.
+func (c *conn) openAndEmpty() bool { return peek.Look(c.Conn) == peek.Silent }
+
+// Evict closes the connection that has been idle for longest. It reports whether there was one.
+func (u *Upstream) Evict() bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	var oldest core.Target
+	for to, list := range u.idle {
+		if oldest == (core.Target{}) || list[0].idleSince.Before(u.idle[oldest][0].idleSince) {
+			oldest = to
+		}
+	}
+	if oldest == (core.Target{}) {
+		return false
+	}
+	u.close(u.idle[oldest][0])
+	u.removeIdle(oldest, 0)
+	return true
+}
+
+// closeStaleIdle closes the connections that have been idle for too long or that the backend has closed.
+func (u *Upstream) closeStaleIdle() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for to, list := range u.idle {
+		for i := len(list) - 1; i >= 0; i-- {
+			if c := list[i]; time.Since(c.idleSince) >= u.idleTimeout || !c.openAndEmpty() {
+				u.removeIdle(to, i)
+				u.close(c)
+			}
+		}
+	}
+}
+
+// Keep closes the idle connections to all backends for which wanted returns false.
+func (u *Upstream) Keep(wanted func(core.Target) bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for to, list := range u.idle {
+		if wanted(to) {
+			continue
+		}
+		for _, c := range list {
+			u.close(c)
+		}
+		delete(u.idle, to)
+	}
+}
+
+// Run closes stale idle connections periodically until ctx ends, then closes all idle ones.
+func (u *Upstream) Run(ctx context.Context) {
+	tick := time.NewTicker(min(time.Second, max(u.idleTimeout/8, time.Millisecond)))
+	defer tick.Stop()
+	for {
+		select {
+		case <-tick.C:
+			u.closeStaleIdle()
+		case <-ctx.Done():
+			for u.Evict() {
+			}
+			return
+		}
+	}
+}
--- a/internal/backend/http1/stream_test.go
+++ b/internal/backend/http1/stream_test.go
@@ -12,34 +12,34 @@
 	"lemonrail/internal/http1"
 )
 
-// How long the rest of an answer is waited for: of a short one its last byte counts.
-func TestStreamIsBound(t *testing.T) {
+// Tests the read deadline for the rest of an answer: a short one must end by its client's deadline.
+func TestStreamReadDeadline(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, tt := range map[string]struct {
 		s    *stream
 		want time.Duration
 	}{
-		"of unknown length, in time": {&stream{until: now.Add(time.Second), read: 100}, time.Second},
-		"of unknown length, late":    {&stream{until: now.Add(-time.Hour), read: 100}, stallLimit},
-		"of unknown length, long":    {&stream{until: now.Add(time.Second), read: wholeReply + 1}, streamStall},
-		"long":                       {&stream{until: now.Add(time.Second), long: true}, streamStall},
+		"of unknown length, in time": {&stream{deadline: now.Add(time.Second), bytesRead: 100}, time.Second},
+		"of unknown length, late":    {&stream{deadline: now.Add(-time.Hour), bytesRead: 100}, stallTimeout},
+		"of unknown length, long":    {&stream{deadline: now.Add(time.Second), bytesRead: maxBufferedBody + 1}, streamStallTimeout},
+		"long":                       {&stream{deadline: now.Add(time.Second), knownLong: true}, streamStallTimeout},
 	} {
-		if got := tt.s.by(now).Sub(now); got != tt.want {
+		if got := tt.s.readDeadline(now).Sub(now); got != tt.want {
 			t.Errorf("%s: %v, want %v", name, got, tt.want)
 		}
 	}
 }
 
-// An answer in chunks that passes on and then never ends: its end is an error when the client's time is up, and the
-// connection is of no further use.
-func TestAnswerThatNeverEnds(t *testing.T) {
+// A chunked answer is streamed and then stalls without an end: reading it fails at the client's deadline, and
+// the connection is not reused.
+func TestChunkedAnswerWithoutEnd(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
 	passed := make(chan struct{}, 1)
 	addr := backend(t, func(c net.Conn, r *bufio.Reader) {
 		receive(r)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		for { // until it passes on; then nothing more comes
+		for { // until the answer is streamed; then it stalls
 			if _, err := io.WriteString(c, "3\r\nabc\r\n"); err != nil {
 				return
 			}
@@ -53,10 +53,10 @@
 	})
 	u := newTestUpstream(t)
 	var a *http1.Answer
-	for range 20 { // on a slow machine it may look as if it had stopped before: then it is spoilt, and tried again
+	for range 20 { // on a slow machine the answer may seem to stall earlier: then it counts as broken, and is retried
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		if r := u.Exchange(ctx, nil, at(addr), read); r.Result == balance.OK {
+		if r := u.Exchange(ctx, nil, target(addr), readRequest); r.Result == balance.OK {
 			a = r.Payload.(*http1.Answer)
 			break
 		}
@@ -67,10 +67,10 @@
 	passed <- struct{}{}
 	rest, err := io.ReadAll(a.More)
 	if err == nil {
-		t.Errorf("read %d and %d bytes, and took that for all", len(a.Body), len(rest))
+		t.Errorf("read %d and %d bytes without an error", len(a.Body), len(rest))
 	}
 	a.More.Close()
 	if n := u.sockets.Open.Load(); n != 0 {
-		t.Errorf("%d connections are kept", n)
+		t.Errorf("%d connections are kept alive", n)
 	}
 }
