--- a/internal/configuration/server/agents.go
+++ b/internal/configuration/server/agents.go
@@ -7,84 +7,87 @@
 	"lemonrail/internal/configuration"
 )
 
-// report takes what an agent has in force.
+// report handles an agent's report of the revisions that it has in force.
 func (s *Server) report(w http.ResponseWriter, r *http.Request) {
 	var report configuration.Report
-	err := decodeBody(w, r, reportBytesMost, &report)
+	err := decodeBody(w, r, maxReportBytes, &report)
 	if err == nil {
 		err = report.Place.Check()
 	}
 	if err == nil {
-		err = s.reported(report)
+		err = s.recordReport(report)
 	}
 	if err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Server) reported(report configuration.Report) error {
-	s.trackerLock.Lock()
-	defer s.trackerLock.Unlock()
+func (s *Server) recordReport(report configuration.Report) error {
+	s.trackerMu.Lock()
+	defer s.trackerMu.Unlock()
 	for _, refusal := range report.Refused {
-		s.log.Warn("an agent refuses a revision", "agent", report.Agent, "service", report.Service, "scope", refusal.Scope.String(),
+		s.log.Warn("agent refused a revision", "agent", report.Agent, "service", report.Service, "scope", refusal.Scope.String(),
 			"revision", refusal.Revision, "why", refusal.Why)
 	}
 	return s.tracker.Reported(report, s.now())
 }
 
-func (s *Server) connected(place configuration.Place) error {
-	s.trackerLock.Lock()
-	defer s.trackerLock.Unlock()
+func (s *Server) trackConnected(place configuration.Place) error {
+	s.trackerMu.Lock()
+	defer s.trackerMu.Unlock()
 	return s.tracker.Connected(place, s.now())
 }
 
-func (s *Server) disconnected(place configuration.Place) {
-	s.trackerLock.Lock()
-	defer s.trackerLock.Unlock()
+func (s *Server) trackDisconnected(place configuration.Place) {
+	s.trackerMu.Lock()
+	defer s.trackerMu.Unlock()
 	s.tracker.Disconnected(place, s.now())
 }
 
-// local is what this machine knows of agents. Right after its start it may be short of some, and is an error.
-func (s *Server) local() ([]configuration.AgentStatus, error) {
-	s.trackerLock.Lock()
-	defer s.trackerLock.Unlock()
+// localAgents returns the agents known to this machine. During the settle time after the machine's start it
+// returns an error, because some agents may not have connected yet.
+func (s *Server) localAgents() ([]configuration.AgentStatus, error) {
+	s.trackerMu.Lock()
+	defer s.trackerMu.Unlock()
 	now := s.now()
 	if now < s.settings.settle() {
-		return nil, failure(configuration.ErrorMissing, "machine %s has just started; its agents may not have found it yet", s.settings.Name)
+		return nil, newError(configuration.ErrorMissing, "machine %s has just started; its agents may not have found it yet", s.settings.Name)
 	}
 	return s.tracker.Local(now), nil
 }
 
-// localStatus answers what this machine knows of agents.
+// localStatus answers with the agents known to this machine.
 func (s *Server) localStatus(w http.ResponseWriter, r *http.Request) {
-	all, err := s.local()
+	all, err := s.localAgents()
 	if err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
-	answer(w, all)
+	writeJSON(w, all)
 }
 
-// status answers whether a revision of a scope is in force everywhere: that of the query, or the latest.
+// status answers whether a revision of a scope is in force at every agent: the revision in the query, or the
+// latest one.
 func (s *Server) status(w http.ResponseWriter, r *http.Request) {
-	scope, err := s.scopeOf(r)
+	scope, err := s.requestedScope(r)
 	if err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
-	at, err := s.positionOf(r, scope)
+	at, err := s.requestedPosition(r, scope)
 	if err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
-	all, unreachable := s.askAll(r.Context())
-	answer(w, configuration.InForce(scope, at, all, unreachable))
+	all, unreachable := s.collectAgents(r.Context())
+	writeJSON(w, configuration.InForce(scope, at, all, unreachable))
 }
 
-// positionOf is the position that a query asks about: its revision, or the scope's latest.
-func (s *Server) positionOf(r *http.Request, scope configuration.Scope) (configuration.Position, error) {
+// requestedPosition returns the position of the revision in the query, or of the scope's latest revision if
+// there is none.
+func (s *Server) requestedPosition(r *http.Request, scope configuration.Scope) (configuration.Position, error) {
 	text := r.URL.Query().Get("revision")
 	if text == "" {
 		latest, err := s.latest(r.Context(), scope, false)
@@ -92,12 +95,12 @@
 	}
 	revision, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || revision == 0 {
-		return configuration.Position{}, failure(configuration.ErrorInvalid, "revision %q is no number from 1 on", text)
+		return configuration.Position{}, newError(configuration.ErrorInvalid, "revision %q is not a positive integer", text)
 	}
 	if g := s.groups[scope.Group()]; g != nil {
 		if applied, ok := g.revision(scope); ok && applied.Revision == revision {
 			return applied.Position, nil
 		}
 	}
-	return configuration.Position{Revision: revision}, nil // an earlier one: its epoch isn't known any more
+	return configuration.Position{Revision: revision}, nil // an earlier revision, whose epoch is no longer known
 }
--- a/internal/configuration/server/fake_test.go
+++ b/internal/configuration/server/fake_test.go
@@ -14,22 +14,22 @@
 	"lemonrail/internal/replica"
 )
 
-// fakeGroup is a group's log in memory: what is proposed at its leader is applied by all members at once.
+// fakeGroup is an in-memory replicated log. A command proposed at its leader is applied by all members at once.
 type fakeGroup struct {
-	mu      sync.Mutex
-	leader  string
-	members map[string]*group
-	epoch   uint64
-	propose error // what a proposal ends with after it was applied
+	mu         sync.Mutex
+	leader     string
+	members    map[string]*group
+	epoch      uint64
+	proposeErr error // returned by Propose after the command was applied
 }
 
-// fakeReplica is a machine's member of a fakeGroup.
+// fakeReplica is one machine's member of a fakeGroup.
 type fakeReplica struct {
-	name   string
-	fake   *fakeGroup
-	votes  bool
-	reads  int
-	refuse error // what Read answers at the leader
+	name    string
+	fake    *fakeGroup
+	votes   bool
+	reads   int
+	readErr error // returned by Read at the leader
 }
 
 func (r *fakeReplica) Run(ctx context.Context) error { <-ctx.Done(); return nil }
@@ -46,7 +46,7 @@
 			result = out
 		}
 	}
-	return result, r.fake.propose
+	return result, r.fake.proposeErr
 }
 
 func (r *fakeReplica) Read(context.Context) error {
@@ -56,10 +56,11 @@
 	if err := r.notLeader(); err != nil {
 		return err
 	}
-	return r.refuse
+	return r.readErr
 }
 
-// notLeader refuses what the leader has to do. A member that doesn't vote knows no leader.
+// notLeader returns an error unless this member is the leader. A member that doesn't vote doesn't know the
+// leader.
 func (r *fakeReplica) notLeader() error {
 	switch {
 	case !r.votes:
@@ -76,22 +77,22 @@
 	return replica.Status{Name: r.name, Votes: r.votes, Leader: r.fake.leader, Term: r.fake.epoch}, nil
 }
 
-// fakeFleet is four machines in one process, without raft and disk.
+// fakeFleet runs four machines in one process, without raft and disk.
 type fakeFleet struct {
-	servers  map[string]*Server
-	http     map[string]*httptest.Server
-	groups   map[string]*fakeGroup
-	replicas map[string]*fakeReplica // by group and machine: fleet/a1
-	calls    map[string]int          // of put, by machine
-	mu       sync.Mutex
+	servers   map[string]*Server
+	http      map[string]*httptest.Server
+	groups    map[string]*fakeGroup
+	replicas  map[string]*fakeReplica // by group and machine, such as fleet/a1
+	putCounts map[string]int          // calls of put, by machine
+	mu        sync.Mutex
 }
 
-// newFakeFleet starts a1, a2, b1, b2; a1 leads what it votes in, b1 leads region-b.
+// newFakeFleet starts a1, a2, b1 and b2. b1 leads region-b; a1 leads the other groups.
 func newFakeFleet(t *testing.T) *fakeFleet {
 	t.Helper()
 	f := &fakeFleet{servers: map[string]*Server{}, http: map[string]*httptest.Server{}, groups: map[string]*fakeGroup{},
-		replicas: map[string]*fakeReplica{}, calls: map[string]int{}}
-	settings := Settings{TickMs: tickLeastMs, Folder: "unused"}
+		replicas: map[string]*fakeReplica{}, putCounts: map[string]int{}}
+	settings := Settings{TickMs: minTickMs, Folder: "unused"}
 	listeners := map[string]net.Listener{}
 	for _, m := range []MachineConfig{
 		{Name: "a1", Region: "a", Groups: map[string]string{"fleet": "x", "region-a": "x", "region-b": "x"}},
@@ -128,12 +129,12 @@
 		f.groups[name].members[m.Name] = g
 		f.replicas[name+"/"+m.Name] = member
 	}
-	s.up.Store(true)
+	s.ready.Store(true)
 	handler := s.handler()
 	web := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == configuration.PutPath {
 			f.mu.Lock()
-			f.calls[m.Name]++
+			f.putCounts[m.Name]++
 			f.mu.Unlock()
 		}
 		handler.ServeHTTP(w, r)
@@ -154,7 +155,7 @@
 func (f *fakeFleet) putCalls(name string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.calls[name]
+	return f.putCounts[name]
 }
 
 var (
--- a/internal/configuration/server/group.go
+++ b/internal/configuration/server/group.go
@@ -9,7 +9,7 @@
 	"lemonrail/internal/replica"
 )
 
-// consensus is what a group needs of its replica.
+// consensus is the part of a replica that a group uses.
 type consensus interface {
 	Run(ctx context.Context) error
 	Propose(ctx context.Context, command []byte) ([]byte, error)
@@ -17,8 +17,9 @@
 	Status(ctx context.Context) (replica.Status, error)
 }
 
-// group is this machine's part in a group: its replica, and the registry of what it has applied. The registry can be
-// read whatever becomes of the replica, so that agents are served without a majority and without a disk.
+// group is this machine's member of a group: its replica, and the registry of the commands that the replica
+// has applied. The registry can be read even when the replica has failed, so that agents are served without a
+// majority and without a disk.
 type group struct {
 	name    string
 	replica consensus
@@ -27,7 +28,7 @@
 
 	mu          sync.Mutex
 	registry    *configuration.Registry
-	made        []configuration.Revision // by the command that is being applied
+	applied     []configuration.Revision // made by the command that is being applied
 	subscribers map[chan struct{}]bool
 }
 
@@ -39,14 +40,14 @@
 		registry:    configuration.NewRegistry(name),
 		subscribers: map[chan struct{}]bool{},
 	}
-	g.registry.OnRevision = func(revision configuration.Revision) { g.made = append(g.made, revision) }
+	g.registry.OnRevision = func(revision configuration.Revision) { g.applied = append(g.applied, revision) }
 	return g
 }
 
-// Apply is called by the replica with each command that the group has agreed on, in its order.
+// Apply is called by the replica with each committed command, in log order.
 func (g *group) Apply(epoch uint64, command []byte) []byte {
 	result, made := g.apply(epoch, command)
-	g.record(made) // without the lock: watches are served also while a disk hangs
+	g.record(made) // without g.mu, so that watches are served while a disk hangs
 	return result
 }
 
@@ -54,12 +55,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	result = g.registry.Apply(epoch, command)
-	made, g.made = g.made, nil
+	made, g.applied = g.applied, nil
 	g.notify()
 	return result, made
 }
 
-// record writes revisions into the history.
+// record writes revisions to the history.
 func (g *group) record(revisions []configuration.Revision) {
 	for _, revision := range revisions {
 		if err := g.history.add(revision); err != nil {
@@ -68,14 +69,14 @@
 	}
 }
 
-// Snapshot is what the replica keeps in place of the commands before it.
+// Snapshot returns the state that the replica stores in place of the commands applied so far.
 func (g *group) Snapshot() ([]byte, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.registry.Snapshot()
 }
 
-// Restore is called by the replica with a snapshot of its own or the leader's.
+// Restore is called by the replica with a snapshot, either its own or one received from the leader.
 func (g *group) Restore(snapshot []byte) error {
 	latest, err := g.restore(snapshot)
 	g.record(latest)
@@ -97,14 +98,14 @@
 	return latest, nil
 }
 
-// votes reports whether this machine takes part in the group now.
+// votes reports whether this machine is currently a voter of the group.
 func (g *group) votes(ctx context.Context) bool {
 	status, err := g.replica.Status(ctx)
 	return err == nil && status.Votes
 }
 
-// subscribe has the channel, of room for one, hold a value after the registry may have changed. It says no more than
-// that, so that nothing queues for a slow reader.
+// subscribe makes the group send to a channel of capacity 1 whenever the registry may have changed. The
+// signal carries no data, so nothing queues for a slow reader.
 func (g *group) subscribe(changed chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -117,38 +118,38 @@
 	delete(g.subscribers, changed)
 }
 
-// notify needs g.mu.
+// notify signals all subscribers. The caller holds g.mu.
 func (g *group) notify() {
 	for changed := range g.subscribers {
 		select {
 		case changed <- struct{}{}:
-		default: // it is to look anyway
+		default: // a signal is pending already
 		}
 	}
 }
 
-// revision is what a scope has, as far as this machine has applied.
+// revision returns a scope's latest revision that this machine has applied.
 func (g *group) revision(scope configuration.Scope) (configuration.Revision, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.registry.Revision(scope)
 }
 
-// updates are what an agent at a position of a scope lacks.
-func (g *group) updates(scope configuration.Scope, have configuration.Position) []configuration.Update {
+// updatesSince returns the updates that an agent at the given position of a scope has not received yet.
+func (g *group) updatesSince(scope configuration.Scope, have configuration.Position) []configuration.Update {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.registry.Updates(scope, have)
 }
 
-// check refuses a change that can't become a revision.
+// check returns an error if a change cannot become a revision.
 func (g *group) check(change configuration.Change) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.registry.Check(change)
 }
 
-// positions are those of all scopes with a document.
+// positions returns the position of each scope that has a document.
 func (g *group) positions() map[configuration.Scope]configuration.Position {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/configuration/server/history.go
+++ b/internal/configuration/server/history.go
@@ -16,31 +16,33 @@
 )
 
 const (
-	historyFile       = "history.db"
-	historyMost       = 100 // revisions in an answer
-	historyBytesMost  = 4 << 20
-	historyOpenLimit  = time.Second
-	historyPermission = 0o600
-	checksumBytes     = 4
+	historyFile         = "history.db"
+	maxHistoryRevisions = 100     // in one response
+	maxHistoryBytes     = 4 << 20 // of records in one response
+	historyOpenTimeout  = time.Second
+	historyPermission   = 0o600
+	checksumBytes       = 4
 )
 
 var (
-	errNoHistory = errors.New("this machine keeps none now")
-	checksums    = crc32.MakeTable(crc32.Castagnoli)
+	errHistoryUnavailable = errors.New("this machine has no open history file")
+	crcTable              = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// history keeps the revisions that this machine has applied, for people. It is never the source of what is in force:
-// that are the logs of the groups and their snapshots. Without its file the process runs on without it.
+// history records the revisions that this machine has applied, for operators. It is never the source of the
+// settings in force, which come from the groups' logs and snapshots. If its file cannot be opened, the
+// process runs without a history.
 type history struct {
-	db  *bbolt.DB // nil: none could be opened
+	db  *bbolt.DB // nil if the file could not be opened
 	log *slog.Logger
 }
 
-// openHistory opens the folder's history. Each value is checksummed; a bucket has a scope's revisions by number.
+// openHistory opens the folder's history file. The file has a bucket per scope, in which checksummed records
+// are stored by revision number.
 func openHistory(folder string, log *slog.Logger) *history {
 	h := &history{log: log}
-	err := guarded(func() (err error) {
-		h.db, err = bbolt.Open(filepath.Join(folder, historyFile), historyPermission, &bbolt.Options{Timeout: historyOpenLimit})
+	err := recoverPanic(func() (err error) {
+		h.db, err = bbolt.Open(filepath.Join(folder, historyFile), historyPermission, &bbolt.Options{Timeout: historyOpenTimeout})
 		return err
 	})
 	if err != nil {
@@ -56,8 +58,8 @@
 	}
 }
 
-// guarded has a panic over a damaged file be an error.
-func guarded(f func() error) (err error) {
+// recoverPanic calls f and returns a panic, which bbolt raises on a damaged file, as an error.
+func recoverPanic(f func() error) (err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
 			err = fmt.Errorf("damaged: %v", reason)
@@ -71,7 +73,7 @@
 	if h.db == nil {
 		return nil
 	}
-	return guarded(func() error {
+	return recoverPanic(func() error {
 		known, err := h.has(revision)
 		if known || err != nil {
 			return err
@@ -104,12 +106,12 @@
 	return known, err
 }
 
-// list is a scope's recorded revisions, the latest first. Records that are damaged are left out and logged.
+// list returns a scope's recorded revisions, the latest first. Damaged records are skipped and logged.
 func (h *history) list(scope configuration.Scope) (revisions []configuration.Revision, err error) {
 	if h.db == nil {
-		return nil, errNoHistory
+		return nil, errHistoryUnavailable
 	}
-	err = guarded(func() error {
+	err = recoverPanic(func() error {
 		return h.db.View(func(tx *bbolt.Tx) error {
 			bucket := tx.Bucket([]byte(scope.String()))
 			if bucket == nil {
@@ -117,10 +119,10 @@
 			}
 			bytes := 0
 			cursor := bucket.Cursor()
-			for key, value := cursor.Last(); key != nil && len(revisions) < historyMost && bytes < historyBytesMost; key, value = cursor.Prev() {
+			for key, value := cursor.Last(); key != nil && len(revisions) < maxHistoryRevisions && bytes < maxHistoryBytes; key, value = cursor.Prev() {
 				revision, err := decodeRecord(value)
 				if err != nil {
-					h.log.Error("a record of the history is damaged", "scope", scope.String(), "key", fmt.Sprintf("%x", key), "err", err)
+					h.log.Error("damaged history record", "scope", scope.String(), "key", fmt.Sprintf("%x", key), "err", err)
 					continue
 				}
 				bytes += len(value)
@@ -134,13 +136,13 @@
 
 func recordKey(revision uint64) []byte { return binary.BigEndian.AppendUint64(nil, revision) }
 
-// encodeRecord is a checksum (CRC-32C) and the revision as JSON.
+// encodeRecord returns a CRC-32C checksum followed by the revision as JSON.
 func encodeRecord(revision configuration.Revision) ([]byte, error) {
 	raw, err := json.Marshal(revision)
 	if err != nil {
 		return nil, err
 	}
-	value := binary.BigEndian.AppendUint32(nil, crc32.Checksum(raw, checksums))
+	value := binary.BigEndian.AppendUint32(nil, crc32.Checksum(raw, crcTable))
 	return append(value, raw...), nil
 }
 
@@ -149,7 +151,7 @@
 		return revision, errors.New("too short")
 	}
 	raw := value[checksumBytes:]
-	if crc32.Checksum(raw, checksums) != binary.BigEndian.Uint32(value) {
+	if crc32.Checksum(raw, crcTable) != binary.BigEndian.Uint32(value) {
 		return revision, errors.New("checksum doesn't match")
 	}
 	err = json.Unmarshal(raw, &revision)
--- a/internal/configuration/server/history_test.go
+++ b/internal/configuration/server/history_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func wantListed(t *testing.T, h *history, changes ...string) {
+func checkListed(t *testing.T, h *history, changes ...string) {
 	t.Helper()
 	listed, err := h.list(configuration.Fleet)
 	if err != nil {
@@ -58,16 +58,16 @@
 	}
 }
 
-func TestHistoryLastsAndGivesTheLatestFirst(t *testing.T) {
+func TestHistoryPersistsAndListsLatestFirst(t *testing.T) {
 	folder := t.TempDir()
 	h := openTestHistory(t, folder)
 	addAll(t, h, testRevision(1, "x"), testRevision(2, "y"), testRevision(2, "y"), testRevision(10, "z"))
-	wantListed(t, h, "z", "y", "x")
+	checkListed(t, h, "z", "y", "x")
 	h.close()
-	wantListed(t, openTestHistory(t, folder), "z", "y", "x")
+	checkListed(t, openTestHistory(t, folder), "z", "y", "x")
 }
 
-func TestHistoryLeavesDamagedRecordsOut(t *testing.T) {
+func TestHistorySkipsDamagedRecords(t *testing.T) {
 	h := openTestHistory(t, t.TempDir())
 	addAll(t, h, testRevision(1, "x"), testRevision(2, "y"))
 	err := h.db.Update(func(tx *bbolt.Tx) error {
@@ -78,12 +78,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantListed(t, h, "x")
-	addAll(t, h, testRevision(2, "y")) // as when the log is read again
-	wantListed(t, h, "y", "x")
+	checkListed(t, h, "x")
+	addAll(t, h, testRevision(2, "y")) // as when the log is replayed
+	checkListed(t, h, "y", "x")
 }
 
-func TestHistoryThatCannotBeOpenedStopsNothing(t *testing.T) {
+func TestHistoryThatCannotBeOpenedDropsRevisions(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.WriteFile(filepath.Join(folder, historyFile), []byte("no database, but long enough to be read as one"), 0o600); err != nil {
 		t.Fatal(err)
@@ -91,6 +91,6 @@
 	h := openTestHistory(t, folder)
 	addAll(t, h, testRevision(1, "x"))
 	if _, err := h.list(configuration.Fleet); err == nil {
-		t.Error("it lists what it doesn't keep")
+		t.Error("list succeeded without an open history file")
 	}
 }
--- a/internal/configuration/server/peers.go
+++ b/internal/configuration/server/peers.go
@@ -13,24 +13,25 @@
 	"lemonrail/internal/configuration"
 )
 
-// newPeerClient is for calls of one control machine to another.
+// newPeerClient returns the HTTP client for calls to other control machines.
 func newPeerClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: probeLimit}).DialContext,
+		DialContext:         (&net.Dialer{Timeout: probeTimeout}).DialContext,
 		MaxIdleConnsPerHost: 2,
 		MaxConnsPerHost:     32,
-		IdleConnTimeout:     idleLimit / 2,
+		IdleConnTimeout:     idleTimeout / 2,
 	}}
 }
 
-// probe finds whether a machine answers.
+// probe checks that a machine answers.
 func (s *Server) probe(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, probeLimit)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return s.get(ctx, address, UpPath, nil)
 }
 
-// get asks another machine; into may be nil.
+// get sends a GET request to another machine and decodes the response into the value that into points to, if
+// it isn't nil.
 func (s *Server) get(ctx context.Context, address, path string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
@@ -39,7 +40,8 @@
 	return s.call(request, into)
 }
 
-// call makes a request at another machine and reads the answer; an *ErrorBody is returned as the error.
+// call sends a request to another machine and decodes the response. An *ErrorBody in the response is returned
+// as the error.
 func (s *Server) call(request *http.Request, into any) error {
 	request.Header.Set(forwardedHeader, s.settings.Name)
 	response, err := s.peers.Do(request)
@@ -47,12 +49,12 @@
 		return err
 	}
 	defer response.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(response.Body, peerBytesMost))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxPeerResponseBytes))
 	if err != nil {
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		return refusalOf(response.StatusCode, raw)
+		return responseError(response.StatusCode, raw)
 	}
 	if into == nil {
 		return nil
@@ -60,8 +62,8 @@
 	return json.Unmarshal(raw, into)
 }
 
-// refusalOf is the *ErrorBody of an answer that is no yes.
-func refusalOf(status int, raw []byte) error {
+// responseError returns the *ErrorBody of a response whose status isn't 200.
+func responseError(status int, raw []byte) error {
 	body := &configuration.ErrorBody{}
 	if err := json.Unmarshal(raw, body); err != nil || body.Kind == "" {
 		return fmt.Errorf("status %d", status)
@@ -69,31 +71,31 @@
 	return body
 }
 
-// askAll asks every machine for the status of the agents that it knows, at once; unreachable names those that didn't
-// answer in time.
-func (s *Server) askAll(ctx context.Context) (all [][]configuration.AgentStatus, unreachable []string) {
-	ctx, cancel := context.WithTimeout(ctx, localStatusLimit)
+// collectAgents asks all machines concurrently for the agents that they know. unreachable names the machines
+// that did not answer in time.
+func (s *Server) collectAgents(ctx context.Context) (all [][]configuration.AgentStatus, unreachable []string) {
+	ctx, cancel := context.WithTimeout(ctx, localStatusTimeout)
 	defer cancel()
-	answers := make([][]configuration.AgentStatus, len(s.settings.Machines))
+	results := make([][]configuration.AgentStatus, len(s.settings.Machines))
 	errs := make([]error, len(s.settings.Machines))
-	var asking sync.WaitGroup
+	var requests sync.WaitGroup
 	for i, m := range s.settings.Machines {
 		if m.Name == s.settings.Name {
-			answers[i], errs[i] = s.local()
+			results[i], errs[i] = s.localAgents()
 			continue
 		}
-		asking.Go(func() { errs[i] = s.get(ctx, m.Address, configuration.LocalStatusPath, &answers[i]) })
+		requests.Go(func() { errs[i] = s.get(ctx, m.Address, configuration.LocalStatusPath, &results[i]) })
 	}
-	asking.Wait()
+	requests.Wait()
 	for i, m := range s.settings.Machines {
 		if errs[i] != nil {
 			unreachable = append(unreachable, m.Name)
 			continue
 		}
-		all = append(all, answers[i])
+		all = append(all, results[i])
 	}
 	return all, unreachable
 }
 
-// now is the time on the clock of the tracker and the pacers.
+// now returns the time since the process started, which is the clock of the tracker and the pacers.
 func (s *Server) now() time.Duration { return time.Since(s.started) }
--- a/internal/configuration/server/put.go
+++ b/internal/configuration/server/put.go
@@ -10,19 +10,19 @@
 	"lemonrail/internal/configuration"
 )
 
-// put takes a change: here if this machine leads the group that writes its scope, or else at the leader.
+// put handles a change: here if this machine leads the group that writes its scope, otherwise at the leader.
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
-	accepted, err := s.takeChange(w, r)
+	accepted, err := s.acceptChange(w, r)
 	if err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
-	answer(w, accepted)
+	writeJSON(w, accepted)
 }
 
-func (s *Server) takeChange(w http.ResponseWriter, r *http.Request) (configuration.Accepted, error) {
+func (s *Server) acceptChange(w http.ResponseWriter, r *http.Request) (configuration.Accepted, error) {
 	var change configuration.Change
-	if err := decodeBody(w, r, changeBytesMost, &change); err != nil {
+	if err := decodeBody(w, r, maxChangeBytes, &change); err != nil {
 		return configuration.Accepted{}, err
 	}
 	if err := s.checkGroup(change.Scope); err != nil {
@@ -31,7 +31,7 @@
 	if change.At == "" {
 		change.At = time.Now().UTC().Format(time.RFC3339)
 	}
-	if forwarded(r) {
+	if isForwarded(r) {
 		g, err := s.groupOf(change.Scope)
 		if err != nil {
 			return configuration.Accepted{}, err
@@ -40,20 +40,22 @@
 	}
 	return route(r.Context(), s, call[configuration.Accepted]{
 		group: change.Scope.Group(),
-		here: func(ctx context.Context, g *group) (configuration.Accepted, error) {
+		local: func(ctx context.Context, g *group) (configuration.Accepted, error) {
 			return s.propose(ctx, g, change)
 		},
-		there: func(ctx context.Context, address string) (configuration.Accepted, error) {
+		remote: func(ctx context.Context, address string) (configuration.Accepted, error) {
 			return s.forwardChange(ctx, address, change)
 		},
 	})
 }
 
-// propose proposes a change to the group if this machine leads it. The change is checked first by what a majority has
-// agreed on, as far as the leader has applied it; Apply decides.
+// propose proposes a change to the group if this machine leads it. The change is first checked against the
+// committed revisions that the leader has applied, so that most invalid changes don't reach the log; Apply
+// makes the final decision.
 func (s *Server) propose(ctx context.Context, g *group, change configuration.Change) (configuration.Accepted, error) {
 	none := configuration.Accepted{}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), attemptLimit) // a client that goes away withdraws nothing
+	// A client that disconnects doesn't cancel its change.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), proposeTimeout)
 	defer cancel()
 	if err := g.replica.Read(ctx); err != nil {
 		err = s.readError(g, err)
@@ -66,11 +68,11 @@
 	}
 	command, err := configuration.EncodeChange(change)
 	if err != nil {
-		return none, failure(configuration.ErrorInvalid, "%v", err)
+		return none, newError(configuration.ErrorInvalid, "%v", err)
 	}
 	result, err := g.replica.Propose(ctx, command)
 	if err != nil {
-		err = s.leaderError(g, err)
+		err = s.replicaError(g, err)
 		g.logChange(change, none, err)
 		return none, err
 	}
@@ -79,35 +81,35 @@
 	return accepted, err
 }
 
-// logChange writes a line for each change that this machine has agreed on, or refused.
+// logChange logs each change that this machine has committed or refused as the leader.
 func (g *group) logChange(change configuration.Change, accepted configuration.Accepted, err error) {
-	if kindOf(err) == configuration.ErrorNotHere {
-		return // the leader writes the line
+	if errorKind(err) == configuration.ErrorNotHere {
+		return // the leader logs the change
 	}
 	attributes := []any{"scope", change.Scope.String(), "change", change.ID, "by", change.By, "why", change.Why, "base", change.Base}
 	if err != nil {
-		g.log.Warn("not changed", append(attributes, "err", err)...)
+		g.log.Warn("change failed", append(attributes, "err", err)...)
 		return
 	}
-	g.log.Info("changed", append(attributes, "revision", accepted.Revision, "epoch", accepted.Epoch, "digest", accepted.Digest)...)
+	g.log.Info("change committed", append(attributes, "revision", accepted.Revision, "epoch", accepted.Epoch, "digest", accepted.Digest)...)
 }
 
-// forwardChange proposes a change at another machine. Whatever isn't an answer leaves it unknown whether it was written.
+// forwardChange proposes a change at another machine. Without an answer from it, the outcome is unknown.
 func (s *Server) forwardChange(ctx context.Context, address string, change configuration.Change) (configuration.Accepted, error) {
 	var accepted configuration.Accepted
 	raw, err := json.Marshal(change)
 	if err != nil {
 		return accepted, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, attemptLimit+probeLimit)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout+probeTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+configuration.PutPath, bytes.NewReader(raw))
 	if err != nil {
 		return accepted, err
 	}
 	err = s.call(request, &accepted)
-	if err != nil && kindOf(err) == "" {
-		return accepted, failure(configuration.ErrorUnknown, "the machine at %s: %v; send the change again with the same id", address, err)
+	if err != nil && errorKind(err) == "" {
+		return accepted, newError(configuration.ErrorUnknown, "the machine at %s: %v; send the change again with the same id", address, err)
 	}
 	return accepted, err
 }
--- a/internal/configuration/server/route.go
+++ b/internal/configuration/server/route.go
@@ -11,50 +11,51 @@
 	"lemonrail/internal/replica"
 )
 
-// forwardedHeader names the machine that forwarded a call. A call is forwarded once, so that none goes round.
+// forwardedHeader names the machine that forwarded a call. A call is forwarded at most once, which prevents
+// loops.
 const forwardedHeader = "Lemonrail-Forwarded-By"
 
-func forwarded(r *http.Request) bool { return r.Header.Get(forwardedHeader) != "" }
+func isForwarded(r *http.Request) bool { return r.Header.Get(forwardedHeader) != "" }
 
-// call is one that the leader of a group has to answer.
+// call is a request that the leader of a group has to answer.
 type call[T any] struct {
-	group string
-	here  func(ctx context.Context, g *group) (T, error)       // refuses with not-here if this machine doesn't lead
-	there func(ctx context.Context, address string) (T, error) // at another machine
+	group  string
+	local  func(ctx context.Context, g *group) (T, error)       // returns not-here if this machine isn't the leader
+	remote func(ctx context.Context, address string) (T, error) // sends the call to another machine
 }
 
-// route brings a call to the leader of its group, which it seeks for the time of a few elections: as long as every try
-// says for sure that nothing was done.
+// route brings a call to the leader of its group. It retries for the time of a few elections
+// (routeTimeoutTicks), as long as every attempt reports that certainly nothing was written.
 func route[T any](ctx context.Context, s *Server, c call[T]) (T, error) {
-	until := time.Now().Add(routeTicks * s.settings.tick())
+	until := time.Now().Add(routeTimeoutTicks * s.settings.tick())
 	for {
 		result, err := routeOnce(ctx, s, c)
-		if !nothingDone(err) || time.Now().After(until) {
-			return result, noLeader(c.group, err)
+		if !nothingWritten(err) || time.Now().After(until) {
+			return result, noLeaderError(c.group, err)
 		}
 		select {
 		case <-time.After(s.settings.tick()):
 		case <-ctx.Done():
-			return result, noLeader(c.group, err)
+			return result, noLeaderError(c.group, err)
 		}
 	}
 }
 
-// nothingDone reports whether an error says that the call has reached no leader with a majority.
-func nothingDone(err error) bool {
-	kind := kindOf(err)
+// nothingWritten reports whether an error says that the call reached no leader with a majority.
+func nothingWritten(err error) bool {
+	kind := errorKind(err)
 	return kind == configuration.ErrorNoQuorum || kind == configuration.ErrorNotHere
 }
 
-// kindOf is an error's kind; empty: it has none.
-func kindOf(err error) configuration.ErrorKind {
-	if body := bodyOf(err); body != nil {
+// errorKind returns the kind of an error, or "" if the error has none.
+func errorKind(err error) configuration.ErrorKind {
+	if body := errorBody(err); body != nil {
 		return body.Kind
 	}
 	return ""
 }
 
-func bodyOf(err error) *configuration.ErrorBody {
+func errorBody(err error) *configuration.ErrorBody {
 	var body *configuration.ErrorBody
 	if !errors.As(err, &body) {
 		return nil
@@ -62,89 +63,90 @@
 	return body
 }
 
-// noLeader is what a client is told at the end of a search that didn't find the leader.
-func noLeader(group string, err error) error {
-	if kindOf(err) == configuration.ErrorNotHere {
-		return failure(configuration.ErrorNoQuorum, "no leader of %s was found: %s; nothing was written", group, bodyOf(err).Message)
+// noLeaderError converts a not-here error, left when no leader was found in time, into a no-quorum error.
+func noLeaderError(group string, err error) error {
+	if errorKind(err) == configuration.ErrorNotHere {
+		return newError(configuration.ErrorNoQuorum, "no leader of %s was found: %s; nothing was written", group, errorBody(err).Message)
 	}
 	return err
 }
 
-// routeOnce tries once: here, and if another machine leads there. A machine that doesn't vote asks those that do.
+// routeOnce tries a call once: here or, if another machine leads the group, there. A machine that doesn't
+// vote in the group tries the voters.
 func routeOnce[T any](ctx context.Context, s *Server, c call[T]) (T, error) {
 	g := s.groups[c.group]
 	if g == nil || !g.votes(ctx) {
 		return askVoters(ctx, s, c)
 	}
-	result, err := c.here(ctx, g)
-	body := bodyOf(err)
+	result, err := c.local(ctx, g)
+	body := errorBody(err)
 	if body == nil || body.Kind != configuration.ErrorNotHere || len(body.Machines) == 0 {
 		return result, err
 	}
 	return forward(ctx, s, c, body.Machines[0])
 }
 
-// askVoters tries the voters of a call's group until one of them, or the leader that it names, answers.
+// askVoters tries the voters of a call's group, and the leaders that they name, until one of them answers.
 func askVoters[T any](ctx context.Context, s *Server, c call[T]) (result T, err error) {
-	var ask []string
+	var pending []string
 	for _, m := range s.settings.voters(c.group) {
-		ask = append(ask, m.Address)
+		pending = append(pending, m.Address)
 	}
-	asked := map[string]bool{s.own.Address: true}
-	err = failure(configuration.ErrorNoQuorum, "%s: no other machine to ask; nothing was written", c.group)
-	for len(ask) > 0 {
-		address := ask[0]
-		ask = ask[1:]
-		if asked[address] {
+	tried := map[string]bool{s.own.Address: true}
+	err = newError(configuration.ErrorNoQuorum, "%s: no other machine to ask; nothing was written", c.group)
+	for len(pending) > 0 {
+		address := pending[0]
+		pending = pending[1:]
+		if tried[address] {
 			continue
 		}
-		asked[address] = true
+		tried[address] = true
 		result, err = forward(ctx, s, c, address)
-		if !nothingDone(err) {
+		if !nothingWritten(err) {
 			return result, err
 		}
-		ask = append(s.addressesOf(bodyOf(err).Leader), ask...)
+		pending = append(s.machineAddresses(errorBody(err).Leader), pending...)
 	}
 	return result, err
 }
 
-// addressesOf is the address at which this machine reaches one that another names.
-func (s *Server) addressesOf(name string) []string {
+// machineAddresses returns the HTTP address of the named machine, or nothing if no machine has that name.
+func (s *Server) machineAddresses(name string) []string {
 	if m, ok := s.settings.machine(name); ok {
 		return []string{m.Address}
 	}
 	return nil
 }
 
-// forward makes a call at another machine. One that doesn't answer at all is found before the call is made: that nothing
-// was done is sure then.
+// forward sends a call to another machine. It probes the machine first: if the machine doesn't answer, it is
+// certain that nothing was written.
 func forward[T any](ctx context.Context, s *Server, c call[T], address string) (T, error) {
 	if err := s.probe(ctx, address); err != nil {
 		var none T
-		return none, failure(configuration.ErrorNoQuorum, "%s: the machine at %s doesn't answer: %v; nothing was written", c.group, address, err)
+		return none, newError(configuration.ErrorNoQuorum, "%s: the machine at %s doesn't answer: %v; nothing was written", c.group, address, err)
 	}
-	return c.there(ctx, address)
+	return c.remote(ctx, address)
 }
 
-// leaderError says what a call of the replica that failed comes to.
-func (s *Server) leaderError(g *group, err error) error {
+// replicaError converts an error of the replica into an *ErrorBody.
+func (s *Server) replicaError(g *group, err error) error {
 	var notLeader *replica.NotLeaderError
 	switch {
 	case errors.As(err, &notLeader):
-		return s.notLeader(g.name, notLeader.Leader)
+		return s.notLeaderError(g.name, notLeader.Leader)
 	case errors.Is(err, replica.ErrTooLong):
-		return failure(configuration.ErrorInvalid, "%v", err)
+		return newError(configuration.ErrorInvalid, "%v", err)
 	case errors.Is(err, replica.ErrNoQuorum):
-		return failure(configuration.ErrorNoQuorum, "%s has no majority that machine %s reaches; nothing was written", g.name, s.settings.Name)
+		return newError(configuration.ErrorNoQuorum, "%s has no majority that machine %s reaches; nothing was written", g.name, s.settings.Name)
 	case errors.Is(err, replica.ErrBusy), errors.Is(err, replica.ErrStopped):
-		return failure(configuration.ErrorNoQuorum, "%s at machine %s: %v; nothing was written", g.name, s.settings.Name, err)
+		return newError(configuration.ErrorNoQuorum, "%s at machine %s: %v; nothing was written", g.name, s.settings.Name, err)
 	}
-	return failure(configuration.ErrorUnknown, "%s at machine %s: %v; send the change again with the same id", g.name, s.settings.Name, err)
+	return newError(configuration.ErrorUnknown, "%s at machine %s: %v; send the change again with the same id", g.name, s.settings.Name, err)
 }
 
-// notLeader refuses a call that the leader has to answer, and names it if it is known.
-func (s *Server) notLeader(group, leader string) error {
-	body := failure(configuration.ErrorNotHere, "machine %s doesn't lead %s and knows no leader", s.settings.Name, group)
+// notLeaderError returns a not-here error with the leader's name and address, if known.
+func (s *Server) notLeaderError(group, leader string) error {
+	body := newError(configuration.ErrorNotHere, "machine %s doesn't lead %s and knows no leader", s.settings.Name, group)
 	if m, ok := s.settings.machine(leader); ok {
 		body.Message = fmt.Sprintf("machine %s doesn't lead %s, but %s does", s.settings.Name, group, leader)
 		body.Leader = leader
--- a/internal/configuration/server/route_test.go
+++ b/internal/configuration/server/route_test.go
@@ -11,7 +11,7 @@
 	"lemonrail/internal/replica"
 )
 
-// put makes a change at a machine as an operator does, and settles an unknown outcome.
+// put makes a change at a machine through the operators' client, which resolves an unknown outcome.
 func put(t *testing.T, f *fakeFleet, machine string, change configuration.Change) (configuration.Accepted, error) {
 	t.Helper()
 	c, err := client.New(f.address(machine))
@@ -22,7 +22,7 @@
 	return c.Put(t.Context(), change)
 }
 
-// postOnce makes a change at a machine by one call.
+// postOnce sends a change to a machine in a single call.
 func postOnce(t *testing.T, f *fakeFleet, machine string, change configuration.Change) error {
 	t.Helper()
 	raw, err := json.Marshal(change)
@@ -53,11 +53,11 @@
 		name    string
 		machine string
 		scope   configuration.Scope
-		calls   map[string]int // of put, by machine
+		calls   map[string]int // expected calls of put, by machine
 	}{
 		{"the machine leads", "a1", configuration.Fleet, map[string]int{"a1": 1}},
 		{"the machine votes", "b1", testRegionA, map[string]int{"b1": 1, "a2": 1}},
-		{"the machine doesn't vote, and asks those that do", "b2", zone, map[string]int{"b2": 1, "a1": 1, "a2": 1}},
+		{"the machine doesn't vote and asks the voters", "b2", zone, map[string]int{"b2": 1, "a1": 1, "a2": 1}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			f := newFakeFleet(t)
@@ -75,11 +75,11 @@
 	}
 }
 
-func TestForwardedChangeGoesNoFurther(t *testing.T) {
+func TestForwardedChangeIsNotForwardedAgain(t *testing.T) {
 	f := newFakeFleet(t)
 	s := f.servers["b2"]
 	_, err := s.forwardChange(t.Context(), f.address("a2"), testChange("x", testRegionA, 0, 2))
-	body := bodyOf(err)
+	body := errorBody(err)
 	if body == nil || body.Kind != configuration.ErrorNotHere || body.Leader != "a1" || len(body.Machines) != 1 {
 		t.Fatalf("got %+v, want not-here with the leader", err)
 	}
@@ -87,7 +87,7 @@
 		t.Errorf("the leader was called %d times", got)
 	}
 	if _, ok := f.servers["a1"].groups["region-a"].revision(testRegionA); ok {
-		t.Error("it was written")
+		t.Error("the change was written")
 	}
 }
 
@@ -100,13 +100,13 @@
 		written bool
 	}{
 		{"no leader is known", func(f *fakeFleet) { f.groups["region-a"].leader = "" }, testChange("1", testRegionA, 0, 2), configuration.ErrorNoQuorum, false},
-		{"the majority isn't confirmed", func(f *fakeFleet) { f.replicas["region-a/a1"].refuse = replica.ErrNoQuorum }, testChange("1", testRegionA, 0, 2),
+		{"the majority isn't confirmed", func(f *fakeFleet) { f.replicas["region-a/a1"].readErr = replica.ErrNoQuorum }, testChange("1", testRegionA, 0, 2),
 			configuration.ErrorNoQuorum, false},
-		{"the outcome is unknown", func(f *fakeFleet) { f.groups["region-a"].propose = replica.ErrOutcomeUnknown }, testChange("1", testRegionA, 0, 2),
+		{"the outcome is unknown", func(f *fakeFleet) { f.groups["region-a"].proposeErr = replica.ErrOutcomeUnknown }, testChange("1", testRegionA, 0, 2),
 			configuration.ErrorUnknown, true},
 		{"the base isn't in force", func(*fakeFleet) {}, testChange("1", testRegionA, 7, 2), configuration.ErrorConflict, false},
-		{"the document makes no sense", func(*fakeFleet) {}, testChange("1", testRegionA, 0, -2), configuration.ErrorInvalid, false},
-		{"no machine stands in the region", func(*fakeFleet) {},
+		{"the document is invalid", func(*fakeFleet) {}, testChange("1", testRegionA, 0, -2), configuration.ErrorInvalid, false},
+		{"no machine is in the region", func(*fakeFleet) {},
 			testChange("1", configuration.Scope{Level: configuration.LevelRegion, Region: "elsewhere"}, 0, 2), configuration.ErrorInvalid, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -114,7 +114,7 @@
 			tt.prepare(f)
 			for _, machine := range []string{"a1", "a2", "b2"} {
 				err := postOnce(t, f, machine, tt.change)
-				if kindOf(err) != tt.kind {
+				if errorKind(err) != tt.kind {
 					t.Errorf("at %s: got %v, want %s", machine, err, tt.kind)
 				}
 			}
@@ -146,49 +146,49 @@
 			t.Errorf("%s: the leader confirmed %d majorities, not one", machine, leader.reads-before)
 		}
 	}
-	leader.refuse = replica.ErrNoQuorum
+	leader.readErr = replica.ErrNoQuorum
 	c, err := client.New(f.address("a1"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if _, err := c.Show(t.Context(), testRegionA); kindOf(err) != configuration.ErrorNoQuorum {
-		t.Errorf("without a majority it shows %v", err)
+	if _, err := c.Show(t.Context(), testRegionA); errorKind(err) != configuration.ErrorNoQuorum {
+		t.Errorf("show without a majority: got %v, want no-quorum", err)
 	}
 	if applied, err := c.ShowApplied(t.Context(), testRegionA); err != nil || applied.Revision != 1 {
-		t.Errorf("what was applied: %+v, %v", applied, err)
+		t.Errorf("applied revision: got %+v, %v", applied, err)
 	}
 }
 
-func TestChangeOfUnknownOutcomeIsResolvedByItsIdentity(t *testing.T) {
+func TestUnknownOutcomeIsResolvedByChangeID(t *testing.T) {
 	f := newFakeFleet(t)
 	change := testChange("once", testRegionA, 0, 2)
-	f.groups["region-a"].propose = replica.ErrOutcomeUnknown
-	if err := postOnce(t, f, "a2", change); kindOf(err) != configuration.ErrorUnknown {
+	f.groups["region-a"].proposeErr = replica.ErrOutcomeUnknown
+	if err := postOnce(t, f, "a2", change); errorKind(err) != configuration.ErrorUnknown {
 		t.Fatalf("got %v", err)
 	}
-	f.groups["region-a"].propose = nil
+	f.groups["region-a"].proposeErr = nil
 	accepted, err := put(t, f, "a2", change)
 	if err != nil || accepted.Revision != 1 {
-		t.Errorf("sent again it got %+v, %v", accepted, err)
+		t.Errorf("the repeated change got %+v, %v", accepted, err)
 	}
-	if _, err := put(t, f, "a2", testChange("another", testRegionA, 0, 2)); kindOf(err) != configuration.ErrorConflict {
+	if _, err := put(t, f, "a2", testChange("another", testRegionA, 0, 2)); errorKind(err) != configuration.ErrorConflict {
 		t.Errorf("another change on the same base got %v", err)
 	}
 }
 
-func TestLeaderThatDoesNotAnswerIsFoundBeforeTheChangeIsSent(t *testing.T) {
+func TestUnresponsiveLeaderIsDetectedBeforeTheChangeIsSent(t *testing.T) {
 	f := newFakeFleet(t)
 	f.http["a1"].Listener.Close()
 	f.http["a1"].CloseClientConnections()
-	if err := postOnce(t, f, "a2", testChange("1", testRegionA, 0, 2)); kindOf(err) != configuration.ErrorNoQuorum {
-		t.Errorf("got %v, want that for sure nothing was written", err)
+	if err := postOnce(t, f, "a2", testChange("1", testRegionA, 0, 2)); errorKind(err) != configuration.ErrorNoQuorum {
+		t.Errorf("got %v, want no-quorum, which says that nothing was written", err)
 	}
 }
 
-func TestMachineThatDoesNotVoteHandsChangesOn(t *testing.T) {
+func TestNonVotingMachineForwardsChanges(t *testing.T) {
 	f := newFakeFleet(t)
-	f.replicas["region-a/a2"].votes = false // as after its disk failed
+	f.replicas["region-a/a2"].votes = false // as after a disk failure
 	accepted, err := put(t, f, "a2", testChange("1", testRegionA, 0, 2))
 	if err != nil || accepted.Revision != 1 {
 		t.Errorf("got %+v, %v", accepted, err)
--- a/internal/configuration/server/server.go
+++ b/internal/configuration/server/server.go
@@ -1,6 +1,7 @@
-// Package server is the control process: it takes changes of settings, agrees on them with the other control machines
-// (a replica for each group that it votes in), brings them to agents by watches, and knows which revisions the agents
-// have in force. What is decided stands in package configuration; here are the connections, the disk and the clock.
+// Package server is the control process. It takes configuration changes, replicates them among the control
+// machines (with one replica for each group that this machine votes in), sends them to agents over watches,
+// and tracks which revisions the agents have in force. The decisions are made in package configuration; this
+// package has the connections, the disk and the clock.
 package server
 
 import (
@@ -20,50 +21,50 @@
 	"lemonrail/internal/replica"
 )
 
-// Bounds of what clients may ask.
+// Limits on clients' requests and connections.
 const (
-	watchesMost     = 2000
-	connectionsMost = 4096
-	headerBytesMost = 32 << 10
-	changeBytesMost = 2*configuration.DocumentMost + 4<<10 // a document may be escaped
-	reportBytesMost = 32 << 10
-	peerBytesMost   = 16 << 20 // of a machine's answer
+	maxWatches           = 2000
+	maxConnections       = 4096
+	maxHeaderBytes       = 32 << 10
+	maxChangeBytes       = 2*configuration.DocumentMost + 4<<10 // escaping in JSON may lengthen a document
+	maxReportBytes       = 32 << 10
+	maxPeerResponseBytes = 16 << 20 // of another machine's response
 )
 
-// Time limits.
+// Timeouts.
 const (
-	headerLimit      = 5 * time.Second
-	idleLimit        = time.Minute
-	callLimit        = 20 * time.Second // of any call but a watch, from its header to its last byte
-	readLimit        = 3 * time.Second  // of confirming a majority before a read
-	attemptLimit     = 3 * time.Second  // of proposing a change, here or at the leader
-	probeLimit       = time.Second      // of finding whether a machine answers at all
-	localStatusLimit = 2 * time.Second
-	shutdownLimit    = 5 * time.Second
-	routeTicks       = 30 // for which a put seeks the leader: three elections
+	headerTimeout      = 5 * time.Second
+	idleTimeout        = time.Minute
+	callTimeout        = 20 * time.Second // of any call but a watch, from its header to the last byte of the response
+	readTimeout        = 3 * time.Second  // to confirm a majority before a read
+	proposeTimeout     = 3 * time.Second  // to propose a change, here or at the leader
+	probeTimeout       = time.Second      // to check that a machine answers
+	localStatusTimeout = 2 * time.Second
+	shutdownTimeout    = 5 * time.Second
+	routeTimeoutTicks  = 30 // raft ticks for which a call looks for the leader: three elections
 )
 
-// UpPath answers 200 once the machine's groups are started.
+// UpPath is the path that answers 200 once the machine's groups are started.
 const UpPath = "/up"
 
-// Server is a control process.
+// Server is the control process of one machine.
 type Server struct {
-	settings Settings
-	own      MachineConfig
-	log      *slog.Logger
-	groups   map[string]*group // in which this machine votes
-	history  *history
-	peers    *http.Client
-	watches  chan struct{} // holds a value for each open watch
-	stopping chan struct{} // closed when the process ends
-	up       atomic.Bool
-	started  time.Time
-
-	trackerLock sync.Mutex
-	tracker     *configuration.Tracker
+	settings   Settings
+	own        MachineConfig
+	log        *slog.Logger
+	groups     map[string]*group // by name; only those in which this machine votes
+	history    *history
+	peers      *http.Client
+	watchSlots chan struct{} // holds a value for each open watch
+	stopping   chan struct{} // closed when the process ends
+	ready      atomic.Bool
+	started    time.Time
+
+	trackerMu sync.Mutex
+	tracker   *configuration.Tracker
 }
 
-// Run is a control process from its start to the end of ctx.
+// Run runs a control process until ctx is done.
 func Run(ctx context.Context, settings Settings, log *slog.Logger) error {
 	s := newServer(settings, log)
 	defer s.peers.CloseIdleConnections()
@@ -86,7 +87,7 @@
 	if err := s.startGroups(replicasCtx, &replicas); err != nil {
 		return err
 	}
-	s.up.Store(true)
+	s.ready.Store(true)
 	s.log.Info("started", "address", listener.Addr().String(), "groups", len(s.groups))
 	return s.serve(ctx, listener)
 }
@@ -94,19 +95,19 @@
 func newServer(settings Settings, log *slog.Logger) *Server {
 	own, _ := settings.machine(settings.Name)
 	return &Server{
-		settings: settings,
-		own:      own,
-		log:      log.With("machine", settings.Name),
-		groups:   map[string]*group{},
-		peers:    newPeerClient(),
-		watches:  make(chan struct{}, watchesMost),
-		stopping: make(chan struct{}),
-		started:  time.Now(),
-		tracker:  configuration.NewTracker(settings.Name, 0),
+		settings:   settings,
+		own:        own,
+		log:        log.With("machine", settings.Name),
+		groups:     map[string]*group{},
+		peers:      newPeerClient(),
+		watchSlots: make(chan struct{}, maxWatches),
+		stopping:   make(chan struct{}),
+		started:    time.Now(),
+		tracker:    configuration.NewTracker(settings.Name, 0),
 	}
 }
 
-// startGroups starts a replica for each group that this machine votes in.
+// startGroups starts a replica for each group in which this machine votes.
 func (s *Server) startGroups(ctx context.Context, running *sync.WaitGroup) error {
 	for name, address := range s.own.Groups {
 		listener, err := net.Listen("tcp", address)
@@ -122,7 +123,7 @@
 			Listener: listener,
 			Tick:     s.settings.tick(),
 			Machine:  g,
-			Log:      s.log, // the replica adds the group
+			Log:      s.log, // the replica adds the group's name
 		})
 		if err != nil {
 			listener.Close()
@@ -135,24 +136,25 @@
 	return nil
 }
 
-// serve answers HTTP until ctx is done, and then ends watches and lets calls finish.
+// serve answers HTTP requests until ctx is done. Then it ends the watches and waits up to shutdownTimeout for
+// other calls.
 func (s *Server) serve(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{
 		Handler:           s.handler(),
-		ReadHeaderTimeout: headerLimit,
-		IdleTimeout:       idleLimit,
-		MaxHeaderBytes:    headerBytesMost,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(newLimitedListener(listener, connectionsMost)) }()
+	go func() { ended <- server.Serve(newLimitedListener(listener, maxConnections)) }()
 	select {
 	case err := <-ended:
 		return err
 	case <-ctx.Done():
 	}
 	close(s.stopping)
-	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownLimit)
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(shutdownCtx); err != nil {
 		server.Close()
@@ -164,49 +166,49 @@
 	return nil
 }
 
-// handler is the process's HTTP interface.
+// handler returns the process's HTTP routes.
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+configuration.WatchPath, s.watch)
-	mux.HandleFunc("POST "+configuration.ReportPath, limited(s.report))
-	mux.HandleFunc("POST "+configuration.PutPath, limited(s.put))
-	mux.HandleFunc("GET "+configuration.ShowPath, limited(s.show))
-	mux.HandleFunc("GET "+configuration.StatusPath, limited(s.status))
-	mux.HandleFunc("GET "+configuration.LocalStatusPath, limited(s.localStatus))
-	mux.HandleFunc("GET "+configuration.HistoryPath, limited(s.showHistory))
-	mux.HandleFunc("GET "+configuration.MachinePath, limited(s.machine))
-	mux.HandleFunc("GET "+UpPath, limited(s.answerUp))
+	mux.HandleFunc("POST "+configuration.ReportPath, withDeadlines(s.report))
+	mux.HandleFunc("POST "+configuration.PutPath, withDeadlines(s.put))
+	mux.HandleFunc("GET "+configuration.ShowPath, withDeadlines(s.show))
+	mux.HandleFunc("GET "+configuration.StatusPath, withDeadlines(s.status))
+	mux.HandleFunc("GET "+configuration.LocalStatusPath, withDeadlines(s.localStatus))
+	mux.HandleFunc("GET "+configuration.HistoryPath, withDeadlines(s.showHistory))
+	mux.HandleFunc("GET "+configuration.MachinePath, withDeadlines(s.machine))
+	mux.HandleFunc("GET "+UpPath, withDeadlines(s.serveUp))
 	return mux
 }
 
-// limited bounds how long a call's connection may take.
-func limited(handle http.HandlerFunc) http.HandlerFunc {
+// withDeadlines limits how long a call may read from and write to its connection.
+func withDeadlines(handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		controller := http.NewResponseController(w)
-		until := time.Now().Add(callLimit)
+		until := time.Now().Add(callTimeout)
 		controller.SetReadDeadline(until)
 		controller.SetWriteDeadline(until)
 		handle(w, r)
 	}
 }
 
-func (s *Server) answerUp(w http.ResponseWriter, r *http.Request) {
-	if !s.up.Load() {
+func (s *Server) serveUp(w http.ResponseWriter, r *http.Request) {
+	if !s.ready.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// limitedListener refuses connections over a bound: they are closed at once, so that their clients go elsewhere.
+// limitedListener closes connections over its limit at once, so that their clients try another machine.
 type limitedListener struct {
 	net.Listener
-	open chan struct{}
+	slots chan struct{}
 }
 
-func newLimitedListener(listener net.Listener, most int) *limitedListener {
-	return &limitedListener{Listener: listener, open: make(chan struct{}, most)}
+func newLimitedListener(listener net.Listener, maxOpen int) *limitedListener {
+	return &limitedListener{Listener: listener, slots: make(chan struct{}, maxOpen)}
 }
 
-// Accept returns the next connection within the bound.
+// Accept returns the next connection within the limit.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -214,8 +216,8 @@
 			return nil, err
 		}
 		select {
-		case l.open <- struct{}{}:
-			return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { <-l.open })}, nil
+		case l.slots <- struct{}{}:
+			return &limitedConn{Conn: conn, release: sync.OnceFunc(func() { <-l.slots })}, nil
 		default:
 			conn.Close()
 		}
@@ -227,7 +229,7 @@
 	release func()
 }
 
-// Close ends the connection and makes room for another one.
+// Close closes the connection and frees its slot in the listener.
 func (c *limitedConn) Close() error {
 	defer c.release()
 	return c.Conn.Close()
--- a/internal/configuration/server/server_test.go
+++ b/internal/configuration/server/server_test.go
@@ -38,21 +38,21 @@
 	dial()
 	first := <-accepted
 	if _, err := dial().Read(make([]byte, 1)); err != io.EOF {
-		t.Fatalf("a connection over the bound ended with %v, not at once", err)
+		t.Fatalf("a connection over the limit ended with %v, want io.EOF", err)
 	}
 	first.Close()
-	first.Close() // makes room once
+	first.Close() // frees no second slot
 	dial()
 	<-accepted
 	if _, err := dial().Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("a connection over the bound ended with %v, not at once", err)
+		t.Errorf("a connection over the limit ended with %v, want io.EOF", err)
 	}
 }
 
 func TestMachineThatHasJustStartedCountsAsUnreachable(t *testing.T) {
 	f := newFakeFleet(t)
 	mustPut(t, f, testChange("1", configuration.Fleet, 0, 2))
-	f.servers["b1"].settings.SettleS = settleMostS
+	f.servers["b1"].settings.SettleS = maxSettleS
 	c, err := client.New(f.address("a1"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/configuration/server/settings.go
+++ b/internal/configuration/server/settings.go
@@ -13,33 +13,33 @@
 	"lemonrail/internal/strict"
 )
 
-// Settings are a control machine's, as its file gives them.
+// Settings is the content of a control machine's settings file.
 type Settings struct {
 	Name     string          `toml:"name"`     // of this machine; one of Machines
-	Region   string          `toml:"region"`   // that it stands in
-	Address  string          `toml:"address"`  // that its HTTP server listens on, HOST:PORT
-	Folder   string          `toml:"folder"`   // of its logs, votes and history
-	TickMs   int             `toml:"tick_ms"`  // of raft; an election follows after ten without a heartbeat
-	SettleS  float64         `toml:"settle_s"` // after its start, for which it counts as not knowing all its agents
+	Region   string          `toml:"region"`   // of this machine
+	Address  string          `toml:"address"`  // on which the HTTP server listens, HOST:PORT
+	Folder   string          `toml:"folder"`   // for the raft logs, the votes and the history
+	TickMs   int             `toml:"tick_ms"`  // raft tick; an election starts after ten ticks without a heartbeat
+	SettleS  float64         `toml:"settle_s"` // time after the start during which some agents may not have connected yet
 	Machines []MachineConfig `toml:"machine"`
 }
 
-// MachineConfig is a control machine as this one reaches it.
+// MachineConfig describes a control machine, with the addresses at which this machine reaches it.
 type MachineConfig struct {
 	Name    string            `toml:"name"`
 	Region  string            `toml:"region"`
 	Address string            `toml:"address"` // of its HTTP server
-	Groups  map[string]string `toml:"groups"`  // the raft address for each group that it votes in
+	Groups  map[string]string `toml:"groups"`  // raft address by group in which the machine votes
 }
 
-// Bounds of tick_ms and settle_s.
+// Limits of tick_ms and settle_s.
 const (
-	tickLeastMs = 5
-	tickMostMs  = 1000
-	settleMostS = 3600
+	minTickMs  = 5
+	maxTickMs  = 1000
+	maxSettleS = 3600
 )
 
-// ReadSettings reads a control machine's file.
+// ReadSettings reads and checks a control machine's settings file.
 func ReadSettings(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return ParseSettings(path, raw)
 }
 
-// ParseSettings reads the text of a control machine's file; errors call it file.
+// ParseSettings parses and checks the text of a settings file. Error messages call the file by the name in file.
 func ParseSettings(file string, raw []byte) (Settings, error) {
 	var s Settings
 	if err := strict.Decode(file, raw, &s); err != nil {
@@ -63,19 +63,19 @@
 	return s, nil
 }
 
-// settingsCheck finds what makes no sense in a file, and its line.
+// settingsCheck validates a settings file. Its errors name the file, the line and the key.
 type settingsCheck struct {
 	file     string
 	raw      []byte
 	settings *Settings
 }
 
-// atKey is an error about a key of the top.
+// atKey returns an error about a top-level key.
 func (c *settingsCheck) atKey(key, format string, args ...any) error {
 	return c.atLine(strict.Key(c.raw, key), key, format, args...)
 }
 
-// atMachine is an error about a key of the nth [[machine]].
+// atMachine returns an error about a key of the nth [[machine]] table, counted from 0.
 func (c *settingsCheck) atMachine(n int, key, format string, args ...any) error {
 	return c.atLine(strict.Table(c.raw, "machine", n), "machine."+key, format, args...)
 }
@@ -89,21 +89,21 @@
 	if s.Folder == "" {
 		return c.atKey("folder", "is empty")
 	}
-	if s.TickMs < tickLeastMs || s.TickMs > tickMostMs {
-		return c.atKey("tick_ms", "%d is not within %d and %d", s.TickMs, tickLeastMs, tickMostMs)
+	if s.TickMs < minTickMs || s.TickMs > maxTickMs {
+		return c.atKey("tick_ms", "%d is not between %d and %d", s.TickMs, minTickMs, maxTickMs)
 	}
-	if !(s.SettleS >= 0 && s.SettleS <= settleMostS) {
-		return c.atKey("settle_s", "%v is not within 0 and %d", s.SettleS, settleMostS)
+	if !(s.SettleS >= 0 && s.SettleS <= maxSettleS) {
+		return c.atKey("settle_s", "%v is not between 0 and %d", s.SettleS, maxSettleS)
 	}
 	if err := checkAddress(s.Address); err != nil {
 		return c.atKey("address", "%v", err)
 	}
 	own, ok := s.machine(s.Name)
 	if !ok {
-		return c.atKey("name", "%q is none of the [[machine]]s", s.Name)
+		return c.atKey("name", "%q is not the name of a [[machine]]", s.Name)
 	}
 	if own.Region != s.Region {
-		return c.atKey("region", "%q, but the [[machine]] %s stands in %q", s.Region, s.Name, own.Region)
+		return c.atKey("region", "%q, but [[machine]] %s is in %q", s.Region, s.Name, own.Region)
 	}
 	return nil
 }
@@ -119,7 +119,7 @@
 			return c.atMachine(n, "region", "%v", err)
 		}
 		if names[m.Name] {
-			return c.atMachine(n, "name", "%q stands twice", m.Name)
+			return c.atMachine(n, "name", "%q is used twice", m.Name)
 		}
 		names[m.Name] = true
 		for _, key := range m.addressKeys() {
@@ -128,7 +128,7 @@
 				return c.atMachine(n, key, "%v", err)
 			}
 			if addresses[address] {
-				return c.atMachine(n, key, "%s stands twice", address)
+				return c.atMachine(n, key, "%s is used twice", address)
 			}
 			addresses[address] = true
 		}
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// addressKeys are the keys that hold an address, in a fixed order.
+// addressKeys returns the keys that hold an address, sorted.
 func (m *MachineConfig) addressKeys() []string {
 	keys := []string{"address"}
 	for group := range m.Groups {
@@ -153,8 +153,9 @@
 	return m.Groups[key[len("groups."):]]
 }
 
-// groups checks who votes where: all in the fleet's group; in a region's group its own machines and, if there is
-// another region, one witness of it.
+// groups checks the voters of each group: all machines vote in the fleet's group; the voters of a region's
+// group are the region's machines and, if there are other regions, exactly one machine of another region as
+// the witness.
 func (c *settingsCheck) groups() error {
 	regions := c.settings.regions()
 	known := map[string]bool{configuration.FleetGroup: true}
@@ -170,7 +171,7 @@
 		}
 		for group := range m.Groups {
 			if !known[group] {
-				return c.atMachine(n, "groups."+group, "there is no such group")
+				return c.atMachine(n, "groups."+group, "unknown group")
 			}
 			if group != configuration.FleetGroup && group != configuration.RegionGroup(m.Region) {
 				witnesses[group]++
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// checkName refuses a name that no scope can have.
+// checkName rejects a name that cannot be part of a scope.
 func checkName(name string) error {
 	_, err := configuration.ParseScope("service/" + name)
 	return err
@@ -212,7 +213,7 @@
 	return MachineConfig{}, false
 }
 
-// regions are all that machines stand in, sorted.
+// regions returns the regions of all machines, sorted.
 func (s *Settings) regions() []string {
 	var regions []string
 	for _, m := range s.Machines {
@@ -224,7 +225,7 @@
 	return regions
 }
 
-// voters are the machines that vote in a group.
+// voters returns the machines that vote in a group.
 func (s *Settings) voters(group string) []MachineConfig {
 	var voters []MachineConfig
 	for _, m := range s.Machines {
@@ -235,7 +236,7 @@
 	return voters
 }
 
-// members are a group's voters as package replica takes them.
+// members returns a group's voters in the form that package replica takes.
 func (s *Settings) members(group string) []replica.Member {
 	var members []replica.Member
 	for _, m := range s.voters(group) {
--- a/internal/configuration/server/show.go
+++ b/internal/configuration/server/show.go
@@ -10,28 +10,28 @@
 	"lemonrail/internal/configuration"
 )
 
-// show answers the latest revision of a scope, confirmed by the leader of its group; with applied=true the latest that
-// this machine has applied, also without a majority.
+// show answers with the latest revision of a scope, confirmed by the leader of its group. With applied=true
+// it answers with the latest revision that this machine has applied, which needs no majority.
 func (s *Server) show(w http.ResponseWriter, r *http.Request) {
-	scope, err := s.scopeOf(r)
+	scope, err := s.requestedScope(r)
 	if err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
 	var revision configuration.Revision
 	if r.URL.Query().Get("applied") == "true" {
 		revision, err = s.appliedRevision(scope)
 	} else {
-		revision, err = s.latest(r.Context(), scope, forwarded(r))
+		revision, err = s.latest(r.Context(), scope, isForwarded(r))
 	}
 	if err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
-	answer(w, revision)
+	writeJSON(w, revision)
 }
 
-// latest is a scope's latest revision, from the leader of its group.
+// latest returns a scope's latest revision, confirmed by the leader of its group.
 func (s *Server) latest(ctx context.Context, scope configuration.Scope, forwarded bool) (configuration.Revision, error) {
 	if forwarded {
 		g, err := s.groupOf(scope)
@@ -42,48 +42,48 @@
 	}
 	return route(ctx, s, call[configuration.Revision]{
 		group: scope.Group(),
-		here: func(ctx context.Context, g *group) (configuration.Revision, error) {
+		local: func(ctx context.Context, g *group) (configuration.Revision, error) {
 			return s.confirmedRevision(ctx, g, scope)
 		},
-		there: func(ctx context.Context, address string) (configuration.Revision, error) {
+		remote: func(ctx context.Context, address string) (configuration.Revision, error) {
 			return s.remoteRevision(ctx, address, scope)
 		},
 	})
 }
 
-// confirmedRevision is a scope's latest revision if this machine leads its group.
+// confirmedRevision returns a scope's latest revision if this machine leads the scope's group.
 func (s *Server) confirmedRevision(ctx context.Context, g *group, scope configuration.Scope) (configuration.Revision, error) {
-	ctx, cancel := context.WithTimeout(ctx, readLimit)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	if err := g.replica.Read(ctx); err != nil {
 		return configuration.Revision{}, s.readError(g, err)
 	}
-	return g.mustRevision(scope)
+	return g.revisionOrError(scope)
 }
 
-// readError is leaderError for a call that proposes nothing, and so leaves nothing unknown.
+// readError converts a replica's error of a call that proposes nothing, so that the outcome is never unknown.
 func (s *Server) readError(g *group, err error) error {
-	body := bodyOf(s.leaderError(g, err))
+	body := errorBody(s.replicaError(g, err))
 	if body.Kind == configuration.ErrorUnknown {
 		body.Kind = configuration.ErrorNoQuorum
 	}
 	return body
 }
 
-// appliedRevision is a scope's latest revision that this machine has applied.
+// appliedRevision returns a scope's latest revision that this machine has applied.
 func (s *Server) appliedRevision(scope configuration.Scope) (configuration.Revision, error) {
 	g, err := s.groupOf(scope)
 	if err != nil {
 		return configuration.Revision{}, err
 	}
-	return g.mustRevision(scope)
+	return g.revisionOrError(scope)
 }
 
-// mustRevision is a scope's latest revision, or an error if it has no document.
-func (g *group) mustRevision(scope configuration.Scope) (configuration.Revision, error) {
+// revisionOrError returns a scope's latest applied revision, or an error if the scope has no document.
+func (g *group) revisionOrError(scope configuration.Scope) (configuration.Revision, error) {
 	revision, ok := g.revision(scope)
 	if !ok {
-		return revision, failure(configuration.ErrorMissing, "scope %s has no document", scope)
+		return revision, newError(configuration.ErrorMissing, "scope %s has no document", scope)
 	}
 	return revision, nil
 }
@@ -91,48 +91,48 @@
 // remoteRevision asks the leader for a scope's latest revision.
 func (s *Server) remoteRevision(ctx context.Context, address string, scope configuration.Scope) (configuration.Revision, error) {
 	var revision configuration.Revision
-	ctx, cancel := context.WithTimeout(ctx, readLimit+probeLimit)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout+probeTimeout)
 	defer cancel()
 	path := configuration.ShowPath + "?" + url.Values{"scope": {scope.String()}}.Encode()
 	err := s.get(ctx, address, path, &revision)
-	if err != nil && kindOf(err) == "" {
-		return revision, failure(configuration.ErrorNoQuorum, "%s: the machine at %s: %v", scope.Group(), address, err)
+	if err != nil && errorKind(err) == "" {
+		return revision, newError(configuration.ErrorNoQuorum, "%s: the machine at %s: %v", scope.Group(), address, err)
 	}
 	return revision, err
 }
 
-// showHistory answers the revisions of a scope that this machine has recorded, the latest first.
+// showHistory answers with the revisions of a scope that this machine has recorded, the latest first.
 func (s *Server) showHistory(w http.ResponseWriter, r *http.Request) {
-	scope, err := s.scopeOf(r)
+	scope, err := s.requestedScope(r)
 	if err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
 	if _, err := s.groupOf(scope); err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
 	revisions, err := s.history.list(scope)
 	if err != nil {
-		answerError(w, failure(configuration.ErrorMissing, "history of %s: %v", scope, err))
+		writeError(w, newError(configuration.ErrorMissing, "history of %s: %v", scope, err))
 		return
 	}
-	answer(w, revisions)
+	writeJSON(w, revisions)
 }
 
-// machine answers how this machine stands in its groups.
+// machine answers with this machine's status in its groups.
 func (s *Server) machine(w http.ResponseWriter, r *http.Request) {
-	status := configuration.MachineStatus{Name: s.settings.Name, Region: s.settings.Region, Watches: len(s.watches)}
+	status := configuration.MachineStatus{Name: s.settings.Name, Region: s.settings.Region, Watches: len(s.watchSlots)}
 	for _, g := range s.groups {
 		status.Groups = append(status.Groups, g.status(r.Context()))
 	}
 	slices.SortFunc(status.Groups, func(a, b configuration.GroupStatus) int { return strings.Compare(a.Group, b.Group) })
-	answer(w, status)
+	writeJSON(w, status)
 }
 
-// status is how this machine stands in the group.
+// status returns this machine's status in the group.
 func (g *group) status(ctx context.Context) configuration.GroupStatus {
-	ctx, cancel := context.WithTimeout(ctx, readLimit)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	status := configuration.GroupStatus{Group: g.name, Scopes: g.positions()}
 	member, err := g.replica.Status(ctx)
--- a/internal/configuration/server/watch.go
+++ b/internal/configuration/server/watch.go
@@ -14,18 +14,19 @@
 
 const (
 	heartbeatInterval = 2 * time.Second
-	watchWriteLimit   = 10 * time.Second // for which a reader may take nothing before it is cut off
-	chunkOverhead     = 48               // bytes that a line costs beside itself: its chunk, and the headers of TCP and IP
+	watchWriteTimeout = 10 * time.Second // for which a write may block before the reader is disconnected
+	lineOverheadBytes = 48               // added to a line by chunked encoding and the headers of TCP and IP
 )
 
-// watchQuery is what an agent asks with.
+// watchQuery holds the parameters of an agent's watch request.
 type watchQuery struct {
 	place  configuration.Place
 	format int
 	have   map[configuration.Scope]configuration.Position
 }
 
-// parseWatchQuery reads a watch's query: agent, region, zone, service, format and, repeated, have=SCOPE@REVISION.EPOCH.
+// parseWatchQuery parses a watch's parameters: agent, region, zone, service, format and, repeated,
+// have=SCOPE@REVISION.EPOCH.
 func parseWatchQuery(values url.Values) (watchQuery, error) {
 	query := watchQuery{
 		place: configuration.Place{
@@ -41,7 +42,7 @@
 	}
 	format, err := strconv.Atoi(values.Get("format"))
 	if err != nil || format < 1 {
-		return query, fmt.Errorf("format %q is no number from 1 on", values.Get("format"))
+		return query, fmt.Errorf("format %q is not a positive integer", values.Get("format"))
 	}
 	query.format = format
 	for _, text := range values["have"] {
@@ -57,7 +58,7 @@
 	return query, nil
 }
 
-// parseHave reads SCOPE@REVISION.EPOCH.
+// parseHave parses SCOPE@REVISION.EPOCH.
 func parseHave(text string) (scope configuration.Scope, at configuration.Position, err error) {
 	scopeText, positionText, ok := strings.Cut(text, "@")
 	revisionText, epochText, dotted := strings.Cut(positionText, ".")
@@ -76,34 +77,35 @@
 	return scope, at, nil
 }
 
-// watch sends an agent what it lacks, and then what changes, until one of the two ends.
+// watch sends an agent the updates that it lacks, and then further changes, until the agent or the process
+// ends the watch.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	query, err := parseWatchQuery(r.URL.Query())
 	if err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
 	scope := configuration.Scope{Level: configuration.LevelRegion, Region: query.place.Region}
 	if err := s.checkGroup(scope); err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
 	if _, err := s.groupOf(scope); err != nil {
-		answerError(w, err)
+		writeError(w, err)
 		return
 	}
 	select {
-	case s.watches <- struct{}{}:
-		defer func() { <-s.watches }()
+	case s.watchSlots <- struct{}{}:
+		defer func() { <-s.watchSlots }()
 	default:
-		answerError(w, s.notHere(scope.Group(), "machine %s has %d watches already", s.settings.Name, watchesMost))
+		writeError(w, s.notHere(scope.Group(), "machine %s has %d watches already", s.settings.Name, maxWatches))
 		return
 	}
-	if err := s.connected(query.place); err != nil {
-		answerError(w, s.notHere(scope.Group(), "%v", err))
+	if err := s.trackConnected(query.place); err != nil {
+		writeError(w, s.notHere(scope.Group(), "%v", err))
 		return
 	}
-	defer s.disconnected(query.place)
+	defer s.trackDisconnected(query.place)
 	watcher := newWatcher(s, w, query)
 	defer watcher.unsubscribe()
 	watcher.run(r.Context().Done())
@@ -112,9 +114,9 @@
 // watcher is the sending side of one watch.
 type watcher struct {
 	server  *Server
-	groups  []*group // that write the agent's scopes
+	groups  []*group // those that write the agent's scopes
 	place   configuration.Place
-	have    map[configuration.Scope]configuration.Position // with what was sent
+	have    map[configuration.Scope]configuration.Position // the agent's positions after all updates sent so far
 	changed chan struct{}
 	pacer   *configuration.Pacer
 
@@ -147,17 +149,17 @@
 	}
 }
 
-// run sends until the agent has gone (done), doesn't read, or the process ends.
+// run sends updates until the agent disconnects (done), stops reading, or the process ends.
 func (w *watcher) run(done <-chan struct{}) {
 	w.writer.Header().Set("Content-Type", "application/x-ndjson")
 	w.writer.Header().Set("Connection", "close")
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
-	if !w.send([]byte("\n")) { // so that the agent knows at once that the watch stands
+	if !w.send([]byte("\n")) { // tells the agent at once that the watch is open
 		return
 	}
 	for {
-		for _, update := range w.lacking() {
+		for _, update := range w.pendingUpdates() {
 			if !w.sendUpdate(update, done) {
 				return
 			}
@@ -176,15 +178,15 @@
 	}
 }
 
-// lacking is all that the agent lacks now, as one set.
-func (w *watcher) lacking() []configuration.Update {
+// pendingUpdates returns the updates that the agent lacks, as one set, and counts them as sent.
+func (w *watcher) pendingUpdates() []configuration.Update {
 	var updates []configuration.Update
 	for _, scope := range w.place.Scopes() {
 		g := w.server.groups[scope.Group()]
 		if g == nil {
 			continue
 		}
-		updates = append(updates, g.updates(scope, w.have[scope])...)
+		updates = append(updates, g.updatesSince(scope, w.have[scope])...)
 	}
 	for i := range updates {
 		updates[i].More = i+1 < len(updates)
@@ -193,7 +195,7 @@
 	return updates
 }
 
-// sendUpdate sends a line when the pace allows it; false: the watch has ended.
+// sendUpdate sends an update once the pacer allows it. It returns false if the watch has ended.
 func (w *watcher) sendUpdate(update configuration.Update, done <-chan struct{}) bool {
 	line, err := json.Marshal(update)
 	if err != nil {
@@ -201,7 +203,7 @@
 		return false
 	}
 	line = append(line, '\n')
-	if wait := w.pacer.Wait(len(line)+chunkOverhead, w.server.now()); wait > 0 {
+	if wait := w.pacer.Wait(len(line)+lineOverheadBytes, w.server.now()); wait > 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
@@ -215,9 +217,9 @@
 	return w.send(line)
 }
 
-// send writes a line; false: the agent has gone or doesn't read.
+// send writes a line. It returns false if the agent has disconnected or doesn't read.
 func (w *watcher) send(line []byte) bool {
-	w.controller.SetWriteDeadline(time.Now().Add(watchWriteLimit))
+	w.controller.SetWriteDeadline(time.Now().Add(watchWriteTimeout))
 	if _, err := w.writer.Write(line); err != nil {
 		return false
 	}
--- a/internal/configuration/server/watch_test.go
+++ b/internal/configuration/server/watch_test.go
@@ -45,7 +45,7 @@
 	return &testWatch{status: response.StatusCode, body: response.Body, lines: bufio.NewReader(response.Body)}
 }
 
-// next is the next update; heartbeats are skipped.
+// next returns the next update and skips heartbeats.
 func (w *testWatch) next(t *testing.T) configuration.Update {
 	t.Helper()
 	for {
@@ -64,7 +64,7 @@
 	}
 }
 
-// refusal is the body of an answer that is no yes.
+// refusal returns the response's error body, and checks that the status matches its kind.
 func (w *testWatch) refusal(t *testing.T) *configuration.ErrorBody {
 	t.Helper()
 	body := &configuration.ErrorBody{}
@@ -86,7 +86,7 @@
 	return accepted
 }
 
-func TestWatchSendsWhatIsLackingAndThenWhatChanges(t *testing.T) {
+func TestWatchSendsMissingUpdatesThenChanges(t *testing.T) {
 	f := newFakeFleet(t)
 	service := configuration.Scope{Level: configuration.LevelService, Name: "search"}
 	other := configuration.Scope{Level: configuration.LevelService, Name: "cart"}
@@ -102,26 +102,26 @@
 	mustPut(t, f, testChange("5", service, 0, 6))
 	third := w.next(t)
 	if third.Scope != service || third.More || third.Revision != 1 {
-		t.Errorf("after a change of another service and of this one it sends %+v", third)
+		t.Errorf("after a change of another service and one of this service: got %+v", third)
 	}
 }
 
-func TestWatchSendsNothingThatTheAgentHas(t *testing.T) {
+func TestWatchSkipsRevisionsThatTheAgentHas(t *testing.T) {
 	f := newFakeFleet(t)
 	fleet := mustPut(t, f, testChange("1", configuration.Fleet, 0, 2))
 	region := mustPut(t, f, testChange("2", testRegionA, 0, 3))
 	have := []string{
 		fmt.Sprintf("fleet@%d.%d", fleet.Revision, fleet.Epoch),
-		fmt.Sprintf("region/a@%d.%d", region.Revision+5, region.Epoch), // of a machine that is further
+		fmt.Sprintf("region/a@%d.%d", region.Revision+5, region.Epoch), // received from a machine that has applied more
 	}
 	w := openWatch(t, f, "a1", watchQueryOf(testPlace, have...))
 	mustPut(t, f, testChange("3", configuration.Fleet, 1, 4))
 	if update := w.next(t); update.Scope != configuration.Fleet || update.Revision != 2 {
-		t.Errorf("it sends %+v first", update)
+		t.Errorf("got %+v first, want revision 2 of the fleet", update)
 	}
 }
 
-func TestWatchOfAnotherRegionIsSentElsewhere(t *testing.T) {
+func TestWatchOfAnotherRegionIsRedirected(t *testing.T) {
 	f := newFakeFleet(t)
 	body := openWatch(t, f, "b2", watchQueryOf(testPlace)).refusal(t)
 	want := []string{f.address("a1"), f.address("a2"), f.address("b1")}
@@ -133,8 +133,8 @@
 func TestWatchesAreBounded(t *testing.T) {
 	f := newFakeFleet(t)
 	s := f.servers["a2"]
-	for range watchesMost {
-		s.watches <- struct{}{}
+	for range maxWatches {
+		s.watchSlots <- struct{}{}
 	}
 	body := openWatch(t, f, "a2", watchQueryOf(testPlace)).refusal(t)
 	if body.Kind != configuration.ErrorNotHere || len(body.Machines) != 2 {
@@ -142,14 +142,14 @@
 	}
 }
 
-func TestWatchQueriesThatMakeNoSense(t *testing.T) {
+func TestInvalidWatchQueries(t *testing.T) {
 	f := newFakeFleet(t)
 	for _, tt := range []struct{ name, key, value, names string }{
 		{"no agent", "agent", "", "agent"},
-		{"a zone that no scope can have", "zone", "a/b", "zone"},
+		{"an invalid zone", "zone", "a/b", "zone"},
 		{"no format", "format", "", "format"},
 		{"a position without epoch", "have", "fleet@1", "have"},
-		{"a position of no number", "have", "fleet@x.1", "revision"},
+		{"a revision that isn't a number", "have", "fleet@x.1", "revision"},
 		{"a scope of another agent", "have", "agent/a/other@1.1", "doesn't hold"},
 		{"a region without machines", "region", "elsewhere", "elsewhere"},
 	} {
@@ -158,22 +158,22 @@
 			query.Set(tt.key, tt.value)
 			body := openWatch(t, f, "a1", query).refusal(t)
 			if body.Kind != configuration.ErrorInvalid || !strings.Contains(body.Message, tt.names) {
-				t.Errorf("got %+v, want invalid that names %q", body, tt.names)
+				t.Errorf("got %+v, want an invalid error that contains %q", body, tt.names)
 			}
 		})
 	}
 }
 
-func TestWatchEndsWithTheProcess(t *testing.T) {
+func TestWatchEndsOnShutdown(t *testing.T) {
 	f := newFakeFleet(t)
 	w := openWatch(t, f, "a1", watchQueryOf(testPlace))
 	close(f.servers["a1"].stopping)
 	if _, err := io.ReadAll(w.lines); err != nil {
-		t.Errorf("the watch ended with %v, not in order", err)
+		t.Errorf("the watch ended with %v, want a complete response", err)
 	}
 }
 
-// stalledWriter is an answer whose reader takes nothing: a write waits until its deadline.
+// stalledWriter is the response to a client that doesn't read: each write blocks until its deadline.
 type stalledWriter struct {
 	header   http.Header
 	deadline time.Time
@@ -190,12 +190,12 @@
 
 func (w *stalledWriter) Write([]byte) (int, error) {
 	if w.deadline.IsZero() {
-		select {} // for ever
+		select {} // blocks forever
 	}
 	return 0, os.ErrDeadlineExceeded
 }
 
-func TestReaderThatTakesNothingIsCutOff(t *testing.T) {
+func TestStalledReaderIsDisconnected(t *testing.T) {
 	f := newFakeFleet(t)
 	w := newWatcher(f.servers["a1"], &stalledWriter{header: http.Header{}}, watchQuery{place: testPlace})
 	defer w.unsubscribe()
@@ -206,15 +206,15 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(hangLimit):
-		t.Fatal("a watch waits for ever on a reader that takes nothing")
+	case <-time.After(hangTimeout):
+		t.Fatal("the watch still waits for a stalled reader")
 	}
 }
 
-// hangLimit ends a test that hangs; nothing is measured by it.
-const hangLimit = 30 * time.Second
+// hangTimeout ends a test that hangs; it is no performance criterion.
+const hangTimeout = 30 * time.Second
 
-func TestSlowReaderIsSentTheLatestOnly(t *testing.T) {
+func TestSlowReaderGetsOnlyTheLatestRevision(t *testing.T) {
 	f := newFakeFleet(t)
 	query := watchQuery{place: testPlace, have: map[configuration.Scope]configuration.Position{}}
 	w := newWatcher(f.servers["a1"], httptest.NewRecorder(), query)
@@ -224,21 +224,21 @@
 		mustPut(t, f, testChange(fmt.Sprint(base), configuration.Fleet, base, 2+int(base)%3))
 	}
 	if got := len(w.changed); got != 1 {
-		t.Errorf("%d signals wait", got)
+		t.Errorf("%d signals are pending, want 1", got)
 	}
-	updates := w.lacking()
+	updates := w.pendingUpdates()
 	if len(updates) != 1 || updates[0].Revision != changes {
-		t.Errorf("after %d changes %d updates are due: %+v", changes, len(updates), updates)
+		t.Errorf("after %d changes %d updates are pending: %+v", changes, len(updates), updates)
 	}
 }
 
 func TestUpdatesArePaced(t *testing.T) {
 	f := newFakeFleet(t)
 	s := f.servers["a1"]
-	close(s.stopping) // a line that has to wait isn't sent any more
+	close(s.stopping) // sendUpdate then returns false for a line that has to wait
 	w := newWatcher(s, httptest.NewRecorder(), watchQuery{place: testPlace})
 	defer w.unsubscribe()
-	const lines = 40 // of 1 KB: at the pace's rate they take over 10 s
+	const lines = 40 // of 1 KB each: more than 10 s at the pacer's rate
 	sent := 0
 	for sent < lines && w.sendUpdate(configuration.Update{Scope: configuration.Fleet, Text: strings.Repeat("x", 1000)}, nil) {
 		sent++
