--- a/internal/configuration/watch/kept.go
+++ b/internal/configuration/watch/kept.go
@@ -9,20 +9,20 @@
 	"path/filepath"
 )
 
-// keptMost is how many bytes of a kept file are read: it has a document for each of an agent's scopes.
-const keptMost = 1 << 20
+// maxSavedBytes limits how much of a saved file is read. The file has a document for each of an agent's scopes.
+const maxSavedBytes = 1 << 20
 
-// keptPath is the file of this agent; empty: nothing is kept.
-func (w *Watcher) keptPath() string {
+// savedPath returns the path of this agent's file of saved documents, or "" if documents aren't saved.
+func (w *Watcher) savedPath() string {
 	if w.cfg.Folder == "" {
 		return ""
 	}
 	return filepath.Join(w.cfg.Folder, "configuration-"+w.cfg.Place.Region+"-"+w.cfg.Place.Agent+".json")
 }
 
-// readKept returns what an earlier process kept; nil: nothing.
-func (w *Watcher) readKept() ([]byte, error) {
-	path := w.keptPath()
+// readSaved returns the content that an earlier process saved, or nil if there is none.
+func (w *Watcher) readSaved() ([]byte, error) {
+	path := w.savedPath()
 	if path == "" {
 		return nil, nil
 	}
@@ -34,38 +34,39 @@
 		return nil, err
 	}
 	defer file.Close()
-	raw, err := io.ReadAll(io.LimitReader(file, keptMost+1))
+	raw, err := io.ReadAll(io.LimitReader(file, maxSavedBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(raw) > keptMost {
-		return nil, fmt.Errorf("%s: over %d bytes", path, keptMost)
+	if len(raw) > maxSavedBytes {
+		return nil, fmt.Errorf("%s: over %d bytes", path, maxSavedBytes)
 	}
 	return raw, nil
 }
 
-// keep writes what is in force to the disk, where there is one. A disk that fails is told of and changes nothing else.
-func (w *Watcher) keep() {
-	path := w.keptPath()
+// save writes the documents in force to the disk, if a folder is configured. A failure is logged and has no
+// other effect.
+func (w *Watcher) save() {
+	path := w.savedPath()
 	if path == "" {
 		return
 	}
 	raw, err := w.follower.Kept()
 	if err == nil {
-		err = writeWhole(path, raw)
+		err = writeFileAtomic(path, raw)
 	}
 	if err != nil {
-		w.log.Warn("configuration: not kept: a restart begins with what was kept before", "err", err)
+		w.log.Warn("configuration: documents not saved: a restart uses those saved before", "err", err)
 	}
 }
 
-// writeWhole replaces a file so that a crash leaves the old one or the new one.
-func writeWhole(path string, raw []byte) error {
+// writeFileAtomic replaces a file so that a crash leaves either the old content or the new.
+func writeFileAtomic(path string, raw []byte) error {
 	file, err := os.CreateTemp(filepath.Dir(path), ".configuration-*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(file.Name()) // fails once it has its name
+	defer os.Remove(file.Name()) // fails, without effect, after the rename
 	_, err = file.Write(raw)
 	if err == nil {
 		err = file.Sync()
@@ -79,11 +80,11 @@
 	if err := os.Rename(file.Name(), path); err != nil {
 		return err
 	}
-	return syncFolder(filepath.Dir(path))
+	return syncDir(filepath.Dir(path))
 }
 
-// syncFolder has the disk hold which files a folder has.
-func syncFolder(path string) error {
+// syncDir syncs a directory, so that a file renamed in it keeps its new name after a crash.
+func syncDir(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
 		return err
--- a/internal/configuration/watch/stream.go
+++ b/internal/configuration/watch/stream.go
@@ -18,85 +18,85 @@
 	"lemonrail/internal/configuration"
 )
 
-// Bounds of what is read from a control machine.
+// Limits on the data read from a control machine.
 const (
-	LineMost   = 32 << 10 // bytes of an update
-	headMost   = 8 << 10  // of the head of an answer
-	errorMost  = 4 << 10  // of the body of an error
-	lineBuffer = 1 << 10  // that a watch reads at once; longer lines take more while they are read
+	MaxLineBytes    = 32 << 10 // of an update
+	maxHeadBytes    = 8 << 10  // of a response's status line and headers
+	maxErrorBytes   = 4 << 10  // of the body of an error
+	lineBufferBytes = 1 << 10  // read buffer of a watch; it grows while a longer line is read
 )
 
-// stream is an open watch. Its goroutine reads lines until it is closed or broken.
+// stream is an open watch. Its goroutine reads lines until the stream is closed or broken.
 type stream struct {
 	machine configuration.Machine
 	conn    net.Conn
 	lines   chan line // the last one has an error
 	closed  chan struct{}
 	once    sync.Once
-	ended   sync.WaitGroup
+	reader  sync.WaitGroup
 }
 
-// line is what came on a watch.
+// line is one line of a watch.
 type line struct {
-	update *configuration.Update // nil: a heartbeat
-	err    error                 // the watch is broken
+	update *configuration.Update // nil for a heartbeat
+	err    error                 // set if the watch is broken
 }
 
-// openResult is a watch, or why there is none.
+// openResult is the result of opening a watch.
 type openResult struct {
 	stream *stream
 	err    error
 }
 
 var (
-	errSilent = errors.New("the machine has fallen silent")
-	errEnded  = errors.New("the machine has ended the watch")
-	errLong   = fmt.Errorf("a line of over %d bytes", LineMost)
+	errSilence     = errors.New("no update or heartbeat from the control machine in time")
+	errWatchEnded  = errors.New("the control machine ended the watch")
+	errLineTooLong = fmt.Errorf("line longer than %d bytes", MaxLineBytes)
 )
 
-// have is a position as the watch's query has it.
-func have(scope configuration.Scope, at configuration.Position) string {
+// formatPosition formats a position as the watch's parameter have: SCOPE@REVISION.EPOCH.
+func formatPosition(scope configuration.Scope, at configuration.Position) string {
 	return scope.String() + "@" + strconv.FormatUint(at.Revision, 10) + "." + strconv.FormatUint(at.Epoch, 10)
 }
 
-// query asks for what an agent lacks.
-func query(p configuration.Place, from map[configuration.Scope]configuration.Position) string {
+// watchQuery returns the query of an agent's watch, which asks for the updates after the given positions.
+func watchQuery(p configuration.Place, from map[configuration.Scope]configuration.Position) string {
 	v := url.Values{"agent": {p.Agent}, "region": {p.Region}, "zone": {p.Zone}, "service": {p.Service},
 		"format": {strconv.Itoa(configuration.Format)}}
 	for _, scope := range p.Scopes() {
 		if at, known := from[scope]; known {
-			v.Add("have", have(scope, at))
+			v.Add("have", formatPosition(scope, at))
 		}
 	}
 	return v.Encode()
 }
 
-// open opens a watch: it returns once the machine's answer has begun.
+// open opens a watch. It returns once the machine has started its response.
 func (w *Watcher) open(ctx context.Context, machine configuration.Machine, from map[configuration.Scope]configuration.Position) (*stream, error) {
-	conn, err := w.dial(ctx, machine, w.times.open)
+	conn, err := w.dial(ctx, machine, w.timeouts.open)
 	if err != nil {
 		return nil, err
 	}
-	defer cutOff(ctx, conn)()
-	request := "GET " + configuration.WatchPath + "?" + query(w.cfg.Place, from) + " HTTP/1.1\r\nHost: " + machine.Address + "\r\n\r\n"
+	defer interruptOnDone(ctx, conn)()
+	request := "GET " + configuration.WatchPath + "?" + watchQuery(w.cfg.Place, from) + " HTTP/1.1\r\nHost: " + machine.Address + "\r\n\r\n"
 	if _, err := io.WriteString(conn, request); err != nil {
 		conn.Close()
 		return nil, fmt.Errorf("%s: %w", machine.Name, err)
 	}
-	answer, err := readAnswer(conn, http.MethodGet)
+	response, err := readResponse(conn, http.MethodGet)
 	if err != nil {
 		conn.Close()
 		return nil, fmt.Errorf("%s: %w", machine.Name, err)
 	}
 	s := &stream{machine: machine, conn: conn, lines: make(chan line), closed: make(chan struct{})}
-	conn.SetReadDeadline(time.Now().Add(w.times.silence))
-	s.ended.Go(func() { s.read(answer.Body, w.times.silence) })
+	conn.SetReadDeadline(time.Now().Add(w.timeouts.silence))
+	s.reader.Go(func() { s.read(response.Body, w.timeouts.silence) })
 	return s, nil
 }
 
-// dial connects. All on the connection has to be done within a time, until its deadline is set anew.
-func (w *Watcher) dial(ctx context.Context, machine configuration.Machine, within time.Duration) (net.Conn, error) {
-	until := time.Now().Add(within)
+// dial connects to a machine. The timeout covers all use of the connection until its deadline is set again.
+func (w *Watcher) dial(ctx context.Context, machine configuration.Machine, timeout time.Duration) (net.Conn, error) {
+	until := time.Now().Add(timeout)
 	dialing, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
 	conn, err := w.cfg.Dial(dialing, "tcp", machine.Address)
@@ -107,73 +107,75 @@
 	return conn, nil
 }
 
-// cutOff ends waits on a connection with ctx, until the function that it returns is called.
-func cutOff(ctx context.Context, conn net.Conn) (stop func()) {
+// interruptOnDone makes pending reads and writes on a connection fail once ctx is done, unless stop was
+// called before.
+func interruptOnDone(ctx context.Context, conn net.Conn) (stop func()) {
 	undo := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	return func() { undo() }
 }
 
-// readAnswer reads the head of an answer. One that is no yes comes as an error, if it can be read as an *ErrorBody.
-func readAnswer(conn net.Conn, method string) (*http.Response, error) {
-	limited := &io.LimitedReader{R: conn, N: headMost}
-	in := bufio.NewReaderSize(limited, lineBuffer)
-	answer, err := http.ReadResponse(in, &http.Request{Method: method})
+// readResponse reads the head of a response. For a status other than 2xx it returns the body's *ErrorBody, if
+// there is one, or another error.
+func readResponse(conn net.Conn, method string) (*http.Response, error) {
+	limited := &io.LimitedReader{R: conn, N: maxHeadBytes}
+	in := bufio.NewReaderSize(limited, lineBufferBytes)
+	response, err := http.ReadResponse(in, &http.Request{Method: method})
 	if err != nil {
-		return nil, fmt.Errorf("answer: %w", err)
+		return nil, fmt.Errorf("response: %w", err)
 	}
-	if answer.StatusCode/100 == 2 {
-		limited.N = 1<<63 - 1 // lines are bounded one by one
-		return answer, nil
+	if response.StatusCode/100 == 2 {
+		limited.N = 1<<63 - 1 // each line has its own limit
+		return response, nil
 	}
-	limited.N = errorMost
-	raw, err := io.ReadAll(io.LimitReader(answer.Body, errorMost))
+	limited.N = maxErrorBytes
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	refusal := &configuration.ErrorBody{}
 	if err == nil && json.Unmarshal(raw, refusal) == nil && refusal.Kind != "" {
 		return nil, refusal
 	}
-	return nil, fmt.Errorf("answer: %s", answer.Status)
+	return nil, fmt.Errorf("response: %s", response.Status)
 }
 
-// read hands on lines until the watch is closed or broken.
+// read delivers lines until the stream is closed or broken.
 func (s *stream) read(body io.Reader, silence time.Duration) {
 	in := bufio.NewScanner(body)
-	in.Buffer(make([]byte, 0, lineBuffer), LineMost)
+	in.Buffer(make([]byte, 0, lineBufferBytes), MaxLineBytes)
 	for {
 		s.conn.SetReadDeadline(time.Now().Add(silence))
 		if !in.Scan() {
-			s.hand(line{err: broken(in.Err())})
+			s.deliver(line{err: readError(in.Err())})
 			return
 		}
 		l := line{}
 		if text := bytes.TrimSpace(in.Bytes()); len(text) > 0 {
 			l.update = &configuration.Update{}
 			if err := json.Unmarshal(text, l.update); err != nil {
-				s.hand(line{err: fmt.Errorf("update: %w", err)})
+				s.deliver(line{err: fmt.Errorf("update: %w", err)})
 				return
 			}
 		}
-		if !s.hand(l) {
+		if !s.deliver(l) {
 			return
 		}
 	}
 }
 
-// broken is why there are no further lines.
-func broken(err error) error {
+// readError returns why there are no further lines, given the scanner's error.
+func readError(err error) error {
 	var timeout net.Error
 	switch {
 	case err == nil:
-		return errEnded
+		return errWatchEnded
 	case errors.Is(err, bufio.ErrTooLong):
-		return errLong
+		return errLineTooLong
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return errSilent
+		return errSilence
 	}
 	return err
 }
 
-// hand passes a line on; false: nobody takes any more.
-func (s *stream) hand(l line) bool {
+// deliver passes a line to the Watcher. It returns false if the stream is closed.
+func (s *stream) deliver(l line) bool {
 	select {
 	case s.lines <- l:
 		return true
@@ -182,33 +184,33 @@
 	}
 }
 
-// close ends the watch and its goroutine.
+// close closes the connection and waits for the stream's goroutine.
 func (s *stream) close() {
 	s.once.Do(func() {
 		close(s.closed)
 		s.conn.Close()
 	})
-	s.ended.Wait()
+	s.reader.Wait()
 }
 
-// post sends a report to a machine, over a connection of its own.
-func (w *Watcher) post(ctx context.Context, machine configuration.Machine, report configuration.Report) error {
+// sendReport sends a report to a machine, over a connection of its own.
+func (w *Watcher) sendReport(ctx context.Context, machine configuration.Machine, report configuration.Report) error {
 	raw, err := json.Marshal(report)
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	conn, err := w.dial(ctx, machine, w.times.report)
+	conn, err := w.dial(ctx, machine, w.timeouts.report)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	defer cutOff(ctx, conn)()
+	defer interruptOnDone(ctx, conn)()
 	head := "POST " + configuration.ReportPath + " HTTP/1.1\r\nHost: " + machine.Address +
 		"\r\nConnection: close\r\nContent-Type: application/json\r\nContent-Length: " + strconv.Itoa(len(raw)) + "\r\n\r\n"
 	if _, err := conn.Write(append([]byte(head), raw...)); err != nil {
 		return fmt.Errorf("%s: report: %w", machine.Name, err)
 	}
-	if _, err := readAnswer(conn, http.MethodPost); err != nil {
+	if _, err := readResponse(conn, http.MethodPost); err != nil {
 		return fmt.Errorf("%s: report: %w", machine.Name, err)
 	}
 	return nil
--- a/internal/configuration/watch/watch.go
+++ b/internal/configuration/watch/watch.go
@@ -1,10 +1,11 @@
-// Package watch is the agent's side of configuration that changes while the fleet runs: it keeps a watch open at one of
-// the control machines, hands what comes to configuration.Follower, has the agent apply it and reports what is in force.
-// What is decided stands in package configuration; here are the connections, the disk and the clock.
+// Package watch is the agent's side of configuration that changes while the fleet runs. It keeps a watch open
+// at one of the control machines, passes the updates to configuration.Follower, has the agent apply them, and
+// reports which revisions are in force. The decisions are made in package configuration; this package has the
+// connections, the disk and the clock.
 //
-// A Watcher has one goroutine of its own (Run), one that reads the open watch, and for a short time one that opens a
-// watch or sends a report. Bounded are a line (LineMost), the head of an answer, every wait for the network, and reports:
-// one at a time, which says all that is in force then.
+// A Watcher has one goroutine of its own (Run), one that reads the open watch, and at times a short-lived one
+// that opens a watch or sends a report. Lines (MaxLineBytes), the head of a response and every wait for the
+// network are limited. One report is sent at a time; each has all that is in force when it is sent.
 package watch
 
 import (
@@ -23,92 +24,93 @@
 	"lemonrail/internal/configuration"
 )
 
-// Config is what a Watcher is told.
+// Config configures a Watcher.
 type Config struct {
 	Place    configuration.Place
 	Machines []configuration.Machine
-	// Check refuses an effective document that the agent can't apply. It must not wait.
+	// Check returns an error for an effective document that the agent can't apply. It must not block.
 	Check func(effective *configuration.Document) error
-	// Apply puts an effective document in force and returns once it is, or why it isn't. After a context.DeadlineExceeded
-	// nothing was changed, and it is tried again; by any other error the document is refused.
+	// Apply puts an effective document in force and returns once that is done. An error that wraps
+	// context.DeadlineExceeded means that nothing was changed, and the document is tried again. After any
+	// other error the document is refused.
 	Apply func(ctx context.Context, effective *configuration.Document) error
-	// Dial opens a connection to a machine; nil: a net.Dialer's.
+	// Dial opens a connection to a machine; nil: that of a net.Dialer.
 	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
-	Folder string         // where the last good documents are kept; empty: nowhere
-	Rand   func() float64 // evenly spread in [0, 1); nil: math/rand's
-	Log    *slog.Logger   // nil: none
+	Folder string         // where the last good documents are saved; empty: nowhere
+	Rand   func() float64 // uniform in [0, 1); nil: that of math/rand
+	Log    *slog.Logger   // nil: no log
 }
 
-// times are the waits of a Watcher.
-type times struct {
-	silence     time.Duration // a watch without a whole line for so long is broken: a heartbeat comes every 2 s
-	open        time.Duration // for a machine to accept a connection and to begin its answer
-	report      time.Duration // for a report to be answered
-	reportAgain time.Duration // after one that failed
-	reportEvery time.Duration // a report is sent again though nothing has changed
-	tick        time.Duration // between two looks at what is due
-	leave       time.Duration // for the last report of an agent that stops
-	apply       time.Duration // for the agent to put a document in force
-	warnFirst   time.Duration // without a word from control until the log says so; doubles each time
-	warnMost    time.Duration
+// timeouts are the time limits and intervals of a Watcher.
+type timeouts struct {
+	silence            time.Duration // until a watch that sends no complete line counts as broken; heartbeats come every 2 s
+	open               time.Duration // for a machine to accept a connection and to start its response
+	report             time.Duration // for a report to be answered
+	reportRetry        time.Duration // from a failed report to the next one
+	reportInterval     time.Duration // after which a report is repeated although nothing has changed
+	tick               time.Duration // between checks for a due return or a repeated Apply
+	leave              time.Duration // for the last report of an agent that stops
+	apply              time.Duration // for the agent to put a document in force
+	firstWarning       time.Duration // until control is reported unreachable; doubles with each warning
+	maxWarningInterval time.Duration // longest time between two warnings
 }
 
-func defaultTimes() times {
-	return times{silence: 5 * time.Second, open: 2 * time.Second, report: 2 * time.Second, reportAgain: 300 * time.Millisecond,
-		reportEvery: time.Minute, tick: time.Second, leave: 400 * time.Millisecond, apply: 2 * time.Second, warnFirst: 15 * time.Second, warnMost: time.Hour}
+func defaultTimeouts() timeouts {
+	return timeouts{silence: 5 * time.Second, open: 2 * time.Second, report: 2 * time.Second, reportRetry: 300 * time.Millisecond,
+		reportInterval: time.Minute, tick: time.Second, leave: 400 * time.Millisecond, apply: 2 * time.Second, firstWarning: 15 * time.Second, maxWarningInterval: time.Hour}
 }
 
-// Status is how a Watcher stands.
+// Status is the state of a Watcher.
 type Status struct {
-	Machine   string    // that it watches, or watched last; empty: none yet
+	Machine   string    // watched now or last; empty: none yet
 	Connected bool      // a watch is open
-	LastWord  time.Time // when a line last came from control, a heartbeat included; zero: never
-	Kept      bool      // the documents in force are those that were kept on the disk: control has sent none since
+	LastWord  time.Time // when the last line came from control, heartbeats included; zero: never
+	Kept      bool      // the documents in force were restored from the disk: control has sent none since
 	Changed   time.Time // when documents were last put in force; zero: never
-	Changes   int       // how often they were
-	Refusals  int       // revisions that the agent refused, over all
+	Changes   int       // number of times that documents were put in force
+	Refusals  int       // number of revisions that the agent has refused
 	Report    configuration.Report
 }
 
-// Watcher follows the control machines.
+// Watcher gets an agent's configuration from the control machines and keeps it up to date.
 type Watcher struct {
-	cfg      Config
-	times    times
-	follower *configuration.Follower
-	selector *configuration.Selector
-	log      *slog.Logger
-	began    time.Time
-	restored bool
-	leaving  context.Context // ends with Leave
-	leave    context.CancelFunc
+	cfg       Config
+	timeouts  timeouts
+	follower  *configuration.Follower
+	selector  *configuration.Selector
+	log       *slog.Logger
+	startedAt time.Time
+	restored  bool            // Restore was called
+	leaveCtx  context.Context // canceled by Leave
+	leave     context.CancelFunc
 
 	mu     sync.Mutex
 	status Status
 
-	// Of Run's goroutine alone.
-	stream    *stream              // that is open
-	last      *stream              // that was opened last
-	hint      string               // machine that another one named; empty: none
-	reporting bool                 // a report is on its way
-	dirty     bool                 // what is in force has changed since the last report was begun
-	reported  chan error           // how the report that is on its way ended
-	reportAt  time.Time            // no report before it
-	reportDue <-chan time.Time     // at reportAt, after a report that failed; nil: none has
-	sentAt    time.Time            // when the last report was begun
-	opened    chan openResult      // of the preferred machine, beside the open watch
-	giveUp    context.CancelFunc   // ends such an attempt; nil: none is on its way
-	again     bool                 // the agent was too busy to apply what is pending
-	refused   map[refusedAt]string // refusals that the log has told
-	lastWarn  time.Duration        // age of control's last word at the last warning; 0: none
-}
-
-// refusedAt is what a refusal is of.
-type refusedAt struct {
+	// The fields below belong to Run's goroutine.
+	stream           *stream               // the open watch; nil: none
+	lastStream       *stream               // opened last; it may be closed
+	redirect         string                // machine (name or address) from a not-here response; empty: none
+	reporting        bool                  // a report is being sent
+	reportPending    bool                  // the machine lacks what is in force now
+	reportResult     chan error            // result of the report that is being sent
+	nextReportAt     time.Time             // no report is sent before this time
+	reportRetryTimer <-chan time.Time      // fires at nextReportAt after a failed report; otherwise nil
+	reportSentAt     time.Time             // when the last report was started
+	returnResult     chan openResult       // result of the attempt to return to a preferred machine
+	cancelReturn     context.CancelFunc    // cancels that attempt; nil: none is in progress
+	retryApply       bool                  // the agent was too busy to apply the pending document
+	loggedRefusals   map[refusalKey]string // reasons of the refusals that were logged
+	warnedAge        time.Duration         // time without contact at the last warning; 0: none since contact
+}
+
+// refusalKey identifies a refused revision.
+type refusalKey struct {
 	scope configuration.Scope
 	at    configuration.Position
 }
 
-// New returns a Watcher. Run starts it.
+// New returns a Watcher, which Run starts.
 func New(cfg Config) (*Watcher, error) {
 	if err := cfg.Place.Check(); err != nil {
 		return nil, err
@@ -123,8 +125,8 @@
 		cfg.Dial = new(net.Dialer).DialContext
 	}
 	leaving, leave := context.WithCancel(context.Background())
-	w := &Watcher{leaving: leaving, leave: leave, cfg: cfg, times: defaultTimes(), log: cfg.Log, began: time.Now(), reported: make(chan error, 1), opened: make(chan openResult, 1),
-		refused: map[refusedAt]string{}, follower: configuration.NewFollower(cfg.Place, cfg.Check),
+	w := &Watcher{leaveCtx: leaving, leave: leave, cfg: cfg, timeouts: defaultTimeouts(), log: cfg.Log, startedAt: time.Now(), reportResult: make(chan error, 1), returnResult: make(chan openResult, 1),
+		loggedRefusals: map[refusalKey]string{}, follower: configuration.NewFollower(cfg.Place, cfg.Check),
 		selector: configuration.NewSelector(cfg.Place, cfg.Machines, cfg.Rand)}
 	w.status.Report = w.follower.Report()
 	if len(w.selector.Machines()) == 0 {
@@ -133,79 +135,79 @@
 	return w, nil
 }
 
-// Status may be called from any goroutine.
+// Status returns the current state. It may be called from any goroutine.
 func (w *Watcher) Status() Status {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.status
 }
 
-func (w *Watcher) update(f func(*Status)) {
+func (w *Watcher) updateStatus(f func(*Status)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f(&w.status)
 }
 
-// Restore puts in force what was kept on the disk by an earlier process. It is called before Run, by a caller that wants
-// this done before anything else; else Run does it.
+// Restore puts the documents that an earlier process saved in force. A caller that needs this done before
+// anything else calls it before Run; otherwise Run does it.
 func (w *Watcher) Restore(ctx context.Context) {
 	if w.restored {
 		return
 	}
 	w.restored = true
-	kept, err := w.readKept()
-	if err == nil && kept != nil {
-		err = w.follower.RestoreKept(kept)
+	saved, err := w.readSaved()
+	if err == nil && saved != nil {
+		err = w.follower.RestoreKept(saved)
 	}
 	if err != nil {
-		w.log.Warn("configuration: kept documents not taken: the start file holds", "err", err)
+		w.log.Warn("configuration: saved documents not restored: the start file stays in force", "err", err)
 		return
 	}
-	if kept != nil {
+	if saved != nil {
 		w.apply(ctx, true)
 	}
 }
 
-// Leave says that the agent stops as planned and isn't replaced: Run tells control so, which then doesn't wait for this
-// agent any more, and returns.
+// Leave says that the agent stops as planned and isn't replaced. Run then reports this to control, so that
+// control no longer waits for the agent, and returns.
 func (w *Watcher) Leave() { w.leave() }
 
-// Run follows the control machines until ctx ends, or Leave.
+// Run follows the control machines until ctx is done or Leave is called.
 func (w *Watcher) Run(ctx context.Context) error {
 	w.Restore(ctx)
 	running, stop := context.WithCancel(ctx)
 	defer stop()
-	defer context.AfterFunc(w.leaving, stop)()
+	defer context.AfterFunc(w.leaveCtx, stop)()
 	err := w.followMachines(running)
 	w.finish()
 	if ctx.Err() == nil && err == nil {
-		w.sayGoodbye(ctx)
+		w.sendLeavingReport(ctx)
 	}
 	return err
 }
 
-// sayGoodbye tells the machine that was watched last that the agent has nothing in force any more.
-func (w *Watcher) sayGoodbye(ctx context.Context) {
-	if w.last == nil {
+// sendLeavingReport tells the machine that was watched last that the agent no longer has anything in force.
+func (w *Watcher) sendLeavingReport(ctx context.Context) {
+	if w.lastStream == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, w.times.leave)
+	ctx, cancel := context.WithTimeout(ctx, w.timeouts.leave)
 	defer cancel()
 	report := w.follower.Report()
 	report.Leaving = true
-	if err := w.post(ctx, w.last.machine, report); err != nil {
-		w.log.Info("configuration: control isn't told that the agent stops", "err", err)
+	if err := w.sendReport(ctx, w.lastStream.machine, report); err != nil {
+		w.log.Info("configuration: leaving report failed", "err", err)
 	}
 }
 
-// followMachines watches one machine after the other until ctx ends.
+// followMachines watches one machine after another until ctx is done.
 func (w *Watcher) followMachines(ctx context.Context) error {
 	for ctx.Err() == nil {
 		machine, wait, ok := w.selector.Next()
 		if !ok {
 			return errors.New("configuration: no control machine holds the agent's settings")
 		}
-		if named, found := w.takeHint(); found {
+		if named, found := w.takeRedirect(); found {
 			machine = named
 		}
 		if !sleep(ctx, wait) {
@@ -215,23 +217,23 @@
 		w.selector.Failed(w.now())
 		if ctx.Err() == nil {
 			w.log.Debug("configuration: watch ended", "machine", machine.Name, "err", err)
-			w.warnAway(err)
+			w.warnDisconnected(err)
 		}
 	}
 	return nil
 }
 
-// finish ends what is still open and waits for it.
+// finish closes the open watch and waits for the report that is being sent.
 func (w *Watcher) finish() {
 	w.closeStream()
 	if w.reporting {
-		<-w.reported
+		<-w.reportResult
 	}
 }
 
-func (w *Watcher) now() time.Duration { return time.Since(w.began) }
+func (w *Watcher) now() time.Duration { return time.Since(w.startedAt) }
 
-// sleep waits; false: ctx has ended.
+// sleep waits for the given time. It returns false if ctx is done.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	if wait <= 0 {
 		return ctx.Err() == nil
@@ -246,18 +248,18 @@
 	}
 }
 
-// watchMachine opens a watch and follows it, and what takes its place, until it is broken.
+// watchMachine opens a watch and follows it, or the watch that replaces it, until it breaks.
 func (w *Watcher) watchMachine(ctx context.Context, machine configuration.Machine) error {
 	w.follower.Connected()
 	s, err := w.open(ctx, machine, w.follower.Have())
 	if err != nil {
-		w.keepHint(err)
+		w.saveRedirect(err)
 		return err
 	}
-	w.use(s)
+	w.switchTo(s)
 	defer w.closeStream()
-	defer w.endReturn()
-	tick := time.NewTicker(w.times.tick)
+	defer w.abortReturn()
+	tick := time.NewTicker(w.timeouts.tick)
 	defer tick.Stop()
 	for {
 		w.startReport(ctx)
@@ -266,18 +268,18 @@
 			if line.err != nil {
 				return line.err
 			}
-			if err := w.take(ctx, line); err != nil {
+			if err := w.handleLine(ctx, line); err != nil {
 				return err
 			}
-		case err := <-w.reported:
-			w.reportEnded(err)
-		case <-w.reportDue:
-			w.reportDue = nil
-		case r := <-w.opened:
-			w.returned(r)
+		case err := <-w.reportResult:
+			w.finishReport(err)
+		case <-w.reportRetryTimer:
+			w.reportRetryTimer = nil
+		case r := <-w.returnResult:
+			w.finishReturn(r)
 		case <-tick.C:
 			w.startReturn(ctx)
-			if w.again {
+			if w.retryApply {
 				w.apply(ctx, w.Status().Kept)
 			}
 		case <-ctx.Done():
@@ -286,15 +288,15 @@
 	}
 }
 
-// use makes a stream the one that is followed.
-func (w *Watcher) use(s *stream) {
+// switchTo makes a stream the one that is followed.
+func (w *Watcher) switchTo(s *stream) {
 	w.closeStream()
-	w.stream, w.last = s, s
-	w.dirty, w.reportAt = true, time.Time{} // this machine doesn't know yet what is in force
+	w.stream, w.lastStream = s, s
+	w.reportPending, w.nextReportAt = true, time.Time{} // this machine doesn't know yet what is in force
 	w.selector.Connected(w.now())
 	w.log.Info("configuration: watch open", "machine", s.machine.Name)
-	w.update(func(st *Status) { st.Machine, st.Connected = s.machine.Name, true })
-	w.spoke()
+	w.updateStatus(func(st *Status) { st.Machine, st.Connected = s.machine.Name, true })
+	w.lineReceived()
 }
 
 func (w *Watcher) closeStream() {
@@ -303,56 +305,56 @@
 	}
 	w.stream.close()
 	w.stream = nil
-	w.update(func(st *Status) { st.Connected = false })
+	w.updateStatus(func(st *Status) { st.Connected = false })
 }
 
-// spoke notes that control has said something.
-func (w *Watcher) spoke() {
+// lineReceived records that control has sent a line.
+func (w *Watcher) lineReceived() {
 	now := time.Now()
 	var last time.Time
-	w.update(func(st *Status) { last, st.LastWord = st.LastWord, now })
-	if w.lastWarn > 0 {
+	w.updateStatus(func(st *Status) { last, st.LastWord = st.LastWord, now })
+	if w.warnedAge > 0 {
 		if last.IsZero() {
-			last = w.began
+			last = w.startedAt
 		}
-		w.log.Info("configuration: control is back", "away", now.Sub(last).Round(time.Millisecond))
-		w.lastWarn = 0
+		w.log.Info("configuration: control reachable again", "away", now.Sub(last).Round(time.Millisecond))
+		w.warnedAge = 0
 	}
 }
 
-// warnAway says how long control has been away, ever more rarely.
-func (w *Watcher) warnAway(cause error) {
+// warnDisconnected logs how long there has been no contact with control, at growing intervals.
+func (w *Watcher) warnDisconnected(cause error) {
 	st := w.Status()
 	last := st.LastWord
 	if last.IsZero() {
-		last = w.began
+		last = w.startedAt
 	}
 	age := time.Since(last)
-	if age < w.times.warnFirst || w.lastWarn > 0 && age < min(2*w.lastWarn, w.lastWarn+w.times.warnMost) {
+	if age < w.timeouts.firstWarning || w.warnedAge > 0 && age < min(2*w.warnedAge, w.warnedAge+w.timeouts.maxWarningInterval) {
 		return
 	}
-	w.lastWarn = age
-	w.log.Warn("configuration: control is away: the settings in force hold", "away", age.Round(time.Second), "machine", st.Machine, "err", cause)
+	w.warnedAge = age
+	w.log.Warn("configuration: control unreachable: the settings in force stay", "away", age.Round(time.Second), "machine", st.Machine, "err", cause)
 }
 
-// take hands a line to the follower, and puts in force what it makes of it.
-func (w *Watcher) take(ctx context.Context, line line) error {
-	w.spoke()
+// handleLine passes an update to the follower and applies the documents that are pending after it.
+func (w *Watcher) handleLine(ctx context.Context, line line) error {
+	w.lineReceived()
 	if line.update == nil {
 		return nil
 	}
 	result := w.follower.Take(*line.update)
 	if result.Kind == configuration.ResultAskWhole {
-		return fmt.Errorf("update of %s to revision %d: %s: it is asked for whole", line.update.Scope, line.update.Revision, result.Why)
+		return fmt.Errorf("update of %s to revision %d: %s: the whole document is requested", line.update.Scope, line.update.Revision, result.Why)
 	}
 	w.apply(ctx, false)
 	return nil
 }
 
-// apply puts in force what is pending.
-func (w *Watcher) apply(ctx context.Context, kept bool) {
+// apply has the agent apply the follower's pending documents.
+func (w *Watcher) apply(ctx context.Context, restored bool) {
 	changed := false
-	w.again = false
+	w.retryApply = false
 	for {
 		effective, ok := w.follower.Pending()
 		if !ok {
@@ -360,12 +362,12 @@
 		}
 		err := w.applyOne(ctx, effective)
 		if ctx.Err() != nil && err != nil {
-			return // the agent ends: nothing was refused
+			return // the agent is stopping: nothing was refused
 		}
-		// Guards against an agent that stays behind for good since it was starved for a moment.
+		// Without a retry, an agent that was starved of CPU for a moment would stay at an old revision for good.
 		if errors.Is(err, context.DeadlineExceeded) {
-			w.log.Warn("configuration: the agent is too busy: tried again", "revisions", positionsText(effective.Positions))
-			w.again = true
+			w.log.Warn("configuration: agent too busy to apply documents: retrying", "revisions", positionsText(effective.Positions))
+			w.retryApply = true
 			break
 		}
 		changed = true
@@ -374,46 +376,46 @@
 			continue
 		}
 		w.follower.InForce(effective)
-		w.update(func(st *Status) { st.Kept, st.Changed, st.Changes = kept, time.Now(), st.Changes+1 })
-		w.log.Info("configuration: in force", "revisions", positionsText(effective.Positions), "digest", effective.Digest, "kept", kept)
-		if !kept {
-			w.keep()
+		w.updateStatus(func(st *Status) { st.Kept, st.Changed, st.Changes = restored, time.Now(), st.Changes+1 })
+		w.log.Info("configuration: in force", "revisions", positionsText(effective.Positions), "digest", effective.Digest, "kept", restored)
+		if !restored {
+			w.save()
 		}
 	}
 	report := w.follower.Report()
-	if w.tellRefusals(report.Refused) || changed {
-		w.dirty = true
-		w.update(func(st *Status) { st.Report = report })
+	if w.logRefusals(report.Refused) || changed {
+		w.reportPending = true
+		w.updateStatus(func(st *Status) { st.Report = report })
 	}
 }
 
 func (w *Watcher) applyOne(ctx context.Context, effective *configuration.Effective) error {
-	ctx, cancel := context.WithTimeout(ctx, w.times.apply)
+	ctx, cancel := context.WithTimeout(ctx, w.timeouts.apply)
 	defer cancel()
 	return w.cfg.Apply(ctx, effective.Document)
 }
 
-// tellRefusals logs those that are new, and reports whether they differ from before.
-func (w *Watcher) tellRefusals(refused []configuration.Refusal) bool {
-	now := map[refusedAt]string{}
+// logRefusals logs new refusals and reports whether any refusal was added, removed or changed.
+func (w *Watcher) logRefusals(refused []configuration.Refusal) bool {
+	now := map[refusalKey]string{}
 	for _, r := range refused {
-		key := refusedAt{r.Scope, r.Position}
+		key := refusalKey{r.Scope, r.Position}
 		now[key] = r.Why
-		if why, told := w.refused[key]; !told || why != r.Why {
-			w.update(func(st *Status) { st.Refusals++ })
-			w.log.Warn("configuration: refused: what was in force holds", "scope", r.Scope.String(), "revision", r.Revision, "epoch", r.Epoch, "why", r.Why)
+		if why, logged := w.loggedRefusals[key]; !logged || why != r.Why {
+			w.updateStatus(func(st *Status) { st.Refusals++ })
+			w.log.Warn("configuration: refused: the revision in force stays", "scope", r.Scope.String(), "revision", r.Revision, "epoch", r.Epoch, "why", r.Why)
 		}
 	}
-	differs := !maps.Equal(now, w.refused)
-	w.refused = now
+	differs := !maps.Equal(now, w.loggedRefusals)
+	w.loggedRefusals = now
 	return differs
 }
 
-// positionsText lists revisions in the order of their scopes.
+// positionsText lists revisions sorted by scope.
 func positionsText(positions map[configuration.Scope]configuration.Position) string {
 	var all []string
 	for scope, at := range positions {
-		all = append(all, have(scope, at))
+		all = append(all, formatPosition(scope, at))
 	}
 	slices.Sort(all)
 	return strings.Join(all, " ")
@@ -421,62 +423,64 @@
 
 // ---- The preferred machine ----
 
-// startReturn tries the preferred machine where it is time to, beside the open watch.
+// startReturn opens a watch at the preferred machine, beside the current watch, when the selector says that
+// it is due.
 func (w *Watcher) startReturn(ctx context.Context) {
-	if w.giveUp != nil {
+	if w.cancelReturn != nil {
 		return
 	}
 	machine, due := w.selector.Return(w.now())
 	if !due {
 		return
 	}
-	ctx, w.giveUp = context.WithCancel(ctx)
+	ctx, w.cancelReturn = context.WithCancel(ctx)
 	have := w.follower.Have()
 	go func() {
 		s, err := w.open(ctx, machine, have)
-		w.opened <- openResult{s, err}
+		w.returnResult <- openResult{s, err}
 	}()
 }
 
-// returned goes over to the preferred machine, where it answers.
-func (w *Watcher) returned(r openResult) {
-	w.giveUp()
-	w.giveUp = nil
+// finishReturn switches to the preferred machine if its watch was opened.
+func (w *Watcher) finishReturn(r openResult) {
+	w.cancelReturn()
+	w.cancelReturn = nil
 	w.selector.Returned(w.now(), r.err == nil)
 	if r.err != nil {
 		return
 	}
 	w.follower.Connected()
-	w.use(r.stream)
+	w.switchTo(r.stream)
 }
 
-// endReturn gives up the attempt to return that is on its way: the watch beside which it was made has ended.
-func (w *Watcher) endReturn() {
-	if w.giveUp == nil {
+// abortReturn cancels an attempt to return, because the watch beside which it was made has ended.
+func (w *Watcher) abortReturn() {
+	if w.cancelReturn == nil {
 		return
 	}
-	w.giveUp()
-	w.giveUp = nil
-	if r := <-w.opened; r.stream != nil {
+	w.cancelReturn()
+	w.cancelReturn = nil
+	if r := <-w.returnResult; r.stream != nil {
 		r.stream.close()
 	}
 	w.selector.Returned(w.now(), false)
 }
 
-// keepHint takes note of a machine that one which can't serve the agent has named: any of them, so that not all agents of
-// a full machine go to the same.
-func (w *Watcher) keepHint(err error) {
-	var answer *configuration.ErrorBody
-	if !errors.As(err, &answer) || answer.Kind != configuration.ErrorNotHere || len(answer.Machines) == 0 {
+// saveRedirect stores one of the machines that a not-here response names. It picks one at random, so that the
+// agents which a full machine turns away don't all go to the same one.
+func (w *Watcher) saveRedirect(err error) {
+	var refusal *configuration.ErrorBody
+	if !errors.As(err, &refusal) || refusal.Kind != configuration.ErrorNotHere || len(refusal.Machines) == 0 {
 		return
 	}
-	w.hint = answer.Machines[int(w.cfg.Rand()*float64(len(answer.Machines)))]
+	w.redirect = refusal.Machines[int(w.cfg.Rand()*float64(len(refusal.Machines)))]
 }
 
-// takeHint returns the machine that was named, if it is known. It is tried once.
-func (w *Watcher) takeHint() (configuration.Machine, bool) {
-	named := w.hint
-	w.hint = ""
+// takeRedirect returns the stored machine, if its name or address is known, and clears it, so that it is
+// tried once.
+func (w *Watcher) takeRedirect() (configuration.Machine, bool) {
+	named := w.redirect
+	w.redirect = ""
 	i := slices.IndexFunc(w.cfg.Machines, func(m configuration.Machine) bool { return named != "" && (m.Name == named || m.Address == named) })
 	if i < 0 {
 		return configuration.Machine{}, false
@@ -486,24 +490,24 @@
 
 // ---- Reports ----
 
-// startReport sends what is in force, where that is new to the machine, or was long ago.
+// startReport sends what is in force, if the machine lacks it or the last report was sent reportInterval ago.
 func (w *Watcher) startReport(ctx context.Context) {
 	now := time.Now()
-	due := w.dirty || now.Sub(w.sentAt) >= w.times.reportEvery
-	if w.reporting || !due || now.Before(w.reportAt) {
+	due := w.reportPending || now.Sub(w.reportSentAt) >= w.timeouts.reportInterval
+	if w.reporting || !due || now.Before(w.nextReportAt) {
 		return
 	}
 	report := w.follower.Report()
-	w.dirty, w.reporting, w.sentAt = false, true, now
+	w.reportPending, w.reporting, w.reportSentAt = false, true, now
 	machine := w.stream.machine
-	go func() { w.reported <- w.post(ctx, machine, report) }()
+	go func() { w.reportResult <- w.sendReport(ctx, machine, report) }()
 }
 
-func (w *Watcher) reportEnded(err error) {
+func (w *Watcher) finishReport(err error) {
 	w.reporting = false
 	if err != nil {
-		w.log.Debug("configuration: report not taken", "err", err)
-		w.dirty, w.reportAt = true, time.Now().Add(w.times.reportAgain)
-		w.reportDue = time.After(w.times.reportAgain)
+		w.log.Debug("configuration: report failed", "err", err)
+		w.reportPending, w.nextReportAt = true, time.Now().Add(w.timeouts.reportRetry)
+		w.reportRetryTimer = time.After(w.timeouts.reportRetry)
 	}
 }
--- a/internal/configuration/watch/watch_test.go
+++ b/internal/configuration/watch/watch_test.go
@@ -36,23 +36,23 @@
 }
 
 var (
-	here = configuration.Place{Agent: "n0", Region: "a", Zone: "a1", Service: "front"}
-	own  = configuration.Scope{Level: configuration.LevelAgent, Region: "a", Name: "n0"}
+	testPlace  = configuration.Place{Agent: "n0", Region: "a", Zone: "a1", Service: "front"}
+	agentScope = configuration.Scope{Level: configuration.LevelAgent, Region: "a", Name: "n0"}
 )
 
-// control is a control machine that says what a test has it say.
-type control struct {
-	machine configuration.Machine
-	server  *httptest.Server
-	asked   chan url.Values             // queries of watches
-	lines   chan string                 // to be sent on the watch that is open
-	reports chan configuration.Report   // as they come
-	answer  func(w http.ResponseWriter) // to a report; nil: yes
-	refuse  func(w http.ResponseWriter) // in place of a watch; nil: it is opened
+// fakeControl is a control machine that a test controls.
+type fakeControl struct {
+	machine  configuration.Machine
+	server   *httptest.Server
+	queries  chan url.Values             // of the watches
+	lines    chan string                 // to be sent on the open watch
+	reports  chan configuration.Report   // in order of arrival
+	onReport func(w http.ResponseWriter) // answers a report; nil: with 204
+	onWatch  func(w http.ResponseWriter) // answers in place of a watch; nil: the watch is opened
 }
 
-func newControl(t testing.TB, name, region string) *control {
-	c := &control{asked: make(chan url.Values, 100), lines: make(chan string), reports: make(chan configuration.Report, 100)}
+func newFakeControl(t testing.TB, name, region string) *fakeControl {
+	c := &fakeControl{queries: make(chan url.Values, 100), lines: make(chan string), reports: make(chan configuration.Report, 100)}
 	c.server = httptest.NewServer(http.HandlerFunc(c.serve))
 	c.machine = configuration.Machine{Name: name, Region: region, Address: strings.TrimPrefix(c.server.URL, "http://")}
 	t.Cleanup(func() {
@@ -62,7 +62,7 @@
 	return c
 }
 
-func (c *control) serve(w http.ResponseWriter, r *http.Request) {
+func (c *fakeControl) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == configuration.ReportPath {
 		var report configuration.Report
 		if err := json.NewDecoder(r.Body).Decode(&report); err != nil {
@@ -70,16 +70,16 @@
 			return
 		}
 		c.reports <- report
-		if c.answer != nil {
-			c.answer(w)
+		if c.onReport != nil {
+			c.onReport(w)
 			return
 		}
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	c.asked <- r.URL.Query()
-	if c.refuse != nil {
-		c.refuse(w)
+	c.queries <- r.URL.Query()
+	if c.onWatch != nil {
+		c.onWatch(w)
 		return
 	}
 	out := http.NewResponseController(w)
@@ -95,8 +95,8 @@
 	}
 }
 
-// say sends a line on the open watch.
-func (c *control) say(t testing.TB, line string) {
+// send sends a line on the open watch.
+func (c *fakeControl) send(t testing.TB, line string) {
 	t.Helper()
 	select {
 	case c.lines <- line:
@@ -105,22 +105,22 @@
 	}
 }
 
-// reported awaits a report that says what a test looks for.
-func (c *control) reported(t testing.TB, fits func(configuration.Report) bool) configuration.Report {
+// waitReport waits for a report that meets a condition.
+func (c *fakeControl) waitReport(t testing.TB, matches func(configuration.Report) bool) configuration.Report {
 	t.Helper()
 	for {
-		if r := await(t, c.reports); fits(r) {
+		if r := await(t, c.reports); matches(r) {
 			return r
 		}
 	}
 }
 
-func at(scope configuration.Scope, revision uint64) func(configuration.Report) bool {
+func hasRevision(scope configuration.Scope, revision uint64) func(configuration.Report) bool {
 	return func(r configuration.Report) bool { return r.InForce[scope].Revision == revision }
 }
 
-// update is a line that carries a whole document.
-func update(t testing.TB, scope configuration.Scope, revision uint64, document string, more bool) string {
+// updateLine returns a line that carries a whole document.
+func updateLine(t testing.TB, scope configuration.Scope, revision uint64, document string, more bool) string {
 	t.Helper()
 	parsed, err := configuration.ParseDocument([]byte(document))
 	if err != nil {
@@ -137,28 +137,28 @@
 
 func attempts(n int) string { return fmt.Sprintf(`{"format":1,"limits":{"attempts":%d}}`, n) }
 
-// logged is a log that a test reads.
-type logged struct {
+// logBuffer collects the log for a test.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logged) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *logged) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// config is one whose documents are all applied, and sent to the channel.
-func config(machines ...configuration.Machine) (Config, chan *configuration.Document) {
+// testConfig returns a Config whose documents are all applied and sent to the channel.
+func testConfig(machines ...configuration.Machine) (Config, chan *configuration.Document) {
 	applied := make(chan *configuration.Document, 1000)
-	return Config{Place: here, Machines: machines, Rand: func() float64 { return 0 }, Log: slog.New(slog.DiscardHandler),
+	return Config{Place: testPlace, Machines: machines, Rand: func() float64 { return 0 }, Log: slog.New(slog.DiscardHandler),
 		Check: func(*configuration.Document) error { return nil },
 		Apply: func(_ context.Context, d *configuration.Document) error {
 			applied <- d
@@ -166,15 +166,15 @@
 		}}, applied
 }
 
-func start(t testing.TB, cfg Config, change func(*times)) *Watcher {
+func start(t testing.TB, cfg Config, change func(*timeouts)) *Watcher {
 	t.Helper()
 	w, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.times.reportAgain, w.times.tick = 5*time.Millisecond, 5*time.Millisecond
+	w.timeouts.reportRetry, w.timeouts.tick = 5*time.Millisecond, 5*time.Millisecond
 	if change != nil {
-		change(&w.times)
+		change(&w.timeouts)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -188,34 +188,34 @@
 	return w
 }
 
-// What is reported is in force: the report comes after the agent has applied it, not when it came.
-func TestReportFollowsTheApplication(t *testing.T) {
-	c := newControl(t, "a1", "a")
-	cfg, _ := config(c.machine)
-	begun, go1 := make(chan *configuration.Document), make(chan struct{})
+// A report is sent after the agent has applied an update, not when the update arrives.
+func TestReportIsSentAfterApply(t *testing.T) {
+	c := newFakeControl(t, "a1", "a")
+	cfg, _ := testConfig(c.machine)
+	begun, release := make(chan *configuration.Document), make(chan struct{})
 	cfg.Apply = func(_ context.Context, d *configuration.Document) error {
 		begun <- d
-		<-go1
+		<-release
 		return nil
 	}
 	w := start(t, cfg, nil)
-	q := await(t, c.asked)
+	q := await(t, c.queries)
 	if q.Get("agent") != "n0" || q.Get("region") != "a" || q.Get("zone") != "a1" || q.Get("service") != "front" || q.Get("format") != "1" || q.Has("have") {
 		t.Errorf("asked with %v", q)
 	}
 	if first := await(t, c.reports); len(first.InForce) != 0 || first.Agent != "n0" {
 		t.Errorf("first report %+v", first)
 	}
-	c.say(t, "")
-	c.say(t, update(t, configuration.Fleet, 1, attempts(2), false))
+	c.send(t, "")
+	c.send(t, updateLine(t, configuration.Fleet, 1, attempts(2), false))
 	if d := await(t, begun); *d.Limits.Attempts != 2 {
 		t.Errorf("applies %+v", d.Limits)
 	}
 	if len(c.reports) > 0 || w.Status().Changes != 0 {
 		t.Errorf("reported %+v before it was applied, status %+v", <-c.reports, w.Status())
 	}
-	close(go1)
-	r := c.reported(t, at(configuration.Fleet, 1))
+	close(release)
+	r := c.waitReport(t, hasRevision(configuration.Fleet, 1))
 	if r.InForce[configuration.Fleet].Epoch != 3 || r.Digest != configuration.Digest([]byte(attempts(2))) || len(r.Refused) > 0 {
 		t.Errorf("reported %+v", r)
 	}
@@ -224,30 +224,30 @@
 	}
 }
 
-// Updates that belong together take effect in one step.
+// The updates of a set take effect in one step.
 func TestUpdatesOfOneSetTakeEffectTogether(t *testing.T) {
-	c := newControl(t, "a1", "a")
-	cfg, applied := config(c.machine)
+	c := newFakeControl(t, "a1", "a")
+	cfg, applied := testConfig(c.machine)
 	start(t, cfg, nil)
-	c.say(t, update(t, configuration.Fleet, 1, attempts(2), true))
-	c.say(t, update(t, own, 4, `{"format":1,"limits":{"second_copies":true}}`, false))
+	c.send(t, updateLine(t, configuration.Fleet, 1, attempts(2), true))
+	c.send(t, updateLine(t, agentScope, 4, `{"format":1,"limits":{"second_copies":true}}`, false))
 	if d := await(t, applied); *d.Limits.Attempts != 2 || d.Limits.SecondCopies == nil || !*d.Limits.SecondCopies {
 		t.Errorf("applied %+v", d.Limits)
 	}
-	c.reported(t, func(r configuration.Report) bool {
-		return r.InForce[own].Revision == 4 && r.InForce[configuration.Fleet].Revision == 1
+	c.waitReport(t, func(r configuration.Report) bool {
+		return r.InForce[agentScope].Revision == 4 && r.InForce[configuration.Fleet].Revision == 1
 	})
 	if len(applied) > 0 {
 		t.Errorf("applied again: %+v", <-applied)
 	}
 }
 
-// An agent that can't apply a revision keeps what it has, says why, and takes the next one.
+// An agent that can't apply a revision keeps the one in force, reports the reason, and applies the next revision.
 func TestRefusalIsReported(t *testing.T) {
 	for _, by := range []string{"check", "application"} {
 		t.Run(by, func(t *testing.T) {
-			c := newControl(t, "a1", "a")
-			cfg, applied := config(c.machine)
+			c := newFakeControl(t, "a1", "a")
+			cfg, applied := testConfig(c.machine)
 			refuse := func(d *configuration.Document) error {
 				if d.Limits != nil && d.Limits.Attempts != nil && *d.Limits.Attempts == 7 {
 					return errors.New("seven are too many")
@@ -265,13 +265,13 @@
 					return apply(ctx, d)
 				}
 			}
-			log := &logged{}
+			log := &logBuffer{}
 			cfg.Log = slog.New(slog.NewTextHandler(log, nil))
 			w := start(t, cfg, nil)
-			c.say(t, update(t, configuration.Fleet, 1, attempts(2), false))
-			c.reported(t, at(configuration.Fleet, 1))
-			c.say(t, update(t, configuration.Fleet, 2, attempts(7), false))
-			r := c.reported(t, func(r configuration.Report) bool { return len(r.Refused) > 0 })
+			c.send(t, updateLine(t, configuration.Fleet, 1, attempts(2), false))
+			c.waitReport(t, hasRevision(configuration.Fleet, 1))
+			c.send(t, updateLine(t, configuration.Fleet, 2, attempts(7), false))
+			r := c.waitReport(t, func(r configuration.Report) bool { return len(r.Refused) > 0 })
 			if r.InForce[configuration.Fleet].Revision != 1 || r.Refused[0].Revision != 2 || !strings.Contains(r.Refused[0].Why, "seven are too many") {
 				t.Errorf("reported %+v", r)
 			}
@@ -281,8 +281,8 @@
 			if text := log.String(); strings.Count(text, "refused") != 1 || !strings.Contains(text, "revision=2") {
 				t.Errorf("logged %s", text)
 			}
-			c.say(t, update(t, configuration.Fleet, 3, attempts(3), false))
-			if r := c.reported(t, at(configuration.Fleet, 3)); len(r.Refused) != 0 {
+			c.send(t, updateLine(t, configuration.Fleet, 3, attempts(3), false))
+			if r := c.waitReport(t, hasRevision(configuration.Fleet, 3)); len(r.Refused) != 0 {
 				t.Errorf("reported %+v", r)
 			}
 			if len(applied) != 2 {
@@ -292,10 +292,10 @@
 	}
 }
 
-// An agent that is too busy to apply a document in time refuses nothing: it is tried again.
-func TestBusyAgentIsTriedAgain(t *testing.T) {
-	c := newControl(t, "a1", "a")
-	cfg, applied := config(c.machine)
+// An agent that is too busy to apply a document in time doesn't refuse it: the document is tried again.
+func TestBusyAgentIsRetried(t *testing.T) {
+	c := newFakeControl(t, "a1", "a")
+	cfg, applied := testConfig(c.machine)
 	apply, busy := cfg.Apply, 3
 	cfg.Apply = func(ctx context.Context, d *configuration.Document) error {
 		if busy--; busy >= 0 {
@@ -304,8 +304,8 @@
 		}
 		return apply(ctx, d)
 	}
-	w := start(t, cfg, func(tm *times) { tm.apply = 5 * time.Millisecond })
-	c.say(t, update(t, configuration.Fleet, 1, attempts(2), false))
+	w := start(t, cfg, func(tm *timeouts) { tm.apply = 5 * time.Millisecond })
+	c.send(t, updateLine(t, configuration.Fleet, 1, attempts(2), false))
 	await(t, applied)
 	for r := range c.reports {
 		if len(r.Refused) > 0 {
@@ -320,77 +320,78 @@
 	}
 }
 
-// machines returns two control machines in the agent's order of preference.
-func machines(t testing.TB) (first, second *control) {
+// preferenceOrder starts two control machines and returns them in the agent's order of preference.
+func preferenceOrder(t testing.TB) (first, second *fakeControl) {
 	t.Helper()
-	first, second = newControl(t, "a1", "a"), newControl(t, "a2", "a")
+	first, second = newFakeControl(t, "a1", "a"), newFakeControl(t, "a2", "a")
 	both := []configuration.Machine{first.machine, second.machine}
-	if configuration.NewSelector(here, both, func() float64 { return 0 }).Machines()[0].Name != first.machine.Name {
+	if configuration.NewSelector(testPlace, both, func() float64 { return 0 }).Machines()[0].Name != first.machine.Name {
 		first, second = second, first
 	}
 	return first, second
 }
 
-// A machine that falls silent, breaks off or says what can't be read is left for another one, which is asked for what
-// is missing and told what is in force.
+// When a machine sends nothing, ends the watch or sends an invalid line, the agent switches to another
+// machine, asks it for the missing updates and reports what is in force.
 func TestBrokenWatch(t *testing.T) {
-	tests := map[string]func(*testing.T, *control){
-		"silent":       func(*testing.T, *control) {},
-		"ended":        func(_ *testing.T, c *control) { c.server.CloseClientConnections() },
-		"not JSON":     func(t *testing.T, c *control) { c.say(t, "{") },
-		"endless line": func(t *testing.T, c *control) { c.say(t, strings.Repeat("x", 2*LineMost)) },
-		"unknown origin": func(t *testing.T, c *control) {
-			c.say(t, `{"scope":"fleet","revision":9,"epoch":3,"from":8,"patch":{},"digest":"x"}`)
+	tests := map[string]func(*testing.T, *fakeControl){
+		"silent":       func(*testing.T, *fakeControl) {},
+		"ended":        func(_ *testing.T, c *fakeControl) { c.server.CloseClientConnections() },
+		"not JSON":     func(t *testing.T, c *fakeControl) { c.send(t, "{") },
+		"endless line": func(t *testing.T, c *fakeControl) { c.send(t, strings.Repeat("x", 2*MaxLineBytes)) },
+		"unknown origin": func(t *testing.T, c *fakeControl) {
+			c.send(t, `{"scope":"fleet","revision":9,"epoch":3,"from":8,"patch":{},"digest":"x"}`)
 		},
 	}
-	for name, breaks := range tests {
+	for name, breakWatch := range tests {
 		t.Run(name, func(t *testing.T) {
-			first, second := machines(t)
-			cfg, _ := config(first.machine, second.machine)
-			start(t, cfg, func(tm *times) { tm.silence = 300 * time.Millisecond })
-			await(t, first.asked)
-			first.say(t, update(t, configuration.Fleet, 1, attempts(2), false))
-			first.reported(t, at(configuration.Fleet, 1))
-			breaks(t, first)
-			q := await(t, second.asked)
+			first, second := preferenceOrder(t)
+			cfg, _ := testConfig(first.machine, second.machine)
+			start(t, cfg, func(tm *timeouts) { tm.silence = 300 * time.Millisecond })
+			await(t, first.queries)
+			first.send(t, updateLine(t, configuration.Fleet, 1, attempts(2), false))
+			first.waitReport(t, hasRevision(configuration.Fleet, 1))
+			breakWatch(t, first)
+			q := await(t, second.queries)
 			if have := q["have"]; name != "unknown origin" && !slices.Equal(have, []string{"fleet@1.3"}) {
 				t.Errorf("asked with %v", q)
-			} else if name == "unknown origin" && !slices.Equal(have, []string{"fleet@1.0"}) { // whole
+			} else if name == "unknown origin" && !slices.Equal(have, []string{"fleet@1.0"}) { // epoch 0: whole document
 				t.Errorf("asked with %v", q)
 			}
-			second.reported(t, at(configuration.Fleet, 1))
+			second.waitReport(t, hasRevision(configuration.Fleet, 1))
 		})
 	}
 }
 
-// A machine that can't be reached, or accepts and never answers, is left for another one.
+// The agent tries another machine after one that can't be reached, or that accepts and never completes a
+// response head.
 func TestMachineThatDoesNotAnswer(t *testing.T) {
 	for name, address := range map[string]func(testing.TB) string{
 		"refuses": scripted.DeadAddr,
 		"hangs":   func(t testing.TB) string { return scripted.Listen(t).Addr().String() },
-		"noise":   noise,
+		"noise":   endlessHeaderAddress,
 	} {
 		t.Run(name, func(t *testing.T) {
-			live := newControl(t, "a2", "a")
+			live := newFakeControl(t, "a2", "a")
 			dead := configuration.Machine{Name: "a1", Region: "a", Address: address(t)}
-			if configuration.NewSelector(here, []configuration.Machine{dead, live.machine}, nil).Machines()[0].Name != dead.Name {
-				dead.Name, live.machine.Name = live.machine.Name, dead.Name // the dead one is tried first
+			if configuration.NewSelector(testPlace, []configuration.Machine{dead, live.machine}, nil).Machines()[0].Name != dead.Name {
+				dead.Name, live.machine.Name = live.machine.Name, dead.Name // so that the dead machine is tried first
 			}
-			cfg, _ := config(dead, live.machine)
-			start(t, cfg, func(tm *times) {
+			cfg, _ := testConfig(dead, live.machine)
+			start(t, cfg, func(tm *timeouts) {
 				if tm.open = 100 * time.Millisecond; name == "noise" {
-					tm.open = 2 * scripted.Patience // its length is what ends it
+					tm.open = 2 * scripted.Patience // the limit on the head's length has to end it
 				}
 			})
-			await(t, live.asked)
-			live.say(t, update(t, configuration.Fleet, 1, attempts(2), false))
-			live.reported(t, at(configuration.Fleet, 1))
+			await(t, live.queries)
+			live.send(t, updateLine(t, configuration.Fleet, 1, attempts(2), false))
+			live.waitReport(t, hasRevision(configuration.Fleet, 1))
 		})
 	}
 }
 
-// noise is an address that answers with an endless head.
-func noise(t testing.TB) string {
+// endlessHeaderAddress returns the address of a server that sends headers without end.
+func endlessHeaderAddress(t testing.TB) string {
 	ln := scripted.Listen(t)
 	go func() {
 		for {
@@ -412,121 +413,122 @@
 	return ln.Addr().String()
 }
 
-// A machine that doesn't hold the agent's settings names one that does: it is asked next.
-func TestNotHereLeadsToTheNamedMachine(t *testing.T) {
-	first, second := machines(t)
-	third := newControl(t, "b1", "b")
+// A machine that doesn't hold the agent's settings names one that does, and the agent tries that one next.
+func TestNotHereRedirectsToTheNamedMachine(t *testing.T) {
+	first, second := preferenceOrder(t)
+	third := newFakeControl(t, "b1", "b")
 	third.machine.WitnessOf = []string{"a"}
-	first.refuse = func(w http.ResponseWriter) {
+	first.onWatch = func(w http.ResponseWriter) {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		json.NewEncoder(w).Encode(&configuration.ErrorBody{Kind: configuration.ErrorNotHere, Message: "not here", Machines: []string{"b1"}})
 	}
-	cfg, _ := config(first.machine, second.machine, third.machine)
+	cfg, _ := testConfig(first.machine, second.machine, third.machine)
 	w := start(t, cfg, nil)
-	await(t, third.asked)
-	if len(second.asked) > 0 {
-		t.Error("another machine was asked before")
+	await(t, third.queries)
+	if len(second.queries) > 0 {
+		t.Error("another machine was tried before")
 	}
-	third.reported(t, func(configuration.Report) bool { return true })
+	third.waitReport(t, func(configuration.Report) bool { return true })
 	if st := w.Status(); st.Machine != "b1" {
 		t.Errorf("status %+v", st)
 	}
 }
 
-// While a report is on its way no other one is; what changes meanwhile is in the next one.
+// Only one report is sent at a time; changes made meanwhile are in the next one.
 func TestReportsAreCoalesced(t *testing.T) {
-	c := newControl(t, "a1", "a")
-	free := make(chan struct{})
-	c.answer = func(w http.ResponseWriter) {
-		<-free
+	c := newFakeControl(t, "a1", "a")
+	release := make(chan struct{})
+	c.onReport = func(w http.ResponseWriter) {
+		<-release
 		w.WriteHeader(http.StatusNoContent)
 	}
 	t.Cleanup(func() {
 		select {
-		case <-free:
+		case <-release:
 		default:
-			close(free)
+			close(release)
 		}
 	})
-	cfg, applied := config(c.machine)
-	start(t, cfg, func(tm *times) { tm.report = scripted.Patience })
+	cfg, applied := testConfig(c.machine)
+	start(t, cfg, func(tm *timeouts) { tm.report = scripted.Patience })
 	await(t, c.reports)
 	const last = 20
 	for n := uint64(1); n <= last; n++ {
-		c.say(t, update(t, configuration.Fleet, n, attempts(int(n%4)+1), false))
+		c.send(t, updateLine(t, configuration.Fleet, n, attempts(int(n%4)+1), false))
 		await(t, applied)
 	}
 	if len(c.reports) > 0 {
-		t.Errorf("another report while one was on its way: %+v", <-c.reports)
+		t.Errorf("a second report was sent before the first was answered: %+v", <-c.reports)
 	}
-	close(free)
+	close(release)
 	if r := await(t, c.reports); r.InForce[configuration.Fleet].Revision != last {
 		t.Errorf("reported %+v", r.InForce)
 	}
 }
 
-// A report that wasn't taken is sent again.
-func TestReportThatFailsIsSentAgain(t *testing.T) {
-	c := newControl(t, "a1", "a")
+// A report that fails is sent again.
+func TestFailedReportIsRetried(t *testing.T) {
+	c := newFakeControl(t, "a1", "a")
 	left := 3
-	c.answer = func(w http.ResponseWriter) {
+	c.onReport = func(w http.ResponseWriter) {
 		if left--; left >= 0 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		w.WriteHeader(http.StatusNoContent)
 	}
-	cfg, _ := config(c.machine)
-	start(t, cfg, func(tm *times) { tm.silence = 2 * scripted.Patience }) // no new watch brings one
+	cfg, _ := testConfig(c.machine)
+	start(t, cfg, func(tm *timeouts) { tm.silence = 2 * scripted.Patience }) // so that no new watch causes a report
 	for range 4 {
 		await(t, c.reports)
 	}
 }
 
-// An agent that stops as planned says so last, and ends; where control hangs it ends all the same.
-func TestGoodbye(t *testing.T) {
+// An agent that stops as planned sends a last report that says so. It ends also if control hangs.
+func TestLeaveSendsALastReport(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
-		c := newControl(t, "a1", "a")
-		free := make(chan struct{})
+		c := newFakeControl(t, "a1", "a")
+		release := make(chan struct{})
 		var hang atomic.Bool
-		c.answer = func(w http.ResponseWriter) {
+		c.onReport = func(w http.ResponseWriter) {
 			if hang.Load() {
-				<-free
+				<-release
 			}
 			w.WriteHeader(http.StatusNoContent)
 		}
-		cfg, _ := config(c.machine)
+		cfg, _ := testConfig(c.machine)
 		w, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.times.leave = 50 * time.Millisecond
+		w.timeouts.leave = 50 * time.Millisecond
 		if !hangs {
-			w.times.leave = scripted.Patience
+			w.timeouts.leave = scripted.Patience
 		}
 		ended := make(chan error, 1)
 		go func() { ended <- w.Run(context.Background()) }()
-		c.say(t, update(t, configuration.Fleet, 1, attempts(2), false))
-		if r := c.reported(t, at(configuration.Fleet, 1)); r.Leaving {
+		c.send(t, updateLine(t, configuration.Fleet, 1, attempts(2), false))
+		if r := c.waitReport(t, hasRevision(configuration.Fleet, 1)); r.Leaving {
 			t.Errorf("reported %+v", r)
 		}
 		hang.Store(hangs)
 		w.Leave()
-		w.Leave() // twice says no more
-		c.reported(t, func(r configuration.Report) bool { return r.Leaving })
+		w.Leave() // a second call has no effect
+		c.waitReport(t, func(r configuration.Report) bool { return r.Leaving })
 		if err := await(t, ended); err != nil {
 			t.Error(err)
 		}
-		close(free)
+		close(release)
 	}
 }
 
-// restarted is what a new process with a folder puts in force before any control machine is asked; nil: nothing.
-func restarted(t *testing.T, folder string) (*configuration.Document, Status, string) {
+// restore returns what a new process restores from a folder before it contacts a control machine (nil:
+// nothing), with its status and log.
+func restore(t *testing.T, folder string) (*configuration.Document, Status, string) {
 	t.Helper()
-	cfg, applied := config(configuration.Machine{Name: "a1", Region: "a", Address: scripted.DeadAddr(t)})
+	cfg, applied := testConfig(configuration.Machine{Name: "a1", Region: "a", Address: scripted.DeadAddr(t)})
 	cfg.Folder = folder
-	log := &logged{}
+	log := &logBuffer{}
 	cfg.Log = slog.New(slog.NewTextHandler(log, nil))
 	w, err := New(cfg)
 	if err != nil {
@@ -541,24 +543,24 @@
 	}
 }
 
-// What was in force is kept, and taken by the next process before it has reached control. A file that is torn, changed or
-// another agent's is refused as a whole.
-func TestKeptDocuments(t *testing.T) {
+// Documents in force are saved, and the next process restores them before it has reached control. A file that
+// is truncated, modified or another agent's is rejected as a whole.
+func TestDocumentsSurviveARestart(t *testing.T) {
 	folder := t.TempDir()
-	c := newControl(t, "a1", "a")
-	cfg, applied := config(c.machine)
+	c := newFakeControl(t, "a1", "a")
+	cfg, applied := testConfig(c.machine)
 	cfg.Folder = folder
 	start(t, cfg, nil)
 	path := filepath.Join(folder, "configuration-a-n0.json")
-	c.say(t, update(t, configuration.Fleet, 1, attempts(2), false))
+	c.send(t, updateLine(t, configuration.Fleet, 1, attempts(2), false))
 	await(t, applied)
-	c.say(t, update(t, own, 5, `{"format":1,"classes":{"read":{"aim_ms":80}}}`, false))
+	c.send(t, updateLine(t, agentScope, 5, `{"format":1,"classes":{"read":{"aim_ms":80}}}`, false))
 	await(t, applied)
 	var whole []byte
 	for end := time.Now().Add(scripted.Patience); ; time.Sleep(time.Millisecond) {
-		d, st, _ := restarted(t, folder)
+		d, st, _ := restore(t, folder)
 		if d != nil && d.Limits != nil && *d.Limits.Attempts == 2 && d.Classes["read"].AimMs != nil && *d.Classes["read"].AimMs == 80 &&
-			st.Kept && st.Report.InForce[own].Revision == 5 {
+			st.Kept && st.Report.InForce[agentScope].Revision == 5 {
 			break
 		}
 		if time.Now().After(end) {
@@ -569,22 +571,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d, st, log := restarted(t, t.TempDir()); d != nil || st.Changes != 0 || log != "" {
+	if d, st, log := restore(t, t.TempDir()); d != nil || st.Changes != 0 || log != "" {
 		t.Errorf("without a file: %+v, %+v, %s", d, st, log)
 	}
 	for cut := range whole {
-		bad := map[string][]byte{"cut": whole[:cut], "changed": slices.Clone(whole), "tail of noughts": append(slices.Clone(whole[:cut]), make([]byte, len(whole)-cut)...)}
+		bad := map[string][]byte{"cut": whole[:cut], "changed": slices.Clone(whole), "zeroed tail": append(slices.Clone(whole[:cut]), make([]byte, len(whole)-cut)...)}
 		bad["changed"][cut] ^= 1
 		for how, raw := range bad {
 			torn := t.TempDir()
 			if err := os.WriteFile(filepath.Join(torn, filepath.Base(path)), raw, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			d, st, log := restarted(t, torn)
+			d, st, log := restore(t, torn)
 			if d != nil || st.Changes != 0 || len(st.Report.InForce) > 0 {
 				t.Fatalf("%s at byte %d: %+v is in force: %s", how, cut, st.Report.InForce, raw)
 			}
-			if !strings.Contains(log, "start file holds") {
+			if !strings.Contains(log, "start file stays in force") {
 				t.Fatalf("%s at byte %d: logged %q", how, cut, log)
 			}
 		}
@@ -593,59 +595,59 @@
 	if err := os.WriteFile(filepath.Join(other, filepath.Base(path)), bytes.Replace(whole, []byte("n0"), []byte("n1"), 1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if d, _, _ := restarted(t, other); d != nil {
+	if d, _, _ := restore(t, other); d != nil {
 		t.Errorf("another agent's: %+v", d)
 	}
 }
 
-// A disk that takes nothing changes nothing but the log.
-func TestNothingCanBeKept(t *testing.T) {
-	c := newControl(t, "a1", "a")
-	cfg, _ := config(c.machine)
+// A disk that can't be written has no effect but a warning in the log.
+func TestFailingDiskIsOnlyLogged(t *testing.T) {
+	c := newFakeControl(t, "a1", "a")
+	cfg, _ := testConfig(c.machine)
 	cfg.Folder = filepath.Join(t.TempDir(), "missing")
-	log := &logged{}
+	log := &logBuffer{}
 	cfg.Log = slog.New(slog.NewTextHandler(log, nil))
 	start(t, cfg, nil)
 	for n := uint64(1); n <= 2; n++ {
-		c.say(t, update(t, configuration.Fleet, n, attempts(int(n)), false))
-		c.reported(t, at(configuration.Fleet, n))
+		c.send(t, updateLine(t, configuration.Fleet, n, attempts(int(n)), false))
+		c.waitReport(t, hasRevision(configuration.Fleet, n))
 	}
-	if !strings.Contains(log.String(), "not kept") {
+	if !strings.Contains(log.String(), "not saved") {
 		t.Errorf("logged %s", log)
 	}
 }
 
-// With control away the log says for how long, and that it is back.
-func TestControlAway(t *testing.T) {
-	c := newControl(t, "a1", "a")
-	cfg, _ := config(c.machine)
-	log := &logged{}
+// While control is unreachable the log says for how long, and afterwards that it is reachable again.
+func TestDisconnectionWarnings(t *testing.T) {
+	c := newFakeControl(t, "a1", "a")
+	cfg, _ := testConfig(c.machine)
+	log := &logBuffer{}
 	cfg.Log = slog.New(slog.NewTextHandler(log, nil))
 	w, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	clock := func(ago time.Duration) { w.status.LastWord = time.Now().Add(-ago) }
-	said := func() (n int) { return strings.Count(log.String(), "control is away") }
+	setSilence := func(ago time.Duration) { w.status.LastWord = time.Now().Add(-ago) }
+	warnings := func() (n int) { return strings.Count(log.String(), "control unreachable") }
 	for _, step := range []struct {
-		away time.Duration
-		said int
+		away     time.Duration
+		warnings int
 	}{{time.Second, 0}, {16 * time.Second, 1}, {20 * time.Second, 1}, {33 * time.Second, 2}, {time.Minute, 2}, {70 * time.Second, 3},
 		{10 * time.Hour, 4}, {10*time.Hour + 50*time.Minute, 4}, {11*time.Hour + time.Minute, 5}} {
-		clock(step.away)
-		w.warnAway(errSilent)
-		if said() != step.said {
-			t.Errorf("away for %v: said %d times, want %d", step.away, said(), step.said)
+		setSilence(step.away)
+		w.warnDisconnected(errSilence)
+		if warnings() != step.warnings {
+			t.Errorf("unreachable for %v: %d warnings, want %d", step.away, warnings(), step.warnings)
 		}
 	}
-	w.spoke()
-	if !strings.Contains(log.String(), "control is back") || !strings.Contains(log.String(), "away=11h") {
+	w.lineReceived()
+	if !strings.Contains(log.String(), "control reachable again") || !strings.Contains(log.String(), "away=11h") {
 		t.Errorf("logged %s", log)
 	}
 }
 
 func TestConfigIsChecked(t *testing.T) {
-	cfg, _ := config(configuration.Machine{Name: "b1", Region: "b", Address: "127.0.0.1:1"})
+	cfg, _ := testConfig(configuration.Machine{Name: "b1", Region: "b", Address: "127.0.0.1:1"})
 	if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), `region "a"`) {
 		t.Errorf("no machine: %v", err)
 	}
@@ -655,12 +657,12 @@
 	}
 }
 
-// Many watchers in one process take few goroutines, and all get what is new.
+// Many watchers in one process need few goroutines, and all of them receive an update.
 func TestManyWatchers(t *testing.T) {
 	const watchers = 200
-	quiet := make(chan struct{}) // closed: the line is out
-	c := newControl(t, "a1", "a")
-	line := update(t, configuration.Fleet, 1, attempts(2), false)
+	release := make(chan struct{}) // closed to send the line
+	c := newFakeControl(t, "a1", "a")
+	line := updateLine(t, configuration.Fleet, 1, attempts(2), false)
 	all := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == configuration.ReportPath {
 			c.serve(w, r)
@@ -668,34 +670,34 @@
 		}
 		out := http.NewResponseController(w)
 		out.Flush()
-		c.asked <- r.URL.Query()
-		<-quiet
+		c.queries <- r.URL.Query()
+		<-release
 		io.WriteString(w, line+"\n")
 		out.Flush()
 		<-r.Context().Done()
 	})
 	c.server.Config.Handler = all
-	c.reports, c.asked = make(chan configuration.Report, 4*watchers), make(chan url.Values, 2*watchers)
+	c.reports, c.queries = make(chan configuration.Report, 4*watchers), make(chan url.Values, 2*watchers)
 	before := runtime.NumGoroutine()
 	for i := range watchers {
-		cfg, _ := config(c.machine)
+		cfg, _ := testConfig(c.machine)
 		cfg.Place.Agent = fmt.Sprint("n", i)
-		start(t, cfg, func(tm *times) { tm.silence, tm.tick = scripted.Patience, time.Second })
+		start(t, cfg, func(tm *timeouts) { tm.silence, tm.tick = scripted.Patience, time.Second })
 	}
 	for range watchers {
-		await(t, c.asked)
+		await(t, c.queries)
 	}
 	for range watchers { // the first report of each
 		await(t, c.reports)
 	}
-	// Of the server one for each connection, of a watcher its own, its reader and what a test keeps beside it.
+	// The server has one goroutine per connection; a watcher has Run, its reader and the one that the test keeps.
 	if n := runtime.NumGoroutine() - before; n > 6*watchers {
 		t.Errorf("%d goroutines for %d watchers", n, watchers)
 	}
-	close(quiet)
+	close(release)
 	seen := map[string]bool{}
 	for len(seen) < watchers {
-		if r := c.reported(t, at(configuration.Fleet, 1)); true {
+		if r := c.waitReport(t, hasRevision(configuration.Fleet, 1)); true {
 			seen[r.Agent] = true
 		}
 	}
