--- a/internal/configuration/client/client.go
+++ b/internal/configuration/client/client.go
@@ -1,5 +1,6 @@
-// Package client makes the calls of operators at control machines: put, show, status, history. It asks one machine after
-// another until one answers, and sends a change whose outcome is unknown again under the same identity.
+// Package client is the operators' client for control machines: put, show, status and history. It tries one
+// machine after another until one answers, and sends a change whose outcome is unknown again with the same
+// ID.
 package client
 
 import (
@@ -20,19 +21,19 @@
 )
 
 const (
-	dialLimit       = time.Second
-	callLimit       = 10 * time.Second // of one call at one machine
-	answerBytesMost = 16 << 20
-	retryPause      = 100 * time.Millisecond // before all machines are asked once more
+	dialTimeout      = time.Second
+	callTimeout      = 10 * time.Second // of one call to one machine
+	maxResponseBytes = 16 << 20
+	retryDelay       = 100 * time.Millisecond // before all machines are tried again
 )
 
-// Client asks control machines.
+// Client makes calls to control machines.
 type Client struct {
-	machines []string // HTTP addresses, HOST:PORT, in the order in which they are asked
+	machines []string // HTTP addresses, HOST:PORT, in the order in which they are tried
 	http     *http.Client
 }
 
-// New returns a client of the machines at these HTTP addresses (HOST:PORT).
+// New returns a client for the machines at the given HTTP addresses (HOST:PORT).
 func New(machines ...string) (*Client, error) {
 	if len(machines) == 0 {
 		return nil, errors.New("no control machine is named")
@@ -43,22 +44,22 @@
 		}
 	}
 	transport := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dialLimit}).DialContext,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		MaxIdleConnsPerHost: 2,
 		IdleConnTimeout:     10 * time.Second,
 	}
-	return &Client{machines: machines, http: &http.Client{Transport: transport, Timeout: callLimit}}, nil
+	return &Client{machines: machines, http: &http.Client{Transport: transport, Timeout: callTimeout}}, nil
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// NewChangeID returns an identity that no other change has.
+// NewChangeID returns a unique ID for a change.
 func NewChangeID() string { return rand.Text() }
 
-// Put makes a change. Where the outcome of a try is unknown the change is sent again with the same identity, until a
-// machine says what became of it or ctx ends; then the error is of kind unknown. Any other error says that nothing was
-// written.
+// Put makes a change. After an attempt of unknown outcome the change is sent again with the same ID, until a
+// machine reports the outcome or ctx ends; in the latter case the error is of kind unknown. Any other error
+// means that nothing was written.
 func (c *Client) Put(ctx context.Context, change configuration.Change) (configuration.Accepted, error) {
 	var accepted configuration.Accepted
 	if change.ID == "" {
@@ -68,24 +69,24 @@
 	if err != nil {
 		return accepted, err
 	}
-	unsettled := false // a try may have been written, whatever the later ones say of themselves
+	maybeWritten := false // an attempt may have written the change, whatever later attempts report
 	for {
-		var refused error
+		var reason error
 		for _, address := range c.machines {
 			err := c.do(ctx, http.MethodPost, address, configuration.PutPath, raw, &accepted)
 			switch outcomeOf(err) {
-			case outcomeKnown:
+			case outcomeFinal:
 				return accepted, err
 			case outcomeUnknown:
-				unsettled = true
-			case outcomeNothing:
-				refused = preferred(refused, err)
+				maybeWritten = true
+			case outcomeNotWritten:
+				reason = moreSpecific(reason, err)
 			}
 		}
-		if !unsettled {
-			return accepted, refused
+		if !maybeWritten {
+			return accepted, reason
 		}
-		if !pause(ctx) {
+		if !waitRetry(ctx) {
 			return accepted, &configuration.ErrorBody{
 				Kind:    configuration.ErrorUnknown,
 				Message: fmt.Sprintf("change %s may have been written or may yet be", change.ID),
@@ -94,12 +95,12 @@
 	}
 }
 
-// outcome is what became of one try of a change.
+// outcome is the result of one attempt to make a change.
 type outcome uint8
 
 const (
-	outcomeKnown   outcome = iota // written, or refused for good
-	outcomeNothing                // nothing was written, by this try; another machine may write it
+	outcomeFinal      outcome = iota // written, or refused for good
+	outcomeNotWritten                // this attempt wrote nothing; another machine may write the change
 	outcomeUnknown
 )
 
@@ -107,17 +108,17 @@
 	var body *configuration.ErrorBody
 	switch {
 	case err == nil:
-		return outcomeKnown
+		return outcomeFinal
 	case errors.As(err, &body):
 		switch body.Kind {
 		case configuration.ErrorUnknown:
 			return outcomeUnknown
 		case configuration.ErrorNoQuorum, configuration.ErrorNotHere:
-			return outcomeNothing
+			return outcomeNotWritten
 		}
-		return outcomeKnown
+		return outcomeFinal
 	case neverSent(err):
-		return outcomeNothing
+		return outcomeNotWritten
 	}
 	return outcomeUnknown
 }
@@ -128,8 +129,9 @@
 	return errors.As(err, &network) && network.Op == "dial"
 }
 
-// preferred is the error that says more: a machine's own over one of the network.
-func preferred(earlier, later error) error {
+// moreSpecific returns the error that says more: a machine's no-quorum error rather than an earlier error,
+// and otherwise the earlier one.
+func moreSpecific(earlier, later error) error {
 	var body *configuration.ErrorBody
 	if earlier == nil || errors.As(later, &body) && body.Kind == configuration.ErrorNoQuorum {
 		return later
@@ -137,34 +139,34 @@
 	return earlier
 }
 
-// Show returns the latest revision of a scope, as a majority of its group has it.
+// Show returns the latest revision of a scope, confirmed by a majority of its group.
 func (c *Client) Show(ctx context.Context, scope configuration.Scope) (configuration.Revision, error) {
 	var revision configuration.Revision
-	err := c.ask(ctx, configuration.ShowPath, url.Values{"scope": {scope.String()}}, &revision)
+	err := c.get(ctx, configuration.ShowPath, url.Values{"scope": {scope.String()}}, &revision)
 	return revision, err
 }
 
-// ShowApplied returns the latest revision of a scope that a machine has applied, which may not be the latest of all. It
-// needs no majority.
+// ShowApplied returns the latest revision of a scope that the answering machine has applied. There may be a
+// later one. It needs no majority.
 func (c *Client) ShowApplied(ctx context.Context, scope configuration.Scope) (configuration.Revision, error) {
 	var revision configuration.Revision
-	err := c.ask(ctx, configuration.ShowPath, url.Values{"scope": {scope.String()}, "applied": {"true"}}, &revision)
+	err := c.get(ctx, configuration.ShowPath, url.Values{"scope": {scope.String()}, "applied": {"true"}}, &revision)
 	return revision, err
 }
 
-// Status returns whether a revision of a scope is in force everywhere; 0 is the latest.
+// Status reports whether a revision of a scope is in force everywhere; revision 0 is the latest.
 func (c *Client) Status(ctx context.Context, scope configuration.Scope, revision uint64) (configuration.Status, error) {
 	var status configuration.Status
 	query := url.Values{"scope": {scope.String()}}
 	if revision > 0 {
 		query.Set("revision", strconv.FormatUint(revision, 10))
 	}
-	err := c.ask(ctx, configuration.StatusPath, query, &status)
+	err := c.get(ctx, configuration.StatusPath, query, &status)
 	return status, err
 }
 
-// Wait asks for the status until it is in force everywhere or ctx ends, and returns the last one. Machines that can't
-// answer meanwhile are asked again.
+// Wait polls the status until the revision is in force everywhere or ctx ends, and returns the last status.
+// While no machine can answer, the machines are tried again.
 func (c *Client) Wait(ctx context.Context, scope configuration.Scope, revision uint64) (configuration.Status, error) {
 	var last configuration.Status
 	var lastErr error = errors.New("not asked")
@@ -175,50 +177,50 @@
 			return status, nil
 		case err == nil:
 			last, lastErr = status, nil
-			revision = status.Revision // a later change doesn't move the goal
+			revision = status.Revision // a later change doesn't move the target
 		case ctx.Err() == nil:
-			if outcomeOf(err) == outcomeKnown {
+			if outcomeOf(err) == outcomeFinal {
 				return last, err
 			}
 			lastErr = err
 		}
-		if !pause(ctx) {
+		if !waitRetry(ctx) {
 			return last, lastErr
 		}
 	}
 }
 
-// History returns the revisions of a scope that a machine has recorded, the latest first.
+// History returns the revisions of a scope recorded by the machine that answers, the latest first.
 func (c *Client) History(ctx context.Context, scope configuration.Scope) ([]configuration.Revision, error) {
 	var revisions []configuration.Revision
-	err := c.ask(ctx, configuration.HistoryPath, url.Values{"scope": {scope.String()}}, &revisions)
+	err := c.get(ctx, configuration.HistoryPath, url.Values{"scope": {scope.String()}}, &revisions)
 	return revisions, err
 }
 
-// Machine returns how the first machine that answers stands in its groups.
+// Machine returns the status of the first machine that answers.
 func (c *Client) Machine(ctx context.Context) (configuration.MachineStatus, error) {
 	var status configuration.MachineStatus
-	err := c.ask(ctx, configuration.MachinePath, nil, &status)
+	err := c.get(ctx, configuration.MachinePath, nil, &status)
 	return status, err
 }
 
-// ask asks one machine after another until one answers or refuses for good.
-func (c *Client) ask(ctx context.Context, path string, query url.Values, into any) error {
+// get sends a GET request to one machine after another until one answers or refuses for good.
+func (c *Client) get(ctx context.Context, path string, query url.Values, into any) error {
 	if len(query) > 0 {
 		path += "?" + query.Encode()
 	}
-	var refused error
+	var reason error
 	for _, address := range c.machines {
 		err := c.do(ctx, http.MethodGet, address, path, nil, into)
-		if outcomeOf(err) == outcomeKnown {
+		if outcomeOf(err) == outcomeFinal {
 			return err
 		}
-		refused = preferred(refused, err)
+		reason = moreSpecific(reason, err)
 	}
-	return refused
+	return reason
 }
 
-// do makes a call at a machine and reads the answer; an *ErrorBody is returned as the error.
+// do calls a machine and decodes the response. An *ErrorBody in the response is returned as the error.
 func (c *Client) do(ctx context.Context, method, address, path string, body []byte, into any) error {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
@@ -229,7 +231,7 @@
 		return err
 	}
 	defer response.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(response.Body, answerBytesMost))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
@@ -243,10 +245,10 @@
 	return refusal
 }
 
-// pause waits before a next round; false: ctx has ended.
-func pause(ctx context.Context) bool {
+// waitRetry waits before the next round. It returns false if ctx is done.
+func waitRetry(ctx context.Context) bool {
 	select {
-	case <-time.After(retryPause):
+	case <-time.After(retryDelay):
 		return ctx.Err() == nil
 	case <-ctx.Done():
 		return false
--- a/internal/configuration/client/client_test.go
+++ b/internal/configuration/client/client_test.go
@@ -14,29 +14,29 @@
 	"lemonrail/internal/configuration"
 )
 
-// reply is what a stub machine does with a call: it answers a refusal, accepts, or drops the connection unanswered.
-type reply struct {
+// stubReply is how a stub machine handles a call: it answers with a refusal, accepts, or drops the connection.
+type stubReply struct {
 	refusal *configuration.ErrorBody
 	drop    bool
 }
 
 var (
-	accepts  = reply{}
-	drops    = reply{drop: true}
-	unknown  = reply{refusal: &configuration.ErrorBody{Kind: configuration.ErrorUnknown}}
-	noQuorum = reply{refusal: &configuration.ErrorBody{Kind: configuration.ErrorNoQuorum}}
-	notHere  = reply{refusal: &configuration.ErrorBody{Kind: configuration.ErrorNotHere}}
-	conflict = reply{refusal: &configuration.ErrorBody{Kind: configuration.ErrorConflict}}
+	accepts  = stubReply{}
+	drops    = stubReply{drop: true}
+	unknown  = stubReply{refusal: &configuration.ErrorBody{Kind: configuration.ErrorUnknown}}
+	noQuorum = stubReply{refusal: &configuration.ErrorBody{Kind: configuration.ErrorNoQuorum}}
+	notHere  = stubReply{refusal: &configuration.ErrorBody{Kind: configuration.ErrorNotHere}}
+	conflict = stubReply{refusal: &configuration.ErrorBody{Kind: configuration.ErrorConflict}}
 )
 
-// stubs are machines with replies in order; the last one is given again and again. A machine without any refuses to
-// be connected to.
-type stubs struct {
+// stubMachines are machines that give their replies in order and then repeat the last one. A machine without
+// replies refuses connections.
+type stubMachines struct {
 	mu    sync.Mutex
-	calls []string // identities of the changes, in the order in which they came
+	calls []string // IDs of the changes, in order of arrival
 }
 
-func (s *stubs) machine(t *testing.T, replies ...reply) (address string) {
+func (s *stubMachines) machine(t *testing.T, replies ...stubReply) (address string) {
 	t.Helper()
 	if len(replies) == 0 {
 		return closedAddress(t)
@@ -75,25 +75,25 @@
 	return listener.Addr().String()
 }
 
-func TestPutSettlesOutcomes(t *testing.T) {
+func TestPutResolvesOutcomes(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
-		machines [][]reply
+		machines [][]stubReply
 		kind     configuration.ErrorKind // empty: accepted
 		calls    int
 	}{
-		{"accepted", [][]reply{{accepts}}, "", 1},
-		{"accepted by the second", [][]reply{{notHere}, {accepts}}, "", 2},
-		{"the first refuses to be connected to", [][]reply{{}, {accepts}}, "", 1},
-		{"no majority", [][]reply{{}, {noQuorum}, {noQuorum}}, configuration.ErrorNoQuorum, 2},
-		{"a conflict", [][]reply{{conflict}, {accepts}}, configuration.ErrorConflict, 1},
-		{"unknown, then accepted", [][]reply{{unknown, accepts}}, "", 2},
-		{"dropped, then accepted", [][]reply{{drops, accepts}}, "", 2},
-		{"dropped, no majority elsewhere, then accepted", [][]reply{{drops, accepts}, {noQuorum}}, "", 3},
-		{"unknown, then a conflict", [][]reply{{unknown}, {conflict}}, configuration.ErrorConflict, 2},
+		{"accepted", [][]stubReply{{accepts}}, "", 1},
+		{"accepted by the second", [][]stubReply{{notHere}, {accepts}}, "", 2},
+		{"the first refuses connections", [][]stubReply{{}, {accepts}}, "", 1},
+		{"no majority", [][]stubReply{{}, {noQuorum}, {noQuorum}}, configuration.ErrorNoQuorum, 2},
+		{"a conflict", [][]stubReply{{conflict}, {accepts}}, configuration.ErrorConflict, 1},
+		{"unknown, then accepted", [][]stubReply{{unknown, accepts}}, "", 2},
+		{"dropped, then accepted", [][]stubReply{{drops, accepts}}, "", 2},
+		{"dropped, no majority elsewhere, then accepted", [][]stubReply{{drops, accepts}, {noQuorum}}, "", 3},
+		{"unknown, then a conflict", [][]stubReply{{unknown}, {conflict}}, configuration.ErrorConflict, 2},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			var s stubs
+			var s stubMachines
 			var addresses []string
 			for _, replies := range tt.machines {
 				addresses = append(addresses, s.machine(t, replies...))
@@ -116,22 +116,22 @@
 			}
 			for _, id := range s.calls {
 				if id == "" || id != s.calls[0] {
-					t.Errorf("the tries have the identities %q", s.calls)
+					t.Errorf("the attempts have the IDs %q", s.calls)
 				}
 			}
 		})
 	}
 }
 
-func TestPutThatIsNeverSettledIsUnknown(t *testing.T) {
-	var s stubs
+func TestPutWithUnresolvedOutcomeIsUnknown(t *testing.T) {
+	var s stubMachines
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	first := s.machine(t, drops, noQuorum)
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if len(s.calls) > 1 { // the first machine was asked again
+		if len(s.calls) > 1 { // the first machine was tried again
 			cancel()
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -150,10 +150,10 @@
 	}
 }
 
-func TestMachinesHaveToBeAddresses(t *testing.T) {
+func TestNewRejectsInvalidAddresses(t *testing.T) {
 	for _, machines := range [][]string{nil, {"nowhere"}, {"127.0.0.1:1", ""}} {
 		if _, err := New(machines...); err == nil {
-			t.Errorf("%q is taken", machines)
+			t.Errorf("%q is accepted", machines)
 		}
 	}
 }
