--- a/internal/configuration/rig/agent_test.go
+++ b/internal/configuration/rig/agent_test.go
@@ -17,7 +17,7 @@
 	"lemonrail/internal/configuration"
 )
 
-// testAgent watches one machine, takes all updates and reports them, as an agent does.
+// testAgent acts as an agent: it watches one machine, applies all updates and reports them.
 type testAgent struct {
 	place    configuration.Place
 	cancel   context.CancelFunc
@@ -25,7 +25,7 @@
 
 	mu       sync.Mutex
 	follower *configuration.Follower
-	changed  chan struct{} // closed and made anew with each update
+	changed  chan struct{} // closed and replaced on each update
 	err      error         // that ended the watch
 }
 
@@ -53,7 +53,7 @@
 	return a
 }
 
-// stop ends the watch without a word, as a machine that fails does.
+// stop ends the watch without a leaving report, as a crash does.
 func (a *testAgent) stop() {
 	a.cancel()
 	<-a.finished
@@ -108,7 +108,7 @@
 	}
 }
 
-// begin tells the follower of a new watch, and returns what it has.
+// begin prepares the follower for a new watch and returns its positions.
 func (a *testAgent) begin() map[configuration.Scope]configuration.Position {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -159,7 +159,8 @@
 	return nil
 }
 
-// waitFor returns once the agent has a revision of a scope in force, or fails the test.
+// waitFor waits until the agent has a revision of a scope in force; it fails the test if the watch or ctx
+// ends first.
 func (a *testAgent) waitFor(ctx context.Context, t *testing.T, scope configuration.Scope, revision uint64) {
 	t.Helper()
 	for {
@@ -181,7 +182,7 @@
 	}
 }
 
-// ended returns why the watch ended.
+// ended waits for the end of the watch and returns its error.
 func (a *testAgent) ended() error {
 	<-a.finished
 	a.mu.Lock()
--- a/internal/configuration/rig/faults_test.go
+++ b/internal/configuration/rig/faults_test.go
@@ -17,7 +17,7 @@
 	"lemonrail/internal/configuration/rig"
 )
 
-// program is lemoncontrol, built once.
+// program is the path of lemoncontrol, which is built once for all tests.
 var program string
 
 func TestMain(m *testing.M) {
@@ -34,10 +34,10 @@
 	os.Exit(code)
 }
 
-// hangLimit ends a test that hangs; nothing is measured by it.
-const hangLimit = time.Minute
+// hangTimeout ends a test that hangs; it is no performance criterion.
+const hangTimeout = time.Minute
 
-// Scopes of the tests.
+// Scopes used by the tests.
 var (
 	regionA = configuration.Scope{Level: configuration.LevelRegion, Region: "a"}
 	regionB = configuration.Scope{Level: configuration.LevelRegion, Region: "b"}
@@ -46,7 +46,7 @@
 // start starts four machines in two regions.
 func start(t *testing.T) (context.Context, *rig.Rig) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), hangLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), hangTimeout)
 	t.Cleanup(cancel)
 	r, err := rig.Start(ctx, rig.Options{Program: program, Folder: t.TempDir(), Regions: rig.FourMachines()})
 	if err != nil {
@@ -90,14 +90,14 @@
 	return c
 }
 
-// attempts is a change that sets the number of attempts.
-func attempts(scope configuration.Scope, base uint64, count int) configuration.Change {
+// attemptsChange returns a change that sets the number of attempts.
+func attemptsChange(scope configuration.Scope, base uint64, count int) configuration.Change {
 	document := fmt.Sprintf(`{"format":1,"limits":{"attempts":%d}}`, count)
 	return configuration.Change{ID: client.NewChangeID(), Scope: scope, Base: base, Document: []byte(document), By: "test", Why: "test"}
 }
 
-// settledPut makes a change; where no leader was found, and so nothing was written, it tries again.
-func settledPut(ctx context.Context, c *client.Client, change configuration.Change) (accepted configuration.Accepted, err error) {
+// putUntilLeader makes a change. It tries again while no leader is found, since then nothing was written.
+func putUntilLeader(ctx context.Context, c *client.Client, change configuration.Change) (accepted configuration.Accepted, err error) {
 	waitErr := rig.Wait(ctx, func() bool {
 		accepted, err = c.Put(ctx, change)
 		return !isKind(err, configuration.ErrorNoQuorum)
@@ -105,8 +105,8 @@
 	return accepted, errors.Join(err, waitErr)
 }
 
-// settledShow asks for a revision; where no leader was found it asks again.
-func settledShow(ctx context.Context, c *client.Client, scope configuration.Scope) (shown configuration.Revision, err error) {
+// showUntilLeader asks for a revision. It tries again while no leader is found.
+func showUntilLeader(ctx context.Context, c *client.Client, scope configuration.Scope) (shown configuration.Revision, err error) {
 	waitErr := rig.Wait(ctx, func() bool {
 		shown, err = c.Show(ctx, scope)
 		return !isKind(err, configuration.ErrorNoQuorum)
@@ -121,7 +121,7 @@
 
 func mustPut(ctx context.Context, t *testing.T, c *client.Client, change configuration.Change) configuration.Accepted {
 	t.Helper()
-	accepted, err := settledPut(ctx, c, change)
+	accepted, err := putUntilLeader(ctx, c, change)
 	if err != nil {
 		t.Fatalf("put %s on revision %d: %v", change.Scope, change.Base, err)
 	}
@@ -131,7 +131,7 @@
 	return accepted
 }
 
-func wantKind(t *testing.T, err error, kinds ...configuration.ErrorKind) {
+func checkKind(t *testing.T, err error, kinds ...configuration.ErrorKind) {
 	t.Helper()
 	for _, kind := range kinds {
 		if isKind(err, kind) {
@@ -141,11 +141,11 @@
 	t.Errorf("got error %v, want one of %v", err, kinds)
 }
 
-// wantShown checks that every machine shows the revision that a change made.
-func wantShown(ctx context.Context, t *testing.T, r *rig.Rig, change configuration.Change, accepted configuration.Accepted) {
+// checkShown checks that every machine shows the revision that a change made.
+func checkShown(ctx context.Context, t *testing.T, r *rig.Rig, change configuration.Change, accepted configuration.Accepted) {
 	t.Helper()
 	for _, m := range r.Machines() {
-		shown, err := settledShow(ctx, newClient(t, r, m.Name), change.Scope)
+		shown, err := showUntilLeader(ctx, newClient(t, r, m.Name), change.Scope)
 		if err != nil {
 			t.Fatalf("%s: show %s: %v", m.Name, change.Scope, err)
 		}
@@ -155,7 +155,7 @@
 	}
 }
 
-// waitApplied returns once the machine has applied a revision of a scope.
+// waitApplied waits until the machine has applied a revision of a scope.
 func waitApplied(ctx context.Context, t *testing.T, m *rig.Machine, scope configuration.Scope, revision uint64) {
 	t.Helper()
 	err := rig.Wait(ctx, func() bool {
@@ -173,16 +173,16 @@
 
 func TestChangesReachAllMachinesAndAgents(t *testing.T) {
 	ctx, r := start(t)
-	b2 := newClient(t, r, "b2") // no member of region-a
+	b2 := newClient(t, r, "b2") // not a member of region-a
 	inA := startAgent(t, r.Machine("a1").Address, agentPlace("n1", "a"))
 	inB := startAgent(t, r.Machine("b2").Address, agentPlace("n2", "b"))
 
-	fleet := attempts(configuration.Fleet, 0, 2)
+	fleet := attemptsChange(configuration.Fleet, 0, 2)
 	acceptedFleet := mustPut(ctx, t, b2, fleet)
-	region := attempts(regionA, 0, 3)
+	region := attemptsChange(regionA, 0, 3)
 	acceptedRegion := mustPut(ctx, t, b2, region)
-	wantShown(ctx, t, r, fleet, acceptedFleet)
-	wantShown(ctx, t, r, region, acceptedRegion)
+	checkShown(ctx, t, r, fleet, acceptedFleet)
+	checkShown(ctx, t, r, region, acceptedRegion)
 
 	inA.waitFor(ctx, t, configuration.Fleet, 1)
 	inA.waitFor(ctx, t, regionA, 1)
@@ -190,7 +190,7 @@
 	for _, m := range r.Machines() {
 		status, err := newClient(t, r, m.Name).Wait(ctx, configuration.Fleet, 1)
 		if err != nil || !status.Everywhere || status.Agents != 2 || status.InForce != 2 {
-			t.Errorf("%s says %+v, %v", m.Name, status, err)
+			t.Errorf("%s reports %+v, %v", m.Name, status, err)
 		}
 	}
 
@@ -200,19 +200,19 @@
 		return err == nil && !status.Everywhere && len(status.Behind) == 1 && status.Behind[0].Agent == "n2"
 	})
 	if err != nil {
-		t.Errorf("an agent that went away isn't named: %v", err)
+		t.Errorf("the disconnected agent isn't reported as behind: %v", err)
 	}
 }
 
 func TestTwoChangesAtOnceMakeOneRevision(t *testing.T) {
 	ctx, r := start(t)
-	changes := []configuration.Change{attempts(regionA, 0, 2), attempts(regionA, 0, 3)}
+	changes := []configuration.Change{attemptsChange(regionA, 0, 2), attemptsChange(regionA, 0, 3)}
 	clients := []*client.Client{newClient(t, r, "a2"), newClient(t, r, "b1")}
 	accepted := make([]configuration.Accepted, len(changes))
 	errs := make([]error, len(changes))
 	var both sync.WaitGroup
 	for i := range changes {
-		both.Go(func() { accepted[i], errs[i] = settledPut(ctx, clients[i], changes[i]) })
+		both.Go(func() { accepted[i], errs[i] = putUntilLeader(ctx, clients[i], changes[i]) })
 	}
 	both.Wait()
 	won := 0
@@ -222,8 +222,8 @@
 	if errs[won] != nil {
 		t.Fatalf("both were refused: %v and %v", errs[0], errs[1])
 	}
-	wantKind(t, errs[1-won], configuration.ErrorConflict)
-	wantShown(ctx, t, r, changes[won], accepted[won])
+	checkKind(t, errs[1-won], configuration.ErrorConflict)
+	checkShown(ctx, t, r, changes[won], accepted[won])
 }
 
 func TestLeaderKilledBetweenAcceptingAndAnswering(t *testing.T) {
@@ -231,11 +231,11 @@
 	agents := startWatchers(ctx, t, r, 4)
 	leader := waitLeader(ctx, t, r, "fleet")
 	const operator = "operator"
-	through, err := r.Outside(operator, leader)
+	linkAddress, err := r.ExternalLink(operator, leader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	machines := []string{through}
+	machines := []string{linkAddress}
 	for _, m := range r.Machines() {
 		if m != leader {
 			machines = append(machines, m.Address)
@@ -247,15 +247,15 @@
 	}
 	t.Cleanup(c.Close)
 
-	r.Cut(leader.Name, operator) // the change arrives, the answer doesn't
-	change := attempts(configuration.Fleet, 0, 2)
+	r.Cut(leader.Name, operator) // the change arrives, but its answer is held back
+	change := attemptsChange(configuration.Fleet, 0, 2)
 	type result struct {
 		accepted configuration.Accepted
 		err      error
 	}
 	answered := make(chan result, 1)
 	go func() {
-		accepted, err := settledPut(ctx, c, change)
+		accepted, err := putUntilLeader(ctx, c, change)
 		answered <- result{accepted, err}
 	}()
 	waitApplied(ctx, t, leader, configuration.Fleet, 1)
@@ -264,16 +264,16 @@
 
 	got := <-answered
 	if got.err != nil || got.accepted.Revision != 1 {
-		t.Fatalf("the change sent again got %+v, %v, want revision 1", got.accepted, got.err)
+		t.Fatalf("the repeated change got %+v, %v, want revision 1", got.accepted, got.err)
 	}
 	restart(ctx, t, leader)
-	wantShown(ctx, t, r, change, got.accepted)
-	wantInForce(ctx, t, r, agents, configuration.Fleet, got.accepted)
+	checkShown(ctx, t, r, change, got.accepted)
+	checkInForce(ctx, t, r, agents, configuration.Fleet, got.accepted)
 }
 
-func TestMachinePausedBeyondElectionAnswersTrueOrNot(t *testing.T) {
+func TestPausedLeaderNeverGivesStaleAnswers(t *testing.T) {
 	ctx, r := start(t)
-	mustPut(ctx, t, newClient(t, r), attempts(regionA, 0, 2))
+	mustPut(ctx, t, newClient(t, r), attemptsChange(regionA, 0, 2))
 	old := waitLeader(ctx, t, r, "region-a")
 	if err := old.Pause(); err != nil {
 		t.Fatal(err)
@@ -285,10 +285,10 @@
 		}
 	}
 	waitLeader(ctx, t, r, "region-a", others...)
-	second := attempts(regionA, 1, 3)
+	second := attemptsChange(regionA, 1, 3)
 	accepted := mustPut(ctx, t, newClient(t, r, others...), second)
 
-	// Both calls wait at the machine when it wakes and still holds itself for the leader.
+	// Both calls wait at the paused machine, which still considers itself the leader when it resumes.
 	asked := newClient(t, r, old.Name)
 	var shown configuration.Revision
 	var showErr, putErr error
@@ -297,11 +297,11 @@
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) {
 		select {
 		case sent <- struct{}{}:
-		default: // sent again
+		default: // a repeated request
 		}
 	}})
 	both.Go(func() { shown, showErr = asked.Show(traced, regionA) })
-	both.Go(func() { _, putErr = asked.Put(traced, attempts(regionA, 1, 4)) })
+	both.Go(func() { _, putErr = asked.Put(traced, attemptsChange(regionA, 1, 4)) })
 	<-sent
 	<-sent
 	if err := old.Resume(); err != nil {
@@ -309,40 +309,40 @@
 	}
 	both.Wait()
 	if showErr == nil && shown.Position != accepted.Position {
-		t.Errorf("woken it shows %+v, but %+v was accepted", shown.Position, accepted.Position)
+		t.Errorf("after the pause it shows %+v, but %+v was accepted", shown.Position, accepted.Position)
 	}
 	if showErr != nil {
-		wantKind(t, showErr, configuration.ErrorNoQuorum)
+		checkKind(t, showErr, configuration.ErrorNoQuorum)
 	}
-	wantKind(t, putErr, configuration.ErrorConflict, configuration.ErrorNoQuorum)
-	wantShown(ctx, t, r, second, accepted)
+	checkKind(t, putErr, configuration.ErrorConflict, configuration.ErrorNoQuorum)
+	checkShown(ctx, t, r, second, accepted)
 }
 
-func TestRegionsApart(t *testing.T) {
+func TestRegionPartition(t *testing.T) {
 	ctx, r := start(t)
 	r.CutRegions()
 	waitLeader(ctx, t, r, "region-a", "a1", "a2")
 	waitLeader(ctx, t, r, "region-b", "b1", "b2")
 	waitNoLeader(ctx, t, r, "fleet")
 
-	changeA, changeB := attempts(regionA, 0, 2), attempts(regionB, 0, 3)
+	changeA, changeB := attemptsChange(regionA, 0, 2), attemptsChange(regionB, 0, 3)
 	acceptedA := mustPut(ctx, t, newClient(t, r, "a1", "a2"), changeA)
 	acceptedB := mustPut(ctx, t, newClient(t, r, "b2", "b1"), changeB)
-	wantRefusedEverywhere(ctx, t, r, attempts(configuration.Fleet, 0, 4))
+	checkRefusedEverywhere(ctx, t, r, attemptsChange(configuration.Fleet, 0, 4))
 
 	r.HealAll()
 	for _, group := range []string{"fleet", "region-a", "region-b"} {
 		waitLeader(ctx, t, r, group)
 	}
-	wantShown(ctx, t, r, changeA, acceptedA)
-	wantShown(ctx, t, r, changeB, acceptedB)
-	wantNeverWritten(ctx, t, r, configuration.Fleet)
-	later := attempts(configuration.Fleet, 0, 5)
-	wantShown(ctx, t, r, later, mustPut(ctx, t, newClient(t, r), later))
+	checkShown(ctx, t, r, changeA, acceptedA)
+	checkShown(ctx, t, r, changeB, acceptedB)
+	checkNeverWritten(ctx, t, r, configuration.Fleet)
+	later := attemptsChange(configuration.Fleet, 0, 5)
+	checkShown(ctx, t, r, later, mustPut(ctx, t, newClient(t, r), later))
 }
 
-// wantRefusedEverywhere checks that every machine says of a change that surely nothing was written.
-func wantRefusedEverywhere(ctx context.Context, t *testing.T, r *rig.Rig, change configuration.Change) {
+// checkRefusedEverywhere checks that every machine answers a change with the assurance that nothing was written.
+func checkRefusedEverywhere(ctx context.Context, t *testing.T, r *rig.Rig, change configuration.Change) {
 	t.Helper()
 	errs := make([]error, len(r.Machines()))
 	var all sync.WaitGroup
@@ -352,20 +352,20 @@
 	}
 	all.Wait()
 	for _, err := range errs {
-		wantKind(t, err, configuration.ErrorNoQuorum)
+		checkKind(t, err, configuration.ErrorNoQuorum)
 	}
 }
 
-// wantNeverWritten checks that a scope has no document at any machine.
-func wantNeverWritten(ctx context.Context, t *testing.T, r *rig.Rig, scope configuration.Scope) {
+// checkNeverWritten checks that a scope has no document at any machine.
+func checkNeverWritten(ctx context.Context, t *testing.T, r *rig.Rig, scope configuration.Scope) {
 	t.Helper()
 	for _, m := range r.Machines() {
-		_, err := settledShow(ctx, newClient(t, r, m.Name), scope)
-		wantKind(t, err, configuration.ErrorMissing)
+		_, err := showUntilLeader(ctx, newClient(t, r, m.Name), scope)
+		checkKind(t, err, configuration.ErrorMissing)
 	}
 }
 
-// waitNoLeader returns once no machine knows a leader of a group.
+// waitNoLeader waits until no machine knows a leader of a group.
 func waitNoLeader(ctx context.Context, t *testing.T, r *rig.Rig, group string) {
 	t.Helper()
 	err := rig.Wait(ctx, func() bool {
@@ -382,7 +382,7 @@
 	}
 }
 
-func TestRegionsApartOneWay(t *testing.T) {
+func TestOneWayRegionPartition(t *testing.T) {
 	ctx, r := start(t)
 	for _, from := range []string{"a1", "a2"} {
 		for _, to := range []string{"b1", "b2"} {
@@ -392,18 +392,18 @@
 	waitLeader(ctx, t, r, "region-a", "a1", "a2")
 	waitLeader(ctx, t, r, "region-b", "b1", "b2")
 	waitNoLeader(ctx, t, r, "fleet")
-	changeA, changeB := attempts(regionA, 0, 2), attempts(regionB, 0, 3)
+	changeA, changeB := attemptsChange(regionA, 0, 2), attemptsChange(regionB, 0, 3)
 	acceptedA := mustPut(ctx, t, newClient(t, r, "a1", "a2"), changeA)
 	acceptedB := mustPut(ctx, t, newClient(t, r, "b1", "b2"), changeB)
-	wantRefusedEverywhere(ctx, t, r, attempts(configuration.Fleet, 0, 4))
+	checkRefusedEverywhere(ctx, t, r, attemptsChange(configuration.Fleet, 0, 4))
 	r.HealAll()
 	waitLeader(ctx, t, r, "fleet")
-	wantShown(ctx, t, r, changeA, acceptedA)
-	wantShown(ctx, t, r, changeB, acceptedB)
-	wantNeverWritten(ctx, t, r, configuration.Fleet)
+	checkShown(ctx, t, r, changeA, acceptedA)
+	checkShown(ctx, t, r, changeB, acceptedB)
+	checkNeverWritten(ctx, t, r, configuration.Fleet)
 }
 
-func TestRegionsApartAndAMachineDown(t *testing.T) {
+func TestRegionPartitionWithAMachineDown(t *testing.T) {
 	ctx, r := start(t)
 	r.CutRegions()
 	r.Machine("a2").Kill()
@@ -415,23 +415,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = newClient(t, r, "a1").Put(ctx, attempts(regionA, 0, 2))
-	wantKind(t, err, configuration.ErrorNoQuorum)
-	changeB := attempts(regionB, 0, 3)
+	_, err = newClient(t, r, "a1").Put(ctx, attemptsChange(regionA, 0, 2))
+	checkKind(t, err, configuration.ErrorNoQuorum)
+	changeB := attemptsChange(regionB, 0, 3)
 	acceptedB := mustPut(ctx, t, newClient(t, r, "b1", "b2"), changeB)
 
 	r.HealAll()
-	changeA := attempts(regionA, 0, 4) // a1 and the witness are a majority
+	changeA := attemptsChange(regionA, 0, 4) // a1 and the witness form a majority
 	acceptedA := mustPut(ctx, t, newClient(t, r, "a1"), changeA)
 	restart(ctx, t, r.Machine("a2"))
-	wantShown(ctx, t, r, changeA, acceptedA)
-	wantShown(ctx, t, r, changeB, acceptedB)
+	checkShown(ctx, t, r, changeA, acceptedA)
+	checkShown(ctx, t, r, changeB, acceptedB)
 }
 
-func TestWitnessServesAgentsOfALostRegion(t *testing.T) {
+func TestWitnessServesAgentsOfAFailedRegion(t *testing.T) {
 	ctx, r := start(t)
-	mustPut(ctx, t, newClient(t, r), attempts(regionA, 0, 2))
-	mustPut(ctx, t, newClient(t, r), attempts(configuration.Fleet, 0, 3))
+	mustPut(ctx, t, newClient(t, r), attemptsChange(regionA, 0, 2))
+	mustPut(ctx, t, newClient(t, r), attemptsChange(configuration.Fleet, 0, 3))
 	witness := r.Machine("b1")
 	waitApplied(ctx, t, witness, regionA, 1)
 	waitApplied(ctx, t, witness, configuration.Fleet, 1)
@@ -442,14 +442,14 @@
 	agent.waitFor(ctx, t, regionA, 1)
 	agent.waitFor(ctx, t, configuration.Fleet, 1)
 	for _, scope := range []configuration.Scope{regionA, configuration.Fleet} {
-		_, err := newClient(t, r, "b1").Put(ctx, attempts(scope, 1, 4))
-		wantKind(t, err, configuration.ErrorNoQuorum)
+		_, err := newClient(t, r, "b1").Put(ctx, attemptsChange(scope, 1, 4))
+		checkKind(t, err, configuration.ErrorNoQuorum)
 	}
 	applied, err := newClient(t, r, "b1").ShowApplied(ctx, regionA)
 	if err != nil || applied.Revision != 1 {
 		t.Errorf("the witness shows as applied %+v, %v", applied, err)
 	}
-	mustPut(ctx, t, newClient(t, r, "b2"), attempts(regionB, 0, 5))
+	mustPut(ctx, t, newClient(t, r, "b2"), attemptsChange(regionB, 0, 5))
 
 	elsewhere := startAgent(t, r.Machine("b2").Address, agentPlace("n2", "a"))
 	var refusal *configuration.ErrorBody
@@ -458,23 +458,23 @@
 	}
 }
 
-func TestTornDisk(t *testing.T) {
+func TestTruncatedLogs(t *testing.T) {
 	ctx, r := start(t)
 	all := newClient(t, r)
-	mustPut(ctx, t, all, attempts(regionA, 0, 2))
+	mustPut(ctx, t, all, attemptsChange(regionA, 0, 2))
 	damaged := waitLeader(ctx, t, r, "region-a")
 	waitApplied(ctx, t, damaged, regionA, 1)
 	damaged.Kill()
 	tearLogs(t, filepath.Join(damaged.DataFolder(), "region-a"))
-	second := attempts(regionA, 1, 3)
+	second := attemptsChange(regionA, 1, 3)
 	accepted := mustPut(ctx, t, all, second)
 	restart(ctx, t, damaged)
 	waitApplied(ctx, t, damaged, regionA, 2)
-	wantShown(ctx, t, r, second, accepted)
-	wantServedWithout(ctx, t, r, damaged, second, accepted)
+	checkShown(ctx, t, r, second, accepted)
+	checkFullVoter(ctx, t, r, damaged, second, accepted)
 }
 
-// tearLogs cuts the last bytes off each file of a folder, as a power cut in a write does.
+// tearLogs cuts the last bytes off each file of a folder, as a power failure during a write does.
 func tearLogs(t *testing.T, folder string) {
 	t.Helper()
 	files, err := os.ReadDir(folder)
@@ -493,10 +493,10 @@
 	}
 }
 
-func TestRolledBackDisk(t *testing.T) {
+func TestDiskRestoredToAnEarlierState(t *testing.T) {
 	ctx, r := start(t)
 	all := newClient(t, r)
-	mustPut(ctx, t, all, attempts(regionA, 0, 2))
+	mustPut(ctx, t, all, attemptsChange(regionA, 0, 2))
 	forgets := waitLeader(ctx, t, r, "region-a")
 	waitApplied(ctx, t, forgets, regionA, 1)
 	forgets.Kill()
@@ -507,7 +507,8 @@
 	restart(ctx, t, forgets)
 	waitApplied(ctx, t, forgets, regionA, 1)
 
-	// The second revision is kept by the machine that forgets it and by one other. The third voter never hears of it.
+	// The second revision is stored by the machine that loses it and by one other. The third voter never
+	// receives it.
 	var others []*rig.Machine
 	for _, name := range []string{"a1", "a2", "b1"} {
 		if name != forgets.Name {
@@ -516,18 +517,18 @@
 	}
 	keeps, absent := others[0], others[1]
 	absent.Kill()
-	second := attempts(regionA, 1, 3)
+	second := attemptsChange(regionA, 1, 3)
 	accepted := mustPut(ctx, t, newClient(t, r, forgets.Name, keeps.Name), second)
 	forgets.Kill()
 	rollBack(t, forgets, earlier)
-	restart(ctx, t, absent) // with the one that forgot it would be a majority without the second revision
+	restart(ctx, t, absent) // together with forgets it would be a majority without the second revision
 	restart(ctx, t, forgets)
-	wantShown(ctx, t, r, second, accepted)
+	checkShown(ctx, t, r, second, accepted)
 	waitApplied(ctx, t, forgets, regionA, 2)
-	wantServedWithout(ctx, t, r, forgets, second, accepted)
+	checkFullVoter(ctx, t, r, forgets, second, accepted)
 }
 
-// rollBack puts an earlier copy in place of a machine's data.
+// rollBack replaces a machine's data with an earlier copy.
 func rollBack(t *testing.T, m *rig.Machine, earlier string) {
 	t.Helper()
 	if err := os.RemoveAll(m.DataFolder()); err != nil {
@@ -538,9 +539,9 @@
 	}
 }
 
-// large is a change with a document of some KB.
-func large(scope configuration.Scope, base uint64) configuration.Change {
-	change := attempts(scope, base, 2)
+// largeChange returns a change with a document of several KB.
+func largeChange(scope configuration.Scope, base uint64) configuration.Change {
+	change := attemptsChange(scope, base, 2)
 	var classes []string
 	for i := range 150 {
 		classes = append(classes, fmt.Sprintf(`"class-%d-of-revision-%d":{"aim_ms":%d}`, i, base, 100+i))
@@ -554,7 +555,7 @@
 	full := r.Machine("a2")
 	full.Kill()
 	const limit = 64 << 10
-	full.FileLimit(limit)
+	full.SetMaxFileSize(limit)
 	restart(ctx, t, full)
 	others := newClient(t, r, "a1", "b1")
 	base := uint64(0)
@@ -563,34 +564,34 @@
 		return err == nil && status.Why != "" && !status.Votes && status.Applied > 0
 	}
 	for ; !fails() && ctx.Err() == nil; base++ {
-		mustPut(ctx, t, others, large(regionA, base))
+		mustPut(ctx, t, others, largeChange(regionA, base))
 	}
 	status, err := full.Group(ctx, regionA.Group())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(status.Scopes) == 0 {
-		t.Fatalf("it has applied nothing: %+v", status)
+		t.Fatalf("the machine has applied nothing: %+v", status)
 	}
 
-	agent := startAgent(t, full.Address, agentPlace("n1", "a")) // it is served what the machine has applied
+	agent := startAgent(t, full.Address, agentPlace("n1", "a")) // is served the revisions that the machine has applied
 	agent.waitFor(ctx, t, regionA, status.Scopes[regionA].Revision)
-	change := attempts(regionA, base, 3) // and the machine hands changes on
+	change := attemptsChange(regionA, base, 3) // is forwarded by the machine
 	accepted := mustPut(ctx, t, newClient(t, r, "a2"), change)
-	wantShown(ctx, t, r, change, accepted)
+	checkShown(ctx, t, r, change, accepted)
 
 	full.Kill()
-	full.FileLimit(0)
+	full.SetMaxFileSize(0)
 	restart(ctx, t, full)
 	waitApplied(ctx, t, full, regionA, accepted.Revision)
-	wantServedWithout(ctx, t, r, full, change, accepted)
+	checkFullVoter(ctx, t, r, full, change, accepted)
 }
 
-func TestHistoryOutlivesItsProcess(t *testing.T) {
+func TestHistorySurvivesARestart(t *testing.T) {
 	ctx, r := start(t)
 	var changes []configuration.Change
 	for base := range uint64(3) {
-		change := attempts(regionA, base, 2+int(base))
+		change := attemptsChange(regionA, base, 2+int(base))
 		mustPut(ctx, t, newClient(t, r), change)
 		changes = append(changes, change)
 	}
@@ -619,16 +620,16 @@
 	}
 }
 
-// wantServedWithout checks that a machine whose disk had forgotten is a full voter again: with it in place of another
-// voter of region-a nothing is lost.
-func wantServedWithout(ctx context.Context, t *testing.T, r *rig.Rig, damaged *rig.Machine, change configuration.Change, accepted configuration.Accepted) {
+// checkFullVoter checks that a machine whose disk had lost data is a full voter again: nothing is lost when
+// it takes the place of another voter of region-a.
+func checkFullVoter(ctx context.Context, t *testing.T, r *rig.Rig, damaged *rig.Machine, change configuration.Change, accepted configuration.Accepted) {
 	t.Helper()
 	for _, name := range []string{"a1", "a2"} {
 		if name == damaged.Name {
 			continue
 		}
 		r.Machine(name).Kill()
-		shown, err := settledShow(ctx, newClient(t, r, damaged.Name), change.Scope)
+		shown, err := showUntilLeader(ctx, newClient(t, r, damaged.Name), change.Scope)
 		if err != nil || shown.Position != accepted.Position || shown.Change != change.ID {
 			t.Errorf("without %s, %s shows %+v, %v, but %+v was accepted", name, damaged.Name, shown, err, accepted)
 		}
@@ -636,9 +637,9 @@
 	}
 }
 
-func TestMachinesEndInOrderWithOpenWatches(t *testing.T) {
+func TestMachinesShutDownCleanlyWithOpenWatches(t *testing.T) {
 	ctx, r := start(t)
-	mustPut(ctx, t, newClient(t, r), attempts(regionA, 0, 2))
+	mustPut(ctx, t, newClient(t, r), attemptsChange(regionA, 0, 2))
 	agent := startAgent(t, r.Machine("a1").Address, agentPlace("n1", "a"))
 	agent.waitFor(ctx, t, regionA, 1)
 	for _, m := range r.Machines() {
@@ -647,6 +648,6 @@
 		}
 	}
 	if err := agent.ended(); err == nil {
-		t.Error("the watch goes on without its machine")
+		t.Error("the watch is still open after its machine has stopped")
 	}
 }
--- a/internal/configuration/rig/links.go
+++ b/internal/configuration/rig/links.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	pieceBytes   = 32 << 10
-	dialTimeout  = 2 * time.Second
-	acceptPause  = 5 * time.Millisecond // after a listener's passing error, such as too many open files
-	loopbackAny  = "127.0.0.1:0"
-	networkProto = "tcp"
+	copyBufferBytes  = 32 << 10
+	dialTimeout      = 2 * time.Second
+	acceptRetryDelay = 5 * time.Millisecond // after a temporary error of a listener, such as too many open files
+	loopbackAnyPort  = "127.0.0.1:0"
+	tcpNetwork       = "tcp"
 )
 
-// direction is one way between two machines.
+// direction is one direction of the traffic between two machines.
 type direction struct{ from, to string }
 
 // network carries TCP connections between machines. A direction that is cut holds bytes back without closing the
-// connection, as a network does; they go on when it is healed.
+// connection, as a failed network does; they are delivered once the direction is healed.
 type network struct {
 	mu        sync.Mutex
 	cut       map[direction]bool
-	changed   chan struct{} // closed and made anew with each change of cut
+	changed   chan struct{} // closed and replaced on each change of cut
 	listeners []net.Listener
 	open      map[net.Conn]bool
 	closed    bool
@@ -40,15 +40,15 @@
 	}
 }
 
-// link opens an address at which `from` reaches target, an address of `to`.
+// link opens an address at which from reaches target, which is an address of to.
 func (n *network) link(from, to, target string) (address string, err error) {
-	listener, err := net.Listen(networkProto, loopbackAny)
+	listener, err := net.Listen(tcpNetwork, loopbackAnyPort)
 	if err != nil {
 		return "", err
 	}
 	n.listeners = append(n.listeners, listener)
-	there := direction{from, to}
-	n.tasks.Go(func() { n.accept(listener, there, target) })
+	forward := direction{from, to}
+	n.tasks.Go(func() { n.accept(listener, forward, target) })
 	return listener.Addr().String(), nil
 }
 
@@ -61,8 +61,8 @@
 	n.changed = make(chan struct{})
 }
 
-// pass waits until a direction isn't cut; false: the network ends.
-func (n *network) pass(way direction) bool {
+// waitOpen waits until a direction isn't cut. It returns false if the network is closed.
+func (n *network) waitOpen(way direction) bool {
 	for {
 		n.mu.Lock()
 		cut, changed := n.cut[way], n.changed
@@ -78,57 +78,57 @@
 	}
 }
 
-func (n *network) accept(listener net.Listener, there direction, target string) {
+func (n *network) accept(listener net.Listener, forward direction, target string) {
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		n.tasks.Go(func() { n.carry(conn, there, target) })
+		n.tasks.Go(func() { n.proxy(conn, forward, target) })
 	}
 }
 
-// carry joins a connection with one to the target.
-func (n *network) carry(in net.Conn, there direction, target string) {
-	defer n.drop(in)
-	if !n.track(in) || !n.pass(there) {
+// proxy joins an incoming connection with a new one to the target.
+func (n *network) proxy(in net.Conn, forward direction, target string) {
+	defer n.closeConn(in)
+	if !n.track(in) || !n.waitOpen(forward) {
 		return
 	}
-	out, err := net.DialTimeout(networkProto, target, dialTimeout)
+	out, err := net.DialTimeout(tcpNetwork, target, dialTimeout)
 	if err != nil {
 		return
 	}
-	defer n.drop(out)
+	defer n.closeConn(out)
 	if !n.track(out) {
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { n.pump(in, out, there) })
-	both.Go(func() { n.pump(out, in, direction{there.to, there.from}) })
+	both.Go(func() { n.copyOneWay(in, out, forward) })
+	both.Go(func() { n.copyOneWay(out, in, direction{forward.to, forward.from}) })
 	both.Wait()
 }
 
-// pump carries bytes one way until its source ends.
-func (n *network) pump(from, to net.Conn, way direction) {
-	defer func() { // the other side hears of the end, but only once the direction isn't cut
-		if n.pass(way) {
+// copyOneWay copies bytes in one direction until the source ends.
+func (n *network) copyOneWay(from, to net.Conn, way direction) {
+	defer func() { // the end is passed on too, but only once the direction isn't cut
+		if n.waitOpen(way) {
 			if tcp, ok := to.(*net.TCPConn); ok {
 				tcp.CloseWrite()
 			}
 		}
 	}()
-	piece := make([]byte, pieceBytes)
+	buffer := make([]byte, copyBufferBytes)
 	for {
-		count, err := from.Read(piece)
+		count, err := from.Read(buffer)
 		if count > 0 {
-			if !n.pass(way) {
+			if !n.waitOpen(way) {
 				return
 			}
-			if _, err := to.Write(piece[:count]); err != nil {
+			if _, err := to.Write(buffer[:count]); err != nil {
 				return
 			}
 		}
@@ -138,7 +138,7 @@
 	}
 }
 
-// track keeps a connection so that close ends it; false: the network has ended.
+// track registers a connection, so that close closes it. It returns false if the network is closed.
 func (n *network) track(conn net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -149,7 +149,7 @@
 	return true
 }
 
-func (n *network) drop(conn net.Conn) {
+func (n *network) closeConn(conn net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.open, conn)
--- a/internal/configuration/rig/rig.go
+++ b/internal/configuration/rig/rig.go
@@ -1,5 +1,5 @@
-// Package rig starts control machines as real processes on loopback addresses, with links between them that can be cut,
-// each way for itself.
+// Package rig starts control machines as real processes on loopback addresses. The links between them can be
+// cut, each direction on its own.
 package rig
 
 import (
@@ -25,54 +25,54 @@
 )
 
 const (
-	pollInterval   = 20 * time.Millisecond
-	defaultTickMs  = 30
-	controlFile    = "control.toml"
-	logFile        = "log"
-	stopLimit      = 10 * time.Second // after SIGTERM, before the process is killed
-	fileLimitBlock = 512              // bytes in a unit of the shell's ulimit -f
+	pollInterval     = 20 * time.Millisecond
+	defaultTickMs    = 30
+	controlFile      = "control.toml"
+	logFile          = "log"
+	stopTimeout      = 10 * time.Second // after SIGTERM, before the process is killed
+	ulimitBlockBytes = 512              // in one unit of the shell's ulimit -f
 )
 
-// Options say what is started.
+// Options configure a Rig.
 type Options struct {
-	Program  string              // lemoncontrol, as Build makes it
-	Folder   string              // for the machines' folders, files and logs
-	Regions  map[string][]string // machines' names by region
-	TickMs   int                 // of raft; 0: 30
+	Program  string              // path of lemoncontrol, as returned by Build
+	Folder   string              // in which each machine has a folder for its files and log
+	Regions  map[string][]string // machine names by region
+	TickMs   int                 // raft tick; 0: 30
 	SettleS  float64             // see server.Settings
-	EnvExtra []string            // for the processes, such as GOMAXPROCS=1
+	ExtraEnv []string            // added to the environment of the processes, such as GOMAXPROCS=1
 }
 
-// FourMachines are two regions of two machines each.
+// FourMachines returns two regions of two machines each.
 func FourMachines() map[string][]string {
 	return map[string][]string{"a": {"a1", "a2"}, "b": {"b1", "b2"}}
 }
 
-// Rig is a set of control machines.
+// Rig runs a set of control machines.
 type Rig struct {
 	options  Options
 	machines []*Machine
 	network  *network
-	peers    *http.Client
+	http     *http.Client
 }
 
 // Machine is one control machine.
 type Machine struct {
 	Name    string
 	Region  string
-	Address string // of its HTTP server, past the links
+	Address string // of its HTTP server, without a link
 	Folder  string
 
-	rig    *Rig
-	groups map[string]string // raft addresses, past the links
-	held   []int             // descriptors that reserve the addresses
-	file   string            // its settings
+	rig          *Rig
+	groups       map[string]string // raft addresses by group, without links
+	reservedFDs  []int             // file descriptors that reserve the addresses
+	settingsPath string
 
-	mu        sync.Mutex
-	fileLimit int64 // bytes that the process may write to any one file; 0: as ever
-	process   *exec.Cmd
-	exited    chan struct{} // closed once the process has ended
-	exitErr   error
+	mu           sync.Mutex
+	maxFileBytes int64 // that the process may write to any one file; 0: no limit
+	process      *exec.Cmd
+	exited       chan struct{} // closed once the process has ended
+	exitErr      error
 }
 
 // Build builds lemoncontrol from this module's source into a folder. It needs the go command.
@@ -85,7 +85,7 @@
 	return program, nil
 }
 
-// Start starts all machines and returns once each answers that its groups are started.
+// Start starts all machines and returns once each of them reports that its groups are started.
 func Start(ctx context.Context, options Options) (*Rig, error) {
 	if options.TickMs == 0 {
 		options.TickMs = defaultTickMs
@@ -93,7 +93,7 @@
 	r := &Rig{
 		options: options,
 		network: newNetwork(),
-		peers:   &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
+		http:    &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 	if err := r.start(ctx); err != nil {
 		r.Close()
@@ -103,7 +103,7 @@
 }
 
 func (r *Rig) start(ctx context.Context) error {
-	if err := r.place(); err != nil {
+	if err := r.createMachines(); err != nil {
 		return err
 	}
 	for _, m := range r.machines {
@@ -124,8 +124,9 @@
 	return nil
 }
 
-// place makes the machines, with addresses of their own. The first machine of each next region is a region's witness.
-func (r *Rig) place() error {
+// createMachines creates the machines and reserves their addresses. The first machine of each region is the
+// witness of the region before it, in sorted order.
+func (r *Rig) createMachines() error {
 	regions := make([]string, 0, len(r.options.Regions))
 	for region := range r.options.Regions {
 		regions = append(regions, region)
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// reserve reserves the machine's addresses.
+// reserve reserves the machine's HTTP address and its raft address in each group.
 func (m *Machine) reserve(groups []string) (err error) {
 	if m.Address, err = m.reserveOne(); err != nil {
 		return err
@@ -164,12 +165,12 @@
 func (m *Machine) reserveOne() (string, error) {
 	fd, address, err := standin.Reserve()
 	if err == nil {
-		m.held = append(m.held, fd)
+		m.reservedFDs = append(m.reservedFDs, fd)
 	}
 	return address, err
 }
 
-// WitnessOf are the other regions in whose groups the machine votes.
+// WitnessOf returns the other regions in whose groups the machine votes.
 func (m *Machine) WitnessOf() (regions []string) {
 	for _, other := range m.rig.machines {
 		_, votes := m.groups[configuration.RegionGroup(other.Region)]
@@ -180,20 +181,20 @@
 	return regions
 }
 
-// writeSettings writes the machine's file, in which all other machines stand behind links.
+// writeSettings writes the machine's settings file, in which the addresses of all other machines are links.
 func (m *Machine) writeSettings() error {
-	m.file = filepath.Join(m.Folder, controlFile)
+	m.settingsPath = filepath.Join(m.Folder, controlFile)
 	var text strings.Builder
 	fmt.Fprintf(&text, "name = %q\nregion = %q\naddress = %q\nfolder = %q\ntick_ms = %d\nsettle_s = %v\n",
 		m.Name, m.Region, m.Address, filepath.Join(m.Folder, "data"), m.rig.options.TickMs, m.rig.options.SettleS)
 	for _, other := range m.rig.machines {
-		address, err := m.reach(other, other.Address)
+		address, err := m.linkTo(other, other.Address)
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(&text, "\n[[machine]]\nname = %q\nregion = %q\naddress = %q\n[machine.groups]\n", other.Name, other.Region, address)
 		for group, target := range other.groups {
-			if address, err = m.reach(other, target); err != nil {
+			if address, err = m.linkTo(other, target); err != nil {
 				return err
 			}
 			fmt.Fprintf(&text, "%s = %q\n", group, address)
@@ -202,18 +203,18 @@
 	if err := os.MkdirAll(m.Folder, 0o700); err != nil {
 		return err
 	}
-	return os.WriteFile(m.file, []byte(text.String()), 0o600)
+	return os.WriteFile(m.settingsPath, []byte(text.String()), 0o600)
 }
 
-// reach is the address at which the machine reaches an address of another one.
-func (m *Machine) reach(other *Machine, target string) (string, error) {
+// linkTo returns the address at which the machine reaches an address of another one.
+func (m *Machine) linkTo(other *Machine, target string) (string, error) {
 	if other == m {
 		return target, nil
 	}
 	return m.rig.network.link(m.Name, other.Name, target)
 }
 
-// Start starts the machine's process. It must not run.
+// Start starts the machine's process, which must not be running.
 func (m *Machine) Start() error {
 	log, err := os.OpenFile(m.LogPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -223,7 +224,7 @@
 	process := m.command()
 	process.Stderr = log
 	process.Stdout = log
-	process.Env = append(os.Environ(), m.rig.options.EnvExtra...)
+	process.Env = append(os.Environ(), m.rig.options.ExtraEnv...)
 	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := process.Start(); err != nil {
 		return err
@@ -242,33 +243,34 @@
 	return nil
 }
 
-// FileLimit bounds what the machine's process may write to any one file from its next start on; 0: as ever. A disk that
-// is full looks so.
-func (m *Machine) FileLimit(bytes int64) {
+// SetMaxFileSize limits what the machine's process may write to any one file, from its next start on; 0: no
+// limit. To the process a file at the limit looks like a full disk.
+func (m *Machine) SetMaxFileSize(bytes int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.fileLimit = bytes
+	m.maxFileBytes = bytes
 }
 
-// command is the process to start. A shell sets the limit on files, which holds over exec.
+// command returns the process to start. The limit on files is set by a shell, because it is inherited across
+// exec.
 func (m *Machine) command() *exec.Cmd {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.fileLimit == 0 {
-		return exec.Command(m.rig.options.Program, m.file)
+	if m.maxFileBytes == 0 {
+		return exec.Command(m.rig.options.Program, m.settingsPath)
 	}
-	blocks := (m.fileLimit + fileLimitBlock - 1) / fileLimitBlock
+	blocks := (m.maxFileBytes + ulimitBlockBytes - 1) / ulimitBlockBytes
 	script := fmt.Sprintf(`trap '' XFSZ; ulimit -f %d; exec "$0" "$@"`, blocks)
-	return exec.Command("/bin/sh", "-c", script, m.rig.options.Program, m.file)
+	return exec.Command("/bin/sh", "-c", script, m.rig.options.Program, m.settingsPath)
 }
 
-// LogPath is the file with what the machine's processes have logged.
+// LogPath returns the path of the file that has the output of the machine's processes.
 func (m *Machine) LogPath() string { return filepath.Join(m.Folder, logFile) }
 
-// DataFolder is the machine's folder of logs, votes and history.
+// DataFolder returns the folder of the machine's raft logs, votes and history.
 func (m *Machine) DataFolder() string { return filepath.Join(m.Folder, "data") }
 
-// Pid is the process's; 0: none was started.
+// Pid returns the ID of the machine's process; 0: none was started.
 func (m *Machine) Pid() int {
 	process, _ := m.running()
 	if process == nil {
@@ -286,11 +288,11 @@
 	return m.process.Process, m.exited
 }
 
-// WaitUp returns once the machine answers that its groups are started.
+// WaitUp waits until the machine reports that its groups are started.
 func (m *Machine) WaitUp(ctx context.Context) error {
 	_, exited := m.running()
 	for {
-		response, err := m.rig.peers.Get("http://" + m.Address + server.UpPath)
+		response, err := m.rig.http.Get("http://" + m.Address + server.UpPath)
 		if err == nil {
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
@@ -299,7 +301,7 @@
 		}
 		select {
 		case <-exited:
-			return fmt.Errorf("%s has ended: %s", m.Name, m.logText())
+			return fmt.Errorf("%s has exited: %s", m.Name, m.logText())
 		case <-ctx.Done():
 			return fmt.Errorf("%s isn't up: %w", m.Name, ctx.Err())
 		case <-time.After(pollInterval):
@@ -321,7 +323,7 @@
 	return process.Signal(signal)
 }
 
-// Kill ends the process at once, and returns once it has ended.
+// Kill kills the process and waits until it has ended.
 func (m *Machine) Kill() {
 	process, exited := m.running()
 	if process == nil {
@@ -331,7 +333,8 @@
 	<-exited
 }
 
-// Stop asks the process to end, and returns once it has: with an error if it didn't end as it should.
+// Stop sends SIGTERM and waits until the process has ended. It returns an error if the process didn't exit
+// cleanly.
 func (m *Machine) Stop() error {
 	if err := m.signal(syscall.SIGTERM); err != nil {
 		return err
@@ -339,9 +342,9 @@
 	_, exited := m.running()
 	select {
 	case <-exited:
-	case <-time.After(stopLimit):
+	case <-time.After(stopTimeout):
 		m.Kill()
-		return fmt.Errorf("%s didn't end within %v of SIGTERM", m.Name, stopLimit)
+		return fmt.Errorf("%s didn't exit within %v of SIGTERM", m.Name, stopTimeout)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -351,17 +354,17 @@
 // Pause stops the process (SIGSTOP) until Resume.
 func (m *Machine) Pause() error { return m.signal(syscall.SIGSTOP) }
 
-// Resume has a paused process go on.
+// Resume lets a paused process continue (SIGCONT).
 func (m *Machine) Resume() error { return m.signal(syscall.SIGCONT) }
 
-// Status is how the machine stands in its groups.
+// Status returns the machine's status in all of its groups.
 func (m *Machine) Status(ctx context.Context) (configuration.MachineStatus, error) {
 	var status configuration.MachineStatus
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.Address+configuration.MachinePath, nil)
 	if err != nil {
 		return status, err
 	}
-	response, err := m.rig.peers.Do(request)
+	response, err := m.rig.http.Do(request)
 	if err != nil {
 		return status, err
 	}
@@ -373,7 +376,7 @@
 	return status, json.Unmarshal(raw, &status)
 }
 
-// Group is how the machine stands in a group.
+// Group returns the machine's status in a group.
 func (m *Machine) Group(ctx context.Context, group string) (configuration.GroupStatus, error) {
 	status, err := m.Status(ctx)
 	if err != nil {
@@ -384,13 +387,13 @@
 			return g, nil
 		}
 	}
-	return configuration.GroupStatus{}, fmt.Errorf("%s is no member of %s", m.Name, group)
+	return configuration.GroupStatus{}, fmt.Errorf("%s is not a member of %s", m.Name, group)
 }
 
-// Machines are all, by region and name.
+// Machines returns all machines, by region and in the order of Options.Regions.
 func (r *Rig) Machines() []*Machine { return r.machines }
 
-// Machine is the one of a name; nil: there is none.
+// Machine returns the machine of the given name; nil: there is none.
 func (r *Rig) Machine(name string) *Machine {
 	for _, m := range r.machines {
 		if m.Name == name {
@@ -400,13 +403,13 @@
 	return nil
 }
 
-// Outside opens an address at which somebody outside, such as an agent or an operator, reaches a machine's HTTP server
-// through a link. Cut and Heal take the name.
-func (r *Rig) Outside(name string, machine *Machine) (address string, err error) {
+// ExternalLink opens an address at which an external party of the given name, such as an agent or an
+// operator, reaches a machine's HTTP server through a link. Cut and Heal take that name.
+func (r *Rig) ExternalLink(name string, machine *Machine) (address string, err error) {
 	return r.network.link(name, machine.Name, machine.Address)
 }
 
-// Client returns a client that asks the named machines in this order, past the links; none named: all.
+// Client returns a client that tries the named machines in this order, without links; no names: all machines.
 func (r *Rig) Client(names ...string) (*client.Client, error) {
 	var addresses []string
 	for _, m := range r.machines {
@@ -424,7 +427,7 @@
 	return client.New(addresses...)
 }
 
-// WaitLeader returns the machine that leads a group, once one of those asked (none named: all) says so of itself.
+// WaitLeader waits until one of the named machines (no names: all) reports that it leads a group, and returns it.
 func (r *Rig) WaitLeader(ctx context.Context, group string, among ...string) (*Machine, error) {
 	var leader *Machine
 	err := Wait(ctx, func() bool {
@@ -446,9 +449,9 @@
 	return leader, nil
 }
 
-// Wait looks again and again until a condition holds; the error is ctx's.
-func Wait(ctx context.Context, holds func() bool) error {
-	for !holds() {
+// Wait polls until a condition holds; the error is ctx's.
+func Wait(ctx context.Context, condition func() bool) error {
+	for !condition() {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -458,13 +461,13 @@
 	return nil
 }
 
-// Cut holds back what one machine sends to another, Heal lets it go on.
+// Cut holds back what one machine sends to another, until Heal.
 func (r *Rig) Cut(from, to string) { r.network.set(direction{from, to}, true) }
 
-// Heal ends a Cut.
+// Heal ends a Cut and delivers what it held back.
 func (r *Rig) Heal(from, to string) { r.network.set(direction{from, to}, false) }
 
-// CutRegions cuts all links between machines of different regions, both ways; HealAll heals all.
+// CutRegions cuts all links between machines of different regions in both directions; HealAll heals all.
 func (r *Rig) CutRegions() {
 	for _, from := range r.machines {
 		for _, to := range r.machines {
@@ -484,14 +487,14 @@
 	}
 }
 
-// Close kills all processes and frees what the rig holds.
+// Close kills all processes and releases the rig's addresses and links.
 func (r *Rig) Close() {
 	for _, m := range r.machines {
 		m.Kill()
-		for _, fd := range m.held {
+		for _, fd := range m.reservedFDs {
 			syscall.Close(fd)
 		}
 	}
 	r.network.close()
-	r.peers.CloseIdleConnections()
+	r.http.CloseIdleConnections()
 }
--- a/internal/configuration/rig/watcher_test.go
+++ b/internal/configuration/rig/watcher_test.go
@@ -14,7 +14,7 @@
 	"lemonrail/internal/configuration/watch"
 )
 
-// startWatcher runs the agents' own side of a watch against all machines; check may refuse documents.
+// startWatcher runs a Watcher, as agents do, with all machines; check may refuse documents.
 func startWatcher(t *testing.T, r *rig.Rig, place configuration.Place, check func(*configuration.Document) error) *watch.Watcher {
 	t.Helper()
 	w, err := watch.New(watch.Config{
@@ -42,12 +42,12 @@
 	return w
 }
 
-// startWatchers starts as many agents in both regions and returns once all watch a machine. The last one refuses more
-// than four attempts.
+// startWatchers starts count agents, alternately in both regions, and returns once each watches a machine.
+// The last one refuses more than four attempts.
 func startWatchers(ctx context.Context, t *testing.T, r *rig.Rig, count int) []*watch.Watcher {
 	t.Helper()
-	takesAll := func(*configuration.Document) error { return nil }
-	takesFewAttempts := func(d *configuration.Document) error {
+	acceptAll := func(*configuration.Document) error { return nil }
+	refuseManyAttempts := func(d *configuration.Document) error {
 		if d.Limits != nil && d.Limits.Attempts != nil && *d.Limits.Attempts > 4 {
 			return errors.New("too many attempts for this service")
 		}
@@ -55,9 +55,9 @@
 	}
 	var agents []*watch.Watcher
 	for i := range count {
-		check := takesAll
+		check := acceptAll
 		if i == count-1 {
-			check = takesFewAttempts
+			check = refuseManyAttempts
 		}
 		agents = append(agents, startWatcher(t, r, agentPlace(fmt.Sprintf("n%d", i), []string{"a", "b"}[i%2]), check))
 	}
@@ -65,7 +65,7 @@
 	return agents
 }
 
-// waitConnected returns once each agent watches one of the machines.
+// waitConnected waits until each agent watches one of the given machines.
 func waitConnected(ctx context.Context, t *testing.T, agents []*watch.Watcher, machines ...string) {
 	t.Helper()
 	err := rig.Wait(ctx, func() bool {
@@ -82,16 +82,16 @@
 	}
 }
 
-func TestAgentThatRefusesIsNamedAndKeepsWhatItHad(t *testing.T) {
+func TestRefusingAgentIsReportedAndKeepsItsRevision(t *testing.T) {
 	ctx, r := start(t)
 	const count = 6
 	agents := startWatchers(ctx, t, r, count)
 	c := newClient(t, r)
-	mustPut(ctx, t, c, attempts(configuration.Fleet, 0, 2))
+	mustPut(ctx, t, c, attemptsChange(configuration.Fleet, 0, 2))
 	if status, err := c.Wait(ctx, configuration.Fleet, 1); err != nil || status.InForce != count {
 		t.Fatalf("got %+v, %v", status, err)
 	}
-	mustPut(ctx, t, c, attempts(configuration.Fleet, 1, 5))
+	mustPut(ctx, t, c, attemptsChange(configuration.Fleet, 1, 5))
 	var status configuration.Status
 	err := rig.Wait(ctx, func() (reached bool) {
 		var err error
@@ -104,22 +104,22 @@
 	if got := agents[count-1].Status().Report.InForce[configuration.Fleet].Revision; got != 1 {
 		t.Errorf("the agent that refused has revision %d in force", got)
 	}
-	mustPut(ctx, t, c, attempts(configuration.Fleet, 2, 3)) // back again is a new revision
+	mustPut(ctx, t, c, attemptsChange(configuration.Fleet, 2, 3)) // an acceptable value again, as a new revision
 	if status, err := c.Wait(ctx, configuration.Fleet, 3); err != nil || status.InForce != count {
 		t.Errorf("got %+v, %v", status, err)
 	}
 }
 
-func TestAgentsOfALostRegionGoToTheWitnessAndComeUpToDate(t *testing.T) {
+func TestAgentsOfALostRegionSwitchToTheWitness(t *testing.T) {
 	ctx, r := start(t)
 	agents := startWatchers(ctx, t, r, 4)
-	mustPut(ctx, t, newClient(t, r), attempts(regionA, 0, 2))
+	mustPut(ctx, t, newClient(t, r), attemptsChange(regionA, 0, 2))
 	waitApplied(ctx, t, r.Machine("b1"), regionA, 1)
 	r.Machine("a1").Kill()
 	r.Machine("a2").Kill()
 	waitConnected(ctx, t, agents, "b1", "b2")
-	restart(ctx, t, r.Machine("a1")) // a majority again, with the witness
-	change := attempts(regionA, 1, 3)
+	restart(ctx, t, r.Machine("a1")) // forms a majority with the witness
+	change := attemptsChange(regionA, 1, 3)
 	mustPut(ctx, t, newClient(t, r, "a1", "b1"), change)
 	err := rig.Wait(ctx, func() bool {
 		return agents[0].Status().Report.InForce[regionA].Revision == 2 && agents[2].Status().Report.InForce[regionA].Revision == 2
@@ -137,21 +137,21 @@
 	var names []string
 	for _, m := range others {
 		names = append(names, m.Name)
-		r.Cut(m.Name, leader.Name) // one way: the others go on hearing of it
+		r.Cut(m.Name, leader.Name) // one direction: the others still receive the leader's messages
 	}
-	_, err := newClient(t, r, leader.Name).Put(ctx, attempts(configuration.Fleet, 0, 2))
-	wantKind(t, err, configuration.ErrorNoQuorum)
+	_, err := newClient(t, r, leader.Name).Put(ctx, attemptsChange(configuration.Fleet, 0, 2))
+	checkKind(t, err, configuration.ErrorNoQuorum)
 	leader.Kill()
 	r.HealAll()
-	kept := attempts(configuration.Fleet, 0, 3)
+	kept := attemptsChange(configuration.Fleet, 0, 3)
 	accepted := mustPut(ctx, t, newClient(t, r, names...), kept)
 	restart(ctx, t, leader)
-	wantShown(ctx, t, r, kept, accepted)
-	wantInForce(ctx, t, r, agents, configuration.Fleet, accepted)
+	checkShown(ctx, t, r, kept, accepted)
+	checkInForce(ctx, t, r, agents, configuration.Fleet, accepted)
 }
 
-// A writer makes one change after another while the machines are killed or stopped in turn, and started again. Each of its changes makes the next
-// revision: none is lost and none is done twice, or the next one would be a conflict.
+// Makes one change after another while the machines are killed or stopped in turn and restarted. Each change
+// has to make the next revision: if one were lost or applied twice, the following one would be a conflict.
 func TestChangesDuringARollingRestart(t *testing.T) {
 	ctx, r := start(t)
 	agents := startWatchers(ctx, t, r, 4)
@@ -163,8 +163,8 @@
 	go func() {
 		written <- func() (err error) {
 			for base := uint64(0); ; base++ {
-				last = attempts(configuration.Fleet, base, 2+int(base%3))
-				if accepted, err = settledPut(ctx, c, last); err != nil {
+				last = attemptsChange(configuration.Fleet, base, 2+int(base%3))
+				if accepted, err = putUntilLeader(ctx, c, last); err != nil {
 					return fmt.Errorf("on revision %d: %w", base, err)
 				}
 				select {
@@ -189,11 +189,11 @@
 		t.Fatal(err)
 	}
 	t.Logf("%d changes", accepted.Revision)
-	wantShown(ctx, t, r, last, accepted)
-	wantInForce(ctx, t, r, agents, configuration.Fleet, accepted)
+	checkShown(ctx, t, r, last, accepted)
+	checkInForce(ctx, t, r, agents, configuration.Fleet, accepted)
 }
 
-// waitVotes returns once a machine takes part in a group and knows its leader.
+// waitVotes waits until a machine votes in a group and knows its leader.
 func waitVotes(ctx context.Context, t *testing.T, m *rig.Machine, group string) {
 	t.Helper()
 	err := rig.Wait(ctx, func() bool {
@@ -205,8 +205,8 @@
 	}
 }
 
-// wantInForce checks that the agents come to have a revision in force, and that the machines say so.
-func wantInForce(ctx context.Context, t *testing.T, r *rig.Rig, agents []*watch.Watcher, scope configuration.Scope, accepted configuration.Accepted) {
+// checkInForce checks that a revision gets in force at all agents, and that the machines report this.
+func checkInForce(ctx context.Context, t *testing.T, r *rig.Rig, agents []*watch.Watcher, scope configuration.Scope, accepted configuration.Accepted) {
 	t.Helper()
 	c := newClient(t, r)
 	var status configuration.Status
