--- a/internal/replica/transport/conn.go
+++ b/internal/replica/transport/conn.go
@@ -12,68 +12,68 @@
 )
 
 const (
-	queueLimit   = 128 // frames that wait to be sent on a connection; beyond it they are lost, as on the way
-	dialLimit    = time.Second
-	writeLimit   = 2 * time.Second
-	redialFirst  = 50 * time.Millisecond
-	redialMost   = time.Second
-	steadyAfter  = time.Second // a connection that stood for so long is redialled at once
-	readerBuffer = 32 << 10
+	maxQueuedFrames = 128 // per connection; further frames are lost, as they can be on the network
+	dialTimeout     = time.Second
+	writeTimeout    = 2 * time.Second
+	minRedialDelay  = 50 * time.Millisecond
+	maxRedialDelay  = time.Second
+	stableAfter     = time.Second // a connection that lasted longer resets the redial delay to its minimum
+	readBufferBytes = 32 << 10
 )
 
-// Protocol is what both ends of a connection agree on.
+// Protocol holds the parameters of a connection. Magic and Group must be the same at both ends.
 type Protocol struct {
-	Magic   string                 // name and version
-	Group   string                 // connections of another group are refused
-	Name    string                 // of this end
-	Kinds   Kind                   // number of kinds, the hello among them: a frame of a higher kind is invalid
-	Ping    time.Duration          // after which a ping is sent where nothing else was; 0: none
-	Silence time.Duration          // without a frame, after which a connection is closed
-	Admit   func(name string) bool // whether the other end may be of that name; nil: any
+	Magic   string                 // name and version of the protocol
+	Group   string                 // a connection of another group is refused
+	Name    string                 // of the local end
+	Kinds   Kind                   // number of kinds including the hello; a frame of kind Kinds or above is invalid
+	Ping    time.Duration          // interval of pings; 0: none are sent
+	Silence time.Duration          // a connection that receives no frame for this long is closed
+	Admit   func(name string) bool // reports whether a remote end of this name is accepted; nil: all are
 }
 
-// ReadFrame reads a frame of the protocol.
+// ReadFrame reads a frame and checks that its kind belongs to the protocol.
 func (p *Protocol) ReadFrame(r *bufio.Reader) (kind Kind, content []byte, err error) {
 	if kind, content, err = ReadFrame(r); err != nil {
 		return 0, nil, err
 	}
 	if ping := kind == KindPing && p.Ping > 0; kind >= p.Kinds && !ping {
-		return 0, nil, fmt.Errorf("%w: kind %d", ErrFrame, kind)
+		return 0, nil, fmt.Errorf("%w: kind %d is unknown", ErrFrame, kind)
 	}
 	return kind, content, nil
 }
 
-// hello begins a connection. The keys are part of the protocol.
+// hello is the first frame in each direction of a connection. The JSON keys are part of the protocol.
 type hello struct {
 	Magic string
 	Group string `json:"Fleet"`
 	Name  string
 }
 
-// Handler takes a frame; it is called by the connection's goroutine.
+// Handler processes a received frame. It is called on the connection's goroutine.
 type Handler func(c *Conn, kind Kind, content []byte)
 
-// Conn is a connection to another process. What is sent is queued and written by a goroutine of its own.
+// Conn is a connection to another process. Sent frames are queued and written by a separate goroutine.
 type Conn struct {
-	socket net.Conn // nil: detached
-	queue  chan []byte
-	once   sync.Once
-	done   chan struct{}
-	peer   string
+	socket    net.Conn // nil: detached, see Detached
+	queue     chan []byte
+	closeOnce sync.Once
+	done      chan struct{}
+	peer      string
 }
 
 func newConn(socket net.Conn) *Conn {
-	return &Conn{socket: socket, queue: make(chan []byte, queueLimit), done: make(chan struct{})}
+	return &Conn{socket: socket, queue: make(chan []byte, maxQueuedFrames), done: make(chan struct{})}
 }
 
-// Detached returns a connection without a socket, for simulations: frames stay queued until Next takes them.
+// Detached returns a connection without a socket, for simulations: sent frames stay queued until Next takes them.
 func Detached(peer string) *Conn {
 	c := newConn(nil)
 	c.peer = peer
 	return c
 }
 
-// Next takes the oldest queued frame off a detached connection.
+// Next removes the oldest queued frame of a detached connection; ok is false if the queue is empty.
 func (c *Conn) Next() (frame []byte, ok bool) {
 	select {
 	case frame = <-c.queue:
@@ -83,12 +83,12 @@
 	}
 }
 
-// Peer is the name that the other end gave in its hello.
+// Peer returns the name that the remote end gave in its hello.
 func (c *Conn) Peer() string { return c.peer }
 
-// Send queues a frame; false: the queue is full, the content too long, or the connection has ended.
+// Send queues a frame. It returns false if the queue is full, the content is too long, or the connection has ended.
 func (c *Conn) Send(kind Kind, content []byte) bool {
-	if len(content) > contentLimit {
+	if len(content) > maxContentBytes {
 		return false
 	}
 	select {
@@ -104,7 +104,7 @@
 	}
 }
 
-// SendJSON is Send for a value as JSON.
+// SendJSON sends a value as JSON, like Send.
 func (c *Conn) SendJSON(kind Kind, value any) bool {
 	raw, err := json.Marshal(value)
 	return err == nil && c.Send(kind, raw)
@@ -112,7 +112,7 @@
 
 // Close ends the connection.
 func (c *Conn) Close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.done)
 		if c.socket != nil {
 			c.socket.Close()
@@ -120,17 +120,17 @@
 	})
 }
 
-// run exchanges hellos, then writes what is queued and hands over what comes, until the connection ends.
+// run exchanges hellos, then writes queued frames and passes received ones to handle, until the connection ends.
 func (c *Conn) run(ctx context.Context, protocol *Protocol, handle Handler) error {
 	stop := context.AfterFunc(ctx, c.Close)
 	defer stop()
 	defer c.Close()
-	reader := bufio.NewReaderSize(c.socket, readerBuffer)
-	if err := c.greet(reader, protocol); err != nil {
+	reader := bufio.NewReaderSize(c.socket, readBufferBytes)
+	if err := c.handshake(reader, protocol); err != nil {
 		return err
 	}
 	var writer sync.WaitGroup
-	writer.Go(func() { c.write(protocol.Ping) })
+	writer.Go(func() { c.writeLoop(protocol.Ping) })
 	defer writer.Wait()
 	defer c.Close()
 	for {
@@ -145,13 +145,13 @@
 	}
 }
 
-// greet sends the hello and checks the other end's.
-func (c *Conn) greet(reader *bufio.Reader, protocol *Protocol) error {
+// handshake sends the local hello and checks that of the remote end.
+func (c *Conn) handshake(reader *bufio.Reader, protocol *Protocol) error {
 	raw, err := json.Marshal(hello{protocol.Magic, protocol.Group, protocol.Name})
 	if err != nil {
 		return err
 	}
-	c.socket.SetDeadline(time.Now().Add(writeLimit))
+	c.socket.SetDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.socket.Write(AppendFrame(nil, KindHello, raw)); err != nil {
 		return err
 	}
@@ -159,23 +159,23 @@
 	if err != nil {
 		return err
 	}
-	var theirs hello
+	var remote hello
 	switch {
-	case kind != KindHello || json.Unmarshal(content, &theirs) != nil:
+	case kind != KindHello || json.Unmarshal(content, &remote) != nil:
 		return fmt.Errorf("%w: no hello", ErrFrame)
-	case theirs.Magic != protocol.Magic:
-		return fmt.Errorf("%w: protocol %q, not %q", ErrFrame, theirs.Magic, protocol.Magic)
-	case theirs.Group != protocol.Group:
-		return fmt.Errorf("%w: %q is of group %q, not %q", ErrFrame, theirs.Name, theirs.Group, protocol.Group)
-	case protocol.Admit != nil && !protocol.Admit(theirs.Name):
-		return fmt.Errorf("%w: %q is not expected", ErrFrame, theirs.Name)
+	case remote.Magic != protocol.Magic:
+		return fmt.Errorf("%w: protocol %q, not %q", ErrFrame, remote.Magic, protocol.Magic)
+	case remote.Group != protocol.Group:
+		return fmt.Errorf("%w: %q is of group %q, not %q", ErrFrame, remote.Name, remote.Group, protocol.Group)
+	case protocol.Admit != nil && !protocol.Admit(remote.Name):
+		return fmt.Errorf("%w: %q is not expected", ErrFrame, remote.Name)
 	}
-	c.peer = theirs.Name
+	c.peer = remote.Name
 	return c.socket.SetDeadline(time.Time{})
 }
 
-// write sends what is queued, and pings where nothing is.
-func (c *Conn) write(ping time.Duration) {
+// writeLoop writes queued frames, and a ping at every interval, until the connection ends.
+func (c *Conn) writeLoop(ping time.Duration) {
 	var idle <-chan time.Time
 	if ping > 0 {
 		ticker := time.NewTicker(ping)
@@ -191,7 +191,7 @@
 		case <-c.done:
 			return
 		}
-		c.socket.SetWriteDeadline(time.Now().Add(writeLimit))
+		c.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := c.socket.Write(frame); err != nil {
 			c.Close()
 			return
@@ -199,56 +199,56 @@
 	}
 }
 
-// Dialer keeps a connection to one address, with jittered waits between tries.
+// Dialer keeps a connection to one address open. It waits between attempts, with exponential backoff and jitter.
 type Dialer struct {
 	Address  string
 	Protocol Protocol
 	Handle   Handler
-	Invalid  func(error) // takes the error of each invalid frame
+	Invalid  func(error) // called with the error of each invalid frame
 
 	mu   sync.Mutex
 	conn *Conn
 }
 
-// Run dials until ctx ends. jitter returns numbers in [0, 1).
+// Run dials and redials until ctx ends. jitter returns random numbers in [0, 1).
 func (d *Dialer) Run(ctx context.Context, jitter func() float64) {
-	wait := redialFirst
+	delay := minRedialDelay
 	for ctx.Err() == nil {
-		dialer := net.Dialer{Timeout: dialLimit}
+		dialer := net.Dialer{Timeout: dialTimeout}
 		socket, err := dialer.DialContext(ctx, "tcp", d.Address)
 		if err == nil && d.serve(ctx, socket) {
-			wait = redialFirst
+			delay = minRedialDelay
 		}
-		timer := time.NewTimer(time.Duration((0.5 + jitter()) * float64(wait)))
+		timer := time.NewTimer(time.Duration((0.5 + jitter()) * float64(delay)))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
 		}
-		wait = min(2*wait, redialMost)
+		delay = min(2*delay, maxRedialDelay)
 	}
 }
 
-// serve drives a connection until it ends; true: it stood for a while.
-func (d *Dialer) serve(ctx context.Context, socket net.Conn) (steady bool) {
+// serve runs a connection until it ends, and reports whether it lasted longer than stableAfter.
+func (d *Dialer) serve(ctx context.Context, socket net.Conn) (stable bool) {
 	c := newConn(socket)
 	d.Attach(c)
 	defer d.Attach(nil)
-	began := time.Now()
+	started := time.Now()
 	if err := c.run(ctx, &d.Protocol, d.Handle); errors.Is(err, ErrFrame) {
 		d.Invalid(err)
 	}
-	return time.Since(began) > steadyAfter
+	return time.Since(started) > stableAfter
 }
 
-// Attach has the dialer send over a connection; nil: over none.
+// Attach makes the dialer send over c; nil: there is no connection.
 func (d *Dialer) Attach(c *Conn) {
 	d.mu.Lock()
 	d.conn = c
 	d.mu.Unlock()
 }
 
-// Send sends over the connection that stands; false: none does, or it takes nothing more.
+// Send queues a frame on the current connection. It returns false if there is none or the connection refuses the frame.
 func (d *Dialer) Send(kind Kind, content []byte) bool {
 	d.mu.Lock()
 	c := d.conn
@@ -256,7 +256,7 @@
 	return c != nil && c.Send(kind, content)
 }
 
-// SendJSON is Send for a value as JSON.
+// SendJSON sends a value as JSON, like Send.
 func (d *Dialer) SendJSON(kind Kind, value any) bool {
 	raw, err := json.Marshal(value)
 	return err == nil && d.Send(kind, raw)
--- a/internal/replica/transport/frame.go
+++ b/internal/replica/transport/frame.go
@@ -1,11 +1,11 @@
-// Package transport carries frames between processes over TCP: each frame has a length, a checksum and a kind, what waits
-// to be sent is bounded, and a connection begins with a hello of both sides.
+// Package transport carries frames between processes over TCP. Each frame has a length, a checksum and a kind, the send
+// queue of a connection is bounded, and both ends begin a connection with a hello.
 //
 //	frame   length 4, CRC-32C 4 (over kind and content), kind 1, content
 //	hello   JSON: magic of the protocol, group, name; a connection of another protocol or group is closed
 //
-// A frame that can't be decoded ends its connection. Frames are lost when the queue of a connection is full or the connection ends;
-// the protocols above are made for that.
+// A frame that can't be decoded ends its connection. Frames are lost when the queue of a connection is full or the
+// connection ends; the protocols above this package must tolerate that.
 package transport
 
 import (
@@ -18,27 +18,27 @@
 	"io"
 )
 
-// Kind says what a frame holds. A protocol numbers its own kinds from 1.
+// Kind is the type of a frame's content. A protocol numbers its own kinds from 1.
 type Kind byte
 
-// Kinds of every protocol.
+// Kinds that every protocol has.
 const (
 	KindHello Kind = 0
-	KindPing  Kind = 255 // keeps a connection from counting as silent; not handed on
+	KindPing  Kind = 255 // shows that an idle connection is alive; not passed to the handler
 )
 
 const (
-	contentLimit = 8 << 20 // bytes of a frame's content; a snapshot is the longest
-	headBytes    = 4 + 4 + 1
-	readStep     = 64 << 10 // bytes that are made room for at a time while content comes
+	maxContentBytes = 8 << 20 // of one frame; snapshots are the largest frames
+	headerBytes     = 4 + 4 + 1
+	readChunkBytes  = 64 << 10 // memory that is allocated at a time while content arrives
 )
 
-// ErrFrame says that what came was no frame of the protocol.
+// ErrFrame reports that the received bytes are not a valid frame of the protocol.
 var ErrFrame = errors.New("invalid frame")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// AppendFrame appends a frame to b.
+// AppendFrame appends an encoded frame to b.
 func AppendFrame(b []byte, kind Kind, content []byte) []byte {
 	start := len(b)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(content)))
@@ -49,33 +49,33 @@
 	return b
 }
 
-// ReadFrame reads a frame. It makes room as content comes, not as the length announces it.
+// ReadFrame reads a frame. It allocates memory as content arrives, so that a large announced length alone costs nothing.
 func ReadFrame(r *bufio.Reader) (kind Kind, content []byte, err error) {
-	var head [headBytes]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [headerBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return 0, nil, err
 	}
-	kind = Kind(head[8])
-	length := binary.BigEndian.Uint32(head[:])
-	if length > contentLimit {
-		return 0, nil, fmt.Errorf("%w: kind %d, %d bytes", ErrFrame, kind, length)
+	kind = Kind(header[8])
+	length := binary.BigEndian.Uint32(header[:])
+	if length > maxContentBytes {
+		return 0, nil, fmt.Errorf("%w: kind %d, %d bytes, more than the maximum", ErrFrame, kind, length)
 	}
 	for len(content) < int(length) {
-		part := min(int(length)-len(content), readStep)
+		chunk := min(int(length)-len(content), readChunkBytes)
 		start := len(content)
-		content = append(content, make([]byte, part)...)
+		content = append(content, make([]byte, chunk)...)
 		if _, err := io.ReadFull(r, content[start:]); err != nil {
 			return 0, nil, errors.Join(ErrFrame, err)
 		}
 	}
-	sum := crc32.Update(crc32.Checksum(head[8:], castagnoli), castagnoli, content)
-	if sum != binary.BigEndian.Uint32(head[4:]) {
-		return 0, nil, fmt.Errorf("%w: checksum %08x", ErrFrame, sum)
+	checksum := crc32.Update(crc32.Checksum(header[8:], castagnoli), castagnoli, content)
+	if checksum != binary.BigEndian.Uint32(header[4:]) {
+		return 0, nil, fmt.Errorf("%w: checksum %08x doesn't match the header", ErrFrame, checksum)
 	}
 	return kind, content, nil
 }
 
-// DecodeFrame is ReadFrame for a frame in memory.
+// DecodeFrame reads a frame from memory, like ReadFrame.
 func DecodeFrame(frame []byte) (Kind, []byte, error) {
 	return ReadFrame(bufio.NewReader(bytes.NewReader(frame)))
 }
--- a/internal/replica/transport/server.go
+++ b/internal/replica/transport/server.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	connectionLimit = 512
-	acceptRetry     = 20 * time.Millisecond // after an accept that failed, as without descriptors
+	maxConnections   = 512
+	acceptRetryDelay = 20 * time.Millisecond // after a failed accept, for example when no file descriptors are left
 )
 
-// Server takes connections that others open.
+// Server accepts connections from other processes, up to maxConnections at a time.
 type Server struct {
 	Listener net.Listener
 	Protocol Protocol
 	Handle   Handler
-	Invalid  func(error) // takes the error of each invalid frame
+	Invalid  func(error) // called with the error of each invalid frame
 
-	mu   sync.Mutex
-	open int
+	mu              sync.Mutex
+	openConnections int
 }
 
-// Run accepts until ctx ends or the listener is closed, and returns once all its connections have ended.
+// Run accepts until ctx ends or the listener is closed, and returns once all accepted connections have ended.
 func (s *Server) Run(ctx context.Context) {
 	var connections sync.WaitGroup
 	defer connections.Wait()
@@ -39,7 +39,7 @@
 			}
 			return
 		case err != nil:
-			time.Sleep(acceptRetry)
+			time.Sleep(acceptRetryDelay)
 		case !s.reserve():
 			socket.Close()
 		default:
@@ -56,15 +56,15 @@
 func (s *Server) reserve() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open >= connectionLimit {
+	if s.openConnections >= maxConnections {
 		return false
 	}
-	s.open++
+	s.openConnections++
 	return true
 }
 
 func (s *Server) release() {
 	s.mu.Lock()
-	s.open--
+	s.openConnections--
 	s.mu.Unlock()
 }
--- a/internal/replica/transport/transport_test.go
+++ b/internal/replica/transport/transport_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Frames cut at each byte, spoilt in each bit, or of a length that was only announced: an error, never a frame.
+// A frame that is truncated at any byte or has any single bit flipped is rejected, and so is an excessive announced length.
 func TestFrames(t *testing.T) {
 	whole := AppendFrame(nil, 3, []byte("content"))
 	if kind, content, err := DecodeFrame(whole); err != nil || kind != 3 || string(content) != "content" {
@@ -25,7 +25,7 @@
 	}
 	for cut := range whole {
 		if _, _, err := DecodeFrame(whole[:cut]); err == nil {
-			t.Fatalf("cut at %d it was read", cut)
+			t.Fatalf("a frame truncated at byte %d was accepted", cut)
 		}
 	}
 	for at := range whole {
@@ -33,12 +33,12 @@
 			bad := bytes.Clone(whole)
 			bad[at] ^= 1 << bit
 			if _, _, err := DecodeFrame(bad); err == nil {
-				t.Fatalf("bit %d of byte %d spoilt, it was read", bit, at)
+				t.Fatalf("a frame with bit %d of byte %d flipped was accepted", bit, at)
 			}
 		}
 	}
 	if _, _, err := DecodeFrame([]byte{0x3f, 0xff, 0xff, 0xff, 0, 0, 0, 0, 1}); !errors.Is(err, ErrFrame) {
-		t.Errorf("a gigabyte was announced: %v", err)
+		t.Errorf("a length of one gigabyte was announced: %v", err)
 	}
 }
 
@@ -51,12 +51,12 @@
 			return
 		}
 		if again := AppendFrame(nil, kind, content); !bytes.HasPrefix(raw, again) {
-			t.Errorf("%x is read as %x", raw, again)
+			t.Errorf("%x was decoded, and encodes as %x", raw, again)
 		}
 	})
 }
 
-// pair is a server and a dialler, and what came at each.
+// pair is a connected server and dialer, with the frames that each has received.
 type pair struct {
 	server           *Server
 	dialer           *Dialer
@@ -99,7 +99,7 @@
 	return Protocol{Magic: "test 1", Group: "g", Name: name, Kinds: 2, Silence: time.Minute}
 }
 
-// send sends until a connection stands.
+// send retries until the dialer has a connection that accepts the frame.
 func (p *pair) send(content string) {
 	for !p.dialer.Send(1, []byte(content)) {
 		time.Sleep(time.Millisecond)
@@ -117,9 +117,9 @@
 	}
 }
 
-func TestStrangersAreRefused(t *testing.T) {
+func TestMismatchedHelloIsRefused(t *testing.T) {
 	for name, tt := range map[string]struct {
-		spoil func(p *Protocol)
+		alter func(p *Protocol)
 		want  string
 	}{
 		"group":    {func(p *Protocol) { p.Group = "other" }, `of group "other", not "g"`},
@@ -128,7 +128,7 @@
 	} {
 		served, dialled := protocol("server"), protocol("client")
 		served.Admit = func(name string) bool { return name == "client" }
-		tt.spoil(&dialled)
+		tt.alter(&dialled)
 		p := newPair(t, served, dialled)
 		for {
 			if err := <-p.invalid; strings.Contains(err.Error(), tt.want) && errors.Is(err, ErrFrame) {
@@ -140,12 +140,12 @@
 		p.cancel()
 		p.ended.Wait()
 		if len(p.atServer) > 0 {
-			t.Errorf("%s: a frame of a stranger was handed on", name)
+			t.Errorf("%s: a frame was passed on although the hello doesn't match", name)
 		}
 	}
 }
 
-// A kind that the protocol doesn't have ends the connection, and the next one stands.
+// A frame of a kind that the protocol doesn't have ends the connection; the dialer connects again.
 func TestUnknownKind(t *testing.T) {
 	p := newPair(t, protocol("server"), protocol("client"))
 	p.send("first")
@@ -162,13 +162,13 @@
 				t.Error(got)
 			}
 			return
-		case <-time.After(20 * time.Millisecond): // it went over the connection that was being closed
+		case <-time.After(20 * time.Millisecond): // the frame was lost with the connection that was being closed
 		}
 	}
 }
 
-// Pings keep a connection from counting as silent, and are not handed on; without them it is dialled anew.
-func TestPingsKeepAConnection(t *testing.T) {
+// Pings keep an idle connection open and aren't passed to the handler; without pings it is closed after Silence.
+func TestPingsPreventSilenceTimeout(t *testing.T) {
 	for _, ping := range []time.Duration{0, 5 * time.Millisecond} {
 		served, dialled := protocol("server"), protocol("client")
 		served.Ping, dialled.Ping = ping, ping
@@ -184,19 +184,19 @@
 		first := p.dialer.conn
 		p.dialer.mu.Unlock()
 		if ping == 0 {
-			<-first.done // closed for its silence
+			<-first.done // closed by the silence timeout
 		} else {
 			time.Sleep(20 * ping)
 			select {
 			case <-first.done:
-				t.Error("a connection with pings was closed")
+				t.Error("a connection with pings was closed by the silence timeout")
 			default:
 			}
 		}
 		p.cancel()
 		p.ended.Wait()
 		if len(p.atServer) > 0 || len(p.atDial) > 0 {
-			t.Error("a ping was handed on")
+			t.Error("a ping was passed to the handler")
 		}
 	}
 }
@@ -204,16 +204,16 @@
 func TestQueueIsBounded(t *testing.T) {
 	c := Detached("peer")
 	sent := 0
-	for range 2 * queueLimit {
+	for range 2 * maxQueuedFrames {
 		if c.Send(1, nil) {
 			sent++
 		}
 	}
-	if sent != queueLimit || c.Send(1, make([]byte, contentLimit+1)) {
-		t.Errorf("%d of %d were taken", sent, queueLimit)
+	if sent != maxQueuedFrames || c.Send(1, make([]byte, maxContentBytes+1)) {
+		t.Errorf("%d frames were queued, the limit is %d", sent, maxQueuedFrames)
 	}
 	c.Close()
 	if _, ok := c.Next(); !ok || c.Send(1, nil) {
-		t.Error("a closed connection takes frames")
+		t.Error("a closed connection accepts frames")
 	}
 }
