--- a/internal/replica/voter/log.go
+++ b/internal/replica/voter/log.go
@@ -8,40 +8,42 @@
 )
 
 const (
-	messageBytes     = 256 << 10 // of entries in a message, beyond its first
-	messagesInFlight = 64
-	uncommittedBytes = 4 << 20 // of proposed entries
-	snapshotSpacing  = 64      // entries that are applied between two snapshots, at least
-	recordLimit      = 4 << 20 // bytes of a record of the store
-	snapshotOverhead = 64 << 10
+	maxMessageBytes       = 256 << 10 // of entries in one message; a message has at least one entry, whatever its size
+	maxInflightMessages   = 64
+	maxUncommittedBytes   = 4 << 20 // of proposed entries
+	minSnapshotSpacing    = 64      // applied entries between two snapshots
+	maxRecordBytes        = 4 << 20 // of one record of the store
+	snapshotOverheadBytes = 64 << 10
 )
 
-// SnapshotLimit bounds a snapshot's bytes: it is kept as one record. While one is longer the log isn't shortened.
-const SnapshotLimit = recordLimit - snapshotOverhead
+// SnapshotLimit is the maximum size of a snapshot in bytes, since the store keeps it as one record. While a snapshot is
+// larger the log isn't compacted.
+const SnapshotLimit = maxRecordBytes - snapshotOverheadBytes
 
-// startNode has raft take part with what is kept.
+// startNode restores the stored snapshot and starts raft on the store.
 func (v *Voter) startNode() error {
-	kept, err := v.store.Snapshot()
+	snapshot, err := v.store.Snapshot()
 	if err != nil {
 		return err
 	}
-	if v.applied = kept.GetMetadata().GetIndex(); v.applied > 0 {
-		if err := v.restore(kept); err != nil {
+	if v.applied = snapshot.GetMetadata().GetIndex(); v.applied > 0 {
+		if err := v.restore(snapshot); err != nil {
 			return err
 		}
 	}
 	node, err := raft.NewRawNode(&raft.Config{ID: v.store.ID(), ElectionTick: ElectionTicks, HeartbeatTick: heartbeatTicks, Storage: v.store, Applied: v.applied,
-		MaxSizePerMsg: messageBytes, MaxInflightMsgs: messagesInFlight, MaxUncommittedEntriesSize: uncommittedBytes, CheckQuorum: true, PreVote: true,
+		MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflightMessages, MaxUncommittedEntriesSize: maxUncommittedBytes, CheckQuorum: true, PreVote: true,
 		ReadOnlyOption: raft.ReadOnlySafe, DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: raftLogger{}})
 	if err != nil {
 		return err
 	}
 	v.node = node
-	v.log.Info("this member takes part", "members", len(v.membership.Members))
+	v.log.Info("this member votes", "members", len(v.membership.Members))
 	return nil
 }
 
-// Advance carries out what raft asks for: kept first, then sent, then applied, then confirmed.
+// Advance processes all that raft has ready. Of each batch, state and entries are first persisted, then messages are sent,
+// committed entries are applied, and read indexes are confirmed. Afterwards it compacts the log if that is due.
 func (v *Voter) Advance() {
 	for v.node != nil && v.node.HasReady() {
 		ready := v.node.Ready()
@@ -49,11 +51,11 @@
 			v.fail(err)
 			return
 		}
-		v.observeLeader(ready.SoftState)
+		v.updateLeader(ready.SoftState)
 		for _, m := range ready.Messages {
-			v.send(m)
+			v.sendRaft(m)
 		}
-		if err := v.applyAll(ready); err != nil {
+		if err := v.applyReady(ready); err != nil {
 			v.fail(err)
 			return
 		}
@@ -65,8 +67,9 @@
 	v.compact()
 }
 
-// observeLeader notes who leads, and in which term.
-func (v *Voter) observeLeader(state *raft.SoftState) {
+// updateLeader records the leader that raft reports and the term in which this member leads. Leadership that is regained
+// in another term counts as lost and won again.
+func (v *Voter) updateLeader(state *raft.SoftState) {
 	term := v.store.Hard().GetTerm()
 	if v.leads && term != v.leadTerm {
 		v.setLeads(false)
@@ -82,8 +85,8 @@
 	v.setLeads(leads)
 }
 
-// applyAll applies a snapshot and entries that were agreed on.
-func (v *Voter) applyAll(ready raft.Ready) error {
+// applyReady applies a received snapshot and the committed entries.
+func (v *Voter) applyReady(ready raft.Ready) error {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := v.restore(ready.Snapshot); err != nil {
 			return err
@@ -97,7 +100,7 @@
 	return nil
 }
 
-// apply carries out an entry.
+// apply applies a committed entry, unless it was applied before.
 func (v *Voter) apply(e *pb.Entry) error {
 	if e.GetIndex() <= v.applied {
 		return nil
@@ -106,7 +109,7 @@
 	switch {
 	case e.GetType() == pb.EntryConfChangeV2:
 		return v.applyReplacement(e)
-	case e.GetType() != pb.EntryNormal || len(e.GetData()) == 0: // a leader's first entry is empty
+	case e.GetType() != pb.EntryNormal || len(e.GetData()) == 0: // a new leader's first entry is empty
 		return nil
 	}
 	if err := v.host.Apply(e); err != nil {
@@ -115,38 +118,38 @@
 	return nil
 }
 
-// restore takes over a snapshot's state.
+// restore replaces the host's state and the membership by those of a snapshot.
 func (v *Voter) restore(snapshot *pb.Snapshot) error {
 	membership, err := v.host.Restore(snapshot.GetData())
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	metadata := snapshot.GetMetadata()
-	v.membership, v.voters = membership, metadata.GetConfState()
+	v.membership, v.confState = membership, metadata.GetConfState()
 	v.applied, v.appliedTerm = metadata.GetIndex(), metadata.GetTerm()
 	return nil
 }
 
-// compact puts a snapshot in place of the log once that is long, or its members have changed.
+// compact replaces the applied part of the log by a snapshot once the log is long, or when the members have changed.
 func (v *Voter) compact() {
-	if v.node == nil || !v.changed && !v.compactionDue() {
+	if v.node == nil || !v.membersChanged && !v.compactionDue() {
 		return
 	}
-	v.changed = false
+	v.membersChanged = false
 	data, err := v.host.Snapshot(v.membership)
 	if err != nil {
 		v.fail(err)
 		return
 	}
 	if len(data) > SnapshotLimit {
-		if !v.tooLong {
-			v.log.Error("the snapshot is too long: the log is not shortened", "bytes", len(data))
+		if !v.snapshotTooLong {
+			v.log.Error("the snapshot is too long: the log is not compacted", "bytes", len(data))
 		}
-		v.tooLong = true
+		v.snapshotTooLong = true
 		return
 	}
-	v.tooLong = false
-	if err := v.store.Compact(v.applied, v.voters, data); err != nil {
+	v.snapshotTooLong = false
+	if err := v.store.Compact(v.applied, v.confState, data); err != nil {
 		v.fail(err)
 	}
 }
@@ -156,10 +159,11 @@
 		return false
 	}
 	first, err := v.store.FirstIndex()
-	return err == nil && v.applied >= first-1+snapshotSpacing
+	return err == nil && v.applied >= first-1+minSnapshotSpacing
 }
 
-// raftLogger drops what raft logs, which the replica logs itself. Its panics stay: they end the vote.
+// raftLogger discards the log lines of raft, since the voter logs these events itself. Fatal and Panic must still panic:
+// Guard turns that into the end of this member's vote.
 type raftLogger struct{}
 
 func (raftLogger) Debug(...any)              {}
--- a/internal/replica/voter/membership.go
+++ b/internal/replica/voter/membership.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	askInterval    = 200 * time.Millisecond // between questions to the other members before this one votes
-	changeInterval = 5 * time.Second        // between proposed changes of members
-	distrusted     = ".distrusted"          // ends the names of files that were put aside
-	never          = time.Duration(1<<63 - 1)
-	firstIndex     = 1 // of the snapshot with which a group begins, and its term
+	requestInterval   = 200 * time.Millisecond // between check-ins before this member votes, and between requests to join
+	minChangeInterval = 5 * time.Second        // between proposed changes of members
+	distrustedSuffix  = ".distrusted"          // of the names of quarantined files
+	neverReplace      = time.Duration(1<<63 - 1)
+	initialIndex      = 1 // index and term of the snapshot with which a group begins
 )
 
-// newIdentity draws a raft identity.
+// newIdentity draws a random raft identity.
 func newIdentity(source *rand.Rand) uint64 {
 	for {
 		if id := source.Uint64() >> 1; id != raft.None {
@@ -35,7 +35,7 @@
 	}
 }
 
-// Open reads what the disk holds, and begins to ask the others about it.
+// Open opens the store and starts the check-in: the other members are asked what this one has promised them.
 func (v *Voter) Open(now time.Duration) {
 	opened, empty, err := store.Open(v.options.FS, newIdentity(v.options.Rand))
 	if err != nil {
@@ -46,15 +46,15 @@
 	state, hard := opened.State(), opened.Hard()
 	v.checkIn = duty.NewSeating(duty.SeatingConfig{Name: v.options.Name, Seats: v.options.Candidates, Voters: v.options.Voters, ID: opened.ID(), Empty: opened.Empty(),
 		Has: duty.Promise{Term: state.Term, Index: state.Index, Voted: hard.GetTerm()}, Vote: hard.GetVote()}, now)
-	v.decision = duty.Decision{Start: duty.Wait, Why: "no other member was heard yet"}
+	v.decision = duty.Decision{Start: duty.Wait, Why: "no other member has answered yet"}
 	v.log.Info("store opened", "identity", IdentityText(opened.ID()), "new", empty, "term", state.Term, "entry", state.Index)
 }
 
-// start asks the other members and takes part once what they answer allows it.
-func (v *Voter) start(now time.Duration) {
-	if now-v.lastAsk >= askInterval || v.lastAsk == 0 {
-		v.lastAsk = now
-		v.sendToAll(KindCheckIn)
+// checkInAndStart sends check-ins to the other members, and starts raft once their answers allow it.
+func (v *Voter) checkInAndStart(now time.Duration) {
+	if now-v.lastRequest >= requestInterval || v.lastRequest == 0 {
+		v.lastRequest = now
+		v.broadcastIdentity(KindCheckIn)
 	}
 	decision := v.checkIn.Decide(now)
 	if decision.Start != v.decision.Start || decision.Why != v.decision.Why {
@@ -66,13 +66,13 @@
 	case duty.Wait:
 		return
 	case duty.Begin:
-		err = v.writeFirst(decision.Initial)
+		err = v.writeInitialSnapshot(decision.Initial)
 	case duty.Forget:
-		v.putAside(now)
+		v.quarantineStore(now)
 		return
 	case duty.Join:
-		if !v.store.Empty() { // it was replaced: what it promised under its old identity is of no use
-			v.putAside(now)
+		if !v.store.Empty() { // the identity was replaced in the group, so its log and votes are of no use
+			v.quarantineStore(now)
 			return
 		}
 	}
@@ -84,67 +84,67 @@
 	}
 }
 
-// putAside keeps what the disk holds out of the way and begins anew under another identity.
-func (v *Voter) putAside(now time.Duration) {
+// quarantineStore renames the store's files out of the way and opens an empty store under a new identity.
+func (v *Voter) quarantineStore(now time.Duration) {
 	reason := v.decision.Why
 	v.Close()
-	if err := v.renameStore(); err != nil {
-		v.fail(fmt.Errorf("what the disk holds can't be put aside: %w", err))
+	if err := v.renameStoreFiles(); err != nil {
+		v.fail(fmt.Errorf("the distrusted store can't be quarantined: %w", err))
 		return
 	}
-	v.log.Warn("what the disk holds is put aside", "why", reason)
+	v.log.Warn("the store is distrusted and quarantined", "why", reason)
 	v.Open(now)
 }
 
-// renameStore gives the store's files names under which they aren't read.
-func (v *Voter) renameStore() error {
+// renameStoreFiles gives the store's files names under which the store doesn't read them.
+func (v *Voter) renameStoreFiles() error {
 	names, err := v.options.FS.List()
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
-		if strings.HasSuffix(name, distrusted) {
+		if strings.HasSuffix(name, distrustedSuffix) {
 			continue
 		}
-		if err := v.options.FS.Rename(name, fmt.Sprintf("%s.%s%s", name, IdentityText(v.store.ID()), distrusted)); err != nil {
+		if err := v.options.FS.Rename(name, fmt.Sprintf("%s.%s%s", name, IdentityText(v.store.ID()), distrustedSuffix)); err != nil {
 			return err
 		}
 	}
 	return v.options.FS.SyncDir()
 }
 
-// writeFirst writes the snapshot with which a group begins: the same at all its first members.
-func (v *Voter) writeFirst(initial map[uint64]string) error {
+// writeInitialSnapshot writes the snapshot with which a group begins. It is the same at all initial members.
+func (v *Voter) writeInitialSnapshot(initial map[uint64]string) error {
 	v.membership = Membership{Members: maps.Clone(initial), Initial: initial}
 	data, err := v.host.Snapshot(v.membership)
 	if err != nil {
 		return err
 	}
-	first := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(firstIndex), Term: proto.Uint64(firstIndex),
+	snapshot := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(initialIndex), Term: proto.Uint64(initialIndex),
 		ConfState: &pb.ConfState{Voters: slices.Sorted(maps.Keys(initial))}}}
-	return v.store.Save(&pb.HardState{Term: proto.Uint64(firstIndex), Vote: proto.Uint64(raft.None), Commit: proto.Uint64(firstIndex)}, nil, first)
+	return v.store.Save(&pb.HardState{Term: proto.Uint64(initialIndex), Vote: proto.Uint64(raft.None), Commit: proto.Uint64(initialIndex)}, nil, snapshot)
 }
 
-// checkInReply answers a member that is about to vote under an identity.
+// checkInReply returns the answer to a member that checks in under an identity before it votes.
 func (v *Voter) checkInReply(id uint64) duty.CheckIn {
-	reply := duty.CheckIn{Seat: v.options.Name, Sits: v.node != nil && len(v.membership.Members) > 0, Seats: v.membership.Members, Initial: v.membership.Initial, Promised: v.promised[id]}
+	reply := duty.CheckIn{Seat: v.options.Name, Sits: v.node != nil && len(v.membership.Members) > 0, Seats: v.membership.Members, Initial: v.membership.Initial, Promised: v.promises[id]}
 	if v.store != nil {
 		reply.ID, reply.Empty = v.store.ID(), v.store.Empty()
 	}
 	return reply
 }
 
-// askToJoin has a member whose identity isn't agreed on ask to be let in.
-func (v *Voter) askToJoin(now time.Duration) {
-	if _, agreed := v.membership.Members[v.store.ID()]; agreed || now-v.lastAsk < askInterval {
+// requestJoin asks the other members to accept this one's identity while that isn't part of the agreed membership.
+func (v *Voter) requestJoin(now time.Duration) {
+	if _, agreed := v.membership.Members[v.store.ID()]; agreed || now-v.lastRequest < requestInterval {
 		return
 	}
-	v.lastAsk = now
-	v.sendToAll(KindJoin)
+	v.lastRequest = now
+	v.broadcastIdentity(KindJoin)
 }
 
-// nameOf is the member behind an identity; empty: unknown.
-func (v *Voter) nameOf(id uint64) string {
+// memberName returns the name of the member with an identity; empty: unknown.
+func (v *Voter) memberName(id uint64) string {
 	if name := v.membership.Members[id]; name != "" {
 		return name
 	}
@@ -153,19 +153,19 @@
 			return name
 		}
 	}
-	return v.origins[id] // a member that joins knows no others yet
+	return v.origins[id] // a member that is joining has no membership yet
 }
 
-// replacement goes with a change of voters: who it is about.
+// replacement describes a change of voters: identity In of member Name takes the place of identity Out.
 type replacement struct {
 	Out, In uint64
 	Name    string
 }
 
-// ReplaceMember proposes, at the leader, that a member that came back under another identity takes the place of its old one, or a spare one
-// that of a member that is dead. Host calls it now and then.
+// ReplaceMember proposes a change of members if one is due: a member that returned under a new identity takes the place of
+// its old one, or a spare member that of a dead one. The host calls it regularly while this member leads.
 func (v *Voter) ReplaceMember(now time.Duration) {
-	if v.node == nil || v.lastChange > 0 && now-v.lastChange < changeInterval || len(v.voters.GetVotersOutgoing()) > 0 {
+	if v.node == nil || v.lastChange > 0 && now-v.lastChange < minChangeInterval || len(v.confState.GetVotersOutgoing()) > 0 {
 		return
 	}
 	var dead map[string]time.Duration
@@ -175,7 +175,7 @@
 	}
 	after := v.options.ReplaceAfter
 	if after == 0 {
-		after = never
+		after = neverReplace
 	}
 	out, in, name := duty.Replace(v.membership.Members, v.options.Candidates, v.joining, dead, lives, after)
 	if in == raft.None {
@@ -184,7 +184,7 @@
 	v.lastChange = now
 	context, err := json.Marshal(replacement{out, in, name})
 	if err != nil {
-		v.log.Warn("a member is not replaced", "member", name, "err", err)
+		v.log.Warn("the replacement of a member can't be encoded", "member", name, "err", err)
 		return
 	}
 	add, remove := pb.ConfChangeAddNode, pb.ConfChangeRemoveNode
@@ -192,30 +192,30 @@
 	err = v.node.ProposeConfChange(&pb.ConfChangeV2{Transition: &transition, Context: context, Changes: []*pb.ConfChangeSingle{
 		{Type: &add, NodeId: proto.Uint64(in)}, {Type: &remove, NodeId: proto.Uint64(out)}}})
 	if err != nil {
-		v.log.Warn("a member is not replaced", "member", name, "err", err)
+		v.log.Warn("the replacement of a member was not proposed", "member", name, "err", err)
 	}
 }
 
-// applyReplacement carries out a change of voters that was agreed on.
+// applyReplacement applies a committed change of voters.
 func (v *Voter) applyReplacement(e *pb.Entry) error {
 	change := &pb.ConfChangeV2{}
 	if err := proto.Unmarshal(e.GetData(), change); err != nil {
 		return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 	}
-	v.voters = v.node.ApplyConfChange(change)
-	if len(change.GetContext()) == 0 { // the end of a joint change
+	v.confState = v.node.ApplyConfChange(change)
+	if len(change.GetContext()) == 0 { // the entry that leaves a joint configuration
 		return nil
 	}
-	var about replacement
-	if err := json.Unmarshal(change.GetContext(), &about); err != nil {
+	var details replacement
+	if err := json.Unmarshal(change.GetContext(), &details); err != nil {
 		return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 	}
-	if about.Name == "" {
-		return fmt.Errorf("entry %d: %w", e.GetIndex(), errors.New("a change of members without a name"))
+	if details.Name == "" {
+		return fmt.Errorf("entry %d: %w", e.GetIndex(), errors.New("the change of members has no member name"))
 	}
-	delete(v.membership.Members, about.Out)
-	v.membership.Members[about.In] = about.Name
-	v.changed = true // one that holds nothing takes only a snapshot in which it is a member
-	v.log.Info("member replaced", "member", about.Name, "identity", IdentityText(about.In), "instead of", IdentityText(about.Out))
+	delete(v.membership.Members, details.Out)
+	v.membership.Members[details.In] = details.Name
+	v.membersChanged = true // an empty member accepts only a snapshot whose configuration contains it
+	v.log.Info("member replaced", "member", details.Name, "identity", IdentityText(details.In), "instead of", IdentityText(details.Out))
 	return nil
 }
--- a/internal/replica/voter/messages.go
+++ b/internal/replica/voter/messages.go
@@ -12,26 +12,26 @@
 	"lemonrail/internal/duty"
 )
 
-// Kind says what a message between members is.
+// Kind is the type of a message between members.
 type Kind uint8
 
 // Kinds of messages.
 const (
-	KindRaft         Kind = iota // of raft
-	KindCheckIn                  // identity: what was promised under it?
+	KindRaft         Kind = iota // pb.Message
+	KindCheckIn                  // identity: asks what was promised under it
 	KindCheckInReply             // duty.CheckIn
-	KindJoin                     // identity: asks to be let in
+	KindJoin                     // identity: asks to become a voter
 )
 
-const originLimit = 64 // identities whose origin is remembered
+const maxOrigins = 64 // identities whose origin is remembered
 
-// identity is what a member calls itself by in KindCheckIn and KindJoin. The keys are part of the protocol.
+// identity is the sender of a KindCheckIn or KindJoin message. The JSON keys are part of the protocol.
 type identity struct {
 	Name string `json:"Seat"`
 	ID   uint64
 }
 
-// Message is one that was decoded.
+// Message is a decoded message. Only the field that belongs to its kind is set.
 type Message struct {
 	kind     Kind
 	raft     *pb.Message
@@ -39,7 +39,7 @@
 	reply    duty.CheckIn
 }
 
-// Decode reads a message. It may be called from any goroutine.
+// Decode decodes a message. It may be called from any goroutine.
 func Decode(kind Kind, content []byte) (m Message, err error) {
 	m.kind = kind
 	switch kind {
@@ -51,16 +51,16 @@
 	case KindCheckInReply:
 		err = json.Unmarshal(content, &m.reply)
 	default:
-		err = fmt.Errorf("message of kind %d", kind)
+		err = fmt.Errorf("message kind %d is unknown", kind)
 	}
 	return m, err
 }
 
-// Receive takes a message from a member. It returns an answer for the connection from which it came, of KindCheckInReply; nil: none.
+// Receive processes a message from a member. A non-nil answer is to be sent as KindCheckInReply over the same connection.
 func (v *Voter) Receive(from string, m Message) (answer *duty.CheckIn) {
 	switch m.kind {
 	case KindRaft:
-		v.step(from, m.raft)
+		v.receiveRaft(from, m.raft)
 	case KindCheckIn:
 		reply := v.checkInReply(m.identity.ID)
 		return &reply
@@ -76,11 +76,11 @@
 	return nil
 }
 
-// sendToAll sends the other members who this one is, in the order of the options.
-func (v *Voter) sendToAll(kind Kind) {
+// broadcastIdentity sends this member's identity to all others, in the order of Options.Candidates.
+func (v *Voter) broadcastIdentity(kind Kind) {
 	raw, err := json.Marshal(identity{v.options.Name, v.store.ID()})
 	if err != nil {
-		v.log.Warn("a message can't be encoded", "err", err)
+		v.log.Warn("this member's identity can't be encoded", "err", err)
 		return
 	}
 	for _, name := range v.options.Candidates {
@@ -90,10 +90,10 @@
 	}
 }
 
-// send carries a message of raft.
-func (v *Voter) send(m *pb.Message) {
+// sendRaft sends a raft message, and reports to raft if that failed.
+func (v *Voter) sendRaft(m *pb.Message) {
 	raw, err := proto.Marshal(m)
-	name := v.nameOf(m.GetTo())
+	name := v.memberName(m.GetTo())
 	sent := err == nil && name != "" && name != v.options.Name && v.host.Send(name, KindRaft, raw)
 	if m.GetType() == pb.MsgSnap {
 		status := raft.SnapshotFinish
@@ -107,34 +107,36 @@
 	}
 }
 
-// step takes a message of raft from a member.
-func (v *Voter) step(from string, m *pb.Message) {
-	if v.node == nil || m.GetTo() != v.store.ID() || !v.expects(from, m.GetFrom()) {
+// receiveRaft passes a raft message from a member to raft. It drops those of an unexpected sender, to another identity, or
+// of a type that members don't send to each other.
+func (v *Voter) receiveRaft(from string, m *pb.Message) {
+	if v.node == nil || m.GetTo() != v.store.ID() || !v.acceptsSender(from, m.GetFrom()) {
 		return
 	}
 	if raft.IsLocalMsg(m.GetType()) || m.GetType() == pb.MsgProp || m.GetType() == pb.MsgReadIndex {
-		return // never sent by a member
+		return // proposals and read indexes are never forwarded between members
 	}
-	if len(v.origins) < originLimit {
+	if len(v.origins) < maxOrigins {
 		v.origins[m.GetFrom()] = from
 	}
-	v.notePromise(m)
+	v.recordPromise(m)
 	if err := v.node.Step(m); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) {
 		v.log.Debug("raft message refused", "from", from, "err", err)
 	}
 }
 
-// expects reports whether an identity's messages may come from a member.
-func (v *Voter) expects(from string, id uint64) bool {
+// acceptsSender reports whether a member may send messages under an identity.
+func (v *Voter) acceptsSender(from string, id uint64) bool {
 	if name := v.membership.Members[id]; name != "" {
 		return name == from
 	}
 	return len(v.membership.Members) == 0 || v.joining[from] == id
 }
 
-// notePromise remembers what the sender of a message lets this member have of its log and votes, to tell it should its disk forget.
-func (v *Voter) notePromise(m *pb.Message) {
-	promise := v.promised[m.GetFrom()]
+// recordPromise remembers the log position and votes that a message's sender has promised to this member. A sender whose
+// disk has lost them is told when it checks in.
+func (v *Voter) recordPromise(m *pb.Message) {
+	promise := v.promises[m.GetFrom()]
 	kind, term := m.GetType(), m.GetTerm()
 	if term > promise.Term && kind != pb.MsgPreVote && kind != pb.MsgPreVoteResp {
 		promise.Term, promise.Index = term, 0
@@ -142,10 +144,10 @@
 	switch {
 	case kind == pb.MsgAppResp && !m.GetReject() && term == promise.Term:
 		promise.Index = max(promise.Index, m.GetIndex())
-	case kind == pb.MsgApp && term == promise.Term: // a leader keeps an entry before it sends it, and counts itself
+	case kind == pb.MsgApp && term == promise.Term: // a leader persists entries and counts itself before it sends them
 		promise.Index = max(promise.Index, m.GetIndex()+uint64(len(m.GetEntries())))
 	case kind == pb.MsgVoteResp && !m.GetReject():
 		promise.Voted = max(promise.Voted, term)
 	}
-	v.promised[m.GetFrom()] = promise
+	v.promises[m.GetFrom()] = promise
 }
--- a/internal/replica/voter/voter.go
+++ b/internal/replica/voter/voter.go
@@ -1,10 +1,10 @@
-// Package voter drives one member of a raft group (go.etcd.io/raft): its store (internal/duty/store), what has to be asked before it votes
-// (duty.Seating), raft itself and changes of members. It has no goroutine, socket or clock: its host hands in time and messages, and
-// carries out what was agreed on. A Voter belongs to one goroutine.
+// Package voter runs one member of a raft group (go.etcd.io/raft): its store (internal/duty/store), the check-in before it
+// votes (duty.Seating), raft itself and changes of members. It has no goroutine, socket or clock: its host passes in the
+// time and messages, and applies committed entries. A Voter belongs to one goroutine.
 //
-// Before a member votes it asks the others what its disk had promised them: a disk that forgot is found, put aside, and the member
-// returns under another identity in place of the old one. A disk that fails, a panic of raft or one of the host's state machine ends its
-// part with a reason (Fault).
+// Before a member votes it asks the others what its log and votes had promised them. A store that has lost any of that is
+// quarantined, and the member returns under a new identity in place of the old one. A failed disk, a panic of raft or one
+// of the host's state machine ends this member's vote with a reason (Fault).
 package voter
 
 import (
@@ -21,82 +21,83 @@
 	"lemonrail/internal/duty/store"
 )
 
-// ElectionTicks is how many ticks without a leader members wait, at least, before they elect another.
+// ElectionTicks is the minimum number of ticks without a leader after which members elect another.
 const ElectionTicks = 10
 
 const heartbeatTicks = 2
 
-// Host is what a voter works for. It is called on the voter's goroutine, while the voter carries out a call of its host.
+// Host is the owner of a voter. Its methods are called on the voter's goroutine, within calls of the Voter's methods.
 type Host interface {
-	// Send hands a message to the connection to a member; false: it is lost.
+	// Send queues a message to a member. It returns false if the message is lost.
 	Send(to string, kind Kind, content []byte) bool
-	// Apply carries out an entry that was agreed on and isn't empty. With an error this member stops voting.
+	// Apply applies a committed entry, which isn't empty. After an error this member stops voting.
 	Apply(entry *pb.Entry) error
-	// Snapshot returns the state, and the membership with it.
+	// Snapshot returns the encoded state together with the membership.
 	Snapshot(m Membership) ([]byte, error)
-	// Restore takes a state over, and returns the membership that was kept with it.
+	// Restore replaces the state by that of a snapshot, and returns the membership that the snapshot holds.
 	Restore(snapshot []byte) (Membership, error)
-	// LeadershipChanged says that this member leads from now on, or no longer.
+	// LeadershipChanged reports that this member has become the leader or no longer is.
 	LeadershipChanged(leads bool)
-	// Confirmed says that a majority followed this leader after a read index was asked for.
+	// Confirmed reports that, after the call of ReadIndex, a majority followed this leader.
 	Confirmed(read raft.ReadState)
 }
 
-// Membership is who votes, by identity.
+// Membership holds the names of the voters by identity.
 type Membership struct {
 	Members map[uint64]string
-	Initial map[uint64]string // with whom the group began
+	Initial map[uint64]string // the voters with which the group began
 }
 
-// Options say what a Voter is made from.
+// Options configure a Voter.
 type Options struct {
 	Name         string
-	Candidates   []string // all that may vote, the same in the same order everywhere; the first Voters of them begin
-	Voters       int
+	Candidates   []string // all members that may vote, in the same order at every member
+	Voters       int      // the group begins with this many of the Candidates, the first ones
 	FS           store.FS
 	Log          *slog.Logger
-	Rand         *rand.Rand    // for identities
-	ReplaceAfter time.Duration // for which a member has to be dead before a spare one takes its place; 0: never
-	// Liveness says for how long members have been dead, and which live. nil: no member is replaced but by itself.
+	Rand         *rand.Rand    // source of identities
+	ReplaceAfter time.Duration // a spare member takes the place of one that was dead for this long; 0: never
+	// Liveness returns for how long members have been dead, and which members are alive. nil: a member's place is taken
+	// only by the same member under a new identity.
 	Liveness func() (dead map[string]time.Duration, lives map[string]bool)
 }
 
-// Voter is a member's part in its group.
+// Voter is one member's part in a raft group.
 type Voter struct {
 	options Options
 	host    Host
 	log     *slog.Logger
 
-	fault    error // why it doesn't vote; nil: it may
-	store    *store.Store
-	checkIn  *duty.Seating
-	decision duty.Decision
-	lastAsk  time.Duration // when the other members were last asked
+	fault       error         // why this member stopped voting; nil: it hasn't
+	store       *store.Store  // nil: not opened
+	checkIn     *duty.Seating // decides how this member starts, by the others' answers
+	decision    duty.Decision // the latest one of checkIn
+	lastRequest time.Duration // when the last check-in or join request was sent
 
-	node        *raft.RawNode // nil: it doesn't take part
-	applied     uint64        // index of the last entry that was applied
-	appliedTerm uint64        // its term
+	node        *raft.RawNode // nil: this member doesn't vote
+	applied     uint64        // index of the last applied entry
+	appliedTerm uint64        // term of the last applied entry
 	leads       bool
-	leadTerm    uint64 // in which it leads
-	leader      uint64 // identity
-
-	voters     *pb.ConfState
-	membership Membership              // as agreed on
-	joining    map[string]uint64       // identities that ask to be let in, by name
-	promised   map[uint64]duty.Promise // what other identities let this one have
-	origins    map[uint64]string       // member from which an identity's messages come
-	changed    bool                    // members changed since the last snapshot
-	lastChange time.Duration           // when a change of members was last proposed
-	tooLong    bool                    // the last snapshot was
+	leadTerm    uint64 // the latest term in which this member led
+	leader      uint64 // identity of the leader; raft.None: unknown
+
+	confState       *pb.ConfState           // raft's configuration
+	membership      Membership              // as committed
+	joining         map[string]uint64       // identities that asked to join, by member name
+	promises        map[uint64]duty.Promise // log position and votes that each identity has promised to this member
+	origins         map[uint64]string       // name of the member that sends under each identity
+	membersChanged  bool                    // since the last snapshot
+	lastChange      time.Duration           // when a change of members was last proposed
+	snapshotTooLong bool                    // the last snapshot exceeded SnapshotLimit
 }
 
-// New makes a voter. Open opens its store.
+// New returns a voter whose store isn't opened yet; see Open.
 func New(o Options, host Host) *Voter {
 	return &Voter{options: o, host: host, log: o.Log, membership: Membership{Members: map[uint64]string{}}, joining: map[string]uint64{},
-		promised: map[uint64]duty.Promise{}, origins: map[uint64]string{}}
+		promises: map[uint64]duty.Promise{}, origins: map[uint64]string{}}
 }
 
-// Guard carries out f; a panic in it ends this member's part, and not the process.
+// Guard calls f. A panic in f ends this member's vote instead of the process.
 func (v *Voter) Guard(f func()) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -106,23 +107,23 @@
 	f()
 }
 
-// Turn does what is due. ticked: a tick of the group's clock is over.
+// Turn does the work that is due: check-ins before this member votes, raft afterwards. ticked reports that a tick has passed.
 func (v *Voter) Turn(now time.Duration, ticked bool) {
 	if v.fault != nil {
 		return
 	}
 	if v.node == nil {
-		v.start(now)
+		v.checkInAndStart(now)
 		return
 	}
 	if ticked {
 		v.node.Tick()
 	}
-	v.askToJoin(now)
+	v.requestJoin(now)
 	v.Advance()
 }
 
-// Propose has the leader put an entry into the log. With an error nothing of it was.
+// Propose has the leader append an entry to the log. After an error nothing was appended.
 func (v *Voter) Propose(data []byte) error {
 	if v.node == nil {
 		return raft.ErrProposalDropped
@@ -130,22 +131,22 @@
 	return v.node.Propose(data)
 }
 
-// ReadIndex asks for a confirmation that a majority follows this leader; Host.Confirmed tells with the same context.
+// ReadIndex requests confirmation that a majority follows this leader. Host.Confirmed reports it with the same context.
 func (v *Voter) ReadIndex(context []byte) {
 	if v.node != nil {
 		v.node.ReadIndex(context)
 	}
 }
 
-// fail ends this member's part: its disk failed or can't be trusted, or something panicked.
+// fail ends this member's vote: its disk failed or can't be trusted, or something panicked.
 func (v *Voter) fail(reason error) {
 	v.fault, v.node, v.checkIn = reason, nil, nil
 	v.leader = raft.None
 	v.setLeads(false)
-	v.log.Error("this member does not vote", "err", reason)
+	v.log.Error("this member doesn't vote", "err", reason)
 }
 
-// setLeads notes whether this member leads, and tells its host.
+// setLeads records whether this member leads, and notifies the host of a change.
 func (v *Voter) setLeads(leads bool) {
 	if v.leads != leads {
 		v.leads = leads
@@ -154,41 +155,42 @@
 	}
 }
 
-// Close lets the store go.
+// Close closes the store.
 func (v *Voter) Close() {
 	if v.store == nil {
 		return
 	}
 	if err := v.store.Close(); err != nil {
-		v.log.Warn("the store is closed with an error", "err", err)
+		v.log.Warn("the store was not closed cleanly", "err", err)
 	}
 }
 
-// Fault is why this member doesn't vote any more; nil: nothing is wrong.
+// Fault returns why this member has stopped voting; nil: it hasn't.
 func (v *Voter) Fault() error { return v.fault }
 
-// Votes reports whether this member takes part.
+// Votes reports whether this member takes part in elections and commits.
 func (v *Voter) Votes() bool { return v.node != nil }
 
-// Decision is how this member began, or what it waits for.
+// Decision returns how this member started, or why it is still waiting.
 func (v *Voter) Decision() duty.Decision { return v.decision }
 
-// Store is what the disk holds; nil: it can't be read.
+// Store returns the store; nil: it couldn't be opened.
 func (v *Voter) Store() *store.Store { return v.store }
 
-// Applied is the index of the last entry that was applied.
+// Applied returns the index of the last applied entry.
 func (v *Voter) Applied() uint64 { return v.applied }
 
-// Leads reports whether this member leads, as far as it knows.
+// Leads reports whether this member believes that it leads.
 func (v *Voter) Leads() bool { return v.leads }
 
-// LeadTerm is the term in which it leads.
+// LeadTerm returns the latest term in which this member led.
 func (v *Voter) LeadTerm() uint64 { return v.leadTerm }
 
-// Established reports whether this member leads and has applied an entry of its term: before that it may not know of all that was agreed on.
+// Established reports whether this member leads and has applied an entry of its own term. Before that it may not know of
+// all committed entries.
 func (v *Voter) Established() bool { return v.leads && v.appliedTerm == v.leadTerm }
 
-// Leader is the name of the member that leads; empty: none is known.
+// Leader returns the name of the leader; empty: unknown.
 func (v *Voter) Leader() string {
 	if v.node == nil || v.leader == raft.None {
 		return ""
@@ -196,8 +198,8 @@
 	return v.membership.Members[v.leader]
 }
 
-// Members are those that were agreed on, by identity.
+// Members returns the names of the committed members by identity.
 func (v *Voter) Members() map[uint64]string { return maps.Clone(v.membership.Members) }
 
-// IdentityText is how an identity is shown.
+// IdentityText formats an identity as 16 hexadecimal digits.
 func IdentityText(id uint64) string { return fmt.Sprintf("%016x", id) }
--- a/internal/replica/voter/voter_test.go
+++ b/internal/replica/voter/voter_test.go
@@ -16,14 +16,14 @@
 	"lemonrail/internal/duty/store"
 )
 
-// member is a voter with a host that keeps what it sends, and counts what it applies.
+// member is a voter with a host that records sent messages and counts applied entries.
 type member struct {
 	voter   *Voter
 	now     time.Duration
 	sent    []sentMessage
 	applied int
-	padding int // bytes of a snapshot
-	restore error
+	padding int   // bytes added to each snapshot
+	restore error // returned by Restore
 }
 
 type sentMessage struct {
@@ -47,8 +47,8 @@
 	Padding    []byte
 }
 
-func (m *member) Snapshot(who Membership) ([]byte, error) {
-	return json.Marshal(testSnapshot{who, make([]byte, m.padding)})
+func (m *member) Snapshot(membership Membership) ([]byte, error) {
+	return json.Marshal(testSnapshot{membership, make([]byte, m.padding)})
 }
 
 func (m *member) Restore(raw []byte) (Membership, error) {
@@ -69,18 +69,18 @@
 	return m
 }
 
-func (m *member) turn() {
+func (m *member) step() {
 	m.now += 10 * time.Millisecond
 	m.voter.Guard(func() { m.voter.Turn(m.now, true) })
 }
 
-// pair is two members that have begun.
+// pair returns two members that vote and know their leader.
 func pair(t *testing.T) (a, b *member) {
 	t.Helper()
 	a, b = newMember("a", store.NewFaultyDisk(1), "a", "b"), newMember("b", store.NewFaultyDisk(2), "a", "b")
 	for range 100 {
 		for _, m := range []*member{a, b} {
-			m.turn()
+			m.step()
 			other, sent := b, m.sent
 			if m == b {
 				other = a
@@ -105,7 +105,7 @@
 	return a, b
 }
 
-// raftMessage is one from b to a.
+// raftMessage returns a message from b to a.
 func raftMessage(a, b *member, kind pb.MessageType, term uint64) *pb.Message {
 	return &pb.Message{Type: &kind, From: proto.Uint64(b.voter.store.ID()), To: proto.Uint64(a.voter.store.ID()), Term: &term}
 }
@@ -123,45 +123,46 @@
 	m.voter.Guard(func() { m.voter.Receive(from, decoded) })
 }
 
-// A message counts only from the member whose identity it bears, to this one, and of a kind that members send.
-func TestMessagesOfOthersAreRefused(t *testing.T) {
+// Raft messages are dropped unless they come from the member that owns their sender identity, are addressed to this
+// member's identity, and are of a type that members send to each other.
+func TestMisaddressedMessagesAreDropped(t *testing.T) {
 	a, b := pair(t)
 	term := a.voter.store.State().Term
 	const far = 1000
-	unmoved := func(what string) {
+	expectOldTerm := func(what string) {
 		t.Helper()
-		a.turn()
+		a.step()
 		if got := a.voter.store.State().Term; got >= far {
 			t.Fatalf("%s: term %d", what, got)
 		}
 	}
 	receive(t, a, "a", raftMessage(a, b, pb.MsgHeartbeat, far))
-	unmoved("of b's identity from another member")
+	expectOldTerm("b's identity, from another member")
 	stranger := raftMessage(a, b, pb.MsgHeartbeat, far)
 	stranger.From = proto.Uint64(12345)
 	receive(t, a, "b", stranger)
-	unmoved("of an identity that is no member's")
+	expectOldTerm("an identity that is not a member's")
 	elsewhere := raftMessage(a, b, pb.MsgHeartbeat, far)
 	elsewhere.To = proto.Uint64(12345)
 	receive(t, a, "b", elsewhere)
-	unmoved("to another identity")
+	expectOldTerm("addressed to another identity")
 	last, _ := a.voter.store.LastIndex()
 	proposal := raftMessage(a, b, pb.MsgProp, 0)
 	proposal.Entries = []*pb.Entry{{Data: []byte("smuggled")}}
 	receive(t, a, "b", proposal)
-	a.turn()
+	a.step()
 	if now, _ := a.voter.store.LastIndex(); now != last || a.voter.Fault() != nil {
-		t.Errorf("a proposal of another member: %d entries, were %d; %v", now, last, a.voter.Fault())
+		t.Errorf("a proposal from another member: the last entry is %d, was %d; fault %v", now, last, a.voter.Fault())
 	}
 	receive(t, a, "b", raftMessage(a, b, pb.MsgHeartbeat, far))
-	a.turn()
+	a.step()
 	if got := a.voter.store.State().Term; got != far {
-		t.Errorf("of b itself: term %d, was %d", got, term)
+		t.Errorf("a heartbeat from b itself: term %d, was %d", got, term)
 	}
 }
 
-// What a member promised is told to it when it asks: its vote, what it says to have kept, and what it sent while it led.
-func TestPromisesAreRemembered(t *testing.T) {
+// A check-in reply holds what its receiver promised: its votes, the entries it acknowledged, and those it sent as leader.
+func TestPromisesAreReported(t *testing.T) {
 	a, b := pair(t)
 	id := b.voter.store.ID()
 	asked := func() (voted, term, index uint64) {
@@ -176,33 +177,33 @@
 	vote := raftMessage(a, b, pb.MsgVoteResp, 50)
 	receive(t, a, "b", vote)
 	if voted, term, _ := asked(); voted != 50 || term != 50 {
-		t.Errorf("a vote in term 50: vote in %d, term %d", voted, term)
+		t.Errorf("a vote in term 50: recorded vote in %d, term %d", voted, term)
 	}
 	refused := raftMessage(a, b, pb.MsgVoteResp, 51)
 	refused.Reject = proto.Bool(true)
 	receive(t, a, "b", refused)
 	if voted, _, _ := asked(); voted != 50 {
-		t.Errorf("a vote that was refused: vote in %d", voted)
+		t.Errorf("a rejected vote: recorded vote in %d", voted)
 	}
 	kept := raftMessage(a, b, pb.MsgAppResp, 52)
 	kept.Index = proto.Uint64(7)
 	receive(t, a, "b", kept)
 	if _, term, index := asked(); term != 52 || index != 7 {
-		t.Errorf("entry 7 of term 52: %d of %d", index, term)
+		t.Errorf("entry 7 of term 52 acknowledged: recorded entry %d of term %d", index, term)
 	}
 	led := raftMessage(a, b, pb.MsgApp, 53)
 	led.Index, led.LogTerm, led.Entries = proto.Uint64(8), proto.Uint64(52), []*pb.Entry{{Index: proto.Uint64(9), Term: proto.Uint64(53)}}
 	receive(t, a, "b", led)
 	if _, term, index := asked(); term != 53 || index != 9 {
-		t.Errorf("entry 9 of term 53 was sent: %d of %d", index, term)
+		t.Errorf("entry 9 of term 53 sent: recorded entry %d of term %d", index, term)
 	}
 }
 
-// While a snapshot is too long the log stays, and the member votes; once it is shorter the log is shortened.
-func TestSnapshotThatIsTooLong(t *testing.T) {
+// While a snapshot exceeds SnapshotLimit the log isn't compacted and the member keeps voting; once it is smaller the log is compacted.
+func TestTooLongSnapshot(t *testing.T) {
 	m := newMember("a", store.NewFaultyDisk(3), "a")
 	for range 40 {
-		m.turn()
+		m.step()
 	}
 	first := func() uint64 {
 		first, _ := m.voter.store.FirstIndex()
@@ -215,12 +216,12 @@
 			if err := m.voter.Propose(make([]byte, 8<<10)); err != nil {
 				t.Fatal(err)
 			}
-			m.turn()
+			m.step()
 		}
 	}
 	propose()
 	if !m.voter.Votes() || m.applied != 300 || first() != before {
-		t.Fatalf("votes %v, %d applied, the log begins at %d, began at %d", m.voter.Votes(), m.applied, first(), before)
+		t.Fatalf("votes %v, %d applied, the log begins at %d, began at %d before", m.voter.Votes(), m.applied, first(), before)
 	}
 	m.padding = 0
 	propose()
@@ -229,17 +230,17 @@
 	}
 }
 
-// A snapshot that the state machine refuses ends the vote with a reason.
-func TestSnapshotThatIsRefused(t *testing.T) {
+// A snapshot that the state machine rejects ends the vote with that error as the reason.
+func TestRejectedSnapshotEndsVoting(t *testing.T) {
 	disk := store.NewFaultyDisk(4)
 	m := newMember("a", disk, "a")
 	for range 40 {
-		m.turn()
+		m.step()
 	}
 	m.voter.Close()
 	again := newMember("a", disk, "a")
 	again.restore = errors.New("of another version")
-	again.turn()
+	again.step()
 	if again.voter.Votes() || !errors.Is(again.voter.Fault(), again.restore) {
 		t.Errorf("votes %v, %v", again.voter.Votes(), again.voter.Fault())
 	}
@@ -256,10 +257,10 @@
 			return
 		}
 		if Kind(kind) > KindJoin {
-			t.Fatal(fmt.Sprint("kind ", kind, " was read"))
+			t.Fatal(fmt.Sprint("kind ", kind, " was decoded"))
 		}
 		v := newMember("a", store.NewFaultyDisk(5), "a", "b")
 		v.voter.Receive("b", m)
-		v.turn()
+		v.step()
 	})
 }
