--- a/internal/replica/history_test.go
+++ b/internal/replica/history_test.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	simClients     = 3
-	clientPatience = 1500 * time.Millisecond // with one answer, at most: it is drawn
-	operationLimit = 5 * time.Second         // with all tries of one operation
+	simClients       = 3
+	maxClientWait    = 1500 * time.Millisecond // for one attempt; the actual limit is random
+	maxOperationTime = 5 * time.Second         // for all attempts of one operation
 )
 
-// history plays clients against a world: writes, swaps and reads of one register, sent again under the same identity while their outcome
-// is unknown.
+// history runs clients against a world and records their operations: writes, swaps and reads of one register. A client
+// resends a command under the same ID while its outcome is unknown.
 type history struct {
 	*world
-	clients    []*client
-	operations []porcupine.Operation
-	refused    map[string]bool // commands that surely were not proposed: they must not turn up anywhere
-	done       map[string]bool // commands that were answered
-	certain    bool            // what was found doesn't come of a disk that lies
-	counts     struct{ done, refused, unknown, resent int }
+	clients         []*client
+	operations      []porcupine.Operation
+	refused         map[string]bool // IDs of commands that were not proposed: no member may execute them
+	done            map[string]bool // IDs of commands that were reported as done
+	unrelatedToDisk bool            // the failure can't be the result of a disk that drops syncs
+	counts          struct{ done, refused, unknown, resent int }
 }
 
 type client struct {
@@ -36,27 +36,27 @@
 	operation *operation // nil: idle
 }
 
-// operation is what a client wants done.
+// operation is what a client wants done, and its current attempt.
 type operation struct {
 	input   input
 	called  time.Duration
-	unknown bool // an earlier try may have been carried out
+	unknown bool // an earlier attempt may have been executed
 	tries   int
 
-	target *process
-	life   int
-	until  time.Duration // patience
-	try    *request      // nil: to be sent again
+	target      *process
+	incarnation int           // of the target when the attempt was sent
+	giveUpAt    time.Duration // end of the current attempt
+	try         *request      // the current attempt; nil: to be sent
 }
 
-// input and output are those of the register's model.
+// input and output are those of the linearizability model of the register.
 type input struct {
 	read bool
 	command
 }
 
 type output struct {
-	known bool // false: it may have been carried out at any time since, or not at all
+	known bool // false: the command may have been executed at any time after the call, or never
 	value string
 }
 
@@ -76,7 +76,7 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%+v -> %+v", in, out) },
 }
 
-func newHistory(t testing.TB, seed uint64, p planted) *history {
+func newHistory(t testing.TB, seed uint64, p injectedFaults) *history {
 	size := 3 + int(seed%2)
 	h := &history{world: newWorld(t, seed, size, p), refused: map[string]bool{}, done: map[string]bool{}}
 	for range simClients {
@@ -85,8 +85,8 @@
 	return h
 }
 
-// begin draws an operation.
-func (h *history) begin() *operation {
+// drawOperation returns a random operation.
+func (h *history) drawOperation() *operation {
 	id := fmt.Sprint("c", len(h.operations), "-", h.now.Milliseconds(), "-", h.rng.IntN(1e6))
 	in := input{command: command{ID: id, New: id}}
 	switch h.rng.IntN(4) {
@@ -99,11 +99,11 @@
 	return &operation{input: in, called: h.now}
 }
 
-// act moves a client on.
-func (h *history) act(c *client) {
+// stepClient starts, continues or finishes a client's operation.
+func (h *history) stepClient(c *client) {
 	switch {
 	case c.operation == nil && h.now >= c.idleUntil:
-		c.operation = h.begin()
+		c.operation = h.drawOperation()
 	case c.operation == nil:
 		return
 	}
@@ -112,22 +112,22 @@
 		h.send(o)
 		return
 	}
-	lost := !o.target.up || o.target.life != o.life
+	lost := !o.target.up || o.target.incarnation != o.incarnation
 	switch {
 	case lost:
-		h.failed(c, ErrOutcomeUnknown)
+		h.handleFailure(c, ErrOutcomeUnknown)
 	case len(o.try.done) > 0:
-		h.answered(c, <-o.try.done)
-	case h.now > o.until:
-		h.answered(c, o.try.abandon(errors.New("out of patience")))
+		h.handleOutcome(c, <-o.try.done)
+	case h.now > o.giveUpAt:
+		h.handleOutcome(c, o.try.abandon(errors.New("the client gave up")))
 	}
 }
 
-// send asks whoever seems to lead, or anybody.
+// send sends an operation to a process that believes it leads, or to a random one.
 func (h *history) send(o *operation) {
 	target := h.processes[h.rng.IntN(len(h.processes))]
 	for _, p := range h.processes {
-		if p.up && p.replica.voter.Leads() && h.rng.IntN(4) > 0 { // more than one may believe so
+		if p.up && p.replica.voter.Leads() && h.rng.IntN(4) > 0 { // several processes may believe that they lead
 			target = p
 		}
 	}
@@ -137,15 +137,15 @@
 	if o.tries++; o.tries > 1 && o.unknown {
 		h.counts.resent++
 	}
-	o.target, o.life = target, target.life
-	o.until = h.now + time.Duration(h.rng.Float64()*h.rng.Float64()*float64(clientPatience))
+	o.target, o.incarnation = target, target.incarnation
+	o.giveUpAt = h.now + time.Duration(h.rng.Float64()*h.rng.Float64()*float64(maxClientWait))
 	o.try = target.submit(newRequest(o.input.command.bytes(), o.input.read))
 }
 
-func (h *history) answered(c *client, out outcome) {
+func (h *history) handleOutcome(c *client, out outcome) {
 	o := c.operation
 	if out.err != nil {
-		h.failed(c, out.err)
+		h.handleFailure(c, out.err)
 		return
 	}
 	result := output{known: true, value: string(out.result)}
@@ -159,14 +159,14 @@
 	h.finish(c)
 }
 
-// failed sends again, or gives up.
-func (h *history) failed(c *client, err error) {
+// handleFailure lets the operation be sent again, or gives it up.
+func (h *history) handleFailure(c *client, err error) {
 	o := c.operation
 	o.try = nil
-	if !surelyNot(err) && !o.input.read {
+	if !notProposed(err) && !o.input.read {
 		o.unknown = true
 	}
-	if !o.unknown && h.rng.IntN(3) > 0 || h.now-o.called > operationLimit {
+	if !o.unknown && h.rng.IntN(3) > 0 || h.now-o.called > maxOperationTime {
 		h.giveUp(c)
 	}
 }
@@ -194,30 +194,31 @@
 	h.operations = append(h.operations, porcupine.Operation{ClientId: len(h.operations), Input: o.input, Call: int64(o.called), Output: out, Return: returned})
 }
 
-// play is a timetable of a seed: faults for ten seconds, then all well for some more. It returns what was found.
-func (h *history) play() string {
-	defer h.deterministic()()
-	for h.broken == "" && h.now < 24*time.Second {
+// run executes the timetable of the seed: ten seconds with faults, then twelve without. It returns the violation that it
+// found; empty: none.
+func (h *history) run() string {
+	defer h.seedElections()()
+	for h.violation == "" && h.now < 24*time.Second {
 		h.step()
 		if h.now > 2*time.Second && h.now < 12*time.Second && h.rng.Float64() < 0.02 {
-			h.fault()
+			h.toggleFault()
 		}
 		if h.now == 12*time.Second {
 			h.heal()
 		}
 		for _, c := range h.clients {
-			h.act(c)
+			h.stepClient(c)
 		}
 	}
-	if h.broken == "" {
-		h.broken = h.judge()
+	if h.violation == "" {
+		h.violation = h.check()
 	}
-	return h.broken
+	return h.violation
 }
 
-// judge looks at the end of a timetable.
-func (h *history) judge() string {
-	for _, c := range h.clients { // what is still under way may have been carried out
+// check verifies the states and the history at the end of a timetable.
+func (h *history) check() string {
+	for _, c := range h.clients { // commands in flight may have been executed
 		if o := c.operation; o != nil && !o.input.read {
 			h.record(o, output{}, math.MaxInt64)
 		}
@@ -225,13 +226,13 @@
 	longest := slices.MaxFunc(h.processes, func(a, b *process) int { return len(a.machine.Order) - len(b.machine.Order) }).machine.Order
 	for _, p := range h.processes {
 		if p.disk.DropsSyncs && errors.Is(p.replica.voter.Fault(), store.ErrCorrupt) {
-			continue // it is known to hold nothing whole, which is for staff to mend
+			continue // the member knows that its store is corrupt; operators have to repair it
 		}
 		if !p.replica.voter.Votes() {
 			return fmt.Sprintf("%s doesn't vote: %v %s", p.name, p.replica.voter.Fault(), p.replica.voter.Decision().Why)
 		}
 		if !slices.Equal(p.machine.Order, longest[:len(p.machine.Order)]) {
-			return fmt.Sprintf("%s has applied other commands than another", p.name)
+			return fmt.Sprintf("%s has applied other commands than another member", p.name)
 		}
 		if len(longest)-len(p.machine.Order) > simClients {
 			return fmt.Sprintf("%s has applied %d of %d commands", p.name, len(p.machine.Order), len(longest))
@@ -239,13 +240,13 @@
 	}
 	for _, id := range longest {
 		if h.refused[id] {
-			h.certain = true
-			return fmt.Sprintf("%s was refused, and carried out", id)
+			h.unrelatedToDisk = true
+			return fmt.Sprintf("%s was refused, but executed", id)
 		}
 		delete(h.done, id)
 	}
 	for id := range h.done {
-		return fmt.Sprintf("%s was answered, and is gone", id)
+		return fmt.Sprintf("%s was reported as done, but is lost", id)
 	}
 	if !porcupine.CheckOperations(registerModel, h.operations) {
 		return "the history is not linearizable"
@@ -258,14 +259,14 @@
 }
 
 func TestHistories(t *testing.T) {
-	done, refused, unknown, resent, beyond := 0, 0, 0, 0, 0
+	done, refused, unknown, resent, untolerated := 0, 0, 0, 0, 0
 	for n := range uint64(*timetables) {
 		seed := *firstTimetable + n
-		h := newHistory(t, seed, planted{})
-		switch found := h.play(); {
-		case found != "" && h.forgotten && !h.certain: // docs/design/duties.md, what a disk may do
-			beyond++
-			t.Logf("timetable %d, a disk lies and another member forgot: %s; %s", seed, found, replay(seed))
+		h := newHistory(t, seed, injectedFaults{})
+		switch found := h.run(); {
+		case found != "" && h.promisesLost && !h.unrelatedToDisk: // docs/design/duties.md, what a disk may do
+			untolerated++
+			t.Logf("timetable %d, a disk drops syncs and a member that knows its promises was missing: %s; %s", seed, found, replay(seed))
 		case found != "":
 			t.Errorf("timetable %d: %s; %s", seed, found, replay(seed))
 		}
@@ -274,51 +275,51 @@
 		unknown += h.counts.unknown
 		resent += h.counts.resent
 	}
-	if beyond > *timetables/100 {
-		t.Errorf("%d of %d timetables break by a disk that lies", beyond, *timetables)
+	if untolerated > *timetables/100 {
+		t.Errorf("%d of %d timetables fail because of a disk that drops syncs", untolerated, *timetables)
 	}
-	t.Logf("%d timetables: %d operations done, %d refused, %d unknown in the end, %d sent again", *timetables, done, refused, unknown, resent)
+	t.Logf("%d timetables: %d operations done, %d refused, %d of unknown outcome in the end, %d sent again", *timetables, done, refused, unknown, resent)
 	if *timetables >= 20 && (done < 50**timetables || refused < *timetables || resent < *timetables) {
-		t.Error("the timetables do not reach what they are for")
+		t.Error("the timetables don't reach enough done, refused and resent operations")
 	}
 }
 
-// A timetable that fails has to fail again.
-func TestTimetablesRepeat(t *testing.T) {
-	played := func(seed uint64) string {
-		h := newHistory(t, seed, planted{})
-		return fmt.Sprint(h.play(), h.operations, h.counts)
+// Running a timetable again with the same seed gives the same history, so that a failure can be reproduced.
+func TestTimetablesAreReproducible(t *testing.T) {
+	run := func(seed uint64) string {
+		h := newHistory(t, seed, injectedFaults{})
+		return fmt.Sprint(h.run(), h.operations, h.counts)
 	}
 	for seed := range uint64(3) {
-		if once, again := played(seed), played(seed); once != again {
-			t.Errorf("timetable %d: two plays differ:\n%s\n%s", seed, once, again)
+		if once, again := run(seed), run(seed); once != again {
+			t.Errorf("timetable %d: two runs differ:\n%s\n%s", seed, once, again)
 		}
 	}
 }
 
-// Each planted fault is found within so many timetables.
-func TestPlantedFaultsAreFound(t *testing.T) {
-	faults := map[string]planted{
-		"a read without a read index":                  {staleReads: true},
-		"a refusal after the command was proposed":     {refusedProposed: true},
-		"a result before the command was agreed on":    {earlyResult: true},
-		"a vote by a disk that nobody was asked about": {trustsDisk: true},
+// Each injected fault must be detected within a limited number of timetables.
+func TestInjectedFaultsAreDetected(t *testing.T) {
+	faults := map[string]injectedFaults{
+		"a read without a read index":                     {staleReads: true},
+		"a refusal after the command was proposed":        {refusedProposed: true},
+		"a result before the command was committed":       {earlyResult: true},
+		"a vote without asking the others about the disk": {trustsDisk: true},
 	}
 	for name, fault := range faults {
 		limit := uint64(100)
-		if fault.trustsDisk { // a disk that forgets shows in few timetables
+		if fault.trustsDisk { // only few timetables contain a disk that loses promises
 			limit = 400
 		}
 		found := false
 		for seed := uint64(0); seed < limit && !found; seed++ {
 			h := newHistory(t, seed, fault)
-			if h.play() != "" && newHistory(t, seed, planted{}).play() == "" {
+			if h.run() != "" && newHistory(t, seed, injectedFaults{}).run() == "" {
 				found = true
-				t.Logf("%s: timetable %d: %s", name, seed, h.broken)
+				t.Logf("%s: timetable %d: %s", name, seed, h.violation)
 			}
 		}
 		if !found {
-			t.Errorf("%s is not found in %d timetables", name, limit)
+			t.Errorf("%s is not detected in %d timetables", name, limit)
 		}
 	}
 }
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -10,37 +10,37 @@
 	"lemonrail/internal/replica/voter"
 )
 
-// SnapshotLimit bounds a state machine's snapshot, which is kept as base64 within JSON.
-const SnapshotLimit = (voter.SnapshotLimit - membershipBytes) / 4 * 3
+// SnapshotLimit is the maximum size of a state machine's snapshot in bytes. It is stored as base64 within JSON.
+const SnapshotLimit = (voter.SnapshotLimit - maxMembershipBytes) / 4 * 3
 
-const membershipBytes = 16 << 10 // that the members take in a snapshot, at most
+const maxMembershipBytes = 16 << 10 // of the encoded membership in a snapshot
 
-// host is a replica as its voter sees it.
+// host implements voter.Host for a replica.
 type host struct{ *Replica }
 
-// Send sends a message to a member.
+// Send queues a voter's message to a member. It returns false if the message is lost.
 func (h host) Send(to string, kind voter.Kind, content []byte) bool {
 	peer := h.peers[to]
-	return peer != nil && peer.Send(firstKind+transport.Kind(kind), content)
+	return peer != nil && peer.Send(firstVoterKind+transport.Kind(kind), content)
 }
 
-// Apply carries out a command that was agreed on.
+// Apply applies a committed command, and delivers its result if a caller of this member waits for it.
 func (h host) Apply(e *pb.Entry) error {
 	id, command, err := decodeEntry(e.GetData())
 	if err != nil {
 		return err
 	}
-	h.answer(id, h.options.Machine.Apply(e.GetTerm(), command))
+	h.deliverResult(id, h.options.Machine.Apply(e.GetTerm(), command))
 	return nil
 }
 
-// snapshotData is what a snapshot holds.
+// snapshotData is the content of a snapshot. The JSON keys are part of the stored format.
 type snapshotData struct {
 	Machine    []byte
 	Membership voter.Membership
 }
 
-// Snapshot returns the machine's state.
+// Snapshot returns the state of the state machine and the membership as one snapshot.
 func (h host) Snapshot(m voter.Membership) ([]byte, error) {
 	state, err := h.options.Machine.Snapshot()
 	if err != nil {
@@ -49,7 +49,7 @@
 	return json.Marshal(snapshotData{state, m})
 }
 
-// Restore puts a snapshot in place of the machine's state.
+// Restore replaces the state of the state machine by that of a snapshot.
 func (h host) Restore(snapshot []byte) (voter.Membership, error) {
 	var data snapshotData
 	if err := json.Unmarshal(snapshot, &data); err != nil {
@@ -58,12 +58,12 @@
 	return data.Membership, h.options.Machine.Restore(data.Machine)
 }
 
-// LeadershipChanged ends what was under way when leadership is lost.
+// LeadershipChanged ends all pending requests when leadership is lost.
 func (h host) LeadershipChanged(leads bool) {
 	if !leads {
 		h.loseLeadership()
 	}
 }
 
-// Confirmed goes on with the requests of a read index.
-func (h host) Confirmed(read raft.ReadState) { h.confirmed(read) }
+// Confirmed continues the requests that waited for a read index.
+func (h host) Confirmed(read raft.ReadState) { h.handleConfirmation(read) }
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	protocolMagic = "lemonrail replica 1"
-	pingInterval  = 2 * time.Second
-	silenceLimit  = 3 * pingInterval // a connection on which nothing comes is dialled anew
+	protocolMagic  = "lemonrail replica 1"
+	pingInterval   = 2 * time.Second
+	silenceTimeout = 3 * pingInterval // a connection that receives nothing for this long is closed and dialled again
 )
 
-// Frames between members hold the voters' messages: their kinds follow that of the hello.
+// Frames between members hold voter messages. Their frame kinds follow that of the hello.
 const (
-	firstKind = transport.KindHello + 1
-	kindCount = firstKind + transport.Kind(voter.KindJoin) + 1
+	firstVoterKind = transport.KindHello + 1
+	kindCount      = firstVoterKind + transport.Kind(voter.KindJoin) + 1
 )
 
 func (r *Replica) protocol() transport.Protocol {
 	admit := func(name string) bool { return name != r.options.Name && r.options.address(name) != "" }
-	return transport.Protocol{Magic: protocolMagic, Group: r.options.Group, Name: r.options.Name, Kinds: kindCount, Ping: pingInterval, Silence: silenceLimit, Admit: admit}
+	return transport.Protocol{Magic: protocolMagic, Group: r.options.Group, Name: r.options.Name, Kinds: kindCount, Ping: pingInterval, Silence: silenceTimeout, Admit: admit}
 }
 
-// serve starts the goroutines of the connections; the channel is closed once they have ended.
+// serve starts the goroutines of the server and the dialers; finished is closed once they have ended.
 func (r *Replica) serve(ctx context.Context) (finished chan struct{}) {
 	var connections sync.WaitGroup
 	connections.Go(func() { r.server.Run(ctx) })
@@ -43,10 +43,12 @@
 	return finished
 }
 
-// invalid takes note of a frame that can't be decoded.
-func (r *Replica) invalid(err error) { r.log.Warn("a connection is closed", "err", err) }
+// logInvalid logs an invalid frame or message, whose connection is closed.
+func (r *Replica) logInvalid(err error) {
+	r.log.Warn("connection closed: invalid data received", "err", err)
+}
 
-// post hands f to the replica's goroutine; it waits while there is no room.
+// post sends f to the replica's goroutine. It blocks while the inbox is full, and drops f once the replica has stopped.
 func (r *Replica) post(f func()) {
 	select {
 	case r.inbox <- f:
@@ -54,20 +56,20 @@
 	}
 }
 
-// receive takes a frame; it is called by the connections' goroutines.
+// receive decodes a frame and passes it to the voter. It is called on the connections' goroutines.
 func (r *Replica) receive(c *transport.Conn, kind transport.Kind, content []byte) {
-	if kind < firstKind {
-		return // a second hello
+	if kind < firstVoterKind {
+		return // a repeated hello
 	}
-	m, err := voter.Decode(voter.Kind(kind-firstKind), content)
+	m, err := voter.Decode(voter.Kind(kind-firstVoterKind), content)
 	if err != nil {
-		r.invalid(fmt.Errorf("%w: %w", transport.ErrFrame, err))
+		r.logInvalid(fmt.Errorf("%w: %w", transport.ErrFrame, err))
 		c.Close()
 		return
 	}
 	r.post(func() {
 		if answer := r.voter.Receive(c.Peer(), m); answer != nil {
-			c.SendJSON(firstKind+transport.Kind(voter.KindCheckInReply), answer)
+			c.SendJSON(firstVoterKind+transport.Kind(voter.KindCheckInReply), answer)
 		}
 	})
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,15 +1,17 @@
-// Package replica keeps a state machine the same at all members of a group, by raft over TCP. internal/replica/voter drives raft and the
-// store, internal/replica/transport carries the messages.
+// Package replica keeps a state machine the same at all members of a group, by raft over TCP. Package voter drives raft and
+// the store, package transport carries the messages.
 //
-// A leader confirms that a majority follows it (a read index) before it proposes a command: a command that can't be agreed on is
-// refused with ErrNoQuorum and nothing of it stands in any log. A majority that is lost between the two leaves the outcome unknown;
-// commands should carry an identity of their own, so that one can be sent again.
+// A leader proposes a command only after a majority has confirmed that it follows this leader (a read index). If the
+// majority is missing, the command is refused with ErrNoQuorum and no log contains it. If the majority is lost between
+// the confirmation and the commit, the outcome is unknown. Commands should carry an ID of their own, so that they can be
+// sent again.
 //
-// A disk that forgot what it had promised is put aside, and the member returns under another identity. A disk that fails or is corrupt, or a
-// panic of raft or of the state machine, ends this member's vote with a reason (Status), not the process.
+// If a member's disk has lost log entries or votes that the member had promised to others, the store is quarantined and the
+// member returns under a new raft identity. A failed or corrupt disk, or a panic of raft or of the state machine, ends this
+// member's vote with a reason (Status), not the process.
 //
-// A Replica is owned by one goroutine (Run): raft, store and state machine. Connections and callers hand it functions over a
-// bounded inbox.
+// The goroutine of Run owns raft, store and state machine. Connections and callers send it functions through a bounded
+// inbox.
 package replica
 
 import (
@@ -28,52 +30,52 @@
 
 const (
 	defaultTick = 50 * time.Millisecond
-	memberLimit = 7
+	maxMembers  = 7
 	inboxSize   = 1024
 )
 
-// StateMachine is what the members of a group agree on. It is called on the replica's goroutine only.
+// StateMachine is the replicated state of a group. It is called on the replica's goroutine only.
 type StateMachine interface {
-	// Apply carries out a command and returns its result. epoch is the raft term of the entry. It never fails: a bad command has a result
-	// that says so, the same at all members.
+	// Apply executes a committed command and returns its result. epoch is the raft term of the entry. Apply must be
+	// deterministic and can't fail: for an invalid command it returns a result that says so, the same at all members.
 	Apply(epoch uint64, command []byte) (result []byte)
-	// Snapshot returns the whole state, SnapshotLimit bytes at most: while it is longer the log isn't shortened.
+	// Snapshot returns the whole state. While it is longer than SnapshotLimit bytes the log isn't compacted.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by a snapshot's.
+	// Restore replaces the state by that of a snapshot.
 	Restore(snapshot []byte) error
 }
 
 // Member is a voter of a group.
 type Member struct {
 	Name    string
-	Address string // host:port, one port a group and machine
+	Address string // host:port; each group has a port of its own on each machine
 }
 
-// Options say what a Replica is made from.
+// Options configure a Replica.
 type Options struct {
-	Group    string        // members of another group are refused at the hello
+	Group    string        // connections of another group are refused
 	Name     string        // of this member
 	Members  []Member      // all voters, the same at all members: 1 to 7, even numbers allowed
-	FS       store.FS      // where log and votes are kept
-	Listener net.Listener  // nil: on the member's address
-	Tick     time.Duration // 0: 50 ms; an election after ten
+	FS       store.FS      // where the log and the votes are stored
+	Listener net.Listener  // nil: New listens on the member's address
+	Tick     time.Duration // 0: 50 ms; members elect another leader after at least ten ticks without one
 	Machine  StateMachine
 	Applied  func()       // optional: called on the replica's goroutine after entries or a snapshot were applied
-	Log      *slog.Logger // nil: none
+	Log      *slog.Logger // nil: nothing is logged
 
-	Now  func() time.Duration // nil: the monotonic clock. With a clock of its own a replica opens no listener: it is simulated
-	Rand *rand.Rand           // for identities; nil: unpredictable
+	Now  func() time.Duration // nil: the monotonic clock. If set, the replica is simulated: it opens no listener and can't Run
+	Rand *rand.Rand           // source of raft identities; nil: seeded at random
 }
 
-// check reports what makes no sense.
+// check returns an error if the options are invalid.
 func (o *Options) check() error {
-	if len(o.Members) < 1 || len(o.Members) > memberLimit {
-		return fmt.Errorf("replica: group %q: %d members are not within 1 and %d", o.Group, len(o.Members), memberLimit)
+	if len(o.Members) < 1 || len(o.Members) > maxMembers {
+		return fmt.Errorf("replica: group %q: %d members, must be 1 to %d", o.Group, len(o.Members), maxMembers)
 	}
 	known := map[string]bool{}
 	for i, member := range o.Members {
 		if member.Name == "" || known[member.Name] {
-			return fmt.Errorf("replica: group %q: member %d: name %q is empty or stands twice", o.Group, i, member.Name)
+			return fmt.Errorf("replica: group %q: member %d: name %q is empty or a duplicate", o.Group, i, member.Name)
 		}
 		if _, _, err := net.SplitHostPort(member.Address); err != nil {
 			return fmt.Errorf("replica: group %q: member %q: address: %w", o.Group, member.Name, err)
@@ -86,12 +88,12 @@
 	case o.FS == nil || o.Machine == nil:
 		return fmt.Errorf("replica: group %q: a store and a state machine are needed", o.Group)
 	case o.Tick < 0:
-		return fmt.Errorf("replica: group %q: a tick of %v", o.Group, o.Tick)
+		return fmt.Errorf("replica: group %q: tick %v must not be negative", o.Group, o.Tick)
 	}
 	return nil
 }
 
-// address is a member's; empty: there is none of that name.
+// address returns the address of a member; empty: there is no member of that name.
 func (o *Options) address(name string) string {
 	for _, member := range o.Members {
 		if member.Name == name {
@@ -109,22 +111,22 @@
 	return names
 }
 
-// Replica is a member of a group.
+// Replica is one member of a group, with the state machine that it replicates.
 type Replica struct {
-	options Options
-	log     *slog.Logger
-	began   time.Time
-	inbox   chan func()
-	stopped chan struct{}
-	server  *transport.Server            // nil: simulated
-	peers   map[string]*transport.Dialer // the other members, by name
-	life    uint64                       // of this process: tells own entries from those of an earlier life
-
-	voter    *voter.Voter // belongs to the replica's goroutine, as the requests do
+	options     Options
+	log         *slog.Logger
+	startedAt   time.Time
+	inbox       chan func()                  // functions for the replica's goroutine
+	stopped     chan struct{}                // closed when Run returns
+	server      *transport.Server            // nil: simulated
+	peers       map[string]*transport.Dialer // connections to the other members, by name
+	incarnation uint64                       // random number of this process: marks the entries that it proposed
+
+	voter    *voter.Voter // used on the replica's goroutine only, like requests
 	requests requests
 }
 
-// New opens the member's address. Run opens its store, which may be slow.
+// New opens the member's listener. Run opens its store, which may be slow.
 func New(o Options) (*Replica, error) {
 	if err := o.check(); err != nil {
 		return nil, err
@@ -138,8 +140,8 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	r := &Replica{options: o, log: o.Log.With("group", o.Group), began: time.Now(), inbox: make(chan func(), inboxSize), stopped: make(chan struct{}),
-		peers: map[string]*transport.Dialer{}, life: o.Rand.Uint64(), requests: newRequests()}
+	r := &Replica{options: o, log: o.Log.With("group", o.Group), startedAt: time.Now(), inbox: make(chan func(), inboxSize), stopped: make(chan struct{}),
+		peers: map[string]*transport.Dialer{}, incarnation: o.Rand.Uint64(), requests: newRequests()}
 	r.voter = voter.New(voter.Options{Name: o.Name, Candidates: o.names(), Voters: len(o.Members), FS: o.FS, Log: r.log, Rand: o.Rand}, host{r})
 	if err := r.connect(); err != nil {
 		return nil, err
@@ -147,7 +149,7 @@
 	return r, nil
 }
 
-// connect opens the listener and makes the dialers.
+// connect opens the listener and creates the dialers to the other members.
 func (r *Replica) connect() error {
 	protocol := r.protocol()
 	if r.options.Now == nil {
@@ -158,11 +160,11 @@
 				return fmt.Errorf("replica: group %q: %w", r.options.Group, err)
 			}
 		}
-		r.server = &transport.Server{Listener: listener, Protocol: protocol, Handle: r.receive, Invalid: r.invalid}
+		r.server = &transport.Server{Listener: listener, Protocol: protocol, Handle: r.receive, Invalid: r.logInvalid}
 	}
 	for _, member := range r.options.Members {
 		if member.Name != r.options.Name {
-			r.peers[member.Name] = &transport.Dialer{Address: member.Address, Protocol: protocol, Handle: r.receive, Invalid: r.invalid}
+			r.peers[member.Name] = &transport.Dialer{Address: member.Address, Protocol: protocol, Handle: r.receive, Invalid: r.logInvalid}
 		}
 	}
 	return nil
@@ -172,16 +174,16 @@
 	if r.options.Now != nil {
 		return r.options.Now()
 	}
-	return time.Since(r.began)
+	return time.Since(r.startedAt)
 }
 
-// electionTimeout is the least time without a leader after which members elect another.
+// electionTimeout is the minimum time without a leader after which members elect another.
 func (r *Replica) electionTimeout() time.Duration { return voter.ElectionTicks * r.options.Tick }
 
-// Run drives the replica until ctx ends. It is called once.
+// Run drives the replica until ctx ends. It must be called once.
 func (r *Replica) Run(ctx context.Context) error {
 	if r.server == nil {
-		return errors.New("replica: a simulated one doesn't run")
+		return errors.New("replica: Run was called on a simulated replica")
 	}
 	inner, cancel := context.WithCancel(ctx)
 	finished := r.serve(inner)
@@ -205,24 +207,24 @@
 			return nil
 		}
 		r.drainInbox()
-		r.turn(ticked)
+		r.step(ticked)
 	}
 }
 
-// drainInbox carries out what is in the inbox now.
+// drainInbox runs the functions that are in the inbox at the time of the call.
 func (r *Replica) drainInbox() {
 	for queued := len(r.inbox); queued > 0; queued-- {
 		r.voter.Guard(<-r.inbox)
 	}
 }
 
-// open reads what the disk holds.
+// open opens the member's store.
 func (r *Replica) open() {
 	r.voter.Guard(func() { r.voter.Open(r.now()) })
 }
 
-// turn does what is due.
-func (r *Replica) turn(ticked bool) {
+// step does all work that is due. ticked reports that a tick has passed.
+func (r *Replica) step(ticked bool) {
 	r.voter.Guard(func() {
 		now, applied := r.now(), r.voter.Applied()
 		r.expireRequests(now)
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -12,54 +12,55 @@
 )
 
 const (
-	waitingLimit  = 1024 // requests that wait for the majority to be confirmed
-	proposedLimit = 4096 // commands whose results are owed
-	confirmRounds = 2    // election timeouts within which the majority has to be confirmed
+	maxWaiting              = 1024 // requests that wait for a confirmation by the majority, and confirmed reads
+	maxProposed             = 4096 // commands that were proposed and have no result yet
+	confirmElectionTimeouts = 2    // a confirmation must arrive within this many election timeouts
 
-	// CommandLimit bounds a command's bytes.
+	// CommandLimit is the maximum size of a command in bytes.
 	CommandLimit = 1 << 20
 )
 
-// Errors after which surely nothing was or will be proposed.
+// Errors after which the command was not proposed and never will be.
 var (
-	ErrNoQuorum = errors.New("no majority of the group was confirmed")
-	ErrBusy     = errors.New("too many requests wait at this member")
-	ErrTooLong  = fmt.Errorf("a command of more than %d bytes", CommandLimit)
+	ErrNoQuorum = errors.New("no majority of the group confirmed this leader")
+	ErrBusy     = errors.New("too many requests are pending at this member")
+	ErrTooLong  = fmt.Errorf("the command is longer than %d bytes", CommandLimit)
 	ErrStopped  = errors.New("this member has stopped")
 )
 
-// ErrOutcomeUnknown says that a command was proposed and may or may not be carried out, also later.
-var ErrOutcomeUnknown = errors.New("it is unknown whether the command was or will be carried out")
+// ErrOutcomeUnknown reports that a command was proposed and may or may not be executed, possibly later.
+var ErrOutcomeUnknown = errors.New("it is unknown whether the command was or will be executed")
 
-// NotLeaderError says that another member has to be asked. Nothing was or will be proposed.
+// NotLeaderError reports that the request must go to another member. The command was not proposed and never will be.
 type NotLeaderError struct {
-	Leader string // empty: unknown
+	Leader string // name; empty: unknown
 }
 
 func (e *NotLeaderError) Error() string {
 	if e.Leader == "" {
-		return "this member doesn't lead, and no leader is known"
+		return "this member is not the leader, and knows no leader"
 	}
-	return fmt.Sprintf("this member doesn't lead: %q does", e.Leader)
+	return fmt.Sprintf("this member is not the leader, but %q is", e.Leader)
 }
 
-// stage is how far a request is. It leaves waiting once: whoever takes it out of there decides.
+// stage is the progress of a request. It changes once, from waiting, by compare-and-swap: a request is either proposed by
+// the replica's goroutine or withdrawn by its caller, never both.
 type stage = int32
 
 const (
 	stageWaiting stage = iota
 	stageProposed
-	stageWithdrawn // nothing will be proposed
+	stageWithdrawn // never proposed
 )
 
-// request is a command, or a read, that is under way.
+// request is a pending command or read.
 type request struct {
 	command  []byte
 	read     bool
-	deadline time.Duration // by which the majority has to be confirmed
-	index    uint64        // of a read: to be applied first
+	deadline time.Duration // for the confirmation by the majority
+	index    uint64        // for a read: it is answered once this index is applied
 	stage    atomic.Int32
-	done     chan outcome // of one
+	done     chan outcome // has room for one
 }
 
 type outcome struct {
@@ -71,13 +72,13 @@
 	return &request{command: command, read: read, done: make(chan outcome, 1)}
 }
 
-// withdraw reports whether the request had not been proposed, and now never will be.
+// withdraw ensures that a waiting request is never proposed. It returns false if the request has left that stage.
 func (q *request) withdraw() bool { return q.stage.CompareAndSwap(stageWaiting, stageWithdrawn) }
 
-// claim reports whether the request may be proposed.
+// claim marks a waiting request as proposed. It returns false if the request was withdrawn.
 func (q *request) claim() bool { return q.stage.CompareAndSwap(stageWaiting, stageProposed) }
 
-// finish hands the outcome over; only the first one counts.
+// finish delivers the outcome; later calls have no effect.
 func (q *request) finish(result []byte, err error) {
 	select {
 	case q.done <- outcome{result, err}:
@@ -85,38 +86,38 @@
 	}
 }
 
-// requests are those under way at this member.
+// requests are the pending requests of this member.
 type requests struct {
-	waiting   []*request // for the next confirmation
-	confirm   []*request // for the confirmation that is under way
-	confirmID uint64     // of it; 0: none is
-	lastID    uint64
-	reads     []*request // confirmed, waiting for their index to be applied
-	proposed  map[uint64]*request
-	lastEntry uint64
+	waiting       []*request // for the next confirmation
+	confirming    []*request // for the current confirmation
+	confirmID     uint64     // of the current confirmation; 0: there is none
+	lastConfirmID uint64
+	reads         []*request          // confirmed reads whose index isn't applied yet
+	proposed      map[uint64]*request // by sequence number of the entry
+	lastSequence  uint64
 }
 
 func newRequests() requests { return requests{proposed: map[uint64]*request{}} }
 
-// Propose has a command agreed on and carried out, and returns its result. Errors: *NotLeaderError, ErrNoQuorum, ErrBusy, ErrTooLong and
-// ErrStopped say that surely nothing was or will be proposed; ErrOutcomeUnknown says that it may be. The end of ctx gives one that wraps
-// ErrNoQuorum or ErrOutcomeUnknown.
+// Propose has the group commit and execute a command, and returns its result. After *NotLeaderError, ErrNoQuorum, ErrBusy,
+// ErrTooLong or ErrStopped the command was not proposed and never will be; after ErrOutcomeUnknown it may still be
+// executed. If ctx ends, the error wraps ErrNoQuorum or ErrOutcomeUnknown.
 func (r *Replica) Propose(ctx context.Context, command []byte) (result []byte, err error) {
 	if len(command) > CommandLimit {
 		return nil, ErrTooLong
 	}
-	return r.do(ctx, newRequest(command, false))
+	return r.submitAndWait(ctx, newRequest(command, false))
 }
 
-// Read returns nil once what this member has applied is at least all that was agreed on when the call began. It needs the leader, and
-// fails like Propose.
+// Read returns nil once this member has applied all that was committed when the call began. Only the leader can serve it;
+// it fails like Propose.
 func (r *Replica) Read(ctx context.Context) error {
-	_, err := r.do(ctx, newRequest(nil, true))
+	_, err := r.submitAndWait(ctx, newRequest(nil, true))
 	return err
 }
 
-// do has the replica's goroutine take a request, and waits for its outcome.
-func (r *Replica) do(ctx context.Context, q *request) ([]byte, error) {
+// submitAndWait sends a request to the replica's goroutine and waits for its outcome.
+func (r *Replica) submitAndWait(ctx context.Context, q *request) ([]byte, error) {
 	select {
 	case r.inbox <- func() { r.submit(q) }:
 	case <-ctx.Done():
@@ -136,11 +137,11 @@
 	}
 }
 
-// abandon gives a request up, and says how it stands.
+// abandon gives a request up for a reason, and returns its outcome as far as it is known.
 func (q *request) abandon(reason error) outcome {
 	q.withdraw()
 	select {
-	case out := <-q.done: // it came in the same moment
+	case out := <-q.done: // the outcome arrived at the same moment
 		return out
 	default:
 	}
@@ -150,15 +151,15 @@
 	return outcome{err: fmt.Errorf("%w: %w", ErrOutcomeUnknown, reason)}
 }
 
-// submit takes a request, at the leader.
+// submit queues a request for the next confirmation if this member leads and has room.
 func (r *Replica) submit(q *request) {
 	switch {
 	case !r.voter.Leads():
 		q.finish(nil, r.notLeader())
-	case len(r.requests.waiting) >= waitingLimit || len(r.requests.reads) >= waitingLimit:
+	case len(r.requests.waiting) >= maxWaiting || len(r.requests.reads) >= maxWaiting:
 		q.finish(nil, ErrBusy)
 	default:
-		q.deadline = r.now() + confirmRounds*r.electionTimeout()
+		q.deadline = r.now() + confirmElectionTimeouts*r.electionTimeout()
 		r.requests.waiting = append(r.requests.waiting, q)
 	}
 }
@@ -171,28 +172,28 @@
 	return &NotLeaderError{Leader: leader}
 }
 
-// confirmWaiting begins a read index for all that wait, one at a time. A leader can't confirm before an entry of its own term was applied:
-// until then it may not know of all that was agreed on.
+// confirmWaiting requests a read index for all waiting requests; one confirmation runs at a time. A leader can't confirm
+// before it has applied an entry of its own term: until then it may not know of all committed entries.
 func (r *Replica) confirmWaiting() {
 	if !r.voter.Established() || r.requests.confirmID != 0 || len(r.requests.waiting) == 0 {
 		return
 	}
-	r.requests.lastID++
-	r.requests.confirmID = r.requests.lastID
-	r.requests.confirm, r.requests.waiting = r.requests.waiting, nil
+	r.requests.lastConfirmID++
+	r.requests.confirmID = r.requests.lastConfirmID
+	r.requests.confirming, r.requests.waiting = r.requests.waiting, nil
 	r.voter.ReadIndex(binary.BigEndian.AppendUint64(nil, r.requests.confirmID))
 }
 
-// confirmed takes that a majority followed this leader after a read index was asked for.
-func (r *Replica) confirmed(read raft.ReadState) {
+// handleConfirmation continues the requests of the current confirmation after a majority has confirmed this leader.
+func (r *Replica) handleConfirmation(read raft.ReadState) {
 	if len(read.RequestCtx) != 8 || binary.BigEndian.Uint64(read.RequestCtx) != r.requests.confirmID || !r.voter.Leads() {
-		return // it was given up
+		return // the confirmation was given up
 	}
-	now, confirmed := r.now(), r.requests.confirm
-	r.requests.confirmID, r.requests.confirm = 0, nil
+	now, confirmed := r.now(), r.requests.confirming
+	r.requests.confirmID, r.requests.confirming = 0, nil
 	for _, q := range confirmed {
 		switch {
-		case now > q.deadline: // this process was stopped: another may lead by now
+		case now > q.deadline: // the process may have been suspended: another member may lead by now
 			q.refuse()
 		case q.read:
 			q.index = read.Index
@@ -203,16 +204,16 @@
 	}
 }
 
-// refuse says that the majority was not confirmed in time.
+// refuse ends a request whose confirmation did not arrive in time.
 func (q *request) refuse() {
 	if q.withdraw() {
 		q.finish(nil, ErrNoQuorum)
 	}
 }
 
-// propose puts a confirmed command into the log.
+// propose proposes a confirmed command to raft.
 func (r *Replica) propose(q *request) {
-	if len(r.requests.proposed) >= proposedLimit {
+	if len(r.requests.proposed) >= maxProposed {
 		if q.withdraw() {
 			q.finish(nil, ErrBusy)
 		}
@@ -221,18 +222,18 @@
 	if !q.claim() {
 		return
 	}
-	r.requests.lastEntry++
-	id := entryID{r.life, r.requests.lastEntry}
-	if err := r.voter.Propose(encodeEntry(id, q.command)); err != nil { // raft has dropped it
+	r.requests.lastSequence++
+	id := entryID{r.incarnation, r.requests.lastSequence}
+	if err := r.voter.Propose(encodeEntry(id, q.command)); err != nil { // raft has dropped the proposal
 		q.finish(nil, fmt.Errorf("%w: %w", ErrBusy, err))
 		return
 	}
 	r.requests.proposed[id.Sequence] = q
 }
 
-// answer hands over the result of an entry, where this process proposed it in this leadership.
-func (r *Replica) answer(id entryID, result []byte) {
-	if id.Life != r.life {
+// deliverResult finishes the request of an applied entry, if this process proposed it and has led since.
+func (r *Replica) deliverResult(id entryID, result []byte) {
+	if id.Incarnation != r.incarnation {
 		return
 	}
 	if q := r.requests.proposed[id.Sequence]; q != nil {
@@ -241,76 +242,76 @@
 	}
 }
 
-// finishReads answers reads whose index is applied.
+// finishReads finishes the reads whose index is applied.
 func (r *Replica) finishReads() {
-	kept := r.requests.reads[:0]
+	unfinished := r.requests.reads[:0]
 	for _, q := range r.requests.reads {
 		if q.index > r.voter.Applied() {
-			kept = append(kept, q)
+			unfinished = append(unfinished, q)
 			continue
 		}
 		q.finish(nil, nil)
 	}
-	clear(r.requests.reads[len(kept):])
-	r.requests.reads = kept
+	clear(r.requests.reads[len(unfinished):])
+	r.requests.reads = unfinished
 }
 
-// expireRequests refuses requests whose majority was not confirmed in time.
+// expireRequests refuses the requests whose confirmation is overdue.
 func (r *Replica) expireRequests(now time.Duration) {
 	r.requests.waiting = refuseOverdue(r.requests.waiting, now)
-	r.requests.confirm = refuseOverdue(r.requests.confirm, now)
-	if len(r.requests.confirm) == 0 {
+	r.requests.confirming = refuseOverdue(r.requests.confirming, now)
+	if len(r.requests.confirming) == 0 {
 		r.requests.confirmID = 0
 	}
 }
 
-// refuseOverdue returns those that are not overdue.
+// refuseOverdue refuses the overdue requests and returns the others. It reuses the slice.
 func refuseOverdue(all []*request, now time.Duration) []*request {
-	kept := all[:0]
+	remaining := all[:0]
 	for _, q := range all {
 		if now <= q.deadline {
-			kept = append(kept, q)
+			remaining = append(remaining, q)
 			continue
 		}
 		q.refuse()
 	}
-	clear(all[len(kept):])
-	return kept
+	clear(all[len(remaining):])
+	return remaining
 }
 
-// loseLeadership ends all that is under way: what was proposed may still be carried out, the rest never will be.
+// loseLeadership ends all pending requests: proposed commands may still be executed, the others never will be.
 func (r *Replica) loseLeadership() {
 	err := r.notLeader()
 	for _, q := range r.requests.proposed {
 		q.finish(nil, ErrOutcomeUnknown)
 	}
-	for _, all := range [][]*request{r.requests.waiting, r.requests.confirm, r.requests.reads} {
+	for _, all := range [][]*request{r.requests.waiting, r.requests.confirming, r.requests.reads} {
 		for _, q := range all {
 			if q.read || q.withdraw() {
 				q.finish(nil, err)
 			}
 		}
 	}
-	r.requests = requests{proposed: map[uint64]*request{}, lastID: r.requests.lastID, lastEntry: r.requests.lastEntry}
+	r.requests = requests{proposed: map[uint64]*request{}, lastConfirmID: r.requests.lastConfirmID, lastSequence: r.requests.lastSequence}
 }
 
-// entryID tells an entry's proposer.
-type entryID struct{ Life, Sequence uint64 }
+// entryID identifies the process that proposed an entry, and the entry within that process.
+type entryID struct{ Incarnation, Sequence uint64 }
 
-const entryHead = 16
+const entryHeaderBytes = 16
 
-var errEntry = errors.New("an entry without its head")
+var errEntryHeader = errors.New("the entry is shorter than its header")
 
 func encodeEntry(id entryID, command []byte) []byte {
-	raw := make([]byte, 0, entryHead+len(command))
-	raw = binary.BigEndian.AppendUint64(raw, id.Life)
+	raw := make([]byte, 0, entryHeaderBytes+len(command))
+	raw = binary.BigEndian.AppendUint64(raw, id.Incarnation)
 	raw = binary.BigEndian.AppendUint64(raw, id.Sequence)
 	return append(raw, command...)
 }
 
 func decodeEntry(raw []byte) (id entryID, command []byte, err error) {
-	if len(raw) < entryHead {
-		return entryID{}, nil, errEntry
+	if len(raw) < entryHeaderBytes {
+		return entryID{}, nil, errEntryHeader
 	}
-	return entryID{binary.BigEndian.Uint64(raw), binary.BigEndian.Uint64(raw[8:])}, raw[entryHead:], nil
+	return entryID{binary.BigEndian.Uint64(raw), binary.BigEndian.Uint64(raw[8:])}, raw[entryHeaderBytes:], nil
 }
--- a/internal/replica/sim_test.go
+++ b/internal/replica/sim_test.go
@@ -20,39 +20,40 @@
 	"lemonrail/internal/replica/voter"
 )
 
-// The landed replicas and stores in simulated time: members on clocks that run at their own speeds, processes stopped and killed, links
-// cut one way and both, connections reset, a disk that lies. Frames go through the connections' own queues; no goroutine runs.
+// The simulation runs real replicas and stores in simulated time: clocks run at different speeds, processes are paused and
+// killed, links are cut in one or both directions, connections are reset, and a disk drops syncs. Frames pass through the
+// queues of detached connections; no goroutine runs.
 const (
 	simStep = 10 * time.Millisecond
 	simTick = 20 * time.Millisecond
 )
 
 var (
-	timetables     = flag.Int("timetables", 20, "seeded timetables that are played")
-	firstTimetable = flag.Uint64("first", 0, "seed of the first one")
+	timetables     = flag.Int("timetables", 20, "number of seeded timetables of faults to run")
+	firstTimetable = flag.Uint64("first", 0, "seed of the first timetable")
 )
 
-// planted are faults that a run is given, to see that they are found.
-type planted struct {
-	staleReads      bool // a read is answered without a read index
-	unconfirmed     bool // a command is proposed without a read index
-	refusedProposed bool // a command is proposed without a read index, and may be refused after that
-	earlyResult     bool // a write is answered once it was proposed, before it was agreed on
+// injectedFaults are errors put into the replicas, to verify that the tests detect them.
+type injectedFaults struct {
+	staleReads      bool // reads are answered without a read index
+	unconfirmed     bool // commands are proposed without a read index
+	refusedProposed bool // commands are proposed without a read index, and may be refused afterwards
+	earlyResult     bool // commands are answered once proposed, before they are committed
 	trustsDisk      bool // a member votes by what its disk holds, without asking the others
 }
 
-// register is the state machine of the tests: one value, and the results of all commands by their identities, so that one that is sent
-// again has the result that it had.
+// register is the state machine of the tests: one value, and the results of all commands by their IDs, so that a retried
+// command gets the result of its first execution.
 type register struct {
-	Value   string
-	Epoch   uint64
-	Results map[string]string
-	Order   []string // identities, as applied
-	panics  bool
-	broken  string
+	Value     string
+	Epoch     uint64
+	Results   map[string]string
+	Order     []string // IDs of the commands in the order of execution
+	panics    bool     // Apply panics
+	violation string   // set if the raft term of the entries decreased
 }
 
-// command of a register: writes New, or does so only where the value is Old.
+// command writes New to a register. With Swap it does so only if the value is Old.
 type command struct {
 	ID       string
 	Swap     bool
@@ -72,7 +73,7 @@
 		panic("the state machine is broken")
 	}
 	if epoch < m.Epoch {
-		m.broken = fmt.Sprintf("epoch %d after %d", epoch, m.Epoch)
+		m.violation = fmt.Sprintf("epoch %d after %d", epoch, m.Epoch)
 	}
 	m.Epoch = epoch
 	var c command
@@ -100,50 +101,50 @@
 	return json.Unmarshal(raw, m)
 }
 
-// world is the processes of a group and the links between them.
+// world is a simulated group: its processes and the links between them.
 type world struct {
-	t         testing.TB
-	seed      uint64
-	rng       *rand.Rand
-	planted   planted
-	now       time.Duration
-	processes []*process
-	cut       [][]bool // links that carry nothing, from and to
-	links     []*link
-	broken    string // what was found
-	forgotten bool   // a disk lies, and one that may know what it had promised is away or was itself started anew: beyond what a group stands
+	t            testing.TB
+	seed         uint64
+	rng          *rand.Rand
+	injected     injectedFaults
+	now          time.Duration
+	processes    []*process
+	cut          [][]bool // cut[from][to]: no frame is delivered in this direction
+	links        []*link
+	violation    string // an invariant that was broken; empty: none
+	promisesLost bool   // beyond what is tolerated: a disk dropped syncs while a member that may know its promises was away or restarted
 }
 
 type process struct {
-	world   *world
-	index   int
-	name    string
-	rate    float64 // of its clock
-	up      bool
-	stopped bool
-	disk    *store.FaultyDisk
-	replica *Replica
-	machine *register
-	life    int
+	world       *world
+	index       int
+	name        string
+	rate        float64 // of its clock, relative to simulated time
+	up          bool
+	paused      bool
+	disk        *store.FaultyDisk
+	replica     *Replica
+	machine     *register
+	incarnation int
 }
 
 // link is a connection that one process has dialled to another.
 type link struct {
-	from, to int
-	dialled  *transport.Conn // at from
-	accepted *transport.Conn // at to; nil: not yet
-	life     int             // of to, that accepted
-	late     []lateFrame
+	from, to    int
+	dialled     *transport.Conn // end at from
+	accepted    *transport.Conn // end at to; nil: not accepted yet
+	incarnation int             // of process to when it accepted
+	delayed     []delayedFrame
 }
 
-type lateFrame struct {
+type delayedFrame struct {
 	at      time.Duration
 	forward bool
 	bytes   []byte
 }
 
-func newWorld(t testing.TB, seed uint64, size int, p planted) *world {
-	w := &world{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 43)), planted: p}
+func newWorld(t testing.TB, seed uint64, size int, p injectedFaults) *world {
+	w := &world{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 43)), injected: p}
 	w.cut = make([][]bool, size)
 	for i := range size {
 		w.cut[i] = make([]bool, size)
@@ -155,8 +156,8 @@
 	return w
 }
 
-// deterministic has raft draw its election times from the seed; nothing else in this process draws from there meanwhile.
-func (w *world) deterministic() (restore func()) {
+// seedElections makes raft draw its election timeouts from the seed. Nothing else in this process uses the reader meanwhile.
+func (w *world) seedElections() (restore func()) {
 	was := crand.Reader
 	crand.Reader = rand.NewChaCha8([32]byte{byte(w.seed), byte(w.seed >> 8), byte(w.seed >> 16)})
 	return func() { crand.Reader = was }
@@ -172,8 +173,8 @@
 	for i := range w.processes {
 		members = append(members, Member{Name: fmt.Sprint("m", i), Address: fmt.Sprintf("127.0.0.1:%d", 7000+i)})
 	}
-	p.up, p.stopped, p.machine = true, false, newRegister()
-	p.life++
+	p.up, p.paused, p.machine = true, false, newRegister()
+	p.incarnation++
 	var err error
 	p.replica, err = New(Options{Group: "sim", Name: p.name, Members: members, FS: p.disk, Tick: simTick, Machine: p.machine, Log: slog.New(slog.DiscardHandler),
 		Now: p.clock, Rand: w.rng})
@@ -190,12 +191,12 @@
 	}
 }
 
-// kill ends a process: what its disk was not synced may go with it.
+// kill ends a process; its disk may lose what was not synced.
 func (p *process) kill() {
 	p.up, p.replica = false, nil
 	p.disk.Kill()
 	w := p.world
-	w.forgotten = w.forgotten || slices.ContainsFunc(w.processes, func(q *process) bool { return q != p && q.disk.DropsSyncs })
+	w.promisesLost = w.promisesLost || slices.ContainsFunc(w.processes, func(q *process) bool { return q != p && q.disk.DropsSyncs })
 	w.links = slices.DeleteFunc(w.links, func(l *link) bool { return l.from == p.index })
 	for _, l := range w.links {
 		if l.to == p.index {
@@ -204,29 +205,29 @@
 	}
 }
 
-// reset has the dialler connect anew: what was under way is lost.
-func (l *link) reset() { l.accepted, l.late = nil, nil }
+// reset loses all frames in flight; the dialler connects again.
+func (l *link) reset() { l.accepted, l.delayed = nil, nil }
 
-// carry moves frames between connections.
-func (w *world) carry() {
+// deliverFrames moves frames between the connections.
+func (w *world) deliverFrames() {
 	for _, l := range w.links {
 		from, to := w.processes[l.from], w.processes[l.to]
 		if !to.up || !from.up {
 			continue
 		}
-		if l.accepted == nil || l.life != to.life {
-			l.accepted, l.life, l.late = transport.Detached(from.name), to.life, nil
+		if l.accepted == nil || l.incarnation != to.incarnation {
+			l.accepted, l.incarnation, l.delayed = transport.Detached(from.name), to.incarnation, nil
 		}
-		l.take(l.dialled, true, w)
-		l.take(l.accepted, false, w)
-		kept := l.late[:0]
+		l.collect(l.dialled, true, w)
+		l.collect(l.accepted, false, w)
+		kept := l.delayed[:0]
 		stuck := map[bool]bool{}
-		for _, f := range l.late { // in order, as TCP has it
+		for _, f := range l.delayed { // in order, as TCP delivers them
 			source, target, conn := from, to, l.accepted
 			if !f.forward {
 				source, target, conn = to, from, l.dialled
 			}
-			if stuck[f.forward] || f.at > w.now || w.cut[source.index][target.index] || target.stopped {
+			if stuck[f.forward] || f.at > w.now || w.cut[source.index][target.index] || target.paused {
 				stuck[f.forward] = true
 				kept = append(kept, f)
 				continue
@@ -235,66 +236,66 @@
 			if err != nil {
 				w.t.Fatal(err)
 			}
-			if len(target.replica.inbox) < inboxSize-64 { // beyond it the connection would wait
+			if len(target.replica.inbox) < inboxSize-64 { // with a fuller inbox a real connection would block
 				target.replica.receive(conn, kind, content)
 			}
 		}
-		l.late = kept
+		l.delayed = kept
 	}
 }
 
-// take puts what was queued at a connection on its way.
-func (l *link) take(c *transport.Conn, forward bool, w *world) {
+// collect takes the frames that are queued at a connection and gives each a random delay.
+func (l *link) collect(c *transport.Conn, forward bool, w *world) {
 	for {
 		frame, ok := c.Next()
 		if !ok {
 			return
 		}
-		l.late = append(l.late, lateFrame{w.now + time.Duration(1+w.rng.IntN(8))*time.Millisecond, forward, frame})
+		l.delayed = append(l.delayed, delayedFrame{w.now + time.Duration(1+w.rng.IntN(8))*time.Millisecond, forward, frame})
 	}
 }
 
-// step moves the world on.
+// step advances the simulation by simStep.
 func (w *world) step() {
 	w.now += simStep
-	w.carry()
-	w.noteForgotten()
+	w.deliverFrames()
+	w.notePromisesLost()
 	for _, p := range w.processes {
-		if !p.up || p.stopped {
+		if !p.up || p.paused {
 			continue
 		}
 		r := p.replica
 		r.drainInbox()
-		w.plant(r)
-		r.turn(w.now%simTick == 0)
-		if w.planted.earlyResult {
+		w.injectFaults(r)
+		r.step(w.now%simTick == 0)
+		if w.injected.earlyResult {
 			for _, q := range r.requests.proposed {
 				q.finish([]byte("done"), nil)
 			}
 		}
-		if p.machine.broken != "" {
-			w.broken = fmt.Sprintf("%s: %s", p.name, p.machine.broken)
+		if p.machine.violation != "" {
+			w.violation = fmt.Sprintf("%s: %s", p.name, p.machine.violation)
 		}
 	}
 }
 
-// noteForgotten notes that a member whose disk lies asks what it had promised while another one can't answer.
-func (w *world) noteForgotten() {
+// notePromisesLost records that a member whose disk drops syncs checks in while another member can't answer.
+func (w *world) notePromisesLost() {
 	for _, p := range w.processes {
 		if !p.disk.DropsSyncs || !p.up || p.replica.voter.Votes() {
 			continue
 		}
 		for _, q := range w.processes {
-			if !q.up || q.stopped || w.cut[p.index][q.index] || w.cut[q.index][p.index] {
-				w.forgotten = true
+			if !q.up || q.paused || w.cut[p.index][q.index] || w.cut[q.index][p.index] {
+				w.promisesLost = true
 			}
 		}
 	}
 }
 
-// plant puts the faults that a run is given into a replica.
-func (w *world) plant(r *Replica) {
-	if w.planted.trustsDisk && !r.voter.Votes() && r.voter.Store() != nil && !r.voter.Store().Empty() {
+// injectFaults applies the injected faults to a replica's waiting requests and check-in.
+func (w *world) injectFaults(r *Replica) {
+	if w.injected.trustsDisk && !r.voter.Votes() && r.voter.Store() != nil && !r.voter.Store().Empty() {
 		r.forgeCheckIn(w)
 	}
 	if !r.voter.Leads() {
@@ -303,11 +304,11 @@
 	var kept []*request
 	for _, q := range r.requests.waiting {
 		switch {
-		case q.read && w.planted.staleReads:
+		case q.read && w.injected.staleReads:
 			q.finish(nil, nil)
-		case !q.read && w.planted.unconfirmed:
+		case !q.read && w.injected.unconfirmed:
 			r.propose(q)
-		case !q.read && w.planted.refusedProposed:
+		case !q.read && w.injected.refusedProposed:
 			if err := r.voter.Propose(encodeEntry(entryID{}, q.command)); err != nil {
 				w.t.Log(err)
 			}
@@ -319,7 +320,7 @@
 	r.requests.waiting = kept
 }
 
-// forgeCheckIn answers a member's questions in the others' place: nothing was promised.
+// forgeCheckIn answers a member's check-in in place of the others, as if nothing had been promised.
 func (r *Replica) forgeCheckIn(w *world) {
 	for i, member := range r.options.Members {
 		reply, err := json.Marshal(duty.CheckIn{Seat: member.Name, ID: uint64(i + 1)})
@@ -334,13 +335,13 @@
 	}
 }
 
-// fault begins or ends something that fails.
-func (w *world) fault() {
+// toggleFault begins or ends a random fault.
+func (w *world) toggleFault() {
 	p := w.processes[w.rng.IntN(len(w.processes))]
 	switch w.rng.IntN(9) {
 	case 0, 1:
 		if p.up {
-			p.stopped = !p.stopped
+			p.paused = !p.paused
 		}
 	case 2:
 		if p.up {
@@ -356,7 +357,7 @@
 		}
 	case 5:
 		w.breakLinks(p)
-	case 6: // one disk lies, for good: more would be a majority that forgets
+	case 6: // one disk drops syncs for the rest of the run; with more of them a majority could lose its promises
 		if !slices.ContainsFunc(w.processes, func(p *process) bool { return p.disk.DropsSyncs }) {
 			p.disk.DropsSyncs = true
 		}
@@ -370,14 +371,14 @@
 		clear(w.cut[i])
 	}
 	for _, p := range w.processes {
-		p.stopped = false
+		p.paused = false
 		if !p.up {
 			p.start()
 		}
 	}
 }
 
-// isolate cuts a process off: what it sends, what it is sent, or both.
+// isolate cuts the outgoing links of a process, the incoming ones, or both.
 func (w *world) isolate(p *process, out, in bool) {
 	for _, q := range w.processes {
 		if q != p {
@@ -387,7 +388,7 @@
 	}
 }
 
-// breakLinks has a process's connections break, with what is under way.
+// breakLinks resets all connections of a process; frames in flight are lost.
 func (w *world) breakLinks(p *process) {
 	for _, l := range w.links {
 		if l.from == p.index || l.to == p.index {
@@ -396,21 +397,21 @@
 	}
 }
 
-// until steps until something holds; it gives up after a minute of simulated time.
-func (w *world) until(what string, holds func() bool) {
+// stepUntil steps until a condition holds. It fails the test after a minute of simulated time.
+func (w *world) stepUntil(what string, holds func() bool) {
 	w.t.Helper()
 	for end := w.now + time.Minute; !holds(); w.step() {
 		if w.now > end {
-			w.t.Fatalf("seed %d: %s: not within a minute", w.seed, what)
+			w.t.Fatalf("seed %d: %s: did not happen within a minute", w.seed, what)
 		}
 	}
 }
 
-// leading is the one process that leads and has applied an entry of its term; nil: there is none.
-func (w *world) leading() *process {
+// establishedLeader returns the running process with the highest leader term that has applied an entry of it; nil: none.
+func (w *world) establishedLeader() *process {
 	var leader *process
 	for _, p := range w.processes {
-		if p.up && !p.stopped && p.replica.voter.Established() && (leader == nil || p.replica.voter.LeadTerm() > leader.replica.voter.LeadTerm()) {
+		if p.up && !p.paused && p.replica.voter.Established() && (leader == nil || p.replica.voter.LeadTerm() > leader.replica.voter.LeadTerm()) {
 			leader = p
 		}
 	}
@@ -419,11 +420,11 @@
 
 func (w *world) waitForLeader() *process {
 	w.t.Helper()
-	w.until("a leader", func() bool { return w.leading() != nil })
-	return w.leading()
+	w.stepUntil("a leader", func() bool { return w.establishedLeader() != nil })
+	return w.establishedLeader()
 }
 
-// submit hands a process a request, as Propose and Read do.
+// submit passes a request to a process, as Propose and Read do.
 func (p *process) submit(q *request) *request {
 	r := p.replica
 	select {
@@ -436,14 +437,14 @@
 
 func (p *process) propose(c command) *request { return p.submit(newRequest(c.bytes(), false)) }
 
-// outcomeOf steps until a request is answered.
+// outcomeOf steps until a request is finished.
 func (w *world) outcomeOf(q *request) outcome {
 	w.t.Helper()
-	w.until("an answer", func() bool { return len(q.done) > 0 })
+	w.stepUntil("an answer", func() bool { return len(q.done) > 0 })
 	return <-q.done
 }
 
-// write has a command carried out, at whoever leads, with as many tries as it takes.
+// write retries a command at the current leader until it is executed.
 func (w *world) write(c command) {
 	w.t.Helper()
 	for range 100 {
@@ -452,13 +453,13 @@
 			return
 		}
 	}
-	w.t.Fatalf("seed %d: %s is not carried out in a hundred tries", w.seed, c.ID)
+	w.t.Fatalf("seed %d: %s was not executed in a hundred attempts", w.seed, c.ID)
 }
 
-// same steps until all processes that are up have applied the same.
-func (w *world) same() {
+// waitForSameState steps until all processes are up, vote and have applied the same commands.
+func (w *world) waitForSameState() {
 	w.t.Helper()
-	w.until("the same state everywhere", func() bool {
+	w.stepUntil("the same state everywhere", func() bool {
 		first := w.processes[0].machine
 		for _, p := range w.processes {
 			if !p.up || !p.replica.voter.Votes() || !slices.Equal(p.machine.Order, first.Order) || p.machine.Value != first.Value {
@@ -469,7 +470,7 @@
 	})
 }
 
-// inLog reports whether a log holds a command, agreed on or not.
+// inLog reports whether a process's log holds a command, committed or not.
 func (p *process) inLog(id string) bool {
 	first, _ := p.replica.voter.Store().FirstIndex()
 	last, _ := p.replica.voter.Store().LastIndex()
@@ -487,8 +488,8 @@
 	})
 }
 
-// surelyNot reports whether an error says that nothing was proposed.
-func surelyNot(err error) bool {
+// notProposed reports whether an error guarantees that nothing was proposed.
+func notProposed(err error) bool {
 	var other *NotLeaderError
 	return errors.Is(err, ErrNoQuorum) || errors.Is(err, ErrBusy) || errors.Is(err, ErrStopped) || errors.As(err, &other)
 }
--- a/internal/replica/tcp_test.go
+++ b/internal/replica/tcp_test.go
@@ -17,16 +17,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// group is members over loopback, each on a folder of its own.
+// group is a group of members over loopback, each with a folder of its own.
 type group struct {
 	t       *testing.T
 	members []Member
 	folders []string
-	running []*running
-	applied chan struct{} // something was applied at some member
+	running []*runningMember
+	applied chan struct{} // notified after a member has applied entries or a snapshot
 }
 
-type running struct {
+type runningMember struct {
 	replica *Replica
 	machine *register
 	cancel  context.CancelFunc
@@ -34,7 +34,7 @@
 }
 
 func newGroup(t *testing.T, size int) *group {
-	g := &group{t: t, running: make([]*running, size), applied: make(chan struct{}, 1)}
+	g := &group{t: t, running: make([]*runningMember, size), applied: make(chan struct{}, 1)}
 	listeners := make([]net.Listener, size)
 	for i := range size {
 		var err error
@@ -69,7 +69,7 @@
 		g.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	run := &running{replica: r, machine: m, cancel: cancel}
+	run := &runningMember{replica: r, machine: m, cancel: cancel}
 	run.ended.Go(func() {
 		if err := r.Run(ctx); err != nil {
 			g.t.Error(err)
@@ -86,8 +86,8 @@
 	}
 }
 
-// propose has a command carried out at whichever member leads, and returns that one's number. What is waited for is an event: a leader's
-// first entry is applied.
+// propose retries a command at all running members until the leader has executed it, and returns the leader's index.
+// Between rounds it waits for a member to apply an entry, since a new leader's first entry ends the time without a leader.
 func (g *group) propose(c command) (leader int, result string) {
 	g.t.Helper()
 	for {
@@ -106,12 +106,12 @@
 		}
 		select {
 		case <-g.applied:
-		case <-time.After(50 * time.Millisecond): // the event may be of before
+		case <-time.After(50 * time.Millisecond): // the notification may have been for an earlier entry
 		}
 	}
 }
 
-// waitFor returns once a member has applied a command.
+// waitFor returns once a member has executed a command.
 func (g *group) waitFor(i int, id string) {
 	g.t.Helper()
 	for {
@@ -154,16 +154,16 @@
 			other := (leader + 1) % size
 			var redirect *NotLeaderError
 			if _, err := g.running[other].replica.Propose(t.Context(), command{ID: "elsewhere"}.bytes()); !errors.As(err, &redirect) || redirect.Leader != g.members[leader].Name {
-				t.Errorf("a follower was asked: %v", err)
+				t.Errorf("a command proposed to a follower: %v", err)
 			}
 			if err := g.running[other].replica.Read(t.Context()); !errors.As(err, &redirect) {
-				t.Errorf("a follower was read: %v", err)
+				t.Errorf("a read from a follower: %v", err)
 			}
-			// The leader goes, another leads; the first one comes back and catches up.
+			// The leader stops and another takes over; the first one restarts and catches up.
 			g.stop(leader)
 			second, _ := g.propose(command{ID: "second", New: "2"})
 			if second == leader {
-				t.Error("one that was stopped leads")
+				t.Error("the stopped member leads")
 			}
 			g.start(leader, nil)
 			g.waitFor(leader, "second")
@@ -171,8 +171,9 @@
 	}
 }
 
-// A member that has been stopped answers, and a call whose context has ended says how it stands.
-func TestCallsEnd(t *testing.T) {
+// Calls end with an error that states the outcome, also when their context has ended, the majority is gone or the member
+// has stopped.
+func TestCallsEndWithContextOrMember(t *testing.T) {
 	g := newGroup(t, 3)
 	leader, _ := g.propose(command{ID: "first", New: "1"})
 	at := g.running[leader].replica
@@ -184,43 +185,43 @@
 	if _, err := at.Propose(t.Context(), make([]byte, CommandLimit+1)); !errors.Is(err, ErrTooLong) {
 		t.Error(err)
 	}
-	for i := range g.running { // no majority is left
+	for i := range g.running { // leaves the leader without a majority
 		if i != leader {
 			g.stop(i)
 		}
 	}
-	if _, err := at.Propose(t.Context(), command{ID: "alone"}.bytes()); !surelyNot(err) {
-		t.Errorf("alone: %v", err)
+	if _, err := at.Propose(t.Context(), command{ID: "alone"}.bytes()); !notProposed(err) {
+		t.Errorf("without a majority: %v", err)
 	}
 	g.stop(leader)
 	if _, err := at.Propose(t.Context(), command{ID: "stopped"}.bytes()); !errors.Is(err, ErrStopped) && !errors.Is(err, ErrNoQuorum) {
-		t.Errorf("stopped: %v", err)
+		t.Errorf("Propose at a stopped member: %v", err)
 	}
 	if _, err := at.Status(t.Context()); !errors.Is(err, ErrStopped) {
-		t.Errorf("stopped: %v", err)
+		t.Errorf("Status of a stopped member: %v", err)
 	}
 }
 
-func TestOptionsThatMakeNoSense(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	good := func() Options {
 		return Options{Group: "g", Name: "m0", Members: []Member{{"m0", "127.0.0.1:0"}}, FS: store.NewFaultyDisk(1), Machine: newRegister(), Now: func() time.Duration { return 0 }}
 	}
 	if _, err := New(good()); err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(o *Options){
-		"no members":   func(o *Options) { o.Members = nil },
-		"eight":        func(o *Options) { o.Members = make([]Member, 8) },
-		"twice":        func(o *Options) { o.Members = append(o.Members, o.Members[0]) },
-		"no name":      func(o *Options) { o.Members = []Member{{"", "127.0.0.1:0"}} },
-		"no port":      func(o *Options) { o.Members = []Member{{"m0", "127.0.0.1"}} },
-		"no member":    func(o *Options) { o.Name = "m1" },
-		"no store":     func(o *Options) { o.FS = nil },
-		"no machine":   func(o *Options) { o.Machine = nil },
-		"a tick below": func(o *Options) { o.Tick = -1 },
+	for name, invalidate := range map[string]func(o *Options){
+		"no members":    func(o *Options) { o.Members = nil },
+		"eight members": func(o *Options) { o.Members = make([]Member, 8) },
+		"twice":         func(o *Options) { o.Members = append(o.Members, o.Members[0]) },
+		"empty name":    func(o *Options) { o.Members = []Member{{"", "127.0.0.1:0"}} },
+		"no port":       func(o *Options) { o.Members = []Member{{"m0", "127.0.0.1"}} },
+		"not a member":  func(o *Options) { o.Name = "m1" },
+		"no store":      func(o *Options) { o.FS = nil },
+		"no machine":    func(o *Options) { o.Machine = nil },
+		"negative tick": func(o *Options) { o.Tick = -1 },
 	} {
 		o := good()
-		spoil(&o)
+		invalidate(&o)
 		if _, err := New(o); err == nil {
 			t.Errorf("%s: no error", name)
 		}
--- a/internal/replica/voter/voter.go
+++ b/internal/replica/voter/voter.go
@@ -107,7 +107,8 @@
 	f()
 }
 
-// Turn does the work that is due: check-ins before this member votes, raft afterwards. ticked reports that a tick has passed.
+// Turn does the work that is due: check-ins before this member votes, raft afterwards. ticked reports that a tick has
+// passed.
 func (v *Voter) Turn(now time.Duration, ticked bool) {
 	if v.fault != nil {
 		return
--- a/internal/replica/voter/voter_test.go
+++ b/internal/replica/voter/voter_test.go
@@ -199,7 +199,8 @@
 	}
 }
 
-// While a snapshot exceeds SnapshotLimit the log isn't compacted and the member keeps voting; once it is smaller the log is compacted.
+// While a snapshot exceeds SnapshotLimit the log isn't compacted and the member keeps voting. Once the snapshot is smaller
+// the log is compacted.
 func TestTooLongSnapshot(t *testing.T) {
 	m := newMember("a", store.NewFaultyDisk(3), "a")
 	for range 40 {
