--- /dev/null
+++ b/internal/duty/seat/commands.go
@@ -0,0 +1,119 @@
+package seat
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"lemonrail/internal/duty"
+	"lemonrail/internal/replica/transport"
+	"lemonrail/internal/replica/voter"
+)
+
+const maxPendingReplies = 4096 // commands whose answers have not been sent yet
+
+// commandRequest is a command sent to a voter; commandReply is its result, or tells which voter is the leader.
+type commandRequest struct{ Command duty.Command }
+
+type commandReply struct {
+	Agent  string
+	Answer duty.Answer
+	Asked  bool   // the replying voter is the leader, and Answer is the command's result
+	Leader string // name of the leader; empty: not known
+}
+
+// tableReply is the table as a voter knows it, which may lag behind the leader's.
+type tableReply struct {
+	Seat   string
+	Leader string
+	Leads  bool
+	Duties []duty.Duty
+}
+
+// receive handles a frame. It is called by the connections' goroutines.
+func (s *Seat) receive(c *transport.Conn, frame transport.Kind, content []byte) {
+	if kind, ok := voterKindOf(frame); ok {
+		s.receiveVoter(c, kind, content)
+		return
+	}
+	switch frame {
+	case frameCommand:
+		var request commandRequest
+		if err := json.Unmarshal(content, &request); err != nil {
+			s.reject(c, err)
+			return
+		}
+		s.post(func() { s.handleCommand(c, request.Command) })
+	case frameTableRequest:
+		s.post(func() { c.SendJSON(frameTableReply, s.currentTable()) })
+	}
+}
+
+// receiveVoter passes a message of another voter to the voter.
+func (s *Seat) receiveVoter(c *transport.Conn, kind voter.Kind, content []byte) {
+	m, err := voter.Decode(kind, content)
+	if err != nil {
+		s.reject(c, err)
+		return
+	}
+	s.post(func() {
+		s.voter.Guard(func() {
+			if answer := s.voter.Receive(c.Peer(), m); answer != nil {
+				c.SendJSON(frameCheckInReply, answer)
+			}
+		})
+	})
+}
+
+func (s *Seat) reject(c *transport.Conn, err error) {
+	s.countInvalid(fmt.Errorf("%w: %w", transport.ErrFrame, err))
+	c.Close()
+}
+
+// handleCommand proposes a command that an agent sent, and answers it once it has been applied.
+func (s *Seat) handleCommand(from *transport.Conn, c duty.Command) {
+	reply := func(a duty.Answer, leads bool) {
+		from.SendJSON(frameCommandReply, commandReply{c.Agent, a, leads, s.voter.Leader()})
+	}
+	if !s.voter.Leads() || s.pendingReplies >= maxPendingReplies {
+		reply(duty.Answer{ID: c.ID, Duty: c.Duty}, false)
+		return
+	}
+	if c.Kind == duty.Define || c.Kind == duty.Expire { // only the voters themselves send these
+		return
+	}
+	if !s.propose(&c) {
+		reply(duty.Answer{ID: c.ID, Duty: c.Duty}, false)
+		return
+	}
+	if c.ID != 0 {
+		k := waiterKey(c.Agent, c.Duty, c.ID)
+		s.waiters[k] = append(s.waiters[k], func(a duty.Answer) { reply(a, true) })
+		s.pendingReplies++
+	}
+}
+
+func (s *Seat) propose(c *duty.Command) bool {
+	raw, err := c.Bytes()
+	return err == nil && s.voter.Propose(raw) == nil
+}
+
+func waiterKey(agent, name string, id uint64) string {
+	return fmt.Sprintf("%s\x00%s\x00%d", agent, name, id)
+}
+
+// replyToWaiters sends an applied command's result to the agents that sent it.
+func (s *Seat) replyToWaiters(c *duty.Command, a duty.Answer) {
+	if c.ID == 0 {
+		return
+	}
+	k := waiterKey(c.Agent, c.Duty, c.ID)
+	for _, reply := range s.waiters[k] {
+		reply(a)
+		s.pendingReplies--
+	}
+	delete(s.waiters, k)
+}
+
+func (s *Seat) currentTable() tableReply {
+	return tableReply{Seat: s.options.Name, Leader: s.voter.Leader(), Leads: s.voter.Leads(), Duties: s.table.Duties()}
+}
--- /dev/null
+++ b/internal/duty/startup.go
@@ -0,0 +1,216 @@
+package duty
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// Seating decides how a voter starts: whether the votes and the log on its disk can be relied upon. A disk
+// that confirmed syncs without storing the data, a restored old copy of the folder, and a lost folder all look
+// valid locally; only the other voters know what they were promised. So a voter asks them first, and takes no
+// part in the quorum before they have answered.
+type Seating struct {
+	cfg     SeatingConfig
+	replies map[string]CheckIn // the latest reply of each other voter, by name
+	since   time.Duration
+}
+
+// SeatingConfig is what a voter knows about itself when it starts.
+type SeatingConfig struct {
+	Name   string
+	Seats  []string // all candidates, this one included; the first Voters of them form the initial quorum
+	Voters int
+	ID     uint64  // identity of the store
+	Empty  bool    // the store has promised nothing
+	Has    Promise // what the disk holds; Voted is the term of Vote
+	Vote   uint64  // the identity that got its vote
+}
+
+// Promise is what a voter has promised to another one: the term and index of the log that it confirmed as
+// stored, and the term in which it last voted for the other one.
+type Promise struct{ Term, Index, Voted uint64 }
+
+// exceeds reports whether the promised term and index are beyond those that are stored.
+func (p Promise) exceeds(has Promise) bool {
+	return has.Term < p.Term || has.Term == p.Term && has.Index < p.Index
+}
+
+// CheckIn is the reply of a voter to one that is starting.
+type CheckIn struct {
+	Seat    string
+	ID      uint64
+	Empty   bool              // the replying voter has promised nothing itself
+	Sits    bool              // the replying voter takes part in the quorum
+	Seats   map[uint64]string // the current members of the quorum as the replying voter knows them, by identity
+	Initial map[uint64]string // the initial members, if the replying voter was one of them
+	// What the voter that is starting, under the identity that it sent, promised to the replying voter.
+	Promised Promise
+}
+
+// StartAction is what a starting voter has to do.
+type StartAction uint8
+
+const (
+	Wait   StartAction = iota // not enough is known yet
+	Resume                    // take part with the stored log and votes
+	Begin                     // form the initial quorum with Decision.Initial
+	Join                      // start empty, and ask to be admitted as a new voter
+	Forget                    // the stored data can't be trusted: set it aside, take a new identity, and ask again
+)
+
+var startNames = [...]string{"wait", "sit", "begin", "join", "forget"}
+
+func (s StartAction) String() string {
+	if int(s) < len(startNames) {
+		return startNames[s]
+	}
+	return fmt.Sprintf("start %d", uint8(s))
+}
+
+// Decision is the action to take, and the reason.
+type Decision struct {
+	Start   StartAction
+	Why     string
+	Initial map[uint64]string
+}
+
+// NewSeating returns a Seating that has received no replies.
+func NewSeating(c SeatingConfig, now time.Duration) *Seating {
+	return &Seating{cfg: c, replies: map[string]CheckIn{}, since: now}
+}
+
+// Heard records the reply of another voter.
+func (s *Seating) Heard(c CheckIn) {
+	if c.Seat != s.cfg.Name && slices.Contains(s.cfg.Seats, c.Seat) {
+		s.replies[c.Seat] = c
+	}
+}
+
+// Decide returns the action that follows from the replies received so far.
+func (s *Seating) Decide(now time.Duration) Decision {
+	// A reply that claims a promise beyond the stored state is always believed.
+	for _, name := range s.cfg.Seats {
+		c, ok := s.replies[name]
+		if ok && (c.Promised.Voted > s.cfg.Has.Term || c.Promised.Voted != 0 && c.Promised.Voted == s.cfg.Has.Term && s.cfg.Vote != c.ID) {
+			return Decision{Start: Forget, Why: fmt.Sprintf("voter %s received its vote in term %d; the disk holds term %d and a vote for %x",
+				name, c.Promised.Voted, s.cfg.Has.Term, s.cfg.Vote)}
+		}
+		if ok && c.Promised.exceeds(s.cfg.Has) {
+			return Decision{Start: Forget, Why: fmt.Sprintf("voter %s was promised term %d, entry %d; the disk holds term %d, entry %d",
+				name, c.Promised.Term, c.Promised.Index, s.cfg.Has.Term, s.cfg.Has.Index)}
+		}
+	}
+	if !s.cfg.Empty {
+		return s.resumeDecision(now)
+	}
+	return s.bootstrapDecision()
+}
+
+// waitForAll is how long a restarting voter waits for replies of all members: only those that it promised
+// something know of the promise, and a former leader may be the only one. After it a majority is enough, at
+// the risk that lost promises to a leader that is away go unnoticed.
+const waitForAll = 3 * time.Second
+
+// resumeDecision handles a voter with a stored log: it needs a reply of every member or, after waitForAll, of
+// a majority.
+func (s *Seating) resumeDecision(now time.Duration) Decision {
+	seats := map[uint64]string{}
+	for _, c := range s.replies {
+		if c.Sits && len(c.Seats) > 0 {
+			seats = c.Seats
+		}
+	}
+	size := s.cfg.Voters
+	if len(seats) > 0 {
+		if size = len(seats); seats[s.cfg.ID] == "" {
+			return Decision{Start: Join, Why: "it is no longer a member of the quorum"}
+		}
+	}
+	replies := 1
+	for _, c := range s.replies {
+		if len(seats) == 0 || seats[c.ID] != "" {
+			replies++
+		}
+	}
+	if 2*replies <= size {
+		return Decision{Start: Wait, Why: fmt.Sprintf("%d of %d voters have answered, itself included", replies, size)}
+	}
+	if replies < size && now-s.since < waitForAll {
+		return Decision{Start: Wait, Why: fmt.Sprintf("%d of %d voters have answered; waiting up to %v for the others", replies, size, waitForAll)}
+	}
+	return Decision{Start: Resume, Why: fmt.Sprintf("%d of %d voters know of no lost promise", replies, size)}
+}
+
+// bootstrapDecision handles a voter with an empty store: it starts for the first time, or its folder was lost.
+func (s *Seating) bootstrapDecision() Decision {
+	for _, name := range s.cfg.Seats {
+		c, ok := s.replies[name]
+		switch {
+		case !ok || c.Empty && !c.Sits:
+		// The others have just formed the initial quorum with this voter.
+		case c.Initial[s.cfg.ID] != "" && c.Seats[s.cfg.ID] != "":
+			return Decision{Start: Begin, Why: "voter " + name + " has formed the initial quorum with it", Initial: c.Initial}
+		default:
+			return Decision{Start: Join, Why: "voter " + name + " belongs to a quorum of which this one is no member"}
+		}
+	}
+	initial := map[uint64]string{}
+	first := s.cfg.Seats[:min(s.cfg.Voters, len(s.cfg.Seats))]
+	for _, name := range first {
+		if name == s.cfg.Name {
+			initial[s.cfg.ID] = name
+			continue
+		}
+		c, ok := s.replies[name]
+		if !ok {
+			return Decision{Start: Wait, Why: "voter " + name + " has not answered, and the first start needs all initial voters"}
+		}
+		initial[c.ID] = name
+	}
+	switch {
+	case !slices.Contains(first, s.cfg.Name):
+		return Decision{Start: Wait, Why: "it is a spare, and the initial quorum has not formed yet"}
+	case len(initial) != len(first):
+		return Decision{Start: Wait, Why: "two voters have the same identity"}
+	}
+	return Decision{Start: Begin, Why: "all initial voters are empty", Initial: initial}
+}
+
+// Replace returns which member of the quorum, if any, the leader should replace and by which candidate: one at
+// a time, and only while the members that aren't dead form a majority. seats are the members by identity,
+// joining the identities of candidates that ask to be admitted, dead says for how long the fleet's membership
+// has considered a candidate dead, alive which candidates are alive, and minDead is how long a member has to
+// be dead before it is replaced. A member that returned under a new identity is replaced first.
+func Replace(seats map[uint64]string, all []string, joining map[string]uint64, dead map[string]time.Duration, alive map[string]bool, minDead time.Duration) (out uint64, in uint64, name string) {
+	notDead := 0
+	for _, n := range seats {
+		if _, gone := dead[n]; !gone {
+			notDead++
+		}
+	}
+	memberIDs := map[string]uint64{}
+	for id, n := range seats {
+		memberIDs[n] = id
+	}
+	if 2*notDead <= len(seats) {
+		return 0, 0, ""
+	}
+	for _, n := range all { // the folder was lost: the candidate has returned under a new identity
+		if id, old := joining[n], memberIDs[n]; id != 0 && old != 0 && id != old {
+			return old, id, n
+		}
+	}
+	for _, n := range all {
+		old := memberIDs[n]
+		if old == 0 || dead[n] < minDead || dead[n] == 0 {
+			continue
+		}
+		for _, spare := range all {
+			if id := joining[spare]; id != 0 && memberIDs[spare] == 0 && alive[spare] {
+				return old, id, spare
+			}
+		}
+	}
+	return 0, 0, ""
+}
