--- a/internal/configuration/bench_test.go
+++ b/internal/configuration/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// benchDocument is one of a usual size: classes of the start file, a few fields each.
+// benchDocument returns a document of typical size: the classes of the start file with a few fields each.
 func benchDocument(worth float64) *Document {
 	_, names := startSettings()
 	d := &Document{Format: Format, Classes: map[string]ClassDocument{}, Limits: &LimitsDocument{Attempts: pointer(2)}}
@@ -16,11 +16,11 @@
 	return d
 }
 
-// BenchmarkRegistryApply is a change, as each replica applies it.
+// BenchmarkRegistryApply measures a change, as each replica applies it.
 func BenchmarkRegistryApply(b *testing.B) {
 	r := NewRegistry(FleetGroup)
 	for i := 0; b.Loop(); i++ {
-		command, err := EncodeChange(change(fmt.Sprint("c", i), Fleet, uint64(i), benchDocument(float64(i))))
+		command, err := EncodeChange(newChange(fmt.Sprint("c", i), Fleet, uint64(i), benchDocument(float64(i))))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -30,13 +30,13 @@
 	}
 }
 
-// BenchmarkRegistryUpdates is a change, and what a machine does for each of the 113 agents that watch it, of which each
-// is one revision behind.
+// BenchmarkRegistryUpdates measures a change and the updates that a machine encodes for the 113 agents that
+// watch it, each of which is one revision behind.
 func BenchmarkRegistryUpdates(b *testing.B) {
 	r := NewRegistry(FleetGroup)
 	bytes := 0
 	for i := 0; b.Loop(); i++ {
-		command, err := EncodeChange(change(fmt.Sprint("c", i), Fleet, uint64(i), benchDocument(float64(i))))
+		command, err := EncodeChange(newChange(fmt.Sprint("c", i), Fleet, uint64(i), benchDocument(float64(i))))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -54,17 +54,18 @@
 	b.ReportMetric(float64(bytes)/float64(b.N)/113, "bytes/agent")
 }
 
-// BenchmarkFollower is a change as an agent takes it: an update, the check of all five scopes, in force, report, kept.
+// BenchmarkFollower measures how an agent processes a change: it takes the update, checks all five scopes,
+// puts the document in force, reports, and encodes the state to save.
 func BenchmarkFollower(b *testing.B) {
 	r := NewRegistry(FleetGroup)
-	f := NewFollower(testPlace, checkStart)
+	f := NewFollower(testPlace, checkAgainstStart)
 	for _, scope := range testPlace.Scopes()[1:] {
 		document := benchDocument(1).Canonical()
 		f.Take(Update{Scope: scope, Position: Position{1, 1}, Patch: document, Digest: Digest(document)})
 	}
 	for i := 0; b.Loop(); i++ {
 		b.StopTimer()
-		command, err := EncodeChange(change(fmt.Sprint("c", i), Fleet, uint64(i), benchDocument(float64(i))))
+		command, err := EncodeChange(newChange(fmt.Sprint("c", i), Fleet, uint64(i), benchDocument(float64(i))))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -86,14 +87,14 @@
 	}
 }
 
-// BenchmarkInForce answers whether a revision is in force everywhere, by what four machines know of so many agents.
+// BenchmarkInForce measures the computation of a status from the statuses that four machines have of all agents.
 func BenchmarkInForce(b *testing.B) {
 	for _, agents := range []int{450, 2000} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
 			trackers := []*Tracker{NewTracker("m1", 0), NewTracker("m2", 0), NewTracker("m3", 0), NewTracker("m4", 0)}
 			for i := range agents {
 				tracker, name := trackers[i%4], fmt.Sprint("a", i)
-				if err := tracker.Connected(place(name), time.Second); err != nil {
+				if err := tracker.Connected(agentPlace(name), time.Second); err != nil {
 					b.Fatal(err)
 				}
 				if err := tracker.Reported(reportOf(name, 5), 2*time.Second); err != nil {
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -1,31 +1,35 @@
-// Package configuration decides about settings that change while a fleet runs: documents by scope, their revisions,
-// who may write them, what an agent is still to be sent, what it does with it, and whether a revision is in force
-// everywhere. It has no I/O, no clock and no goroutine: time is passed in. The packages under it drive it: server (the
-// control process), watch (the agent's side) and client (the operators' side).
+// Package configuration decides about settings that change while a fleet runs. It keeps documents by scope
+// with their revisions, checks who may write them, computes the updates that an agent still needs and the
+// settings that result at the agent, and determines whether a revision is in force everywhere. A revision is
+// in force at an agent once the agent's load balancer works with it. The package has no I/O, no clock and no
+// goroutine: callers pass the time. The packages under it drive it: server (the control process), watch (the
+// agent's side) and client (the operators' side).
 //
-// A document is a partial set of settings. Each scope has at most one, replaced as a whole by a new Revision; the
-// effective settings of an agent are its start file's, with the documents of the scopes that hold for it laid over them
-// from the widest to the narrowest.
+// A document is a partial set of settings. Each scope has at most one document, and each change replaces it
+// as a whole and creates a new Revision. The effective settings of an agent are those of its start file,
+// overlaid with the documents of the scopes that apply to the agent, from the widest scope to the narrowest.
 //
-// Scopes are written by groups of control machines that agree by raft (internal/replica): the fleet's and the services'
-// by all machines of both regions, those of a region by the region's machines and a witness in the other one. A scope
-// belongs to one group, so all its revisions stand in one order.
+// Scopes are written by groups of control machines that agree by raft (internal/replica). The scopes of the
+// fleet and of services are written by all machines of both regions, those of a region by the region's
+// machines and a witness in the other region. Each scope belongs to one group, so all its revisions are
+// totally ordered.
 package configuration
 
-// Format is the version of documents that this program understands. An agent refuses a document of a later one.
+// Format is the version of the document format that this program supports. An agent refuses documents of later
+// versions.
 const Format = 1
 
-// Bounds.
+// Limits on documents, names and stored state.
 const (
-	DocumentMost  = 16 << 10 // bytes of a document
-	ScopesMost    = 2048     // scopes with a document, in one group
-	GroupMost     = 2 << 20  // bytes of all documents of a group
-	NameMost      = 64       // bytes of a name in a scope, or of who wrote a revision
-	ChangeIDMost  = 64       // bytes of a change's identity
-	ChangesKept   = 256      // identities of the last changes of a group, so that one that is sent again is known
-	PatchesKept   = 64       // revisions of a scope from which an agent is sent a patch instead of the whole
-	RefusalMost   = 512      // bytes of an agent's reason
-	PartMost      = 2 << 10  // bytes of a document in one part
-	FleetGroup    = "fleet"  // the group of the fleet's and the services' scopes
-	regionsPrefix = "region-"
+	DocumentMost      = 16 << 10 // bytes of a document
+	MaxScopes         = 2048     // scopes with a document, per group
+	MaxGroupBytes     = 2 << 20  // bytes of all documents of a group
+	MaxNameBytes      = 64       // bytes of a name in a scope, or of the author of a revision
+	MaxChangeIDBytes  = 64       // bytes of a change's ID
+	MaxChangeResults  = 256      // results of the last changes that a group keeps to recognize a repeated change
+	MaxReversePatches = 64       // earlier revisions of a scope from which an agent can be sent a patch
+	MaxRefusalBytes   = 512      // bytes of the reason for which an agent refuses a revision
+	MaxPartBytes      = 2 << 10  // bytes of a document in one part
+	FleetGroup        = "fleet"  // the group that writes the scopes of the fleet and of services
+	regionGroupPrefix = "region-"
 )
--- a/internal/configuration/document_apply.go
+++ b/internal/configuration/document_apply.go
@@ -9,8 +9,9 @@
 	"lemonrail/internal/wire"
 )
 
-// Apply lays a document over the settings that an agent was started with, whose classes and tenants go by names. It
-// changes nothing of base. Errors name the field by its path. A nil document changes nothing.
+// Apply returns base, the settings that an agent was started with, overlaid with the document. names holds
+// the names of the agent's classes and tenants. Apply doesn't modify base. Errors begin with the path of the
+// field. A nil document changes nothing.
 func (d *Document) Apply(base balance.Settings, names wire.Names) (balance.Settings, error) {
 	if d == nil {
 		return base, nil
@@ -29,39 +30,40 @@
 	}
 	d.Limits.apply(&changed)
 	d.Cold.apply(&changed)
-	// New checks settings as it does when an agent starts.
+	// balance.New checks the settings as at the start of an agent.
 	if _, err := balance.New(changed, 0); err != nil {
 		return base, err
 	}
 	return changed, nil
 }
 
-// applyClasses changes the classes in place.
+// applyClasses changes the classes in place. No deadline may exceed the longest one that the agent was
+// started with.
 func (d *Document) applyClasses(classes []balance.Class, names []string) error {
-	longest := longestDeadline(classes) // before any changes
+	limit := maxDeadline(classes) // before any class is changed
 	for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
-		path := join("classes", name)
+		path := joinPath("classes", name)
 		i := slices.Index(names, name)
 		if i < 0 || i >= len(classes) {
-			return fieldError(path, "the agent was started without such a class")
+			return fieldError(path, "the agent was started without this class")
 		}
 		change, class := d.Classes[name], &classes[i]
-		set(&class.Aim, milliseconds(change.AimMs))
-		set(&class.Deadline, milliseconds(change.DeadlineMs))
-		set(&class.Worth, change.Worth)
-		set(&class.LateWorth, change.LateWorth)
-		if class.Deadline > longest {
-			return fieldError(join(path, "deadline_ms"), class.Deadline.String()+" is over "+longest.String()+
-				", the longest deadline that the agent was started with: the times of its planned stop rest on that")
+		setIfPresent(&class.Aim, toDuration(change.AimMs))
+		setIfPresent(&class.Deadline, toDuration(change.DeadlineMs))
+		setIfPresent(&class.Worth, change.Worth)
+		setIfPresent(&class.LateWorth, change.LateWorth)
+		if class.Deadline > limit {
+			return fieldError(joinPath(path, "deadline_ms"), class.Deadline.String()+" is over "+limit.String()+
+				", the longest deadline that the agent was started with, from which the times of a planned stop are derived")
 		}
 		if class.Aim > class.Deadline {
-			return fieldError(join(path, "aim_ms"), class.Aim.String()+" is over the deadline, "+class.Deadline.String())
+			return fieldError(joinPath(path, "aim_ms"), class.Aim.String()+" is over the deadline, "+class.Deadline.String())
 		}
 	}
 	return nil
 }
 
-func longestDeadline(classes []balance.Class) (longest time.Duration) {
+func maxDeadline(classes []balance.Class) (longest time.Duration) {
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
 	}
@@ -73,10 +75,10 @@
 	for _, name := range slices.Sorted(maps.Keys(d.Tenants)) {
 		i := slices.Index(names, name)
 		if i < 0 || i >= len(tenants) {
-			return fieldError(join("tenants", name), "the agent was started without such a tenant")
+			return fieldError(joinPath("tenants", name), "the agent was started without this tenant")
 		}
-		set(&tenants[i].PerSecond, d.Tenants[name].PerSecond)
-		set(&tenants[i].Portion, d.Tenants[name].Portion)
+		setIfPresent(&tenants[i].PerSecond, d.Tenants[name].PerSecond)
+		setIfPresent(&tenants[i].Portion, d.Tenants[name].Portion)
 	}
 	return nil
 }
@@ -85,33 +87,33 @@
 	if l == nil {
 		return
 	}
-	set(&s.MaxAttempts, l.Attempts)
-	set(&s.SecondCopies, l.SecondCopies)
-	set(&s.MaxRetryAfter, milliseconds(l.MaxRetryAfterMs))
-	set(&s.OverShare, l.OverShareWorth)
+	setIfPresent(&s.MaxAttempts, l.Attempts)
+	setIfPresent(&s.SecondCopies, l.SecondCopies)
+	setIfPresent(&s.MaxRetryAfter, toDuration(l.MaxRetryAfterMs))
+	setIfPresent(&s.OverShare, l.OverShareWorth)
 }
 
 func (c *ColdDocument) apply(s *balance.Settings) {
 	if c == nil {
 		return
 	}
-	set(&s.ColdShare, c.From)
-	set(&s.RampTime, milliseconds(c.RampMs))
-	set(&s.FallMultiple, c.FallMultiple)
-	set(&s.FallWindow, milliseconds(c.FallMs))
+	setIfPresent(&s.ColdShare, c.From)
+	setIfPresent(&s.RampTime, toDuration(c.RampMs))
+	setIfPresent(&s.FallMultiple, c.FallMultiple)
+	setIfPresent(&s.FallWindow, toDuration(c.FallMs))
 }
 
-// set changes a setting where the document has a value for it.
-func set[T any](setting *T, value *T) {
+// setIfPresent assigns value to setting if the document has a value.
+func setIfPresent[T any](setting *T, value *T) {
 	if value != nil {
 		*setting = *value
 	}
 }
 
-func milliseconds(ms *float64) *time.Duration {
+func toDuration(ms *float64) *time.Duration {
 	if ms == nil {
 		return nil
 	}
-	span := wire.Duration(*ms)
-	return &span
+	duration := wire.Duration(*ms)
+	return &duration
 }
--- a/internal/configuration/document_check.go
+++ b/internal/configuration/document_check.go
@@ -8,18 +8,19 @@
 	"unicode/utf8"
 )
 
-// What values may be at most. They guard against slips of the pen and overflow.
+// Upper bounds of values. They guard against typing errors and overflow.
 const (
-	timeMostMs   = 24 * 60 * 60 * 1000
-	attemptsMost = 64
-	numberMost   = 1e12 // worth, requests a second and the like
+	maxTimeMs   = 24 * 60 * 60 * 1000
+	maxAttempts = 64
+	maxNumber   = 1e12 // for worth, requests per second and similar values
 )
 
-// Check refuses values that can't be and names the field by its path. What is refused for a Format never changes, as
-// the replicas of a Registry have to agree on it: a rule or a field more is a later Format.
+// Check returns an error that begins with the path of the first field with an invalid value. The rules of a
+// Format never change, because the replicas of a Registry must agree on the result: a new rule or field needs
+// a new Format.
 func (d *Document) Check() error {
 	if d.Format < 1 || d.Format > Format {
-		return fieldError("format", strconv.Itoa(d.Format)+" is none that this program understands")
+		return fieldError("format", strconv.Itoa(d.Format)+" is not supported by this program")
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
 		if err := d.Classes[name].check(name); err != nil {
@@ -38,32 +39,32 @@
 }
 
 func (c ClassDocument) check(name string) error {
-	path := join("classes", name)
+	path := joinPath("classes", name)
 	return firstError(
 		checkSettingName(path, name),
-		checkRange(join(path, "aim_ms"), c.AimMs, aboveZero, timeMostMs),
-		checkRange(join(path, "deadline_ms"), c.DeadlineMs, aboveZero, timeMostMs),
-		checkRange(join(path, "worth"), c.Worth, 0, numberMost),
-		checkRange(join(path, "late_worth"), c.LateWorth, 0, 1))
+		checkRange(joinPath(path, "aim_ms"), c.AimMs, minPositive, maxTimeMs),
+		checkRange(joinPath(path, "deadline_ms"), c.DeadlineMs, minPositive, maxTimeMs),
+		checkRange(joinPath(path, "worth"), c.Worth, 0, maxNumber),
+		checkRange(joinPath(path, "late_worth"), c.LateWorth, 0, 1))
 }
 
 func (t TenantDocument) check(name string) error {
-	path := join("tenants", name)
+	path := joinPath("tenants", name)
 	return firstError(
 		checkSettingName(path, name),
-		checkRange(join(path, "per_second"), t.PerSecond, 0, numberMost),
-		checkRange(join(path, "portion"), t.Portion, 0, 1))
+		checkRange(joinPath(path, "per_second"), t.PerSecond, 0, maxNumber),
+		checkRange(joinPath(path, "portion"), t.Portion, 0, 1))
 }
 
 func (l *LimitsDocument) check() error {
 	if l == nil {
 		return nil
 	}
-	if l.Attempts != nil && (*l.Attempts < 1 || *l.Attempts > attemptsMost) {
-		return rangeError("limits.attempts", float64(*l.Attempts), 1, attemptsMost)
+	if l.Attempts != nil && (*l.Attempts < 1 || *l.Attempts > maxAttempts) {
+		return rangeError("limits.attempts", float64(*l.Attempts), 1, maxAttempts)
 	}
 	return firstError(
-		checkRange("limits.max_retry_after_ms", l.MaxRetryAfterMs, 0, timeMostMs),
+		checkRange("limits.max_retry_after_ms", l.MaxRetryAfterMs, 0, maxTimeMs),
 		checkRange("limits.over_share_worth", l.OverShareWorth, 0, 1))
 }
 
@@ -72,38 +73,38 @@
 		return nil
 	}
 	return firstError(
-		checkRange("cold.from", c.From, aboveZero, 1), // a start file's 0 stands for 1, which a document says as 1
-		checkRange("cold.ramp_ms", c.RampMs, 0, timeMostMs),
-		checkRange("cold.fall_multiple", c.FallMultiple, 0, numberMost),
-		checkRange("cold.fall_ms", c.FallMs, 0, timeMostMs))
+		checkRange("cold.from", c.From, minPositive, 1), // in a start file 0 stands for 1; a document has to write 1
+		checkRange("cold.ramp_ms", c.RampMs, 0, maxTimeMs),
+		checkRange("cold.fall_multiple", c.FallMultiple, 0, maxNumber),
+		checkRange("cold.fall_ms", c.FallMs, 0, maxTimeMs))
 }
 
-// aboveZero is the least value of what may be small but not 0: a thousandth, of a millisecond or of a share.
-const aboveZero = 0.001
+// minPositive is the least value of fields that must be above 0: a thousandth of a millisecond or of a share.
+const minPositive = 0.001
 
-func checkRange(path string, value *float64, least, most float64) error {
-	if value == nil || *value >= least && *value <= most && !math.Signbit(*value) {
+func checkRange(path string, value *float64, minimum, maximum float64) error {
+	if value == nil || *value >= minimum && *value <= maximum && !math.Signbit(*value) {
 		return nil
 	}
-	return rangeError(path, *value, least, most)
+	return rangeError(path, *value, minimum, maximum)
 }
 
-func rangeError(path string, value, least, most float64) error {
-	return fieldError(path, number(value)+" is not within "+number(least)+" and "+number(most))
+func rangeError(path string, value, minimum, maximum float64) error {
+	return fieldError(path, formatNumber(value)+" is not between "+formatNumber(minimum)+" and "+formatNumber(maximum))
 }
 
-func number(value float64) string { return strconv.FormatFloat(value, 'g', -1, 64) }
+func formatNumber(value float64) string { return strconv.FormatFloat(value, 'g', -1, 64) }
 
-// checkSettingName refuses names of classes and tenants that no message could carry.
+// checkSettingName refuses names of classes and tenants that are empty, too long or not valid UTF-8.
 func checkSettingName(path, name string) error {
-	if name == "" || len(name) > NameMost || !utf8.ValidString(name) {
-		return fieldError(path, strconv.Quote(name)+" is no name of 1 to "+strconv.Itoa(NameMost)+" bytes")
+	if name == "" || len(name) > MaxNameBytes || !utf8.ValidString(name) {
+		return fieldError(path, strconv.Quote(name)+" is not a UTF-8 name of 1 to "+strconv.Itoa(MaxNameBytes)+" bytes")
 	}
 	return nil
 }
 
-func firstError(all ...error) error {
-	for _, err := range all {
+func firstError(errs ...error) error {
+	for _, err := range errs {
 		if err != nil {
 			return err
 		}
--- a/internal/configuration/document_merge.go
+++ b/internal/configuration/document_merge.go
@@ -1,81 +1,81 @@
 package configuration
 
-// Merge lays a narrower document over a wider one, field by field. It changes neither; either may be nil.
+// Merge returns wide overlaid with narrow, field by field. It modifies neither; either may be nil.
 func Merge(wide, narrow *Document) *Document {
 	merged := &Document{Format: Format}
 	for _, d := range []*Document{wide, narrow} {
 		if d != nil {
-			merged.lay(d)
+			merged.overlay(d)
 		}
 	}
 	return merged
 }
 
-// lay sets what a narrower document sets. It changes d, which shares no map with another document.
-func (d *Document) lay(narrow *Document) {
-	d.Classes = layAll(d.Classes, narrow.Classes, ClassDocument.lay)
-	d.Tenants = layAll(d.Tenants, narrow.Tenants, TenantDocument.lay)
+// overlay sets in d the fields that narrow sets. d must share no map with another document.
+func (d *Document) overlay(narrow *Document) {
+	d.Classes = overlayMap(d.Classes, narrow.Classes, ClassDocument.overlay)
+	d.Tenants = overlayMap(d.Tenants, narrow.Tenants, TenantDocument.overlay)
 	if narrow.Limits != nil {
-		d.Limits = d.Limits.lay(narrow.Limits)
+		d.Limits = d.Limits.overlay(narrow.Limits)
 	}
 	if narrow.Cold != nil {
-		d.Cold = d.Cold.lay(narrow.Cold)
+		d.Cold = d.Cold.overlay(narrow.Cold)
 	}
 }
 
-// layAll lays each element of narrow over the one of the same name in merged, which is the merged document's own.
-func layAll[T any](merged, narrow map[string]T, lay func(wide, narrow T) T) map[string]T {
+// overlayMap overlays each element of merged with the element of the same name in narrow. It modifies merged.
+func overlayMap[T any](merged, narrow map[string]T, overlay func(wide, narrow T) T) map[string]T {
 	if merged == nil && len(narrow) > 0 {
 		merged = map[string]T{}
 	}
 	for name, n := range narrow {
-		merged[name] = lay(merged[name], n)
+		merged[name] = overlay(merged[name], n)
 	}
 	return merged
 }
 
-func (c ClassDocument) lay(narrow ClassDocument) ClassDocument {
+func (c ClassDocument) overlay(narrow ClassDocument) ClassDocument {
 	return ClassDocument{
-		AimMs:      latter(c.AimMs, narrow.AimMs),
-		DeadlineMs: latter(c.DeadlineMs, narrow.DeadlineMs),
-		Worth:      latter(c.Worth, narrow.Worth),
-		LateWorth:  latter(c.LateWorth, narrow.LateWorth),
+		AimMs:      preferNarrow(c.AimMs, narrow.AimMs),
+		DeadlineMs: preferNarrow(c.DeadlineMs, narrow.DeadlineMs),
+		Worth:      preferNarrow(c.Worth, narrow.Worth),
+		LateWorth:  preferNarrow(c.LateWorth, narrow.LateWorth),
 	}
 }
 
-func (t TenantDocument) lay(narrow TenantDocument) TenantDocument {
+func (t TenantDocument) overlay(narrow TenantDocument) TenantDocument {
 	return TenantDocument{
-		PerSecond: latter(t.PerSecond, narrow.PerSecond),
-		Portion:   latter(t.Portion, narrow.Portion),
+		PerSecond: preferNarrow(t.PerSecond, narrow.PerSecond),
+		Portion:   preferNarrow(t.Portion, narrow.Portion),
 	}
 }
 
-func (l *LimitsDocument) lay(narrow *LimitsDocument) *LimitsDocument {
+func (l *LimitsDocument) overlay(narrow *LimitsDocument) *LimitsDocument {
 	if l == nil {
 		l = &LimitsDocument{}
 	}
 	return &LimitsDocument{
-		Attempts:        latter(l.Attempts, narrow.Attempts),
-		SecondCopies:    latter(l.SecondCopies, narrow.SecondCopies),
-		MaxRetryAfterMs: latter(l.MaxRetryAfterMs, narrow.MaxRetryAfterMs),
-		OverShareWorth:  latter(l.OverShareWorth, narrow.OverShareWorth),
+		Attempts:        preferNarrow(l.Attempts, narrow.Attempts),
+		SecondCopies:    preferNarrow(l.SecondCopies, narrow.SecondCopies),
+		MaxRetryAfterMs: preferNarrow(l.MaxRetryAfterMs, narrow.MaxRetryAfterMs),
+		OverShareWorth:  preferNarrow(l.OverShareWorth, narrow.OverShareWorth),
 	}
 }
 
-func (c *ColdDocument) lay(narrow *ColdDocument) *ColdDocument {
+func (c *ColdDocument) overlay(narrow *ColdDocument) *ColdDocument {
 	if c == nil {
 		c = &ColdDocument{}
 	}
 	return &ColdDocument{
-		From:         latter(c.From, narrow.From),
-		RampMs:       latter(c.RampMs, narrow.RampMs),
-		FallMultiple: latter(c.FallMultiple, narrow.FallMultiple),
-		FallMs:       latter(c.FallMs, narrow.FallMs),
+		From:         preferNarrow(c.From, narrow.From),
+		RampMs:       preferNarrow(c.RampMs, narrow.RampMs),
+		FallMultiple: preferNarrow(c.FallMultiple, narrow.FallMultiple),
+		FallMs:       preferNarrow(c.FallMs, narrow.FallMs),
 	}
 }
 
-// latter is the narrower value, if there is one.
-func latter[T any](wide, narrow *T) *T {
+// preferNarrow returns narrow, or wide if narrow is nil.
+func preferNarrow[T any](wide, narrow *T) *T {
 	if narrow != nil {
 		return narrow
 	}
--- a/internal/configuration/document_parse.go
+++ b/internal/configuration/document_parse.go
@@ -12,11 +12,12 @@
 	"unicode/utf8"
 )
 
-// ParseDocument reads a document that a person or a program wrote. It refuses unknown fields, documents of a later
-// Format and values that can't be, and names the field by its path, as in classes.point-read.aim_ms.
+// ParseDocument parses a document that a person or a program wrote. It refuses unknown fields, documents of a
+// later Format and invalid values. Errors begin with the path of the field, such as
+// classes.point-read.aim_ms.
 func ParseDocument(raw []byte) (*Document, error) {
 	if len(raw) > DocumentMost {
-		return nil, tooLong(len(raw))
+		return nil, tooLongError(len(raw))
 	}
 	if !utf8.Valid(raw) {
 		return nil, errors.New("document: not UTF-8")
@@ -32,16 +33,17 @@
 		return nil, err
 	}
 	if length := len(d.Canonical()); length > DocumentMost {
-		return nil, tooLong(length)
+		return nil, tooLongError(length)
 	}
 	return &d, nil
 }
 
-func tooLong(length int) error {
-	return fmt.Errorf("document: %d bytes, over %d", length, DocumentMost)
+func tooLongError(length int) error {
+	return fmt.Errorf("document: %d bytes, over the limit of %d", length, DocumentMost)
 }
 
-// checkFormat refuses a document of a later Format as that, whatever else it holds.
+// checkFormat returns an error if the document has no Format or a later one. Of a later Format it reports
+// nothing else, whatever other fields the document has.
 func checkFormat(raw []byte) error {
 	var d struct {
 		Format *int `json:"format"`
@@ -52,97 +54,99 @@
 	case errors.As(err, &syntax):
 		return fmt.Errorf("document: byte %d: %w", syntax.Offset, err)
 	case err != nil:
-		return nil // decodeStrict names the field
+		return nil // decodeStrict reports the field
 	case d.Format == nil:
 		return errors.New("format: missing")
 	case *d.Format > Format:
-		return fmt.Errorf("format: %d is later than %d, which this program understands", *d.Format, Format)
+		return fmt.Errorf("format: %d is later than %d, the latest that this program supports", *d.Format, Format)
 	}
 	return nil
 }
 
-// decodeStrict decodes JSON into a pointer to a struct of structs, maps by name, pointers, numbers and booleans.
-func decodeStrict(raw []byte, into any) error {
+// decodeStrict decodes JSON into a pointer to a struct whose fields are structs, maps with string keys,
+// pointers, numbers and booleans. It refuses unknown and duplicate fields and null.
+func decodeStrict(raw []byte, target any) error {
 	d := strictDecoder{json.NewDecoder(bytes.NewReader(raw))}
 	d.UseNumber()
-	if err := d.value("", reflect.ValueOf(into).Elem()); err != nil {
+	if err := d.value("", reflect.ValueOf(target).Elem()); err != nil {
 		return err
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("document: something follows its end")
+		return errors.New("document: unexpected data after its end")
 	}
 	return nil
 }
 
+// strictDecoder decodes JSON token by token, so that errors can name the field and duplicate fields are found.
 type strictDecoder struct{ *json.Decoder }
 
-// value decodes the next value; path names it in errors.
-func (d strictDecoder) value(path string, into reflect.Value) error {
+// value decodes the next value into target. path is the path of the field, for errors.
+func (d strictDecoder) value(path string, target reflect.Value) error {
 	token, err := d.Token()
 	if err != nil {
 		return fieldError(path, err.Error())
 	}
 	if token == nil {
-		return fieldError(path, "null; leave out what is not to change")
+		return fieldError(path, "must not be null; omit a field to leave it unchanged")
 	}
-	if into.Kind() == reflect.Pointer {
-		into.Set(reflect.New(into.Type().Elem()))
-		into = into.Elem()
+	if target.Kind() == reflect.Pointer {
+		target.Set(reflect.New(target.Type().Elem()))
+		target = target.Elem()
 	}
-	switch into.Kind() {
+	switch target.Kind() {
 	case reflect.Struct, reflect.Map:
 		if token != json.Delim('{') {
-			return fieldError(path, "no object")
+			return fieldError(path, "must be an object")
 		}
-		return d.object(path, into)
+		return d.object(path, target)
 	case reflect.Bool:
 		flag, ok := token.(bool)
 		if !ok {
-			return fieldError(path, "neither true nor false")
+			return fieldError(path, "must be true or false")
 		}
-		into.SetBool(flag)
+		target.SetBool(flag)
 	default:
 		number, ok := token.(json.Number)
 		if !ok {
-			return fieldError(path, "no number")
+			return fieldError(path, "must be a number")
 		}
-		return setNumber(path, number.String(), into)
+		return setNumber(path, number.String(), target)
 	}
 	return nil
 }
 
-func setNumber(path, text string, into reflect.Value) error {
-	if into.Kind() == reflect.Int {
+func setNumber(path, text string, target reflect.Value) error {
+	if target.Kind() == reflect.Int {
 		whole, err := strconv.ParseInt(text, 10, 32)
 		if err != nil {
-			return fieldError(path, text+" is no whole number that this can be")
+			return fieldError(path, text+" is not a valid integer of 32 bits")
 		}
-		into.SetInt(whole)
+		target.SetInt(whole)
 		return nil
 	}
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		return fieldError(path, text+" is no number that this can be")
+		return fieldError(path, text+" is not a valid number")
 	}
-	into.SetFloat(number)
+	target.SetFloat(number)
 	return nil
 }
 
-// object decodes the members of an object whose opening brace has been read.
-func (d strictDecoder) object(path string, into reflect.Value) error {
+// object decodes the members of an object after its opening brace has been read.
+func (d strictDecoder) object(path string, target reflect.Value) error {
 	seen := map[string]bool{}
 	for d.More() {
 		token, err := d.Token()
 		if err != nil {
 			return fieldError(path, err.Error())
 		}
-		key := token.(string) // the decoder has nothing else here
-		memberPath := join(path, key)
+		key := token.(string) // the decoder returns only strings as keys
+		memberPath := joinPath(path, key)
 		if seen[key] {
-			return fieldError(memberPath, "twice")
+			return fieldError(memberPath, "duplicate field")
 		}
 		seen[key] = true
-		if err := d.member(memberPath, key, into); err != nil {
+		if err := d.member(memberPath, key, target); err != nil {
 			return err
 		}
 	}
@@ -152,30 +156,31 @@
 	return nil
 }
 
-func (d strictDecoder) member(path, key string, into reflect.Value) error {
-	if into.Kind() == reflect.Struct {
-		field, ok := fieldByName(into, key)
+// member decodes the value of one key into a struct field or map element.
+func (d strictDecoder) member(path, key string, target reflect.Value) error {
+	if target.Kind() == reflect.Struct {
+		field, ok := fieldByName(target, key)
 		if !ok {
 			return fieldError(path, "unknown field")
 		}
 		return d.value(path, field)
 	}
-	if into.IsNil() {
-		into.Set(reflect.MakeMap(into.Type()))
+	if target.IsNil() {
+		target.Set(reflect.MakeMap(target.Type()))
 	}
-	element := reflect.New(into.Type().Elem()).Elem()
+	element := reflect.New(target.Type().Elem()).Elem()
 	if err := d.value(path, element); err != nil {
 		return err
 	}
-	into.SetMapIndex(reflect.ValueOf(key), element)
+	target.SetMapIndex(reflect.ValueOf(key), element)
 	return nil
 }
 
-// fieldByName finds a struct's field by its name in JSON.
-func fieldByName(of reflect.Value, name string) (reflect.Value, bool) {
-	for i := range of.NumField() {
-		if jsonName(of.Type().Field(i)) == name {
-			return of.Field(i), true
+// fieldByName returns the field of a struct that has the given JSON name.
+func fieldByName(structValue reflect.Value, name string) (reflect.Value, bool) {
+	for i := range structValue.NumField() {
+		if jsonName(structValue.Type().Field(i)) == name {
+			return structValue.Field(i), true
 		}
 	}
 	return reflect.Value{}, false
@@ -186,16 +191,16 @@
 	return name
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-func fieldError(path, what string) error {
+func fieldError(path, problem string) error {
 	if path == "" {
 		path = "document"
 	}
-	return fmt.Errorf("%s: %s", path, what)
+	return fmt.Errorf("%s: %s", path, problem)
 }
--- a/internal/configuration/document_restart.go
+++ b/internal/configuration/document_restart.go
@@ -1,60 +1,60 @@
 package configuration
 
-// Reasons why a setting needs a restart.
+// Reasons why changing a setting requires a restart.
 const (
-	fixedIdentity  = "who and where the agent is; the other agents know it by that"
-	fixedPlatform  = "what the platform says of itself; it changes with the platform, which restarts its agents"
-	fixedSafety    = "whether a request may be repeated: attempts that are out were sent by it"
-	fixedResources = "connections, buffers and threads are laid out by it at the start"
-	fixedStop      = "the times of a planned stop are worked out from it at the start"
-	fixedOperator  = "what the operator weighs; the tuning rests on it"
-	fixedDiscovery = "how the list of backends is asked for, settled when discovery is connected"
+	restartIdentity  = "identity and location of the agent, by which the other agents know it"
+	restartPlatform  = "provided by the platform, which restarts its agents when it changes"
+	restartSafety    = "decides whether a request may be repeated, and attempts in flight were sent by it"
+	restartResources = "connections, buffers and threads are allocated by it at the start"
+	restartStop      = "the times of a planned stop are derived from it at the start"
+	restartOperator  = "objectives of the operators, on which the tuning is based"
+	restartDiscovery = "how the list of backends is requested, fixed when discovery is connected"
 )
 
-// NotChangeable says of each field of balance.Settings that no document changes why it needs a restart. Fields of
-// classes, tenants and the like go by their path, as in Classes.Effect.
-var NotChangeable = map[string]string{
-	"Balancers": fixedIdentity,
-	"Self":      fixedIdentity,
-	"Zone":      fixedIdentity,
-	"Zones":     fixedIdentity,
-
-	"Classes.Effect":  fixedSafety,
-	"Classes.Group":   fixedSafety,
-	"Classes.Window":  fixedSafety,
-	"Classes.Stretch": fixedPlatform,
-	"Classes.Stream":  fixedPlatform,
-
-	"Kinds":    fixedPlatform,
-	"ByWork":   fixedPlatform,
-	"Marked":   fixedPlatform,
-	"WarmKeys": fixedPlatform,
-	"Weights":  fixedPlatform,
-	"Reports":  fixedPlatform,
-	"Fields":   fixedPlatform,
-	"Tick":     fixedPlatform,
-
-	"MayProbe":   fixedPlatform,
-	"MayCancel":  fixedPlatform,
-	"Peers":      fixedPlatform,
-	"RetryAfter": fixedPlatform,
-
-	"Subscribe": fixedDiscovery,
-	"AskWithin": fixedDiscovery,
-
-	"ConnectTimeout": fixedResources,
-	"IdleClose":      fixedResources,
-	"StreamsPerConn": fixedResources,
-	"MaxOpen":        fixedResources,
-	"CPUPerSecond":   fixedResources,
-	"CPUPerRequest":  fixedResources,
-
-	"DrainGrace":  fixedStop,
-	"AnswerGrace": fixedStop,
-
-	"GoalWhole":  fixedOperator,
-	"GoalWindow": fixedOperator,
-	"GoalClass":  fixedOperator,
-	"GoalTenant": fixedOperator,
-	"Prices":     fixedOperator,
+// RestartReasons maps each field of balance.Settings that no document can change to the reason why it
+// requires a restart. Fields of classes and tenants are named by path, such as Classes.Effect.
+var RestartReasons = map[string]string{
+	"Balancers": restartIdentity,
+	"Self":      restartIdentity,
+	"Zone":      restartIdentity,
+	"Zones":     restartIdentity,
+
+	"Classes.Effect":  restartSafety,
+	"Classes.Group":   restartSafety,
+	"Classes.Window":  restartSafety,
+	"Classes.Stretch": restartPlatform,
+	"Classes.Stream":  restartPlatform,
+
+	"Kinds":    restartPlatform,
+	"ByWork":   restartPlatform,
+	"Marked":   restartPlatform,
+	"WarmKeys": restartPlatform,
+	"Weights":  restartPlatform,
+	"Reports":  restartPlatform,
+	"Fields":   restartPlatform,
+	"Tick":     restartPlatform,
+
+	"MayProbe":   restartPlatform,
+	"MayCancel":  restartPlatform,
+	"Peers":      restartPlatform,
+	"RetryAfter": restartPlatform,
+
+	"Subscribe": restartDiscovery,
+	"AskWithin": restartDiscovery,
+
+	"ConnectTimeout": restartResources,
+	"IdleClose":      restartResources,
+	"StreamsPerConn": restartResources,
+	"MaxOpen":        restartResources,
+	"CPUPerSecond":   restartResources,
+	"CPUPerRequest":  restartResources,
+
+	"DrainGrace":  restartStop,
+	"AnswerGrace": restartStop,
+
+	"GoalWhole":  restartOperator,
+	"GoalWindow": restartOperator,
+	"GoalClass":  restartOperator,
+	"GoalTenant": restartOperator,
+	"Prices":     restartOperator,
 }
--- a/internal/configuration/document_test.go
+++ b/internal/configuration/document_test.go
@@ -25,61 +25,62 @@
 		Cold:    &ColdDocument{pointer(0.2), pointer(5000.0), pointer(2.0), pointer(250.0)},
 	}
 	if !reflect.DeepEqual(d, want) {
-		t.Errorf("read %s", d.Canonical())
+		t.Errorf("parsed %s", d.Canonical())
 	}
 }
 
 func TestParseDocumentNamesTheFieldItRefuses(t *testing.T) {
-	for _, c := range []struct{ text, named string }{
+	for _, c := range []struct{ text, wantPrefix string }{
 		{``, "document: byte 0: "},
 		{`{"format":1`, "document: byte 11: "},
 		{`{"format":1} {}`, "document: byte 14: "},
-		{`[]`, "document: no object"},
+		{`[]`, "document: must be an object"},
 		{`null`, "format: missing"},
 		{`{}`, "format: missing"},
 		{`{"format":0}`, "format: 0 "},
 		{`{"format":-1}`, "format: -1 "},
-		{`{"format":"1"}`, "format: no number"},
-		{`{"format":1.5}`, "format: 1.5 is no whole number"},
+		{`{"format":"1"}`, "format: must be a number"},
+		{`{"format":1.5}`, "format: 1.5 is not a valid integer of 32 bits"},
 		{`{"format":2}`, "format: 2 is later than 1"},
 		{`{"format":2,"novelty":{"x":1}}`, "format: 2 is later than 1"},
-		{`{"format":1,"format":1}`, "format: twice"},
+		{`{"format":1,"format":1}`, "format: duplicate field"},
 		{`{"format":1,"Limits":{}}`, "Limits: unknown field"},
-		{`{"format":1,"limits":null}`, "limits: null; "},
-		{`{"format":1,"limits":3}`, "limits: no object"},
+		{`{"format":1,"limits":null}`, "limits: must not be null; "},
+		{`{"format":1,"limits":3}`, "limits: must be an object"},
 		{`{"format":1,"limits":{"tries":3}}`, "limits.tries: unknown field"},
-		{`{"format":1,"limits":{"attempts":2.5}}`, "limits.attempts: 2.5 is no whole number"},
-		{`{"format":1,"limits":{"attempts":0}}`, "limits.attempts: 0 is not within 1 and 64"},
-		{`{"format":1,"limits":{"attempts":65}}`, "limits.attempts: 65 is not within 1 and 64"},
-		{`{"format":1,"limits":{"second_copies":1}}`, "limits.second_copies: neither true nor false"},
-		{`{"format":1,"limits":{"over_share_worth":1.01}}`, "limits.over_share_worth: 1.01 is not within 0 and 1"},
-		{`{"format":1,"limits":{"max_retry_after_ms":1e300}}`, "limits.max_retry_after_ms: 1e+300 is not within"},
-		{`{"format":1,"classes":[]}`, "classes: no object"},
-		{`{"format":1,"classes":{"point-read":7}}`, "classes.point-read: no object"},
-		{`{"format":1,"classes":{"":{}}}`, `classes.: "" is no name`},
-		{`{"format":1,"classes":{"point-read":{"aim_ms":"40"}}}`, "classes.point-read.aim_ms: no number"},
-		{`{"format":1,"classes":{"point-read":{"aim_ms":0}}}`, "classes.point-read.aim_ms: 0 is not within 0.001 and 8.64e+07"},
-		{`{"format":1,"classes":{"point-read":{"aim_ms":-1}}}`, "classes.point-read.aim_ms: -1 is not within"},
-		{`{"format":1,"classes":{"point-read":{"aim_ms":1e999}}}`, "classes.point-read.aim_ms: 1e999 is no number"},
-		{`{"format":1,"classes":{"point-read":{"aim_ms":1,"aim_ms":2}}}`, "classes.point-read.aim_ms: twice"},
-		{`{"format":1,"classes":{"point-read":{"late_worth":1.5}}}`, "classes.point-read.late_worth: 1.5 is not within 0 and 1"},
-		{`{"format":1,"classes":{"point-read":{"worth":-0}}}`, "classes.point-read.worth: -0 is not within"},
-		{`{"format":1,"tenants":{"web":{"portion":2}}}`, "tenants.web.portion: 2 is not within 0 and 1"},
-		{`{"format":1,"cold":{"from":0}}`, "cold.from: 0 is not within 0.001 and 1"},
-		{`{"format":1,"cold":{"ramp_ms":true}}`, "cold.ramp_ms: no number"},
+		{`{"format":1,"limits":{"attempts":2.5}}`, "limits.attempts: 2.5 is not a valid integer of 32 bits"},
+		{`{"format":1,"limits":{"attempts":0}}`, "limits.attempts: 0 is not between 1 and 64"},
+		{`{"format":1,"limits":{"attempts":65}}`, "limits.attempts: 65 is not between 1 and 64"},
+		{`{"format":1,"limits":{"second_copies":1}}`, "limits.second_copies: must be true or false"},
+		{`{"format":1,"limits":{"over_share_worth":1.01}}`, "limits.over_share_worth: 1.01 is not between 0 and 1"},
+		{`{"format":1,"limits":{"max_retry_after_ms":1e300}}`, "limits.max_retry_after_ms: 1e+300 is not between"},
+		{`{"format":1,"classes":[]}`, "classes: must be an object"},
+		{`{"format":1,"classes":{"point-read":7}}`, "classes.point-read: must be an object"},
+		{`{"format":1,"classes":{"":{}}}`, `classes.: "" is not a UTF-8 name of 1 to 64 bytes`},
+		{`{"format":1,"classes":{"point-read":{"aim_ms":"40"}}}`, "classes.point-read.aim_ms: must be a number"},
+		{`{"format":1,"classes":{"point-read":{"aim_ms":0}}}`, "classes.point-read.aim_ms: 0 is not between 0.001 and 8.64e+07"},
+		{`{"format":1,"classes":{"point-read":{"aim_ms":-1}}}`, "classes.point-read.aim_ms: -1 is not between"},
+		{`{"format":1,"classes":{"point-read":{"aim_ms":1e999}}}`, "classes.point-read.aim_ms: 1e999 is not a valid number"},
+		{`{"format":1,"classes":{"point-read":{"aim_ms":1,"aim_ms":2}}}`, "classes.point-read.aim_ms: duplicate field"},
+		{`{"format":1,"classes":{"point-read":{"late_worth":1.5}}}`, "classes.point-read.late_worth: 1.5 is not between 0 and 1"},
+		{`{"format":1,"classes":{"point-read":{"worth":-0}}}`, "classes.point-read.worth: -0 is not between"},
+		{`{"format":1,"tenants":{"web":{"portion":2}}}`, "tenants.web.portion: 2 is not between 0 and 1"},
+		{`{"format":1,"cold":{"from":0}}`, "cold.from: 0 is not between 0.001 and 1"},
+		{`{"format":1,"cold":{"ramp_ms":true}}`, "cold.ramp_ms: must be a number"},
 		{"{\"format\":1,\"classes\":{\"\xff\":{}}}", "document: not UTF-8"},
 		{`{"format":1,"classes":{"` + strings.Repeat("x", DocumentMost) + `":{}}}`, "document: 16"},
 	} {
 		d, err := ParseDocument([]byte(c.text))
 		if err == nil {
-			t.Errorf("%.80s: read as %s", c.text, d.Canonical())
-		} else if !strings.HasPrefix(err.Error(), c.named) {
-			t.Errorf("%.80s: %v; want it to begin with %q", c.text, err, c.named)
+			t.Errorf("%.80s: parsed as %s", c.text, d.Canonical())
+		} else if !strings.HasPrefix(err.Error(), c.wantPrefix) {
+			t.Errorf("%.80s: error %v, want prefix %q", c.text, err, c.wantPrefix)
 		}
 	}
 }
 
-// What is short as written may be long in canonical text, which is what is kept and sent.
+// The limit applies to the canonical text, which is what is stored and sent. It may be longer than the input,
+// because JSON escapes characters such as "<".
 func TestParseDocumentBoundsTheCanonicalText(t *testing.T) {
 	var classes []string
 	for i := range 200 {
@@ -87,14 +88,14 @@
 	}
 	text := `{"format":1,"classes":{` + strings.Join(classes, ",") + `}}`
 	if len(text) > DocumentMost {
-		t.Fatalf("the text has %d bytes itself", len(text))
+		t.Fatalf("the text already has %d bytes", len(text))
 	}
-	if _, err := ParseDocument([]byte(text)); err == nil || !strings.Contains(err.Error(), "over 16384") {
+	if _, err := ParseDocument([]byte(text)); err == nil || !strings.Contains(err.Error(), "over the limit of 16384") {
 		t.Errorf("error %v", err)
 	}
 }
 
-func TestCanonicalIsTheOneText(t *testing.T) {
+func TestCanonicalTextIsUnique(t *testing.T) {
 	a := mustParse(t, `{"limits":{"second_copies":true,"attempts":2},"format":1,"classes":{"scan":{"aim_ms":100.0},"point-read":{}},"cold":{}}`)
 	b := mustParse(t, `{ "format": 1, "classes": {"scan": {"aim_ms": 1e2}}, "tenants": {}, "limits": {"attempts":2,"second_copies":true} }`)
 	want := `{"classes":{"scan":{"aim_ms":100}},"format":1,"limits":{"attempts":2,"second_copies":true}}`
@@ -104,22 +105,22 @@
 		}
 	}
 	if again := mustParse(t, want).Canonical(); string(again) != want {
-		t.Errorf("read again it is %s", again)
+		t.Errorf("parsed again: %s", again)
 	}
 	if digest := Digest([]byte(want)); len(digest) != 32 || digest == Digest([]byte(want+" ")) {
 		t.Errorf("digest %q", digest)
 	}
 }
 
-// leaf is a field of a document that holds a value.
-type leaf struct {
+// documentField is a field of a document that holds a value.
+type documentField struct {
 	path string
-	set  func(d *Document, value any) // value as the method makes it
+	set  func(d *Document, value any) // value is a pointer as returned by the value method
 	kind reflect.Kind
 }
 
-// leaves finds all fields of a document, Format apart, by reflection, so that none can be forgotten.
-func leaves(t *testing.T) (all []leaf) {
+// documentFields finds all fields of a document except Format by reflection, so that new fields are covered.
+func documentFields(t *testing.T) (all []documentField) {
 	document := reflect.TypeFor[Document]()
 	for i := range document.NumField() {
 		section := document.Field(i)
@@ -130,7 +131,7 @@
 			element := map[string]string{"classes": "point-read", "tenants": "web"}[name]
 			for j := range section.Type.Elem().NumField() {
 				field := section.Type.Elem().Field(j)
-				all = append(all, leaf{name + "." + element + "." + jsonName(field), func(d *Document, value any) {
+				all = append(all, documentField{name + "." + element + "." + jsonName(field), func(d *Document, value any) {
 					elements := reflect.ValueOf(d).Elem().Field(i)
 					if elements.IsNil() {
 						elements.Set(reflect.MakeMap(section.Type))
@@ -143,7 +144,7 @@
 		case section.Type.Kind() == reflect.Pointer:
 			for j := range section.Type.Elem().NumField() {
 				field := section.Type.Elem().Field(j)
-				all = append(all, leaf{name + "." + jsonName(field), func(d *Document, value any) {
+				all = append(all, documentField{name + "." + jsonName(field), func(d *Document, value any) {
 					pointer := reflect.ValueOf(d).Elem().Field(i)
 					pointer.Set(reflect.New(section.Type.Elem()))
 					pointer.Elem().Field(j).Set(reflect.ValueOf(value))
@@ -154,15 +155,15 @@
 		}
 	}
 	if len(all) < 14 {
-		t.Fatalf("found %d fields alone", len(all))
+		t.Fatalf("found only %d fields, want at least 14", len(all))
 	}
 	return all
 }
 
-// value is a pointer to a value that differs from startSettings'; another n, another value.
-func (l leaf) value(t *testing.T, n int) any {
+// value returns a pointer to a value that differs from that of startSettings. Each n gives another value.
+func (l documentField) value(t *testing.T, n int) any {
 	if strings.HasSuffix(l.path, ".deadline_ms") {
-		return pointer(300 + float64(n)) // over the aim
+		return pointer(300 + float64(n)) // above the aim
 	}
 	switch l.kind {
 	case reflect.Float64:
@@ -172,19 +173,19 @@
 	case reflect.Bool:
 		return pointer(n%2 == 0)
 	}
-	t.Fatalf("no value of kind %v", l.kind)
+	t.Fatalf("no test value for kind %v", l.kind)
 	return nil
 }
 
-// with is a document with one field alone.
-func (l leaf) with(value any) *Document {
+// with returns a document in which only the field is set.
+func (l documentField) with(value any) *Document {
 	d := &Document{Format: Format}
 	l.set(d, value)
 	return d
 }
 
-func TestMergeTakesTheNarrowerOfEachField(t *testing.T) {
-	for _, l := range leaves(t) {
+func TestMergePrefersNarrowerFields(t *testing.T) {
+	for _, l := range documentFields(t) {
 		wide, narrow, none := l.with(l.value(t, 1)), l.with(l.value(t, 2)), &Document{Format: Format}
 		wideText, narrowText := string(wide.Canonical()), string(narrow.Canonical())
 		for _, c := range []struct {
@@ -200,16 +201,17 @@
 			}
 		}
 		if string(wide.Canonical()) != wideText || string(narrow.Canonical()) != narrowText {
-			t.Errorf("%s: Merge has changed what it was given", l.path)
+			t.Errorf("%s: Merge has modified its arguments", l.path)
 		}
 	}
 	if got := string(Merge(nil, nil).Canonical()); got != `{"format":1}` {
-		t.Errorf("nothing merged: %s", got)
+		t.Errorf("two nil documents merged: %s", got)
 	}
 }
 
-// A merged document shares no maps with those it is made of: follower and registry keep both.
-func TestMergeKeepsFieldsOfOneClassApart(t *testing.T) {
+// Fields of the same class from both documents are combined, and the merged document shares no map with its
+// inputs, which followers and registries keep.
+func TestMergeCombinesFieldsOfOneClass(t *testing.T) {
 	wide := mustParse(t, `{"format":1,"classes":{"scan":{"aim_ms":10,"worth":1}},"limits":{"attempts":2}}`)
 	narrow := mustParse(t, `{"format":1,"classes":{"scan":{"aim_ms":20},"write":{"worth":4}},"limits":{"second_copies":true}}`)
 	before := string(wide.Canonical())
@@ -221,7 +223,7 @@
 }
 
 func TestCheckBoundsEachNumber(t *testing.T) {
-	for _, l := range leaves(t) {
+	for _, l := range documentFields(t) {
 		var values []any
 		switch l.kind {
 		case reflect.Float64:
@@ -242,8 +244,8 @@
 	}
 }
 
-// settingsPaths are the fields of settings with their values, those of classes and tenants by their path, as in
-// Classes.Aim; of these there is one value each.
+// settingsPaths returns the values of all fields of settings by name. Fields of classes and tenants are named
+// by path, such as Classes.Aim, and the values of all classes or tenants are joined.
 func settingsPaths(s balance.Settings) map[string]string {
 	paths := map[string]string{}
 	settings := reflect.ValueOf(s)
@@ -264,15 +266,15 @@
 	return paths
 }
 
-// Each field of a document changes one setting, and each setting is changed by one field or named as one that can't
-// be changed.
-func TestEachFieldReachesItsSetting(t *testing.T) {
+// Each field of a document changes exactly one setting, and each setting is either changed by one field or
+// listed in RestartReasons.
+func TestEachFieldChangesOneSetting(t *testing.T) {
 	base, names := startSettings()
 	before := settingsPaths(base)
 	reachedBy := map[string]string{}
-	for _, l := range leaves(t) {
+	for _, l := range documentFields(t) {
 		var settings balance.Settings
-		for n := range 2 { // a boolean may be as it was
+		for n := range 2 { // one of two values of a boolean equals the base's
 			changed, err := l.with(l.value(t, n)).Apply(base, names)
 			if err != nil {
 				t.Fatalf("%s: %v", l.path, err)
@@ -298,24 +300,24 @@
 	}
 	for path := range before {
 		_, changeable := reachedBy[path]
-		reason, fixed := NotChangeable[path]
+		reason, fixed := RestartReasons[path]
 		if changeable == fixed {
-			t.Errorf("%s: changed by %q, not changeable as %q; want one of both", path, reachedBy[path], reason)
+			t.Errorf("%s: changed by field %q, restart reason %q; want exactly one of them", path, reachedBy[path], reason)
 		}
 	}
-	for path, reason := range NotChangeable {
+	for path, reason := range RestartReasons {
 		if _, exists := before[path]; !exists || reason == "" {
-			t.Errorf("NotChangeable has %s as %q, which isn't a setting with a reason", path, reason)
+			t.Errorf("RestartReasons has %s: %q, want an existing setting and a reason", path, reason)
 		}
 	}
 }
 
-func TestApplyRefuses(t *testing.T) {
+func TestApplyRefusesInvalidChanges(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{`{"format":1,"classes":{"nope":{"aim_ms":1}}}`, "classes.nope: the agent was started without such a class"},
-		{`{"format":1,"tenants":{"nope":{"portion":1}}}`, "tenants.nope: the agent was started without such a tenant"},
+		{`{"format":1,"classes":{"nope":{"aim_ms":1}}}`, "classes.nope: the agent was started without this class"},
+		{`{"format":1,"tenants":{"nope":{"portion":1}}}`, "tenants.nope: the agent was started without this tenant"},
 		{`{"format":1,"classes":{"point-read":{"deadline_ms":2001}}}`,
-			"classes.point-read.deadline_ms: 2.001s is over 2s, the longest deadline that the agent was started with: the times of its planned stop rest on that"},
+			"classes.point-read.deadline_ms: 2.001s is over 2s, the longest deadline that the agent was started with, from which the times of a planned stop are derived"},
 		{`{"format":1,"classes":{"point-read":{"aim_ms":401}}}`, "classes.point-read.aim_ms: 401ms is over the deadline, 400ms"},
 		{`{"format":1,"classes":{"point-read":{"deadline_ms":49}}}`, "classes.point-read.aim_ms: 50ms is over the deadline, 49ms"},
 	} {
@@ -330,7 +332,7 @@
 	}
 }
 
-func TestApplyTakesWhatIsAtTheBounds(t *testing.T) {
+func TestApplyAcceptsBoundaryValues(t *testing.T) {
 	base, names := startSettings()
 	d := mustParse(t, `{"format":1,"classes":{"scan":{"deadline_ms":1000},"point-read":{"aim_ms":2000,"deadline_ms":2000}}}`)
 	got, err := d.Apply(base, names)
@@ -356,17 +358,17 @@
 		}
 		changed.Classes[0].Aim, changed.Tenants[0].Portion = 1, 0.123
 		if want, _ := startSettings(); !reflect.DeepEqual(base, want) || string(d.Canonical()) != text {
-			t.Fatalf("seed %d: what was returned shares classes or tenants with the base", seed)
+			t.Fatalf("seed %d: the result shares classes or tenants with the base", seed)
 		}
 	}
 	same, err := (*Document)(nil).Apply(base, names)
 	if err != nil || !reflect.DeepEqual(same, base) {
-		t.Errorf("no document: %v, %+v", err, same)
+		t.Errorf("nil document: %v, %+v", err, same)
 	}
 }
 
-// The start file's check is asked too: a class that it would refuse isn't applied either.
-func TestApplyChecksAsAtAStart(t *testing.T) {
+// Apply also runs the checks of the start file and refuses settings that fail them.
+func TestApplyChecksStartSettings(t *testing.T) {
 	base, names := startSettings()
 	base.Balancers = 0
 	if _, err := mustParse(t, `{"format":1}`).Apply(base, names); err == nil || !strings.Contains(err.Error(), "Balancers") {
@@ -374,10 +376,10 @@
 	}
 }
 
-func TestApplyNamesTheSameFaultEachTime(t *testing.T) {
+func TestApplyErrorIsDeterministic(t *testing.T) {
 	d := longDocument(50, 1)
-	for range 20 { // maps are walked in any order
-		if err := checkStart(d); err == nil || !strings.HasPrefix(err.Error(), "classes.class-0000-") {
+	for range 20 { // the iteration order of maps is random
+		if err := checkAgainstStart(d); err == nil || !strings.HasPrefix(err.Error(), "classes.class-0000-") {
 			t.Fatalf("error %v", err)
 		}
 	}
--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -6,86 +6,87 @@
 	"slices"
 )
 
-// Follower is the agent's side: it puts the updates of a watch together, checks them, says which effective document
-// is to be applied, and reports what is in force.
+// Follower is the agent's side of a watch. It assembles the updates, checks the documents, returns the
+// effective document to apply, and reports which revisions are in force.
 //
-//	follower.Connected()                  // a watch begins: ask with follower.Have()
-//	result := follower.Take(update)       // for each line; ResultAskWhole: end the watch, begin a new one after a pause
-//	effective, ok := follower.Pending()   // after each Connected and Take: apply it, then
-//	follower.InForce(effective)           // or follower.Failed(effective, err); then look at Pending again
-//	follower.Report()                     // send it as soon as a watch is answered, when it has changed, and now and then
+//	follower.Connected()                  // a watch begins: request it with follower.Have()
+//	result := follower.Take(update)       // for each line; on ResultAskWhole end the watch, begin a new one after a pause
+//	effective, ok := follower.Pending()   // after each Connected and Take: apply it, then call
+//	follower.InForce(effective)           // or follower.Failed(effective, err), and check Pending again
+//	follower.Report()                     // send it when a watch is answered, when it has changed, and periodically
 type Follower struct {
-	place    Place
-	check    func(effective *Document) error
-	scopes   []Scope // of the place, from the widest to the narrowest
-	states   map[Scope]*followedScope
-	awaited  bool // further updates are to take effect together with the last one
-	oneByOne bool // applying several changes at once has failed
+	place         Place
+	check         func(effective *Document) error
+	scopes        []Scope // that apply to the agent, from the widest to the narrowest
+	states        map[Scope]*followedScope
+	moreExpected  bool // the last update announced further updates that take effect together with it
+	applyOneByOne bool // applying several changed scopes at once has failed
 
-	inForce *Effective         // never nil
-	pending *Effective         // what is to be applied; nil: what is in force, or not yet known
-	known   bool               // pending and the refusals are those of what was taken so far
-	failed  map[Scope]Position // what couldn't be applied last; it isn't offered again before something has come
+	inForce    *Effective         // never nil
+	pending    *Effective         // to be applied; nil: it is in force already, or not evaluated yet
+	evaluated  bool               // pending and the refusals reflect all updates so far
+	lastFailed map[Scope]Position // positions that could not be applied last; not offered again before the next update
 
-	unguarded guards
+	skip skippedChecks
 }
 
-// guards are left out by tests that show what each is for.
-type guards struct{ order, from, digest bool }
+// skippedChecks disables checks of a Follower in tests that show which fault each check prevents.
+type skippedChecks struct{ order, from, digest bool }
 
-// followedScope is what an agent has of one scope.
+// followedScope is the agent's state of one scope.
 type followedScope struct {
-	received   document      // the latest revision that came; patches are laid upon it
-	inForce    document      // the one that is in force; Revision 0: none
-	parts      *partAssembly // of a revision that is coming; nil: none
-	needsWhole bool
-	failed     string // why received couldn't be applied
-	refused    string // why received isn't part of what is to be in force
+	received      scopeDocument // latest revision received; patches apply to its text
+	inForce       scopeDocument // revision in force; Revision 0: none
+	parts         *partAssembly // parts received of an incomplete revision; nil: none
+	needsWhole    bool          // an update could not be used, so the whole document has to be requested
+	applyFailure  string        // why received could not be applied; empty: it hasn't failed
+	refusalReason string        // why received is not part of the effective document; empty: it is
 }
 
-// document is a revision's text and what it says; a Revision of 0 is none.
-type document struct {
+// scopeDocument is the text of a revision and its parsed form. A Revision of 0 means that there is none.
+type scopeDocument struct {
 	Position
-	text   []byte
-	digest string
-	parsed *Document
-	fault  error // of parsing
+	text     []byte
+	digest   string
+	parsed   *Document
+	parseErr error // set if text could not be parsed
 }
 
-func newDocument(at Position, text []byte) document {
+func newScopeDocument(at Position, text []byte) scopeDocument {
 	parsed, err := ParseDocument(text)
-	return document{Position: at, text: text, digest: Digest(text), parsed: parsed, fault: err}
+	return scopeDocument{Position: at, text: text, digest: Digest(text), parsed: parsed, parseErr: err}
 }
 
-// Effective is what all documents of an agent come to. It isn't changed after Pending has returned it.
+// Effective is the merged document of all scopes of an agent. It isn't modified after Pending has returned it.
 type Effective struct {
 	Document  *Document
-	Positions map[Scope]Position // revisions that it is made of
+	Positions map[Scope]Position // revisions that it was merged from
 	Digest    string             // of Document
 
-	made map[Scope]document
+	sources map[Scope]scopeDocument
 }
 
-// ResultKind says what became of an update.
+// ResultKind is the kind of the result of an update.
 type ResultKind uint8
 
-// The kinds.
+// The kinds of results.
 const (
-	ResultTaken    ResultKind = iota // the scope has a new revision
-	ResultPart                       // further parts are to come
-	ResultKnown                      // this or a later revision was there before; nothing has changed
-	ResultForeign                    // the scope isn't this agent's; nothing has changed
-	ResultAskWhole                   // it doesn't fit what is there; see NeedsWhole
+	ResultAccepted     ResultKind = iota // the scope has a new revision
+	ResultPartial                        // further parts of the revision are expected
+	ResultAlreadyKnown                   // this or a later revision was received before; nothing has changed
+	ResultWrongScope                     // the scope doesn't apply to this agent; nothing has changed
+	ResultAskWhole                       // the update can't be applied to the revision received before; see NeedsWhole
 )
 
-// Result answers an update.
+// Result is the result of an update.
 type Result struct {
 	Kind ResultKind
-	Why  string // with ResultKnown, ResultForeign and ResultAskWhole
+	Why  string // reason, for ResultAlreadyKnown, ResultWrongScope and ResultAskWhole
 }
 
-// NewFollower returns the follower of the agent at a place. check refuses an effective document that the agent can't
-// apply to the settings it was started with; it is called with partial merges too, from the widest scope on.
+// NewFollower returns the follower of the agent at a place. check returns an error for an effective document
+// that the agent can't apply to the settings it was started with. It is also called with partially merged
+// documents, from the widest scope on.
 func NewFollower(place Place, check func(effective *Document) error) *Follower {
 	f := &Follower{place: place, check: check, scopes: place.Scopes(), states: map[Scope]*followedScope{}}
 	for _, scope := range f.scopes {
@@ -95,25 +96,26 @@
 	return f
 }
 
-func newEffective(merged *Document, made map[Scope]document) *Effective {
+func newEffective(merged *Document, sources map[Scope]scopeDocument) *Effective {
 	merged = Merge(merged, nil)
-	e := &Effective{Document: merged, Positions: map[Scope]Position{}, Digest: Digest(merged.Canonical()), made: made}
-	for scope, d := range made {
+	e := &Effective{Document: merged, Positions: map[Scope]Position{}, Digest: Digest(merged.Canonical()), sources: sources}
+	for scope, d := range sources {
 		e.Positions[scope] = d.Position
 	}
 	return e
 }
 
-// Connected says that a new watch begins: parts that the last one left incomplete are given up, and a set takes effect
-// as far as it came, so that something may be pending. To be called before Have.
+// Connected records that a new watch begins. Incomplete parts of the last watch are discarded, and an
+// incomplete set of updates takes effect as far as it was received, so a document may be pending afterwards.
+// Call it before Have.
 func (f *Follower) Connected() {
-	f.awaited = false
+	f.moreExpected = false
 	for _, state := range f.states {
 		state.parts = nil
 	}
 }
 
-// Have are the positions to watch from. A scope that needs the whole has an Epoch of 0.
+// Have returns the positions to begin a watch from. Scopes whose whole document is needed have an Epoch of 0.
 func (f *Follower) Have() map[Scope]Position {
 	have := map[Scope]Position{}
 	for scope, state := range f.states {
@@ -128,7 +130,8 @@
 	return have
 }
 
-// NeedsWhole are scopes of which an update didn't fit. A new watch that asks with Have gets them whole.
+// NeedsWhole returns the scopes with an update that could not be used. A new watch from Have receives their
+// whole documents.
 func (f *Follower) NeedsWhole() (scopes []Scope) {
 	for _, scope := range f.scopes {
 		if f.states[scope].needsWhole {
@@ -138,128 +141,131 @@
 	return scopes
 }
 
-// Take takes the next update of the watch.
+// Take processes the next update of the watch.
 func (f *Follower) Take(u Update) Result {
-	f.awaited = u.More
-	f.known, f.failed = false, nil
-	state, own := f.states[u.Scope]
-	if !own {
-		return Result{ResultForeign, fmt.Sprintf("%v doesn't hold for this agent", u.Scope)}
+	f.moreExpected = u.More
+	f.evaluated, f.lastFailed = false, nil
+	state, applies := f.states[u.Scope]
+	if !applies {
+		return Result{ResultWrongScope, fmt.Sprintf("%v doesn't apply to this agent", u.Scope)}
 	}
-	if !f.unguarded.order && u.Revision <= state.received.Revision {
-		return state.takeKnown(u)
+	if !f.skip.order && u.Revision <= state.received.Revision {
+		return state.alreadyKnown(u)
 	}
-	text, result := f.textOf(u, state)
-	if result.Kind != ResultTaken {
+	text, result := f.textAfter(u, state)
+	if result.Kind != ResultAccepted {
 		state.needsWhole = state.needsWhole || result.Kind == ResultAskWhole
 		return result
 	}
-	*state = followedScope{received: newDocument(u.Position, text), inForce: state.inForce}
+	*state = followedScope{received: newScopeDocument(u.Position, text), inForce: state.inForce}
 	return result
 }
 
-// takeKnown answers an update of a revision that was there before.
-func (s *followedScope) takeKnown(u Update) Result {
+// alreadyKnown returns the result for an update whose revision isn't later than the one received.
+func (s *followedScope) alreadyKnown(u Update) Result {
 	have := s.received
 	if u.Revision == have.Revision && u.Digest != have.digest {
-		return Result{ResultKnown, fmt.Sprintf("%v: another document of revision %d (digest %s, was %s)",
+		return Result{ResultAlreadyKnown, fmt.Sprintf("%v: another document for revision %d (digest %s, was %s)",
 			u.Scope, u.Revision, u.Digest, have.digest)}
 	}
-	return Result{ResultKnown, fmt.Sprintf("%v: revision %d is here, %d has come", u.Scope, have.Revision, u.Revision)}
+	return Result{ResultAlreadyKnown, fmt.Sprintf("%v: revision %d was received before, got %d", u.Scope, have.Revision, u.Revision)}
 }
 
-// textOf is the document's text after an update, or why there is none.
-func (f *Follower) textOf(u Update, state *followedScope) ([]byte, Result) {
+// textAfter returns the text of the scope's document after an update. The result is ResultAccepted if the
+// text is complete and valid, otherwise it tells why not.
+func (f *Follower) textAfter(u Update, state *followedScope) ([]byte, Result) {
 	var text []byte
 	var result Result
 	switch {
 	case u.Parts > 1:
 		text, result = state.assemble(u)
 	case u.From > 0:
-		text, result = f.patched(u, state)
+		text, result = f.patchedText(u, state)
 	default:
 		text = u.Patch
 	}
-	if result.Kind != ResultTaken {
+	if result.Kind != ResultAccepted {
 		return nil, result
 	}
 	if len(text) > DocumentMost {
-		return nil, askWhole(u, tooLong(len(text)).Error())
+		return nil, needsWholeResult(u, tooLongError(len(text)).Error())
 	}
-	if digest := Digest(text); !f.unguarded.digest && digest != u.Digest {
-		return nil, askWhole(u, fmt.Sprintf("the document's digest is %s, not %s", digest, u.Digest))
+	if digest := Digest(text); !f.skip.digest && digest != u.Digest {
+		return nil, needsWholeResult(u, fmt.Sprintf("the document's digest is %s, not %s", digest, u.Digest))
 	}
 	return slices.Clone(text), Result{}
 }
 
-func askWhole(u Update, why string) Result {
+func needsWholeResult(u Update, why string) Result {
 	return Result{ResultAskWhole, fmt.Sprintf("%v: revision %d: %s", u.Scope, u.Revision, why)}
 }
 
-// patched lays a patch over what came last.
-func (f *Follower) patched(u Update, state *followedScope) ([]byte, Result) {
-	if have := state.received.Revision; !f.unguarded.from && u.From != have {
-		return nil, askWhole(u, fmt.Sprintf("a patch from revision %d, where %d is", u.From, have))
+// patchedText applies a patch to the text of the revision received last.
+func (f *Follower) patchedText(u Update, state *followedScope) ([]byte, Result) {
+	if have := state.received.Revision; !f.skip.from && u.From != have {
+		return nil, needsWholeResult(u, fmt.Sprintf("the patch is from revision %d, but the agent has %d", u.From, have))
 	}
 	text, err := ApplyPatch(state.received.text, u.Patch)
 	if err != nil {
-		return nil, askWhole(u, err.Error())
+		return nil, needsWholeResult(u, err.Error())
 	}
 	return text, Result{}
 }
 
-// Pending returns the effective document that is to be applied, if it isn't in force yet and no update is awaited.
+// Pending returns the effective document to be applied, if it isn't in force yet and no further update is
+// expected.
 func (f *Follower) Pending() (*Effective, bool) {
-	if f.awaited {
+	if f.moreExpected {
 		return nil, false
 	}
 	f.evaluate()
 	return f.pending, f.pending != nil
 }
 
-// evaluate works out what is to be in force and which revisions are refused.
+// evaluate computes the pending document and the refusals, unless they are up to date.
 func (f *Follower) evaluate() {
-	if f.known {
+	if f.evaluated {
 		return
 	}
-	f.known = true
+	f.evaluated = true
 	wanted := f.compose()
-	if f.oneByOne {
+	if f.applyOneByOne {
 		wanted = f.firstChange(wanted)
 	}
 	f.pending = wanted
 	if maps.Equal(wanted.Positions, f.inForce.Positions) {
-		f.pending, f.oneByOne = nil, false
-	} else if f.failed != nil && maps.Equal(wanted.Positions, f.failed) {
+		f.pending, f.applyOneByOne = nil, false
+	} else if f.lastFailed != nil && maps.Equal(wanted.Positions, f.lastFailed) {
 		f.pending = nil
 	}
 }
 
-// InForce says that an effective document was applied.
+// InForce records that an effective document was applied.
 func (f *Follower) InForce(e *Effective) {
-	f.inForce, f.known = e, false
+	f.inForce, f.evaluated = e, false
 	for scope, state := range f.states {
-		state.inForce = e.made[scope]
+		state.inForce = e.sources[scope]
 	}
 }
 
-// Failed says that applying an effective document was refused. Where several scopes had changed they are tried one by
-// one, from the widest on; one alone is refused until its next revision.
+// Failed records that applying an effective document has failed. If several scopes had changed, they are
+// applied one by one from now on, from the widest; if only one had, its revision is refused until the next
+// one.
 func (f *Follower) Failed(e *Effective, cause error) {
-	f.known, f.failed = false, e.Positions
+	f.evaluated, f.lastFailed = false, e.Positions
 	changed := f.changedScopes(e)
 	if len(changed) > 1 {
-		f.oneByOne = true
+		f.applyOneByOne = true
 		return
 	}
 	for _, scope := range changed {
 		if state := f.states[scope]; state.received.Position == e.Positions[scope] {
-			state.failed = "could not be applied: " + cause.Error()
+			state.applyFailure = "could not be applied: " + cause.Error()
 		}
 	}
 }
 
-// changedScopes are those of which an effective document has another revision than the one in force.
+// changedScopes returns the scopes whose revision differs between e and the document in force.
 func (f *Follower) changedScopes(e *Effective) (changed []Scope) {
 	for _, scope := range f.scopes {
 		if e.Positions[scope] != f.inForce.Positions[scope] {
@@ -269,15 +275,15 @@
 	return changed
 }
 
-// Report says what is in force and what is refused.
+// Report returns the report with the positions in force and the refusals.
 func (f *Follower) Report() Report {
-	if !f.awaited {
+	if !f.moreExpected {
 		f.evaluate()
 	}
 	report := Report{Place: f.place, Format: Format, InForce: maps.Clone(f.inForce.Positions), Digest: f.inForce.Digest}
 	for _, scope := range f.scopes {
-		if state := f.states[scope]; state.refused != "" {
-			refusal := Refusal{Scope: scope, Position: state.received.Position, Why: cutText(state.refused, RefusalMost)}
+		if state := f.states[scope]; state.refusalReason != "" {
+			refusal := Refusal{Scope: scope, Position: state.received.Position, Why: truncateText(state.refusalReason, MaxRefusalBytes)}
 			report.Refused = append(report.Refused, refusal)
 		}
 	}
--- a/internal/configuration/follower_compose.go
+++ b/internal/configuration/follower_compose.go
@@ -6,35 +6,37 @@
 	"unicode/utf8"
 )
 
-// compose lays the documents of all scopes over one another, from the widest to the narrowest. One whose addition
-// fails the check is refused; then the scope keeps the revision that is in force, if that passes.
+// compose merges the received documents of all scopes, from the widest to the narrowest. A document with
+// which the check fails is refused, and the scope keeps the revision in force if the check passes with that
+// one.
 func (f *Follower) compose() *Effective {
 	var merged *Document
-	made := map[Scope]document{}
+	sources := map[Scope]scopeDocument{}
 	for _, scope := range f.scopes {
 		state := f.states[scope]
-		state.refused = ""
-		next, d, err := f.add(merged, state.received, state.failed)
+		state.refusalReason = ""
+		next, d, err := f.addDocument(merged, state.received, state.applyFailure)
 		if err != nil {
-			state.refused = err.Error()
-			next, d, err = f.add(merged, state.inForce, "")
+			state.refusalReason = err.Error()
+			next, d, err = f.addDocument(merged, state.inForce, "")
 		}
 		if err == nil && d.Revision > 0 {
-			merged, made[scope] = next, d
+			merged, sources[scope] = next, d
 		}
 	}
-	return newEffective(merged, made)
+	return newEffective(merged, sources)
 }
 
-// add lays one more document over a merged one, if it passes.
-func (f *Follower) add(merged *Document, d document, failed string) (*Document, document, error) {
+// addDocument returns merged overlaid with d, or an error if d is invalid, could not be applied or fails the
+// check.
+func (f *Follower) addDocument(merged *Document, d scopeDocument, applyFailure string) (*Document, scopeDocument, error) {
 	switch {
 	case d.Revision == 0:
 		return merged, d, nil
-	case d.fault != nil:
-		return nil, d, d.fault
-	case failed != "":
-		return nil, d, errors.New(failed)
+	case d.parseErr != nil:
+		return nil, d, d.parseErr
+	case applyFailure != "":
+		return nil, d, errors.New(applyFailure)
 	}
 	next := Merge(merged, d.parsed)
 	if err := f.check(next); err != nil {
@@ -43,38 +45,39 @@
 	return next, d, nil
 }
 
-// firstChange is what is in force with only the widest of the scopes changed that are to change.
+// firstChange returns the document in force with one change of wanted applied: that of the widest scope that
+// differs.
 func (f *Follower) firstChange(wanted *Effective) *Effective {
 	changed := f.changedScopes(wanted)
 	if len(changed) == 0 {
 		return wanted
 	}
 	first := changed[0]
-	made := maps.Clone(f.inForce.made)
-	if made == nil {
-		made = map[Scope]document{}
+	sources := maps.Clone(f.inForce.sources)
+	if sources == nil {
+		sources = map[Scope]scopeDocument{}
 	}
-	if d, ok := wanted.made[first]; ok {
-		made[first] = d
+	if d, ok := wanted.sources[first]; ok {
+		sources[first] = d
 	} else {
-		delete(made, first)
+		delete(sources, first)
 	}
 	var merged *Document
 	for _, scope := range f.scopes {
-		if d, ok := made[scope]; ok {
+		if d, ok := sources[scope]; ok {
 			merged = Merge(merged, d.parsed)
 		}
 	}
-	return newEffective(merged, made)
+	return newEffective(merged, sources)
 }
 
-// cutText cuts a text between characters to so many bytes.
-func cutText(text string, most int) string {
-	if len(text) <= most {
+// truncateText truncates a text to at most maxBytes bytes, without splitting a UTF-8 character.
+func truncateText(text string, maxBytes int) string {
+	if len(text) <= maxBytes {
 		return text
 	}
-	for most > 0 && !utf8.RuneStart(text[most]) {
-		most--
+	for maxBytes > 0 && !utf8.RuneStart(text[maxBytes]) {
+		maxBytes--
 	}
-	return text[:most]
+	return text[:maxBytes]
 }
--- a/internal/configuration/follower_state.go
+++ b/internal/configuration/follower_state.go
@@ -9,76 +9,79 @@
 	"fmt"
 )
 
-// keptFormat begins a kept state; another layout has another one.
-const keptFormat = "lemonrail configuration 1"
+// stateHeader begins the first line of a saved state. Another layout must have another header.
+const stateHeader = "lemonrail configuration 1"
 
-// keptState is what is in force, as it is kept. Its checksum stands before it on a line of its own.
-type keptState struct {
-	Place  Place       `json:"place"`
-	Format int         `json:"format"`
-	Scopes []keptScope `json:"scopes"`
+// savedState is the part of a Follower's state that survives a restart: the documents in force. The line
+// before its JSON holds stateHeader and the checksum.
+type savedState struct {
+	Place  Place        `json:"place"`
+	Format int          `json:"format"`
+	Scopes []savedScope `json:"scopes"`
 }
 
-type keptScope struct {
+// savedScope is the revision of one scope in a savedState.
+type savedScope struct {
 	Scope    Scope           `json:"scope"`
 	At       Position        `json:"at"`
 	Document json.RawMessage `json:"document"`
 }
 
-// Kept returns what is in force, for a disk, with a checksum.
+// Kept returns the documents in force, with a checksum, for storage on disk.
 func (f *Follower) Kept() ([]byte, error) {
-	kept := keptState{Place: f.place, Format: Format}
+	saved := savedState{Place: f.place, Format: Format}
 	for _, scope := range f.scopes {
-		if d, ok := f.inForce.made[scope]; ok {
-			kept.Scopes = append(kept.Scopes, keptScope{scope, d.Position, d.text})
+		if d, ok := f.inForce.sources[scope]; ok {
+			saved.Scopes = append(saved.Scopes, savedScope{scope, d.Position, d.text})
 		}
 	}
-	body, err := json.Marshal(kept)
+	body, err := json.Marshal(saved)
 	if err != nil {
-		return nil, fmt.Errorf("kept configuration: %w", err)
+		return nil, fmt.Errorf("saved configuration: %w", err)
 	}
-	return append([]byte(keptHead(body)), body...), nil
+	return append([]byte(stateHeaderLine(body)), body...), nil
 }
 
-// keptHead is the line before a kept state.
-func keptHead(body []byte) string {
+// stateHeaderLine returns the first line of a saved state, which holds the checksum of body.
+func stateHeaderLine(body []byte) string {
 	sum := sha256.Sum256(body)
-	return keptFormat + " " + hex.EncodeToString(sum[:]) + "\n"
+	return stateHeader + " " + hex.EncodeToString(sum[:]) + "\n"
 }
 
-// RestoreKept takes what Kept returned in an earlier process of the same agent; it is to be called before the first
-// watch. Pending then offers it. It refuses what is torn, not of this place or of a later Format, and changes nothing.
-func (f *Follower) RestoreKept(kept []byte) error {
-	state, err := parseKept(kept)
+// RestoreKept restores what Kept returned in an earlier process of the same agent, to be offered by Pending.
+// Call it before the first watch. If the state is damaged, of another place or of a later Format, it returns
+// an error and changes nothing.
+func (f *Follower) RestoreKept(text []byte) error {
+	state, err := parseState(text)
 	if err != nil {
-		return fmt.Errorf("kept configuration: %w", err)
+		return fmt.Errorf("saved configuration: %w", err)
 	}
 	if state.Place != f.place {
-		return fmt.Errorf("kept configuration: of %+v, not of %+v", state.Place, f.place)
+		return fmt.Errorf("saved configuration: belongs to %+v, not to %+v", state.Place, f.place)
 	}
 	if state.Format > Format {
-		return fmt.Errorf("kept configuration: format %d is later than %d", state.Format, Format)
+		return fmt.Errorf("saved configuration: format %d is later than %d", state.Format, Format)
 	}
 	for _, s := range state.Scopes {
-		if _, own := f.states[s.Scope]; !own {
-			return fmt.Errorf("kept configuration: %v doesn't hold for this agent", s.Scope)
+		if _, applies := f.states[s.Scope]; !applies {
+			return fmt.Errorf("saved configuration: %v doesn't apply to this agent", s.Scope)
 		}
 	}
 	for _, s := range state.Scopes {
-		f.states[s.Scope].received = newDocument(s.At, s.Document)
+		f.states[s.Scope].received = newScopeDocument(s.At, s.Document)
 	}
-	f.known = false
+	f.evaluated = false
 	return nil
 }
 
-func parseKept(kept []byte) (keptState, error) {
-	var state keptState
-	head, body, ok := bytes.Cut(kept, []byte("\n"))
+func parseState(text []byte) (savedState, error) {
+	var state savedState
+	header, body, ok := bytes.Cut(text, []byte("\n"))
 	if !ok {
-		return state, errors.New("no whole first line")
+		return state, errors.New("the first line is incomplete")
 	}
-	if string(head)+"\n" != keptHead(body) {
-		return state, errors.New("the checksum isn't right: torn, or of another format")
+	if string(header)+"\n" != stateHeaderLine(body) {
+		return state, errors.New("wrong checksum: the file is damaged or of another format")
 	}
 	return state, json.Unmarshal(body, &state)
 }
--- a/internal/configuration/follower_test.go
+++ b/internal/configuration/follower_test.go
@@ -15,8 +15,8 @@
 	agentScope = Scope{Level: LevelAgent, Region: "east", Name: "a1"}
 )
 
-// whole is an update with the whole document.
-func whole(scope Scope, revision uint64, text string) Update {
+// wholeUpdate returns an update with the whole document.
+func wholeUpdate(scope Scope, revision uint64, text string) Update {
 	canonical := encodeAny(mustDecode(text))
 	return Update{Scope: scope, Position: Position{revision, 1}, Patch: canonical, Digest: Digest(canonical)}
 }
@@ -29,28 +29,28 @@
 	return value
 }
 
-func take(t *testing.T, f *Follower, u Update, want ResultKind) Result {
+func takeUpdate(t *testing.T, f *Follower, u Update, want ResultKind) Result {
 	t.Helper()
-	result := f.Take(overWire(t, u))
+	result := f.Take(roundTrip(t, u))
 	if result.Kind != want {
 		t.Fatalf("%v revision %d: result %+v, want kind %d", u.Scope, u.Revision, result, want)
 	}
 	return result
 }
 
-// apply puts in force what is pending.
-func apply(t *testing.T, f *Follower) *Effective {
+// applyPending puts the pending document in force and checks that nothing else is pending then.
+func applyPending(t *testing.T, f *Follower) *Effective {
 	t.Helper()
 	effective, ok := f.Pending()
 	if !ok {
 		t.Fatal("nothing is pending")
 	}
 	if again, ok := f.Pending(); !ok || again != effective {
-		t.Fatal("asked again, another document is pending")
+		t.Fatal("a second call to Pending returned another document")
 	}
 	f.InForce(effective)
 	if more, ok := f.Pending(); ok {
-		t.Fatalf("more is pending: %s", more.Document.Canonical())
+		t.Fatalf("still pending after InForce: %s", more.Document.Canonical())
 	}
 	return effective
 }
@@ -64,7 +64,7 @@
 	var scopes []Scope
 	for _, refusal := range report.Refused {
 		scopes = append(scopes, refusal.Scope)
-		if refusal.Why == "" || len(refusal.Why) > RefusalMost {
+		if refusal.Why == "" || len(refusal.Why) > MaxRefusalBytes {
 			t.Errorf("refusal %+v", refusal)
 		}
 	}
@@ -74,39 +74,39 @@
 }
 
 func TestFollowerMergesFromWideToNarrow(t *testing.T) {
-	f := NewFollower(testPlace, checkStart)
+	f := NewFollower(testPlace, checkAgainstStart)
 	if _, ok := f.Pending(); ok || len(f.Have()) > 0 {
-		t.Fatal("a new follower has something")
+		t.Fatal("a new follower has a pending document or positions")
 	}
 	if report := f.Report(); report.Place != testPlace || len(report.InForce) > 0 || report.Format != Format {
 		t.Fatalf("report %+v", report)
 	}
-	for i, scope := range []Scope{agentScope, Fleet, service, zoneScope, eastScope} { // in any order
-		u := whole(scope, uint64(i+1), fmt.Sprintf(`{"format":1,"limits":{"attempts":%d},"classes":{"scan":{"worth":%d}}}`, i+1, i))
+	for i, scope := range []Scope{agentScope, Fleet, serviceScope, zoneScope, eastScope} { // not in the order of their width
+		u := wholeUpdate(scope, uint64(i+1), fmt.Sprintf(`{"format":1,"limits":{"attempts":%d},"classes":{"scan":{"worth":%d}}}`, i+1, i))
 		u.More = i < 4
-		take(t, f, u, ResultTaken)
+		takeUpdate(t, f, u, ResultAccepted)
 		if _, ok := f.Pending(); ok != !u.More {
-			t.Fatalf("after update %d pending is %v", i, ok)
+			t.Fatalf("after update %d: pending %v", i, ok)
 		}
 	}
-	take(t, f, whole(Fleet, 3, `{"format":1,"cold":{"from":0.5}}`), ResultTaken)
-	apply(t, f)
+	takeUpdate(t, f, wholeUpdate(Fleet, 3, `{"format":1,"cold":{"from":0.5}}`), ResultAccepted)
+	applyPending(t, f)
 	wantInForce(t, f, `{"format":1,"limits":{"attempts":1},"classes":{"scan":{"worth":0}},"cold":{"from":0.5}}`)
-	want := map[Scope]Position{agentScope: {1, 1}, Fleet: {3, 1}, service: {3, 1}, zoneScope: {4, 1}, eastScope: {5, 1}}
+	want := map[Scope]Position{agentScope: {1, 1}, Fleet: {3, 1}, serviceScope: {3, 1}, zoneScope: {4, 1}, eastScope: {5, 1}}
 	if got := f.Report().InForce; !reflect.DeepEqual(got, want) || !reflect.DeepEqual(f.Have(), want) {
 		t.Errorf("in force %v, have %v, want %v", got, f.Have(), want)
 	}
 }
 
-func TestFollowerReportsNothingBeforeItIsInForce(t *testing.T) {
-	f := NewFollower(testPlace, checkStart)
-	take(t, f, whole(Fleet, 1, `{"format":1,"limits":{"attempts":2}}`), ResultTaken)
+func TestFollowerReportsOnlyAppliedDocuments(t *testing.T) {
+	f := NewFollower(testPlace, checkAgainstStart)
+	takeUpdate(t, f, wholeUpdate(Fleet, 1, `{"format":1,"limits":{"attempts":2}}`), ResultAccepted)
 	effective, _ := f.Pending()
 	if report := f.Report(); len(report.InForce) > 0 || report.Digest == effective.Digest {
 		t.Errorf("report %+v", report)
 	}
 	if have := f.Have(); have[Fleet] != (Position{1, 1}) {
-		t.Errorf("have %v", have) // but it isn't to be sent again
+		t.Errorf("have %v", have) // a received document must not be sent again
 	}
 	f.InForce(effective)
 	if report := f.Report(); report.InForce[Fleet] != (Position{1, 1}) || report.Digest != effective.Digest {
@@ -114,21 +114,21 @@
 	}
 }
 
-func TestFollowerTakesPatches(t *testing.T) {
-	f := NewFollower(testPlace, checkStart)
-	take(t, f, whole(Fleet, 3, `{"format":1,"limits":{"attempts":2},"cold":{"from":0.5}}`), ResultTaken)
+func TestFollowerAppliesPatches(t *testing.T) {
+	f := NewFollower(testPlace, checkAgainstStart)
+	takeUpdate(t, f, wholeUpdate(Fleet, 3, `{"format":1,"limits":{"attempts":2},"cold":{"from":0.5}}`), ResultAccepted)
 	after := mustParse(t, `{"format":1,"limits":{"attempts":4}}`).Canonical()
 	patch := Update{Scope: Fleet, Position: Position{5, 2}, From: 3, Digest: Digest(after),
 		Patch: json.RawMessage(`{"limits":{"attempts":4},"cold":null}`)}
-	take(t, f, patch, ResultTaken)
-	apply(t, f)
+	takeUpdate(t, f, patch, ResultAccepted)
+	applyPending(t, f)
 	wantInForce(t, f, string(after))
 	if have := f.Have(); have[Fleet] != (Position{5, 2}) {
 		t.Errorf("have %v", have)
 	}
 }
 
-func TestFollowerAsksForTheWhole(t *testing.T) {
+func TestFollowerRequestsWholeDocument(t *testing.T) {
 	first, after := `{"format":1,"limits":{"attempts":2}}`, mustParse(t, `{"format":1,"limits":{"attempts":4}}`).Canonical()
 	good := Update{Scope: Fleet, Position: Position{6, 1}, From: 5, Digest: Digest(after), Patch: json.RawMessage(`{"limits":{"attempts":4}}`)}
 	alter := func(f func(u *Update)) Update {
@@ -137,279 +137,281 @@
 		return u
 	}
 	for _, c := range []struct {
-		what string
-		u    Update
-		says string
+		name       string
+		u          Update
+		wantReason string
 	}{
-		{"from before", alter(func(u *Update) { u.From = 4 }), "a patch from revision 4, where 5 is"},
-		{"from after", alter(func(u *Update) { u.From = 6 }), "a patch from revision 6, where 5 is"},
-		{"another digest", alter(func(u *Update) { u.Digest = Digest([]byte(first)) }), "digest"},
+		{"patch from an earlier revision", alter(func(u *Update) { u.From = 4 }), "the patch is from revision 4, but the agent has 5"},
+		{"patch from a later revision", alter(func(u *Update) { u.From = 6 }), "the patch is from revision 6, but the agent has 5"},
+		{"wrong digest", alter(func(u *Update) { u.Digest = Digest([]byte(first)) }), "digest"},
 		{"no digest", alter(func(u *Update) { u.Digest = "" }), "digest"},
-		{"no object", alter(func(u *Update) { u.Patch = json.RawMessage(`[]`) }), "no object"},
+		{"patch is not an object", alter(func(u *Update) { u.Patch = json.RawMessage(`[]`) }), "must be an object"},
 		{"no patch", alter(func(u *Update) { u.Patch = nil }), "patch"},
 		{"no document", alter(func(u *Update) { u.From, u.Patch = 0, nil }), "digest"},
 		{"a part in the middle", alter(func(u *Update) { u.From, u.Patch, u.Text, u.Part, u.Parts = 0, nil, "x", 1, 3 }), "part 1 of 3"},
 	} {
-		f := NewFollower(testPlace, checkStart)
-		take(t, f, whole(Fleet, 5, first), ResultTaken)
-		apply(t, f)
-		if result := take(t, f, c.u, ResultAskWhole); !strings.Contains(result.Why, c.says) {
-			t.Errorf("%s: %q doesn't say %q", c.what, result.Why, c.says)
+		f := NewFollower(testPlace, checkAgainstStart)
+		takeUpdate(t, f, wholeUpdate(Fleet, 5, first), ResultAccepted)
+		applyPending(t, f)
+		if result := takeUpdate(t, f, c.u, ResultAskWhole); !strings.Contains(result.Why, c.wantReason) {
+			t.Errorf("%s: reason %q doesn't contain %q", c.name, result.Why, c.wantReason)
 		}
 		wantInForce(t, f, first)
 		if needs, have := f.NeedsWhole(), f.Have(); !reflect.DeepEqual(needs, []Scope{Fleet}) || have[Fleet] != (Position{5, 0}) {
-			t.Errorf("%s: needs %v, have %v", c.what, needs, have)
+			t.Errorf("%s: needs %v, have %v", c.name, needs, have)
 		}
 		f.Connected()
-		take(t, f, whole(Fleet, 6, string(after)), ResultTaken)
+		takeUpdate(t, f, wholeUpdate(Fleet, 6, string(after)), ResultAccepted)
 		if len(f.NeedsWhole()) > 0 || f.Have()[Fleet] != (Position{6, 1}) {
-			t.Errorf("%s: then it needs %v and has %v", c.what, f.NeedsWhole(), f.Have())
+			t.Errorf("%s: after the whole document: needs %v, has %v", c.name, f.NeedsWhole(), f.Have())
 		}
-		apply(t, f)
+		applyPending(t, f)
 		wantInForce(t, f, string(after))
 	}
 }
 
-func TestFollowerKeepsToTheOrderOfRevisions(t *testing.T) {
-	f := NewFollower(testPlace, checkStart)
+func TestFollowerIgnoresOldRevisions(t *testing.T) {
+	f := NewFollower(testPlace, checkAgainstStart)
 	text := `{"format":1,"limits":{"attempts":2}}`
-	take(t, f, whole(Fleet, 5, text), ResultTaken)
-	apply(t, f)
+	takeUpdate(t, f, wholeUpdate(Fleet, 5, text), ResultAccepted)
+	applyPending(t, f)
 	for _, u := range []Update{
-		whole(Fleet, 4, `{"format":1}`), whole(Fleet, 5, text), whole(Fleet, 0, `{"format":1}`),
+		wholeUpdate(Fleet, 4, `{"format":1}`), wholeUpdate(Fleet, 5, text), wholeUpdate(Fleet, 0, `{"format":1}`),
 		{Scope: Fleet, Position: Position{4, 9}, From: 3, Patch: json.RawMessage(`{}`)},
 	} {
-		take(t, f, u, ResultKnown)
+		takeUpdate(t, f, u, ResultAlreadyKnown)
 		if _, ok := f.Pending(); ok || len(f.NeedsWhole()) > 0 {
-			t.Fatalf("revision %d changes something", u.Revision)
+			t.Fatalf("revision %d has changed the state", u.Revision)
 		}
 	}
-	if result := take(t, f, whole(Fleet, 5, `{"format":1}`), ResultKnown); !strings.Contains(result.Why, "another document") {
+	if result := takeUpdate(t, f, wholeUpdate(Fleet, 5, `{"format":1}`), ResultAlreadyKnown); !strings.Contains(result.Why, "another document") {
 		t.Errorf("result %+v", result)
 	}
 	wantInForce(t, f, text)
-	take(t, f, whole(service, 1, text), ResultTaken) // each scope has its own order
-	take(t, f, whole(Scope{Level: LevelService, Name: "other"}, 9, text), ResultForeign)
+	takeUpdate(t, f, wholeUpdate(serviceScope, 1, text), ResultAccepted) // revisions are ordered per scope
+	takeUpdate(t, f, wholeUpdate(Scope{Level: LevelService, Name: "other"}, 9, text), ResultWrongScope)
 }
 
-func TestFollowerPutsPartsTogether(t *testing.T) {
+func TestFollowerAssemblesParts(t *testing.T) {
 	anyDocument := func(*Document) error { return nil }
 	r := NewRegistry(FleetGroup)
 	document := longDocument(150, 3)
-	mustPut(t, r, 2, change("c", Fleet, 0, document))
+	mustPut(t, r, 2, newChange("c", Fleet, 0, document))
 	updates := r.Updates(Fleet, Position{})
 	f := NewFollower(testPlace, anyDocument)
 	for i, u := range updates {
 		last := i == len(updates)-1
-		want := ResultPart
+		want := ResultPartial
 		if last {
-			want = ResultTaken
+			want = ResultAccepted
 		}
-		take(t, f, u, want)
+		takeUpdate(t, f, u, want)
 		if _, ok := f.Pending(); ok != last || (len(f.Have()) > 0) != last {
-			t.Fatalf("after part %d pending is %v, have %v", i, ok, f.Have())
+			t.Fatalf("after part %d: pending %v, have %v", i, ok, f.Have())
 		}
 	}
-	apply(t, f)
+	applyPending(t, f)
 	wantInForce(t, f, string(document.Canonical()))
 
-	// A watch that ends between parts is no harm, nor are updates of other scopes in between, nor a part that is lost.
+	// A watch may end between parts, and updates of other scopes may come between them. A lost part is
+	// detected.
 	f = NewFollower(testPlace, anyDocument)
-	take(t, f, updates[0], ResultPart)
+	takeUpdate(t, f, updates[0], ResultPartial)
 	f.Connected()
-	take(t, f, updates[1], ResultAskWhole)
+	takeUpdate(t, f, updates[1], ResultAskWhole)
 	f.Connected()
 	for _, u := range updates[:len(updates)-1] {
-		take(t, f, u, ResultPart)
+		takeUpdate(t, f, u, ResultPartial)
 	}
-	take(t, f, whole(service, 1, `{"format":1,"limits":{"attempts":2}}`), ResultTaken)
-	apply(t, f)
-	take(t, f, updates[len(updates)-1], ResultTaken)
-	apply(t, f)
+	takeUpdate(t, f, wholeUpdate(serviceScope, 1, `{"format":1,"limits":{"attempts":2}}`), ResultAccepted)
+	applyPending(t, f)
+	takeUpdate(t, f, updates[len(updates)-1], ResultAccepted)
+	applyPending(t, f)
 	wantInForce(t, f, string(Merge(document, mustParse(t, `{"format":1,"limits":{"attempts":2}}`)).Canonical()))
 
 	f = NewFollower(testPlace, anyDocument)
-	take(t, f, updates[0], ResultPart)
-	take(t, f, updates[2], ResultAskWhole)
+	takeUpdate(t, f, updates[0], ResultPartial)
+	takeUpdate(t, f, updates[2], ResultAskWhole)
 	other := updates[1]
 	other.Revision++
-	take(t, f, updates[0], ResultPart)
-	take(t, f, other, ResultAskWhole)
+	takeUpdate(t, f, updates[0], ResultPartial)
+	takeUpdate(t, f, other, ResultAskWhole)
 	wantInForce(t, f, `{"format":1}`)
 }
 
-func TestFollowerBoundsParts(t *testing.T) {
+func TestFollowerLimitsPartialDocuments(t *testing.T) {
 	f := NewFollower(testPlace, func(*Document) error { return nil })
-	u := Update{Scope: Fleet, Position: Position{1, 1}, Parts: 1 << 30, Text: strings.Repeat("x", PartMost), More: true}
-	for ; u.Part*PartMost+PartMost <= DocumentMost; u.Part++ {
-		take(t, f, u, ResultPart)
+	u := Update{Scope: Fleet, Position: Position{1, 1}, Parts: 1 << 30, Text: strings.Repeat("x", MaxPartBytes), More: true}
+	for ; u.Part*MaxPartBytes+MaxPartBytes <= DocumentMost; u.Part++ {
+		takeUpdate(t, f, u, ResultPartial)
 	}
-	take(t, f, u, ResultAskWhole)
+	takeUpdate(t, f, u, ResultAskWhole)
 	if f.states[Fleet].parts != nil {
-		t.Error("the parts are kept")
+		t.Error("the rejected parts are still stored")
 	}
 	long := longDocument(600, 1).Canonical()
-	take(t, f, Update{Scope: Fleet, Position: Position{1, 1}, Patch: long, Digest: Digest(long)}, ResultAskWhole)
+	takeUpdate(t, f, Update{Scope: Fleet, Position: Position{1, 1}, Patch: long, Digest: Digest(long)}, ResultAskWhole)
 }
 
-// A set of updates that is cut off takes effect as far as it came.
-func TestFollowerGivesUpAnIncompleteSet(t *testing.T) {
-	f := NewFollower(testPlace, checkStart)
-	u := whole(Fleet, 1, `{"format":1,"limits":{"attempts":2}}`)
+// If a set of updates is cut off, the updates that have arrived take effect.
+func TestFollowerAppliesIncompleteSetAfterReconnect(t *testing.T) {
+	f := NewFollower(testPlace, checkAgainstStart)
+	u := wholeUpdate(Fleet, 1, `{"format":1,"limits":{"attempts":2}}`)
 	u.More = true
-	take(t, f, u, ResultTaken)
+	takeUpdate(t, f, u, ResultAccepted)
 	if _, ok := f.Pending(); ok {
 		t.Fatal("pending before the set is complete")
 	}
 	f.Connected()
-	apply(t, f)
+	applyPending(t, f)
 	wantInForce(t, f, `{"format":1,"limits":{"attempts":2}}`)
 }
 
-func TestFollowerRefusesAndKeepsWhatItHas(t *testing.T) {
+func TestFollowerKeepsOldRevisionAfterRefusal(t *testing.T) {
 	good := `{"format":1,"classes":{"scan":{"aim_ms":200}}}`
-	for _, c := range []struct{ bad, why string }{
+	for _, c := range []struct{ bad, wantReason string }{
 		{`{"format":1,"classes":{"scan":{"aim_ms":5000}}}`, "classes.scan.aim_ms: 5s is over the deadline"},
-		{`{"format":1,"classes":{"nope":{"aim_ms":5}}}`, "classes.nope: the agent was started without such a class"},
+		{`{"format":1,"classes":{"nope":{"aim_ms":5}}}`, "classes.nope: the agent was started without this class"},
 		{`{"format":2,"novelty":true}`, "format: 2 is later than 1"},
-		{`{"format":1,"limits":{"attempts":0}}`, "limits.attempts: 0 is not within"},
+		{`{"format":1,"limits":{"attempts":0}}`, "limits.attempts: 0 is not between"},
 	} {
-		f := NewFollower(testPlace, checkStart)
-		take(t, f, whole(service, 1, good), ResultTaken)
-		apply(t, f)
-		take(t, f, whole(service, 2, c.bad), ResultTaken)
+		f := NewFollower(testPlace, checkAgainstStart)
+		takeUpdate(t, f, wholeUpdate(serviceScope, 1, good), ResultAccepted)
+		applyPending(t, f)
+		takeUpdate(t, f, wholeUpdate(serviceScope, 2, c.bad), ResultAccepted)
 		if _, ok := f.Pending(); ok {
 			t.Fatalf("%s: pending", c.bad)
 		}
-		wantInForce(t, f, good, service)
+		wantInForce(t, f, good, serviceScope)
 		report := f.Report()
-		if refusal := report.Refused[0]; refusal.Position != (Position{2, 1}) || !strings.HasPrefix(refusal.Why, c.why) {
+		if refusal := report.Refused[0]; refusal.Position != (Position{2, 1}) || !strings.HasPrefix(refusal.Why, c.wantReason) {
 			t.Errorf("%s: refusal %+v", c.bad, refusal)
 		}
-		if report.InForce[service] != (Position{1, 1}) || f.Have()[service] != (Position{2, 1}) {
+		if report.InForce[serviceScope] != (Position{1, 1}) || f.Have()[serviceScope] != (Position{2, 1}) {
 			t.Errorf("%s: in force %v, have %v", c.bad, report.InForce, f.Have())
 		}
-		// Other scopes go on, and a patch is laid upon what was refused.
-		take(t, f, whole(Fleet, 7, `{"format":1,"cold":{"from":0.5}}`), ResultTaken)
-		apply(t, f)
-		wantInForce(t, f, `{"format":1,"classes":{"scan":{"aim_ms":200}},"cold":{"from":0.5}}`, service)
-		patch, err := MakePatch(whole(service, 2, c.bad).Patch, mustParse(t, good).Canonical())
+		// Updates of other scopes still apply, and a patch applies to the text of the refused revision.
+		takeUpdate(t, f, wholeUpdate(Fleet, 7, `{"format":1,"cold":{"from":0.5}}`), ResultAccepted)
+		applyPending(t, f)
+		wantInForce(t, f, `{"format":1,"classes":{"scan":{"aim_ms":200}},"cold":{"from":0.5}}`, serviceScope)
+		patch, err := MakePatch(wholeUpdate(serviceScope, 2, c.bad).Patch, mustParse(t, good).Canonical())
 		if err != nil {
 			t.Fatal(err)
 		}
-		take(t, f, Update{Scope: service, Position: Position{3, 1}, From: 2, Patch: patch,
-			Digest: Digest(mustParse(t, good).Canonical())}, ResultTaken)
-		apply(t, f)
+		takeUpdate(t, f, Update{Scope: serviceScope, Position: Position{3, 1}, From: 2, Patch: patch,
+			Digest: Digest(mustParse(t, good).Canonical())}, ResultAccepted)
+		applyPending(t, f)
 		wantInForce(t, f, `{"format":1,"classes":{"scan":{"aim_ms":200}},"cold":{"from":0.5}}`)
-		if report := f.Report(); report.InForce[service] != (Position{3, 1}) {
+		if report := f.Report(); report.InForce[serviceScope] != (Position{3, 1}) {
 			t.Errorf("%s: in force %v", c.bad, report.InForce)
 		}
 	}
 }
 
-// Which scope is refused depends on what there is alone, not on the order in which it came.
-func TestFollowerBlamesTheFirstThatFails(t *testing.T) {
+// Which scope is refused depends only on the documents, not on the order in which they arrived.
+func TestFollowerRefusalsAreOrderIndependent(t *testing.T) {
 	updates := []Update{
-		whole(Fleet, 1, `{"format":1,"classes":{"scan":{"deadline_ms":1000}},"limits":{"attempts":2}}`),
-		whole(eastScope, 1, `{"format":1,"limits":{"attempts":3}}`),
-		whole(zoneScope, 1, `{"format":1,"classes":{"nope":{"worth":1}},"limits":{"attempts":4}}`),
-		whole(service, 1, `{"format":1,"classes":{"scan":{"aim_ms":900}}}`),
-		whole(agentScope, 1, `{"format":1,"classes":{"scan":{"deadline_ms":800}},"cold":{"from":0.5}}`),
+		wholeUpdate(Fleet, 1, `{"format":1,"classes":{"scan":{"deadline_ms":1000}},"limits":{"attempts":2}}`),
+		wholeUpdate(eastScope, 1, `{"format":1,"limits":{"attempts":3}}`),
+		wholeUpdate(zoneScope, 1, `{"format":1,"classes":{"nope":{"worth":1}},"limits":{"attempts":4}}`),
+		wholeUpdate(serviceScope, 1, `{"format":1,"classes":{"scan":{"aim_ms":900}}}`),
+		wholeUpdate(agentScope, 1, `{"format":1,"classes":{"scan":{"deadline_ms":800}},"cold":{"from":0.5}}`),
 	}
 	for seed := range uint64(50) {
-		f := NewFollower(testPlace, checkStart)
+		f := NewFollower(testPlace, checkAgainstStart)
 		for i, at := range newRand(seed).Perm(len(updates)) {
 			u := updates[at]
 			u.More = i < len(updates)-1
-			take(t, f, u, ResultTaken)
+			takeUpdate(t, f, u, ResultAccepted)
 		}
-		apply(t, f)
+		applyPending(t, f)
 		wantInForce(t, f, `{"format":1,"classes":{"scan":{"deadline_ms":1000,"aim_ms":900}},"limits":{"attempts":3}}`, zoneScope, agentScope)
 	}
 }
 
-// A wide change can make a narrow document fail that passed before. Then that one is refused, with its own revision,
-// and taken again when it passes.
-func TestFollowerTakesARefusedOneAgainWhenItPasses(t *testing.T) {
-	f := NewFollower(testPlace, checkStart)
-	take(t, f, whole(agentScope, 4, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`), ResultTaken)
-	apply(t, f)
-	take(t, f, whole(Fleet, 1, `{"format":1,"classes":{"scan":{"deadline_ms":1000}}}`), ResultTaken)
-	apply(t, f)
+// A change of a wide scope can make a narrower document fail that passed before. The narrower document is
+// then refused, and applied again once it passes.
+func TestFollowerRetriesRefusedDocument(t *testing.T) {
+	f := NewFollower(testPlace, checkAgainstStart)
+	takeUpdate(t, f, wholeUpdate(agentScope, 4, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`), ResultAccepted)
+	applyPending(t, f)
+	takeUpdate(t, f, wholeUpdate(Fleet, 1, `{"format":1,"classes":{"scan":{"deadline_ms":1000}}}`), ResultAccepted)
+	applyPending(t, f)
 	wantInForce(t, f, `{"format":1,"classes":{"scan":{"deadline_ms":1000}}}`, agentScope)
 	if report := f.Report(); report.InForce[agentScope] != (Position{}) || report.Refused[0].Position != (Position{4, 1}) {
 		t.Errorf("report %+v", report)
 	}
-	take(t, f, whole(Fleet, 2, `{"format":1}`), ResultTaken)
-	apply(t, f)
+	takeUpdate(t, f, wholeUpdate(Fleet, 2, `{"format":1}`), ResultAccepted)
+	applyPending(t, f)
 	wantInForce(t, f, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`)
 }
 
-// Where applying fails, what has changed is tried scope by scope; what fails alone is refused until its next revision.
-func TestFollowerFindsWhatFailsWhenApplied(t *testing.T) {
-	f := NewFollower(testPlace, checkStart)
-	take(t, f, whole(service, 1, `{"format":1,"limits":{"attempts":2}}`), ResultTaken)
-	apply(t, f)
+// If applying fails, the changed scopes are tried one by one, and the scope that fails alone is refused until
+// its next revision.
+func TestFollowerIsolatesScopeThatFailsToApply(t *testing.T) {
+	f := NewFollower(testPlace, checkAgainstStart)
+	takeUpdate(t, f, wholeUpdate(serviceScope, 1, `{"format":1,"limits":{"attempts":2}}`), ResultAccepted)
+	applyPending(t, f)
 	for i, u := range []Update{
-		whole(Fleet, 1, `{"format":1,"cold":{"from":0.5}}`),
-		whole(service, 2, `{"format":1,"limits":{"attempts":13}}`), // an unlucky number
-		whole(agentScope, 1, `{"format":1,"cold":{"ramp_ms":5}}`),
+		wholeUpdate(Fleet, 1, `{"format":1,"cold":{"from":0.5}}`),
+		wholeUpdate(serviceScope, 2, `{"format":1,"limits":{"attempts":13}}`), // the value that fails to apply below
+		wholeUpdate(agentScope, 1, `{"format":1,"cold":{"ramp_ms":5}}`),
 	} {
 		u.More = i < 2
-		take(t, f, u, ResultTaken)
+		takeUpdate(t, f, u, ResultAccepted)
 	}
 	tries := 0
 	for effective, ok := f.Pending(); ok; effective, ok = f.Pending() {
 		if tries++; tries > 10 {
-			t.Fatal("it never ends")
+			t.Fatal("more than 10 attempts to apply")
 		}
 		if limits := effective.Document.Limits; limits != nil && *limits.Attempts == 13 {
-			f.Failed(effective, errors.New("unlucky"))
+			f.Failed(effective, errors.New("rejected value"))
 		} else {
 			f.InForce(effective)
 		}
 	}
-	wantInForce(t, f, `{"format":1,"cold":{"from":0.5,"ramp_ms":5},"limits":{"attempts":2}}`, service)
-	if refusal := f.Report().Refused[0]; refusal.Why != "could not be applied: unlucky" || refusal.Revision != 2 {
+	wantInForce(t, f, `{"format":1,"cold":{"from":0.5,"ramp_ms":5},"limits":{"attempts":2}}`, serviceScope)
+	if refusal := f.Report().Refused[0]; refusal.Why != "could not be applied: rejected value" || refusal.Revision != 2 {
 		t.Errorf("refusal %+v", refusal)
 	}
-	take(t, f, whole(service, 3, `{"format":1,"limits":{"attempts":3}}`), ResultTaken)
-	apply(t, f)
+	takeUpdate(t, f, wholeUpdate(serviceScope, 3, `{"format":1,"limits":{"attempts":3}}`), ResultAccepted)
+	applyPending(t, f)
 	wantInForce(t, f, `{"format":1,"cold":{"from":0.5,"ramp_ms":5},"limits":{"attempts":3}}`)
 }
 
-// An agent that can apply nothing at all goes on with what it has and doesn't try for ever.
-func TestFollowerEndsWhereNothingCanBeApplied(t *testing.T) {
-	f := NewFollower(testPlace, checkStart)
-	take(t, f, whole(agentScope, 4, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`), ResultTaken)
-	apply(t, f)
-	for i, u := range []Update{ // the wide one makes the narrow one fail its check
-		whole(Fleet, 1, `{"format":1,"classes":{"scan":{"deadline_ms":1000}}}`),
-		whole(service, 1, `{"format":1,"limits":{"attempts":2}}`),
+// An agent that fails to apply every document keeps what it has and stops trying.
+func TestFollowerStopsWhenNothingApplies(t *testing.T) {
+	f := NewFollower(testPlace, checkAgainstStart)
+	takeUpdate(t, f, wholeUpdate(agentScope, 4, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`), ResultAccepted)
+	applyPending(t, f)
+	for i, u := range []Update{ // the fleet's document makes the agent's fail its check
+		wholeUpdate(Fleet, 1, `{"format":1,"classes":{"scan":{"deadline_ms":1000}}}`),
+		wholeUpdate(serviceScope, 1, `{"format":1,"limits":{"attempts":2}}`),
 	} {
 		u.More = i < 1
-		take(t, f, u, ResultTaken)
+		takeUpdate(t, f, u, ResultAccepted)
 	}
 	tries := 0
 	for effective, ok := f.Pending(); ok; effective, ok = f.Pending() {
 		if tries++; tries > 10 {
-			t.Fatal("it never ends")
+			t.Fatal("more than 10 attempts to apply")
 		}
-		f.Failed(effective, errors.New("no"))
+		f.Failed(effective, errors.New("always fails"))
 	}
-	wantInForce(t, f, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`, Fleet, service)
+	wantInForce(t, f, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`, Fleet, serviceScope)
 }
 
-// Applying may refuse even that a refused document goes: here one without an aim for scans.
-func TestFollowerEndsWhereWhatIsRefusedCantGo(t *testing.T) {
-	f := NewFollower(testPlace, checkStart)
-	take(t, f, whole(agentScope, 4, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`), ResultTaken)
-	apply(t, f)
-	take(t, f, whole(Fleet, 1, `{"format":1,"classes":{"scan":{"deadline_ms":1000}}}`), ResultTaken)
+// Even removing a refused document may fail to apply: here the agent fails without an aim for scans.
+func TestFollowerStopsWhenRemovalFails(t *testing.T) {
+	f := NewFollower(testPlace, checkAgainstStart)
+	takeUpdate(t, f, wholeUpdate(agentScope, 4, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`), ResultAccepted)
+	applyPending(t, f)
+	takeUpdate(t, f, wholeUpdate(Fleet, 1, `{"format":1,"classes":{"scan":{"deadline_ms":1000}}}`), ResultAccepted)
 	tries := 0
 	for effective, ok := f.Pending(); ok; effective, ok = f.Pending() {
 		if tries++; tries > 10 {
-			t.Fatal("it never ends")
+			t.Fatal("more than 10 attempts to apply")
 		}
 		if effective.Document.Classes["scan"].AimMs == nil {
 			f.Failed(effective, errors.New("no aim"))
@@ -418,81 +420,81 @@
 		}
 	}
 	wantInForce(t, f, `{"format":1,"classes":{"scan":{"aim_ms":1500,"deadline_ms":1000}}}`, agentScope)
-	take(t, f, whole(Fleet, 2, `{"format":1}`), ResultTaken)
-	apply(t, f)
+	takeUpdate(t, f, wholeUpdate(Fleet, 2, `{"format":1}`), ResultAccepted)
+	applyPending(t, f)
 	wantInForce(t, f, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`)
 }
 
-func TestFollowerKeepsWhatIsInForce(t *testing.T) {
-	f := NewFollower(testPlace, checkStart)
-	take(t, f, whole(Fleet, 3, `{"format":1,"cold":{"from":0.5}}`), ResultTaken)
-	take(t, f, whole(service, 8, `{"format":1,"limits":{"attempts":2}}`), ResultTaken)
-	apply(t, f)
-	take(t, f, whole(service, 9, `{"format":1,"limits":{"attempts":3}}`), ResultTaken) // not in force yet
+func TestFollowerStateRoundTrip(t *testing.T) {
+	f := NewFollower(testPlace, checkAgainstStart)
+	takeUpdate(t, f, wholeUpdate(Fleet, 3, `{"format":1,"cold":{"from":0.5}}`), ResultAccepted)
+	takeUpdate(t, f, wholeUpdate(serviceScope, 8, `{"format":1,"limits":{"attempts":2}}`), ResultAccepted)
+	applyPending(t, f)
+	takeUpdate(t, f, wholeUpdate(serviceScope, 9, `{"format":1,"limits":{"attempts":3}}`), ResultAccepted) // not in force yet
 	kept, err := f.Kept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	restarted := NewFollower(testPlace, checkStart)
+	restarted := NewFollower(testPlace, checkAgainstStart)
 	if err := restarted.RestoreKept(kept); err != nil {
 		t.Fatal(err)
 	}
 	if report := restarted.Report(); len(report.InForce) > 0 {
-		t.Errorf("before it is applied the report is %+v", report)
+		t.Errorf("report before the restored state is applied: %+v", report)
 	}
-	want := map[Scope]Position{Fleet: {3, 1}, service: {8, 1}}
+	want := map[Scope]Position{Fleet: {3, 1}, serviceScope: {8, 1}}
 	if have := restarted.Have(); !reflect.DeepEqual(have, want) {
 		t.Errorf("have %v", have)
 	}
-	apply(t, restarted)
+	applyPending(t, restarted)
 	wantInForce(t, restarted, `{"format":1,"cold":{"from":0.5},"limits":{"attempts":2}}`)
 	if again, err := restarted.Kept(); err != nil || string(again) != string(kept) {
-		t.Errorf("kept again: %s (%v), first %s", again, err, kept)
+		t.Errorf("saved again: %s (%v), want %s", again, err, kept)
 	}
-	take(t, restarted, whole(service, 9, `{"format":1,"limits":{"attempts":3}}`), ResultTaken)
+	takeUpdate(t, restarted, wholeUpdate(serviceScope, 9, `{"format":1,"limits":{"attempts":3}}`), ResultAccepted)
 
-	empty, err := NewFollower(testPlace, checkStart).Kept()
+	empty, err := NewFollower(testPlace, checkAgainstStart).Kept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := NewFollower(testPlace, checkStart).RestoreKept(empty); err != nil {
-		t.Errorf("nothing in force: %v", err)
+	if err := NewFollower(testPlace, checkAgainstStart).RestoreKept(empty); err != nil {
+		t.Errorf("restoring an empty state: %v", err)
 	}
 }
 
-// What was kept may not pass any more, as the start file has changed.
-func TestFollowerChecksWhatItKept(t *testing.T) {
-	f := NewFollower(testPlace, checkStart)
-	take(t, f, whole(Fleet, 3, `{"format":1,"cold":{"from":0.5}}`), ResultTaken)
-	take(t, f, whole(service, 8, `{"format":1,"classes":{"scan":{"worth":2}}}`), ResultTaken)
-	apply(t, f)
+// Saved documents are checked again, since they may fail after the start file has changed.
+func TestFollowerChecksRestoredState(t *testing.T) {
+	f := NewFollower(testPlace, checkAgainstStart)
+	takeUpdate(t, f, wholeUpdate(Fleet, 3, `{"format":1,"cold":{"from":0.5}}`), ResultAccepted)
+	takeUpdate(t, f, wholeUpdate(serviceScope, 8, `{"format":1,"classes":{"scan":{"worth":2}}}`), ResultAccepted)
+	applyPending(t, f)
 	kept, _ := f.Kept()
 	restarted := NewFollower(testPlace, func(d *Document) error {
 		if len(d.Classes) > 0 {
-			return errors.New("no classes here")
+			return errors.New("classes are not supported")
 		}
 		return nil
 	})
 	if err := restarted.RestoreKept(kept); err != nil {
 		t.Fatal(err)
 	}
-	apply(t, restarted)
-	wantInForce(t, restarted, `{"format":1,"cold":{"from":0.5}}`, service)
+	applyPending(t, restarted)
+	wantInForce(t, restarted, `{"format":1,"cold":{"from":0.5}}`, serviceScope)
 }
 
-func TestFollowerRefusesWhatWasTorn(t *testing.T) {
-	f := NewFollower(testPlace, checkStart)
-	take(t, f, whole(Fleet, 3, `{"format":1,"cold":{"from":0.5}}`), ResultTaken)
-	apply(t, f)
+func TestFollowerRejectsDamagedState(t *testing.T) {
+	f := NewFollower(testPlace, checkAgainstStart)
+	takeUpdate(t, f, wholeUpdate(Fleet, 3, `{"format":1,"cold":{"from":0.5}}`), ResultAccepted)
+	applyPending(t, f)
 	kept, _ := f.Kept()
 	refuse := func(what string, place Place, bytes []byte) {
 		t.Helper()
-		g := NewFollower(place, checkStart)
-		if err := g.RestoreKept(bytes); err == nil || !strings.HasPrefix(err.Error(), "kept configuration: ") {
+		g := NewFollower(place, checkAgainstStart)
+		if err := g.RestoreKept(bytes); err == nil || !strings.HasPrefix(err.Error(), "saved configuration: ") {
 			t.Errorf("%s: error %v", what, err)
 		}
 		if _, ok := g.Pending(); ok || len(g.Have()) > 0 {
-			t.Errorf("%s: refused, but something has changed", what)
+			t.Errorf("%s: refused, but the follower has changed", what)
 		}
 	}
 	for length := range kept {
@@ -509,17 +511,17 @@
 	} {
 		other := testPlace
 		change(&other)
-		refuse(fmt.Sprintf("another place %+v", other), other, kept)
+		refuse(fmt.Sprintf("state of another place %+v", other), other, kept)
 	}
 	later := strings.Replace(string(kept[strings.Index(string(kept), "\n")+1:]), `"format":1`, `"format":2`, 1)
-	refuse("a later format", testPlace, append([]byte(keptHead([]byte(later))), later...))
+	refuse("a later format", testPlace, append([]byte(stateHeaderLine([]byte(later))), later...))
 }
 
-func TestRefusalsAreCutBetweenCharacters(t *testing.T) {
-	f := NewFollower(testPlace, func(*Document) error { return errors.New("x" + strings.Repeat("é", RefusalMost)) })
-	take(t, f, whole(Fleet, 1, `{"format":1}`), ResultTaken)
+func TestRefusalsAreTruncatedBetweenCharacters(t *testing.T) {
+	f := NewFollower(testPlace, func(*Document) error { return errors.New("x" + strings.Repeat("é", MaxRefusalBytes)) })
+	takeUpdate(t, f, wholeUpdate(Fleet, 1, `{"format":1}`), ResultAccepted)
 	why := f.Report().Refused[0].Why
-	if want := "x" + strings.Repeat("é", (RefusalMost-1)/2); why != want {
-		t.Errorf("why has %d bytes: %q", len(why), why)
+	if want := "x" + strings.Repeat("é", (MaxRefusalBytes-1)/2); why != want {
+		t.Errorf("reason has %d bytes: %q", len(why), why)
 	}
 }
--- a/internal/configuration/helpers_test.go
+++ b/internal/configuration/helpers_test.go
@@ -11,7 +11,7 @@
 	"lemonrail/internal/wire"
 )
 
-// startSettings are those of an agent's start file.
+// startSettings returns the settings and names of an agent's start file.
 func startSettings() (balance.Settings, wire.Names) {
 	names := wire.Names{Classes: []string{"point-read", "scan", "write"}, Tenants: []string{"web", "batch"}}
 	settings := balance.Settings{
@@ -29,8 +29,8 @@
 	return settings, names
 }
 
-// checkStart is the check of an agent with startSettings.
-func checkStart(d *Document) error {
+// checkAgainstStart checks a document as an agent with startSettings does.
+func checkAgainstStart(d *Document) error {
 	_, err := d.Apply(startSettings())
 	return err
 }
@@ -48,7 +48,7 @@
 	return d
 }
 
-// randomDocument sets some of what may be set; it is one that checkStart passes, unless bad.
+// randomDocument sets a random subset of the fields, with values that pass checkAgainstStart.
 func randomDocument(rng *rand.Rand) *Document {
 	_, names := startSettings()
 	d := &Document{Format: Format, Classes: map[string]ClassDocument{}, Tenants: map[string]TenantDocument{}}
@@ -67,6 +67,7 @@
 	return d
 }
 
+// maybe returns a pointer to value in one of three cases, otherwise nil.
 func maybe[T any](rng *rand.Rand, value T) *T {
 	if rng.IntN(3) > 0 {
 		return nil
@@ -74,7 +75,7 @@
 	return &value
 }
 
-// longDocument is one of about so many classes, each some 50 bytes, that no start file has.
+// longDocument returns a document with that many classes of about 50 bytes each, whose names no start file has.
 func longDocument(classes int, aim float64) *Document {
 	d := &Document{Format: Format, Classes: map[string]ClassDocument{}}
 	for i := range classes {
@@ -85,7 +86,7 @@
 
 func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
-// put makes a change through the wire's encodings, as the control process does.
+// put applies a change in encoded form, as the control process does.
 func put(t *testing.T, r *Registry, epoch uint64, c Change) (Accepted, error) {
 	t.Helper()
 	command, err := EncodeChange(c)
@@ -107,13 +108,13 @@
 	return accepted
 }
 
-// change is one of a document for a scope.
-func change(id string, scope Scope, base uint64, d *Document) Change {
+// newChange returns a change that replaces the document of a scope.
+func newChange(id string, scope Scope, base uint64, d *Document) Change {
 	return Change{ID: id, Scope: scope, Base: base, Document: d.Canonical(), By: "ana", Why: "test", At: "2026-12-02T04:00:00Z"}
 }
 
-// overWire is what an update is after it went through a line of JSON.
-func overWire(t *testing.T, u Update) Update {
+// roundTrip returns the update after encoding it as JSON and decoding it again.
+func roundTrip(t *testing.T, u Update) Update {
 	t.Helper()
 	line, err := json.Marshal(u)
 	if err != nil {
@@ -126,7 +127,7 @@
 	return arrived
 }
 
-// jsonLine is an update as a watch carries it.
+// jsonLine encodes an update as a line of a watch.
 func jsonLine(u Update) ([]byte, error) {
 	line, err := json.Marshal(u)
 	return append(line, '\n'), err
--- a/internal/configuration/machine.go
+++ b/internal/configuration/machine.go
@@ -1,20 +1,20 @@
 package configuration
 
-// MachineStatus is how a control machine stands: the answer at MachinePath.
+// MachineStatus is the state of a control machine, the answer at MachinePath.
 type MachineStatus struct {
 	Name    string        `json:"name"`
 	Region  string        `json:"region"`
-	Watches int           `json:"watches"` // that are open
-	Groups  []GroupStatus `json:"groups"`  // that it is a member of
+	Watches int           `json:"watches"` // open watches of agents
+	Groups  []GroupStatus `json:"groups"`  // groups that the machine is a member of
 }
 
-// GroupStatus is how a control machine stands in a group.
+// GroupStatus is the state of a group as one of its control machines knows it.
 type GroupStatus struct {
 	Group   string             `json:"group"`
 	Votes   bool               `json:"votes"`
-	Why     string             `json:"why"`    // it doesn't vote, such as the disk's error, or how it began
+	Why     string             `json:"why"`    // reason for not voting, such as a disk error, or how the machine joined
 	Leader  string             `json:"leader"` // as this machine knows it; empty: none
 	Term    uint64             `json:"term"`
-	Applied uint64             `json:"applied"` // index of the last log entry that it has applied
-	Scopes  map[Scope]Position `json:"scopes"`  // with a document, as far as it has applied
+	Applied uint64             `json:"applied"` // index of the last log entry that the machine has applied
+	Scopes  map[Scope]Position `json:"scopes"`  // scopes with a document, as of the last applied entry
 }
--- a/internal/configuration/pacer_test.go
+++ b/internal/configuration/pacer_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// No span of a second has more than the rate and the burst, whatever is sent.
+// No period of a second has more bytes than the rate and the burst together, whatever is sent.
 func TestPacerBoundsEachSecond(t *testing.T) {
-	type sent struct {
+	type send struct {
 		at    time.Duration
 		bytes int
 	}
@@ -15,7 +15,7 @@
 		rng := newRand(seed)
 		now := time.Duration(rng.IntN(1e9))
 		pacer := NewPacer(PaceRate, PaceBurst, now)
-		var all []sent
+		var sends []send
 		total := 0
 		begin := now
 		for range 300 {
@@ -24,12 +24,12 @@
 			}
 			bytes := 1 + rng.IntN(PaceBurst)
 			now += pacer.Wait(bytes, now)
-			all = append(all, sent{now, bytes})
+			sends = append(sends, send{now, bytes})
 			total += bytes
 		}
-		for i, from := range all {
+		for i, from := range sends {
 			within := 0
-			for _, s := range all[i:] {
+			for _, s := range sends[i:] {
 				if s.at-from.at < time.Second {
 					within += s.bytes
 				}
@@ -38,34 +38,34 @@
 				t.Fatalf("seed %d: %d bytes in the second from %v", seed, within, from.at)
 			}
 		}
-		if most := PaceBurst + PaceRate*(now-begin).Seconds() + 1; float64(total) > most {
+		if maxTotal := PaceBurst + PaceRate*(now-begin).Seconds() + 1; float64(total) > maxTotal {
 			t.Fatalf("seed %d: %d bytes in %v", seed, total, now-begin)
 		}
 	}
 }
 
-// A queue is sent at the rate, no slower.
+// A queue is sent at the full rate.
 func TestPacerSendsAtTheRate(t *testing.T) {
 	pacer, now := NewPacer(PaceRate, PaceBurst, 0), time.Duration(0)
 	for range 11 {
 		now += pacer.Wait(1500, now)
 	}
-	if want := 4500 * time.Millisecond; now < want-time.Millisecond || now > want+time.Millisecond { // 16,500 bytes, of them a burst at once
-		t.Errorf("it took %v", now)
+	if want := 4500 * time.Millisecond; now < want-time.Millisecond || now > want+time.Millisecond { // 16,500 bytes, the first 3,000 without a wait
+		t.Errorf("sending took %v", now)
 	}
 	if wait := pacer.Wait(1, now-time.Hour); wait < 0 || wait > time.Second {
-		t.Errorf("a clock that runs backwards: wait %v", wait)
+		t.Errorf("wait %v after the clock went backwards", wait)
 	}
 }
 
-// The longest document reaches an agent well within the nine seconds that a change has.
-func TestPacerLetsTheLongestDocumentThrough(t *testing.T) {
+// The longest document is sent within 7 of the 9 seconds in which a change has to be in force.
+func TestPacerSendsLongestDocumentInTime(t *testing.T) {
 	r := NewRegistry(FleetGroup)
 	document := longDocument(1, 1)
 	for n := 2; len(document.Canonical()) < DocumentMost-100; n++ {
 		document = longDocument(n, 1)
 	}
-	mustPut(t, r, 1, change("c", Fleet, 0, document))
+	mustPut(t, r, 1, newChange("c", Fleet, 0, document))
 	pacer, now, total := NewPacer(PaceRate, PaceBurst, 0), time.Duration(0), 0
 	for _, u := range r.Updates(Fleet, Position{}) {
 		line, err := jsonLine(u)
@@ -75,6 +75,6 @@
 	}
 	t.Logf("%d bytes of document in %d bytes of lines, %v", len(document.Canonical()), total, now)
 	if now > 7*time.Second {
-		t.Errorf("it took %v", now)
+		t.Errorf("sending took %v", now)
 	}
 }
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -9,7 +9,7 @@
 	"reflect"
 )
 
-// MakePatch returns the RFC 7396 merge patch that makes one canonical text of another.
+// MakePatch returns the RFC 7396 merge patch that turns one canonical text into another.
 func MakePatch(from, to []byte) ([]byte, error) {
 	before, err := decodeObject(from)
 	if err != nil {
@@ -22,17 +22,17 @@
 	return encodeAny(difference(before, after)), nil
 }
 
-// difference is the patch that makes after of before. Neither holds a null.
+// difference returns the patch that turns before into after. Neither may hold a null.
 func difference(before, after map[string]any) map[string]any {
 	patch := map[string]any{}
 	for name := range before {
-		if _, stays := after[name]; !stays {
+		if _, remains := after[name]; !remains {
 			patch[name] = nil
 		}
 	}
 	for name, value := range after {
-		earlier, was := before[name]
-		if was && reflect.DeepEqual(earlier, value) {
+		earlier, existed := before[name]
+		if existed && reflect.DeepEqual(earlier, value) {
 			continue
 		}
 		earlierObject, wasObject := earlier.(map[string]any)
@@ -46,8 +46,8 @@
 	return patch
 }
 
-// ApplyPatch lays an RFC 7396 merge patch over a canonical text. The result is canonical. It knows nothing of a
-// document's fields, so that an agent can follow documents of a later Format too.
+// ApplyPatch applies an RFC 7396 merge patch to a canonical text and returns a canonical text. It doesn't
+// depend on the fields of Document, so that an agent can follow documents of a later Format.
 func ApplyPatch(document, patch []byte) ([]byte, error) {
 	before, err := decodeObject(document)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return encodeAny(mergePatch(before, changes)), nil
 }
 
-// mergePatch is MergePatch of RFC 7396, section 2. It changes target.
+// mergePatch implements MergePatch of RFC 7396, section 2. It modifies target.
 func mergePatch(target any, patch any) any {
 	changes, ok := patch.(map[string]any)
 	if !ok {
@@ -87,12 +87,12 @@
 	}
 	object, ok := value.(map[string]any)
 	if !ok {
-		return nil, errors.New("no object")
+		return nil, errors.New("must be an object")
 	}
 	return object, nil
 }
 
-// decodeAny decodes JSON and leaves numbers as they are written.
+// decodeAny decodes JSON and keeps the text of each number.
 func decodeAny(text []byte) (any, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
@@ -101,16 +101,16 @@
 		return nil, err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("something follows its end")
+		return nil, errors.New("unexpected data after its end")
 	}
 	return value, nil
 }
 
-// encodeAny is the canonical text of what decodeAny returned: no space, keys in order.
+// encodeAny returns the canonical text of a value from decodeAny: no whitespace, sorted keys.
 func encodeAny(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
-		panic("configuration: " + err.Error()) // maps, strings, numbers as written and booleans alone
+		panic("configuration: " + err.Error()) // can't happen: the value holds only maps, strings, numbers and booleans
 	}
 	return text
 }
--- a/internal/configuration/patch_test.go
+++ b/internal/configuration/patch_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Those cases of RFC 7396, appendix A, in which both are objects.
-func TestApplyPatchByTheRFC(t *testing.T) {
+// The cases of RFC 7396, appendix A, in which both texts are objects.
+func TestApplyPatchRFCExamples(t *testing.T) {
 	for _, c := range []struct{ document, patch, want string }{
 		{`{"a":"b"}`, `{"a":"c"}`, `{"a":"c"}`},
 		{`{"a":"b"}`, `{"b":"c"}`, `{"a":"b","b":"c"}`},
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestPatchesRefuseWhatIsNoObject(t *testing.T) {
+func TestPatchesRejectNonObjects(t *testing.T) {
 	for _, c := range []struct{ a, b string }{{`[]`, `{}`}, {`{}`, `3`}, {``, `{}`}, {`{}`, `{} {}`}, {`{}`, `{"a":`}} {
 		if got, err := ApplyPatch([]byte(c.a), []byte(c.b)); err == nil {
 			t.Errorf("%q with %q: %s", c.a, c.b, got)
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestPatchesMakeOneDocumentOfAnother(t *testing.T) {
+func TestPatchRoundTrip(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := newRand(seed)
 		from, to := randomDocument(rng).Canonical(), randomDocument(rng).Canonical()
@@ -54,8 +54,8 @@
 	}
 }
 
-// Fields and numbers that this program doesn't know stay as they are.
-func TestPatchesCarryLaterFormats(t *testing.T) {
+// Patches preserve fields and numbers that this program doesn't know.
+func TestPatchesPreserveUnknownFields(t *testing.T) {
 	from, to := `{"format":9,"novelty":{"a":[1,2],"b":0.30000000000000004}}`, `{"format":9,"novelty":{"b":123456789012345678901}}`
 	patch, err := MakePatch([]byte(from), []byte(to))
 	if err != nil || string(patch) != `{"novelty":{"a":null,"b":123456789012345678901}}` {
--- a/internal/configuration/registry.go
+++ b/internal/configuration/registry.go
@@ -9,21 +9,22 @@
 	"time"
 )
 
-// Registry is the state machine that the control machines of one group replicate: the latest revision of each scope
-// that the group writes, with what it takes to make patches from earlier ones. It satisfies replica.StateMachine.
-// No two of its methods may run at the same time, also of those that only read.
+// Registry is the state machine that the control machines of one group replicate. It holds the latest
+// revision of each scope that the group writes, and what is needed to make patches from earlier revisions. It
+// implements replica.StateMachine. Its methods, including those that only read, must not run concurrently.
 //
-// Replicas that run different versions of the program have to come to the same state, so Apply goes by what a document
-// of each Format may hold, which never changes, and takes a document of a later Format as it is: the machine that
-// proposed it has checked it.
+// Replicas that run different versions of the program must reach the same state. Apply therefore uses the
+// rules of each document's Format, which never change, and accepts a document of a later Format unchecked:
+// the machine that proposed it has checked it.
 type Registry struct {
-	// OnRevision, unless nil, is told of each new revision as it is applied, for a history. A log that is read again
-	// after a restart tells it again; revisions that came with a snapshot aren't told.
+	// OnRevision, if not nil, is called with each new revision when it is applied, to record a history. When
+	// the log is replayed after a restart it is called again for the same revisions; for those of a snapshot
+	// it isn't called.
 	OnRevision func(Revision)
 
 	group   string
 	scopes  map[Scope]*scopeState
-	bytes   int // of all documents
+	bytes   int // total length of all documents
 	changes changeLog
 }
 
@@ -32,16 +33,16 @@
 	return &Registry{group: group, scopes: map[Scope]*scopeState{}, changes: newChangeLog()}
 }
 
-// EncodeChange makes a change a command for Apply.
+// EncodeChange encodes a change as a command for Apply.
 func EncodeChange(c Change) ([]byte, error) { return json.Marshal(c) }
 
-// outcome is what Apply returns, as JSON. One of both is set.
+// outcome is the result of Apply, encoded as JSON. One of its fields is set.
 type outcome struct {
 	Accepted *Accepted  `json:"accepted,omitempty"`
 	Refused  *ErrorBody `json:"refused,omitempty"`
 }
 
-// DecodeResult reads what Apply returned. The error is an *ErrorBody where the change was refused.
+// DecodeResult decodes a result of Apply. The error is an *ErrorBody if the change was refused.
 func DecodeResult(result []byte) (Accepted, error) {
 	var o outcome
 	if err := json.Unmarshal(result, &o); err != nil {
@@ -56,32 +57,32 @@
 	return Accepted{}, fmt.Errorf("result of a change: neither accepted nor refused: %.100q", result)
 }
 
-// Check refuses a change before it is proposed, at least as strictly as Apply would; the error is an *ErrorBody. A
-// change that was taken before passes, so that Apply can give its first result again.
+// Check refuses a change before it is proposed, at least as strictly as Apply does; the error is an
+// *ErrorBody. A change that was applied before passes, so that Apply can return its first result again.
 func (r *Registry) Check(c Change) error {
 	if r.changes.has(c.ID) {
 		return nil
 	}
 	if _, err := ParseDocument(c.Document); err != nil {
-		return invalid("%v", err)
+		return invalidError("%v", err)
 	}
-	if _, refused := r.judge(c); refused != nil {
+	if _, refused := r.validate(c); refused != nil {
 		return refused
 	}
 	return nil
 }
 
-// Apply carries out a command of EncodeChange at the epoch (the term of the log entry) and returns a result for
-// DecodeResult. The same Change.ID again gets its first result.
+// Apply applies a command of EncodeChange at an epoch, the term of its log entry, and returns a result for
+// DecodeResult. A command with the ID of an earlier change returns the first result.
 func (r *Registry) Apply(epoch uint64, command []byte) (result []byte) {
 	var c Change
 	if err := json.Unmarshal(command, &c); err != nil {
-		return encodeOutcome(outcome{Refused: invalid("change: %v", err)})
+		return encodeOutcome(outcome{Refused: invalidError("change: %v", err)})
 	}
 	if first, ok := r.changes.find(c); ok {
 		return encodeOutcome(first)
 	}
-	o := r.change(epoch, c)
+	o := r.applyChange(epoch, c)
 	r.changes.add(c, o)
 	return encodeOutcome(o)
 }
@@ -89,14 +90,14 @@
 func encodeOutcome(o outcome) []byte {
 	text, err := json.Marshal(o)
 	if err != nil {
-		panic("configuration: " + err.Error()) // strings and numbers alone
+		panic("configuration: " + err.Error()) // can't happen: an outcome holds only strings and numbers
 	}
 	return text
 }
 
-// change makes a new revision, if the change may.
-func (r *Registry) change(epoch uint64, c Change) outcome {
-	document, refused := r.judge(c)
+// applyChange creates a new revision if the change is valid.
+func (r *Registry) applyChange(epoch uint64, c Change) outcome {
+	document, refused := r.validate(c)
 	if refused != nil {
 		return outcome{Refused: refused}
 	}
@@ -123,16 +124,16 @@
 	return outcome{Accepted: &Accepted{Scope: next.Scope, Position: next.Position, Digest: next.Digest}}
 }
 
-// judge returns the canonical document of a change, or why it is refused.
-func (r *Registry) judge(c Change) (json.RawMessage, *ErrorBody) {
-	if refused := r.judgeFrame(c); refused != nil {
+// validate returns the canonical document of a change, or the reason to refuse the change.
+func (r *Registry) validate(c Change) (json.RawMessage, *ErrorBody) {
+	if refused := r.validateMetadata(c); refused != nil {
 		return nil, refused
 	}
-	document, refused := canonicalOf(c.Document)
+	document, refused := canonicalDocument(c.Document)
 	if refused != nil {
 		return nil, refused
 	}
-	if refused := r.judgeBounds(c.Scope, len(document)); refused != nil {
+	if refused := r.checkLimits(c.Scope, len(document)); refused != nil {
 		return nil, refused
 	}
 	var at Position
@@ -146,68 +147,70 @@
 	return document, nil
 }
 
-// Bounds of what goes with a change.
-const whyMost = 1024 // bytes of the reason
+// Limits on the metadata of a change.
+const maxReasonBytes = 1024 // bytes of the reason
 
-// judgeFrame looks at all but the document.
-func (r *Registry) judgeFrame(c Change) *ErrorBody {
-	if c.ID == "" || len(c.ID) > ChangeIDMost {
-		return invalid("id: %d bytes, not within 1 and %d", len(c.ID), ChangeIDMost)
+// validateMetadata checks all fields of a change but the document.
+func (r *Registry) validateMetadata(c Change) *ErrorBody {
+	if c.ID == "" || len(c.ID) > MaxChangeIDBytes {
+		return invalidError("id: %d bytes, not between 1 and %d", len(c.ID), MaxChangeIDBytes)
 	}
-	// A scope that was put together by hand may not be one.
+	// A Scope that was not made by ParseScope may be invalid.
 	if scope, err := ParseScope(c.Scope.String()); err != nil {
-		return invalid("%v", err)
+		return invalidError("%v", err)
 	} else if scope != c.Scope {
-		return invalid("scope: %v is not written as it should be", c.Scope)
+		return invalidError("scope: %v has fields that its text doesn't show", c.Scope)
 	}
 	if c.Scope.Group() != r.group {
 		return &ErrorBody{Kind: ErrorNotHere,
 			Message: fmt.Sprintf("%v is written by the group %s, not by %s", c.Scope, c.Scope.Group(), r.group)}
 	}
-	if len(c.By) > NameMost {
-		return invalid("by: %d bytes, over %d", len(c.By), NameMost)
+	if len(c.By) > MaxNameBytes {
+		return invalidError("by: %d bytes, over the limit of %d", len(c.By), MaxNameBytes)
 	}
-	if len(c.Why) > whyMost {
-		return invalid("why: %d bytes, over %d", len(c.Why), whyMost)
+	if len(c.Why) > maxReasonBytes {
+		return invalidError("why: %d bytes, over the limit of %d", len(c.Why), maxReasonBytes)
 	}
 	if _, err := time.Parse(time.RFC3339, c.At); c.At != "" && err != nil {
-		return invalid("at: %v", err)
+		return invalidError("at: %v", err)
 	}
 	return nil
 }
 
-func (r *Registry) judgeBounds(scope Scope, length int) *ErrorBody {
+// checkLimits checks the limits of a group for a new document of length bytes.
+func (r *Registry) checkLimits(scope Scope, length int) *ErrorBody {
 	before := 0
 	if state := r.scopes[scope]; state != nil {
 		before = len(state.latest.Document)
-	} else if len(r.scopes) >= ScopesMost {
-		return invalid("%v would be one scope more than the %d that a group may have", scope, ScopesMost)
+	} else if len(r.scopes) >= MaxScopes {
+		return invalidError("%v would exceed the limit of %d scopes per group", scope, MaxScopes)
 	}
-	if total := r.bytes - before + length; total > GroupMost {
-		return invalid("the documents of the group %s would have %d bytes, over %d", r.group, total, GroupMost)
+	if total := r.bytes - before + length; total > MaxGroupBytes {
+		return invalidError("the documents of the group %s would have %d bytes, over the limit of %d", r.group, total, MaxGroupBytes)
 	}
 	return nil
 }
 
-// canonicalOf checks a document and returns its canonical text; one of a later Format is taken as it is.
-func canonicalOf(raw json.RawMessage) (json.RawMessage, *ErrorBody) {
+// canonicalDocument checks a document and returns its canonical text. A document of a later Format isn't
+// checked.
+func canonicalDocument(raw json.RawMessage) (json.RawMessage, *ErrorBody) {
 	if len(raw) > DocumentMost {
-		return nil, invalid("%v", tooLong(len(raw)))
+		return nil, invalidError("%v", tooLongError(len(raw)))
 	}
 	if later, ok := laterFormat(raw); ok {
 		if len(later) > DocumentMost {
-			return nil, invalid("%v", tooLong(len(later)))
+			return nil, invalidError("%v", tooLongError(len(later)))
 		}
 		return later, nil
 	}
 	document, err := ParseDocument(raw)
 	if err != nil {
-		return nil, invalid("%v", err)
+		return nil, invalidError("%v", err)
 	}
 	return document.Canonical(), nil
 }
 
-// laterFormat returns the canonical text of a document if its Format is later than this program's.
+// laterFormat returns the canonical text of a document, and true if its Format is later than this program's.
 func laterFormat(raw []byte) (json.RawMessage, bool) {
 	var d struct {
 		Format int `json:"format"`
@@ -222,8 +225,8 @@
 	return encodeAny(object), true
 }
 
-func invalid(format string, values ...any) *ErrorBody {
-	return &ErrorBody{Kind: ErrorInvalid, Message: cutText(fmt.Sprintf(format, values...), RefusalMost)}
+func invalidError(format string, values ...any) *ErrorBody {
+	return &ErrorBody{Kind: ErrorInvalid, Message: truncateText(fmt.Sprintf(format, values...), MaxRefusalBytes)}
 }
 
 // Revision returns the latest revision of a scope.
@@ -235,21 +238,22 @@
 	return state.latest, true
 }
 
-// Scopes are those with a document, in the order of their text.
+// Scopes returns the scopes that have a document, sorted by their text.
 func (r *Registry) Scopes() []Scope {
 	return slices.SortedFunc(maps.Keys(r.scopes), func(a, b Scope) int { return strings.Compare(a.String(), b.String()) })
 }
 
-// Updates are what takes an agent from the position it has to the latest revision of a scope: none, a patch, or the
-// whole in one or more parts. All but the last have More set; where updates of further scopes follow at once, the
-// caller sets it on the last one too. A position with an Epoch of 0 asks for the whole, if it is newer.
+// Updates returns the updates that take an agent from position have to the latest revision of a scope: none,
+// a patch, or the whole document in one or more parts. All but the last have More set; if updates of further
+// scopes follow at once, the caller sets it on the last one as well. With an Epoch of 0 the whole document is
+// returned if it is newer.
 func (r *Registry) Updates(scope Scope, have Position) []Update {
 	state, ok := r.scopes[scope]
 	if !ok || have.Revision >= state.latest.Revision {
 		return nil
 	}
 	if patch, ok := state.patchFrom(have); ok {
-		return []Update{state.latest.update(have.Revision, patch)}
+		return []Update{state.latest.newUpdate(have.Revision, patch)}
 	}
-	return state.latest.whole()
+	return state.latest.wholeUpdates()
 }
--- a/internal/configuration/registry_changes.go
+++ b/internal/configuration/registry_changes.go
@@ -7,16 +7,17 @@
 	"slices"
 )
 
-// changeLog remembers the results of the last ChangesKept changes, so that one that is sent again is known.
+// changeLog keeps the results of the last MaxChangeResults changes, so that a repeated change gets its first
+// result.
 type changeLog struct {
-	order   []string // identities, the oldest first
+	order   []string // IDs of the changes, the oldest first
 	results map[string]changeResult
 }
 
-// changeResult is a change's first result.
+// changeResult is the first result of a change.
 type changeResult struct {
 	ID      string  `json:"id"`
-	Content string  `json:"content"` // names what it asked for
+	Content string  `json:"content"` // digest of the change, see contentDigest
 	Outcome outcome `json:"outcome"`
 }
 
@@ -27,24 +28,24 @@
 	return ok
 }
 
-// find returns the first result of a change. Another change with its identity is refused.
+// find returns the first result of a change, if it is known. A different change with the same ID is refused.
 func (l *changeLog) find(c Change) (outcome, bool) {
 	first, ok := l.results[c.ID]
-	if ok && first.Content != contentOf(c) {
-		return outcome{Refused: invalid("id: %q was another change's", c.ID)}, true
+	if ok && first.Content != contentDigest(c) {
+		return outcome{Refused: invalidError("id: %q was used by another change", c.ID)}, true
 	}
 	return first.Outcome, ok
 }
 
 func (l *changeLog) add(c Change, o outcome) {
-	if c.ID == "" || len(c.ID) > ChangeIDMost {
-		return // it was refused for that
+	if c.ID == "" || len(c.ID) > MaxChangeIDBytes {
+		return // the change was refused because of its ID
 	}
-	l.put(changeResult{ID: c.ID, Content: contentOf(c), Outcome: o})
+	l.store(changeResult{ID: c.ID, Content: contentDigest(c), Outcome: o})
 }
 
-func (l *changeLog) put(result changeResult) {
-	if len(l.order) == ChangesKept {
+func (l *changeLog) store(result changeResult) {
+	if len(l.order) == MaxChangeResults {
 		delete(l.results, l.order[0])
 		l.order = slices.Delete(l.order, 0, 1)
 	}
@@ -52,7 +53,7 @@
 	l.results[result.ID] = result
 }
 
-// all are the results, the oldest first.
+// all returns the results, the oldest first.
 func (l *changeLog) all() []changeResult {
 	results := make([]changeResult, len(l.order))
 	for i, id := range l.order {
@@ -61,12 +62,13 @@
 	return results
 }
 
-// contentOf names what a change asks for; machines that take it in turn differ in At alone.
-func contentOf(c Change) string {
+// contentDigest returns a digest of what a change requests. It leaves out At, because each machine that
+// receives a repeated change sets its own time.
+func contentDigest(c Change) string {
 	c.At = ""
 	text, err := json.Marshal(c)
 	if err != nil {
-		text = c.Document // no JSON: Apply refuses it
+		text = c.Document // the document isn't valid JSON, and Apply refuses it
 	}
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:digestBytes])
--- a/internal/configuration/registry_scope.go
+++ b/internal/configuration/registry_scope.go
@@ -6,73 +6,76 @@
 	"unicode/utf8"
 )
 
-// scopeState is what a Registry has of a scope: its latest revision, and the way back to earlier ones.
+// scopeState is a Registry's state of a scope: the latest revision, and reverse patches to earlier revisions.
 type scopeState struct {
 	latest Revision
-	// steps lead back, the latest first. Together they are no longer than the latest document: from further back
-	// nothing could be shorter than the whole by much, and memory stays within twice the documents.
-	steps   []backStep
-	patches map[uint64]json.RawMessage // to latest, by the revision that they are laid upon; made when asked for
+	// reversePatches lead back revision by revision, the newest first. Their total length is at most that of
+	// the latest document: a patch from further back could hardly be shorter than the whole document, and
+	// memory stays within twice the documents.
+	reversePatches []reversePatch
+	patchCache     map[uint64]json.RawMessage // patches to latest by the revision that they apply to, filled on demand
 }
 
-// backStep leads from a revision to the one before.
-type backStep struct {
+// reversePatch leads from a revision to the previous one.
+type reversePatch struct {
 	To    Position        `json:"to"`
 	Patch json.RawMessage `json:"patch"`
 }
 
-// advance makes a revision the latest.
+// advance makes next the latest revision.
 func (s *scopeState) advance(next Revision) {
 	if s.latest.Revision > 0 {
-		back := encodeAny(difference(mustObject(next.Document), mustObject(s.latest.Document)))
-		s.steps = slices.Insert(s.steps, 0, backStep{s.latest.Position, back})
+		back := encodeAny(difference(mustDecodeObject(next.Document), mustDecodeObject(s.latest.Document)))
+		s.reversePatches = slices.Insert(s.reversePatches, 0, reversePatch{s.latest.Position, back})
 	}
 	s.latest = next
-	s.steps = s.steps[:s.stepsWithin(len(next.Document))]
-	s.patches = nil
+	s.reversePatches = s.reversePatches[:s.retainedCount(len(next.Document))]
+	s.patchCache = nil
 }
 
-// stepsWithin counts the steps that are within the bounds.
-func (s *scopeState) stepsWithin(most int) int {
+// retainedCount returns how many reverse patches to keep: at most MaxReversePatches with at most maxBytes in
+// total.
+func (s *scopeState) retainedCount(maxBytes int) int {
 	total := 0
-	for i, step := range s.steps {
+	for i, step := range s.reversePatches {
 		total += len(step.Patch)
-		if i == PatchesKept || total > most {
+		if i == MaxReversePatches || total > maxBytes {
 			return i
 		}
 	}
-	return len(s.steps)
+	return len(s.reversePatches)
 }
 
-// patchFrom returns the patch from a position to the latest revision, if there is one that is shorter than the whole
-// and fits into an update.
+// patchFrom returns the patch from a position to the latest revision. It returns false if the position is no
+// longer known, or the patch is as long as the whole document or too long for an update.
 func (s *scopeState) patchFrom(have Position) (json.RawMessage, bool) {
-	step := slices.IndexFunc(s.steps, func(step backStep) bool { return step.To == have })
+	step := slices.IndexFunc(s.reversePatches, func(step reversePatch) bool { return step.To == have })
 	if step < 0 {
 		return nil, false
 	}
-	patch, made := s.patches[have.Revision]
+	patch, made := s.patchCache[have.Revision]
 	if !made {
 		patch = s.makePatch(step)
-		if s.patches == nil {
-			s.patches = map[uint64]json.RawMessage{}
+		if s.patchCache == nil {
+			s.patchCache = map[uint64]json.RawMessage{}
 		}
-		s.patches[have.Revision] = patch
+		s.patchCache[have.Revision] = patch
 	}
-	return patch, len(patch) < len(s.latest.Document) && len(patch) <= PartMost
+	return patch, len(patch) < len(s.latest.Document) && len(patch) <= MaxPartBytes
 }
 
-// makePatch goes back to the revision that a step leads to and makes the patch from there.
+// makePatch applies the reverse patches up to index step and returns the patch from there to the latest
+// revision.
 func (s *scopeState) makePatch(step int) json.RawMessage {
-	earlier := mustObject(s.latest.Document)
-	for _, back := range s.steps[:step+1] {
-		mergePatch(earlier, mustObject(back.Patch))
+	earlier := mustDecodeObject(s.latest.Document)
+	for _, back := range s.reversePatches[:step+1] {
+		mergePatch(earlier, mustDecodeObject(back.Patch))
 	}
-	return encodeAny(difference(earlier, mustObject(s.latest.Document)))
+	return encodeAny(difference(earlier, mustDecodeObject(s.latest.Document)))
 }
 
-// mustObject decodes a text that the registry itself has made.
-func mustObject(text []byte) map[string]any {
+// mustDecodeObject decodes a text that the registry itself has encoded.
+func mustDecodeObject(text []byte) map[string]any {
 	object, err := decodeObject(text)
 	if err != nil {
 		panic("configuration: " + err.Error())
@@ -80,32 +83,33 @@
 	return object
 }
 
-// update is an update to the revision; from 0 the patch is the whole document.
-func (r Revision) update(from uint64, patch json.RawMessage) Update {
+// newUpdate returns an update to the revision. If from is 0, patch is the whole document.
+func (r Revision) newUpdate(from uint64, patch json.RawMessage) Update {
 	return Update{Scope: r.Scope, Position: r.Position, From: from, Patch: patch, Digest: r.Digest}
 }
 
-// whole is the whole document, in parts if it is long.
-func (r Revision) whole() []Update {
-	if len(r.Document) <= PartMost {
-		return []Update{r.update(0, r.Document)}
+// wholeUpdates returns updates with the whole document, in parts if it is long.
+func (r Revision) wholeUpdates() []Update {
+	if len(r.Document) <= MaxPartBytes {
+		return []Update{r.newUpdate(0, r.Document)}
 	}
-	texts := splitText(string(r.Document), PartMost)
+	texts := splitText(string(r.Document), MaxPartBytes)
 	updates := make([]Update, len(texts))
 	for i, text := range texts {
-		updates[i] = r.update(0, nil)
+		updates[i] = r.newUpdate(0, nil)
 		updates[i].Text, updates[i].Part, updates[i].Parts = text, i, len(texts)
 		updates[i].More = i < len(texts)-1
 	}
 	return updates
 }
 
-// splitText cuts a text between characters, so that no part as a JSON string is longer than most.
-func splitText(text string, most int) (parts []string) {
+// splitText splits a text between characters, so that no part, encoded as a JSON string, is longer than
+// maxBytes.
+func splitText(text string, maxBytes int) (parts []string) {
 	begin, length := 0, 0
 	for i, r := range text {
 		width := jsonWidth(r)
-		if length+width > most {
+		if length+width > maxBytes {
 			parts = append(parts, text[begin:i])
 			begin, length = i, 0
 		}
@@ -114,8 +118,8 @@
 	return append(parts, text[begin:])
 }
 
-// jsonWidth is the length of a character of a canonical text in a JSON string. What JSON escapes at length is ASCII
-// there by then.
+// jsonWidth returns the length in bytes of a character of a canonical text within a JSON string. Characters
+// that JSON writes as \u escapes are ASCII in a canonical text already.
 func jsonWidth(r rune) int {
 	if r == '"' || r == '\\' {
 		return 2
--- a/internal/configuration/registry_snapshot.go
+++ b/internal/configuration/registry_snapshot.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// snapshotFormat is the version of snapshots that this program writes and reads.
+// snapshotFormat is the version of the snapshot format that this program writes and reads.
 const snapshotFormat = 1
 
 type registrySnapshot struct {
@@ -16,21 +16,21 @@
 }
 
 type scopeSnapshot struct {
-	Latest Revision   `json:"latest"`
-	Steps  []backStep `json:"steps"`
+	Latest Revision       `json:"latest"`
+	Steps  []reversePatch `json:"steps"`
 }
 
-// Snapshot returns the whole state. Equal states have equal snapshots.
+// Snapshot returns the encoded state. Equal states have equal snapshots.
 func (r *Registry) Snapshot() ([]byte, error) {
 	snapshot := registrySnapshot{Format: snapshotFormat, Group: r.group, Changes: r.changes.all()}
 	for _, scope := range r.Scopes() {
 		state := r.scopes[scope]
-		snapshot.Scopes = append(snapshot.Scopes, scopeSnapshot{state.latest, state.steps})
+		snapshot.Scopes = append(snapshot.Scopes, scopeSnapshot{state.latest, state.reversePatches})
 	}
 	return json.Marshal(snapshot)
 }
 
-// Restore replaces the state by a snapshot's. Where it refuses one the state stays as it was.
+// Restore replaces the state with that of a snapshot. If it returns an error the state is unchanged.
 func (r *Registry) Restore(snapshot []byte) error {
 	var s registrySnapshot
 	if err := json.Unmarshal(snapshot, &s); err != nil {
@@ -40,7 +40,7 @@
 		return fmt.Errorf("snapshot: format %d, not %d", s.Format, snapshotFormat)
 	}
 	if s.Group != r.group {
-		return fmt.Errorf("snapshot: of the group %q, not %q", s.Group, r.group)
+		return fmt.Errorf("snapshot: belongs to the group %q, not to %q", s.Group, r.group)
 	}
 	restored := NewRegistry(r.group)
 	for _, scope := range s.Scopes {
@@ -49,25 +49,26 @@
 		}
 	}
 	for _, result := range s.Changes {
-		restored.changes.put(result)
+		restored.changes.store(result)
 	}
 	restored.OnRevision = r.OnRevision
 	*r = *restored
 	return nil
 }
 
+// restoreScope adds the state of a scope after checking its group and digest.
 func (r *Registry) restoreScope(s scopeSnapshot) error {
 	latest := s.Latest
 	if latest.Scope.Group() != r.group {
 		return fmt.Errorf("written by the group %q", latest.Scope.Group())
 	}
-	if _, twice := r.scopes[latest.Scope]; twice {
-		return fmt.Errorf("twice")
+	if _, duplicate := r.scopes[latest.Scope]; duplicate {
+		return fmt.Errorf("duplicate scope")
 	}
 	if digest := Digest(latest.Document); digest != latest.Digest {
 		return fmt.Errorf("the document's digest is %s, not %s", digest, latest.Digest)
 	}
-	r.scopes[latest.Scope] = &scopeState{latest: latest, steps: s.Steps}
+	r.scopes[latest.Scope] = &scopeState{latest: latest, reversePatches: s.Steps}
 	r.bytes += len(latest.Document)
 	return nil
 }
--- a/internal/configuration/registry_test.go
+++ b/internal/configuration/registry_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-var service = Scope{Level: LevelService, Name: "cart"}
+var serviceScope = Scope{Level: LevelService, Name: "cart"}
 
-func wantKind(t *testing.T, what string, err error, kind ErrorKind) *ErrorBody {
+func wantErrorKind(t *testing.T, what string, err error, kind ErrorKind) *ErrorBody {
 	t.Helper()
 	var body *ErrorBody
 	if !errors.As(err, &body) || body.Kind != kind {
@@ -21,13 +21,13 @@
 	return body
 }
 
-func TestRegistryGivesRevisionsInOrder(t *testing.T) {
+func TestRegistryNumbersRevisionsInOrder(t *testing.T) {
 	r := NewRegistry(FleetGroup)
-	var told []Revision
-	r.OnRevision = func(revision Revision) { told = append(told, revision) }
+	var notified []Revision
+	r.OnRevision = func(revision Revision) { notified = append(notified, revision) }
 	for i := range uint64(5) {
 		d := mustParse(t, fmt.Sprintf(`{"format":1,"limits":{"attempts":%d}}`, i+1))
-		accepted := mustPut(t, r, 10+i, change(fmt.Sprint("c", i), Fleet, i, d))
+		accepted := mustPut(t, r, 10+i, newChange(fmt.Sprint("c", i), Fleet, i, d))
 		want := Accepted{Scope: Fleet, Position: Position{Revision: i + 1, Epoch: 10 + i}, Digest: Digest(d.Canonical())}
 		if accepted != want {
 			t.Fatalf("accepted %+v, want %+v", accepted, want)
@@ -37,12 +37,12 @@
 			latest.Digest != want.Digest || latest.Change != fmt.Sprint("c", i) || latest.By != "ana" {
 			t.Fatalf("latest %+v", latest)
 		}
-		if len(told) != int(i)+1 || !reflect.DeepEqual(told[i], latest) {
-			t.Fatalf("told %+v", told)
+		if len(notified) != int(i)+1 || !reflect.DeepEqual(notified[i], latest) {
+			t.Fatalf("OnRevision received %+v", notified)
 		}
 	}
-	mustPut(t, r, 20, change("s", service, 0, &Document{Format: 1}))
-	if got := r.Scopes(); !reflect.DeepEqual(got, []Scope{Fleet, service}) {
+	mustPut(t, r, 20, newChange("s", serviceScope, 0, &Document{Format: 1}))
+	if got := r.Scopes(); !reflect.DeepEqual(got, []Scope{Fleet, serviceScope}) {
 		t.Errorf("scopes %v", got)
 	}
 	if _, ok := r.Revision(Scope{Level: LevelService, Name: "none"}); ok {
@@ -50,9 +50,9 @@
 	}
 }
 
-func TestRegistryRefuses(t *testing.T) {
+func TestRegistryRefusesInvalidChanges(t *testing.T) {
 	d := mustParse(t, `{"format":1,"limits":{"attempts":2}}`)
-	good := change("next", Fleet, 1, d)
+	good := newChange("next", Fleet, 1, d)
 	alter := func(f func(c *Change)) Change {
 		c := good
 		f(&c)
@@ -60,60 +60,60 @@
 	}
 	east := Scope{Level: LevelRegion, Region: "east"}
 	for _, c := range []struct {
-		what   string
-		change Change
-		kind   ErrorKind
-		says   string
+		name        string
+		change      Change
+		kind        ErrorKind
+		wantMessage string
 	}{
-		{"base before", alter(func(c *Change) { c.Base = 0 }), ErrorConflict, "fleet is at revision 1, not at 0"},
-		{"base after", alter(func(c *Change) { c.Base = 2 }), ErrorConflict, "fleet is at revision 1, not at 2"},
-		{"base of a scope without a document", alter(func(c *Change) { c.Scope = service }), ErrorConflict, "service/cart is at revision 0"},
+		{"base too low", alter(func(c *Change) { c.Base = 0 }), ErrorConflict, "fleet is at revision 1, not at 0"},
+		{"base too high", alter(func(c *Change) { c.Base = 2 }), ErrorConflict, "fleet is at revision 1, not at 2"},
+		{"base of a scope without a document", alter(func(c *Change) { c.Scope = serviceScope }), ErrorConflict, "service/cart is at revision 0"},
 		{"another group's scope", alter(func(c *Change) { c.Scope = east }), ErrorNotHere, "region/east is written by the group region-east"},
-		{"no scope", alter(func(c *Change) { c.Scope = Scope{Level: 9} }), ErrorInvalid, "scope"},
-		{"a bad name", alter(func(c *Change) { c.Scope = Scope{Level: LevelService, Name: "a/b"} }), ErrorInvalid, "scope"},
-		{"no identity", alter(func(c *Change) { c.ID = "" }), ErrorInvalid, "id: 0 bytes"},
-		{"long identity", alter(func(c *Change) { c.ID = strings.Repeat("x", ChangeIDMost+1) }), ErrorInvalid, "id: 65 bytes"},
-		{"long name", alter(func(c *Change) { c.By = strings.Repeat("x", NameMost+1) }), ErrorInvalid, "by: 65 bytes"},
-		{"long reason", alter(func(c *Change) { c.Why = strings.Repeat("x", whyMost+1) }), ErrorInvalid, "why: 1025 bytes"},
-		{"no time", alter(func(c *Change) { c.At = "yesterday" }), ErrorInvalid, "at: "},
+		{"unknown level", alter(func(c *Change) { c.Scope = Scope{Level: 9} }), ErrorInvalid, "scope"},
+		{"invalid name", alter(func(c *Change) { c.Scope = Scope{Level: LevelService, Name: "a/b"} }), ErrorInvalid, "scope"},
+		{"empty ID", alter(func(c *Change) { c.ID = "" }), ErrorInvalid, "id: 0 bytes"},
+		{"ID too long", alter(func(c *Change) { c.ID = strings.Repeat("x", MaxChangeIDBytes+1) }), ErrorInvalid, "id: 65 bytes"},
+		{"author too long", alter(func(c *Change) { c.By = strings.Repeat("x", MaxNameBytes+1) }), ErrorInvalid, "by: 65 bytes"},
+		{"reason too long", alter(func(c *Change) { c.Why = strings.Repeat("x", maxReasonBytes+1) }), ErrorInvalid, "why: 1025 bytes"},
+		{"invalid time", alter(func(c *Change) { c.At = "yesterday" }), ErrorInvalid, "at: "},
 		{"no document", alter(func(c *Change) { c.Document = nil }), ErrorInvalid, ""},
-		{"bad document", alter(func(c *Change) { c.Document = json.RawMessage(`{"format":1,"limits":{"attempts":0}}`) }),
-			ErrorInvalid, "limits.attempts: 0 is not within"},
-		{"long document", alter(func(c *Change) { c.Document = longDocument(400, 1).Canonical() }), ErrorInvalid, "over 16384"},
+		{"invalid document", alter(func(c *Change) { c.Document = json.RawMessage(`{"format":1,"limits":{"attempts":0}}`) }),
+			ErrorInvalid, "limits.attempts: 0 is not between"},
+		{"document too long", alter(func(c *Change) { c.Document = longDocument(400, 1).Canonical() }), ErrorInvalid, "over the limit of 16384"},
 	} {
 		r := NewRegistry(FleetGroup)
-		mustPut(t, r, 1, change("first", Fleet, 0, &Document{Format: 1}))
+		mustPut(t, r, 1, newChange("first", Fleet, 0, &Document{Format: 1}))
 		before, _ := r.Snapshot()
-		if body := wantKind(t, c.what+": check", r.Check(c.change), c.kind); !strings.Contains(body.Message, c.says) {
-			t.Errorf("%s: check: %q doesn't say %q", c.what, body.Message, c.says)
+		if body := wantErrorKind(t, c.name+": check", r.Check(c.change), c.kind); !strings.Contains(body.Message, c.wantMessage) {
+			t.Errorf("%s: check: message %q doesn't contain %q", c.name, body.Message, c.wantMessage)
 		}
 		after, _ := r.Snapshot()
 		if string(before) != string(after) {
-			t.Errorf("%s: Check has changed the state", c.what)
+			t.Errorf("%s: Check has changed the state", c.name)
 		}
 		_, err := put(t, r, 1, c.change)
-		if body := wantKind(t, c.what+": apply", err, c.kind); !strings.Contains(body.Message, c.says) {
-			t.Errorf("%s: apply: %q doesn't say %q", c.what, body.Message, c.says)
+		if body := wantErrorKind(t, c.name+": apply", err, c.kind); !strings.Contains(body.Message, c.wantMessage) {
+			t.Errorf("%s: apply: message %q doesn't contain %q", c.name, body.Message, c.wantMessage)
 		} else if c.kind == ErrorConflict && c.change.Scope == Fleet && body.Position != (Position{1, 1}) {
-			t.Errorf("%s: the conflict's position is %+v", c.what, body.Position)
+			t.Errorf("%s: the conflict's position is %+v", c.name, body.Position)
 		}
 		if latest, _ := r.Revision(Fleet); latest.Revision != 1 || len(r.Scopes()) != 1 {
-			t.Errorf("%s: refused, but the state is %+v", c.what, latest)
+			t.Errorf("%s: refused, but the latest revision is %+v", c.name, latest)
 		}
 	}
 }
 
-// A scope that no text stands for can't come over the wire, but a caller may make one.
-func TestRegistryChecksScopesMadeByHand(t *testing.T) {
-	odd := change("odd", Scope{Level: LevelFleet, Name: "a"}, 0, &Document{Format: 1})
-	wantKind(t, "a fleet with a name", NewRegistry(FleetGroup).Check(odd), ErrorInvalid)
+// An invalid Scope can't come from ParseScope, but a caller may construct one.
+func TestRegistryRejectsMalformedScope(t *testing.T) {
+	malformed := newChange("odd", Scope{Level: LevelFleet, Name: "a"}, 0, &Document{Format: 1})
+	wantErrorKind(t, "fleet scope with a name", NewRegistry(FleetGroup).Check(malformed), ErrorInvalid)
 }
 
-func TestRegistryRefusesWhatIsNoChange(t *testing.T) {
+func TestRegistryRejectsMalformedCommands(t *testing.T) {
 	r := NewRegistry(FleetGroup)
 	for _, command := range []string{"", "{", `{"scope":"nowhere"}`, `[]`, "\x00"} {
 		_, err := DecodeResult(r.Apply(1, []byte(command)))
-		wantKind(t, fmt.Sprintf("%q", command), err, ErrorInvalid)
+		wantErrorKind(t, fmt.Sprintf("%q", command), err, ErrorInvalid)
 	}
 	for _, result := range []string{"", "{}", "null", "x"} {
 		if _, err := DecodeResult([]byte(result)); err == nil {
@@ -122,99 +122,100 @@
 	}
 }
 
-// A change that is sent again, because its answer was lost, is done once and gets the same answer.
-func TestRegistryDoesAChangeOnce(t *testing.T) {
+// A change that is sent again because its answer was lost is applied once and gets the same answer.
+func TestRegistryAppliesRepeatedChangeOnce(t *testing.T) {
 	r := NewRegistry(FleetGroup)
-	first := change("same", Fleet, 0, mustParse(t, `{"format":1,"limits":{"attempts":2}}`))
+	first := newChange("same", Fleet, 0, mustParse(t, `{"format":1,"limits":{"attempts":2}}`))
 	accepted := mustPut(t, r, 3, first)
-	mustPut(t, r, 4, change("other", Fleet, 1, &Document{Format: 1}))
+	mustPut(t, r, 4, newChange("other", Fleet, 1, &Document{Format: 1}))
 	again := first
-	again.At = "2026-12-02T05:00:00Z" // by the machine that takes it this time
+	again.At = "2026-12-02T05:00:00Z" // set by the machine that receives the repeated change
 	if got := mustPut(t, r, 5, again); got != accepted {
-		t.Errorf("sent again it is %+v, not %+v", got, accepted)
+		t.Errorf("repeated change: %+v, want %+v", got, accepted)
 	}
 	if latest, _ := r.Revision(Fleet); latest.Revision != 2 {
 		t.Errorf("the scope is at revision %d", latest.Revision)
 	}
 
-	conflicting := change("late", Fleet, 1, &Document{Format: 1})
+	conflicting := newChange("late", Fleet, 1, &Document{Format: 1})
 	_, err := put(t, r, 6, conflicting)
-	wantKind(t, "conflict", err, ErrorConflict)
-	mustPut(t, r, 6, change("third", Fleet, 2, &Document{Format: 1}))
+	wantErrorKind(t, "conflict", err, ErrorConflict)
+	mustPut(t, r, 6, newChange("third", Fleet, 2, &Document{Format: 1}))
 	_, err = put(t, r, 6, conflicting)
-	if body := wantKind(t, "conflict again", err, ErrorConflict); body.Revision != 2 {
+	if body := wantErrorKind(t, "conflict again", err, ErrorConflict); body.Revision != 2 {
 		t.Errorf("the second answer has revision %d", body.Revision)
 	}
 
-	stolen := change("same", service, 0, &Document{Format: 1})
-	_, err = put(t, r, 7, stolen)
-	wantKind(t, "another change with its identity", err, ErrorInvalid)
+	reusedID := newChange("same", serviceScope, 0, &Document{Format: 1})
+	_, err = put(t, r, 7, reusedID)
+	wantErrorKind(t, "another change with the same ID", err, ErrorInvalid)
 	if got := mustPut(t, r, 7, first); got != accepted {
-		t.Errorf("then it is %+v", got)
+		t.Errorf("first change repeated: %+v", got)
 	}
 }
 
-func TestRegistryKeepsSoManyChanges(t *testing.T) {
+func TestRegistryLimitsRememberedChanges(t *testing.T) {
 	r := NewRegistry(FleetGroup)
-	all := make([]Change, ChangesKept+1)
-	for i := range all {
-		all[i] = change(fmt.Sprint("c", i), Fleet, uint64(i), &Document{Format: 1})
-		mustPut(t, r, 1, all[i])
+	changes := make([]Change, MaxChangeResults+1)
+	for i := range changes {
+		changes[i] = newChange(fmt.Sprint("c", i), Fleet, uint64(i), &Document{Format: 1})
+		mustPut(t, r, 1, changes[i])
 	}
-	if len(r.changes.order) != ChangesKept || len(r.changes.results) != ChangesKept {
-		t.Errorf("%d and %d are kept", len(r.changes.order), len(r.changes.results))
+	if len(r.changes.order) != MaxChangeResults || len(r.changes.results) != MaxChangeResults {
+		t.Errorf("kept %d IDs and %d results", len(r.changes.order), len(r.changes.results))
 	}
-	if got := mustPut(t, r, 1, all[1]); got.Revision != 2 {
-		t.Errorf("the oldest that is kept: %+v", got)
+	if got := mustPut(t, r, 1, changes[1]); got.Revision != 2 {
+		t.Errorf("oldest change that is kept, repeated: %+v", got)
 	}
-	wantKind(t, "one that is forgotten", r.Check(all[0]), ErrorConflict) // never done twice all the same
+	wantErrorKind(t, "forgotten change", r.Check(changes[0]), ErrorConflict) // the conflict still keeps it from being applied twice
 }
 
-func TestRegistryBoundsItsScopes(t *testing.T) {
+func TestRegistryLimitsScopes(t *testing.T) {
 	r := NewRegistry(FleetGroup)
-	for i := range ScopesMost {
-		mustPut(t, r, 1, change(fmt.Sprint("c", i), Scope{Level: LevelService, Name: fmt.Sprint("s", i)}, 0, &Document{Format: 1}))
+	for i := range MaxScopes {
+		mustPut(t, r, 1, newChange(fmt.Sprint("c", i), Scope{Level: LevelService, Name: fmt.Sprint("s", i)}, 0, &Document{Format: 1}))
 	}
-	more := change("more", service, 0, &Document{Format: 1})
-	body := wantKind(t, "one scope more", r.Check(more), ErrorInvalid)
+	more := newChange("more", serviceScope, 0, &Document{Format: 1})
+	body := wantErrorKind(t, "one scope more", r.Check(more), ErrorInvalid)
 	_, err := put(t, r, 1, more)
-	if again := wantKind(t, "one scope more", err, ErrorInvalid); again.Message != body.Message || len(r.Scopes()) != ScopesMost {
+	if again := wantErrorKind(t, "one scope more", err, ErrorInvalid); again.Message != body.Message || len(r.Scopes()) != MaxScopes {
 		t.Errorf("%v; %d scopes", again, len(r.Scopes()))
 	}
 	known := Scope{Level: LevelService, Name: "s0"}
-	mustPut(t, r, 1, change("known", known, 1, &Document{Format: 1}))
+	mustPut(t, r, 1, newChange("known", known, 1, &Document{Format: 1}))
 }
 
-func TestRegistryBoundsItsBytes(t *testing.T) {
+func TestRegistryLimitsBytes(t *testing.T) {
 	r := NewRegistry(FleetGroup)
-	big := longDocument(200, 1)
-	length, i := len(big.Canonical()), 0
-	for ; (i+1)*length <= GroupMost; i++ {
-		mustPut(t, r, 1, change(fmt.Sprint("c", i), Scope{Level: LevelService, Name: fmt.Sprint("s", i)}, 0, big))
+	long := longDocument(200, 1)
+	length, i := len(long.Canonical()), 0
+	for ; (i+1)*length <= MaxGroupBytes; i++ {
+		mustPut(t, r, 1, newChange(fmt.Sprint("c", i), Scope{Level: LevelService, Name: fmt.Sprint("s", i)}, 0, long))
 	}
-	wantKind(t, "more bytes", r.Check(change("more", service, 0, big)), ErrorInvalid)
-	_, err := put(t, r, 1, change("more", service, 0, big))
-	wantKind(t, "more bytes", err, ErrorInvalid)
+	wantErrorKind(t, "more bytes", r.Check(newChange("more", serviceScope, 0, long)), ErrorInvalid)
+	_, err := put(t, r, 1, newChange("more", serviceScope, 0, long))
+	wantErrorKind(t, "more bytes", err, ErrorInvalid)
 	restored := restoredCopy(t, r)
-	wantKind(t, "more bytes after a snapshot", restored.Check(change("again", service, 0, big)), ErrorInvalid)
-	// A document in place of another counts for the difference.
-	mustPut(t, r, 1, change("other", Scope{Level: LevelService, Name: "s0"}, 1, longDocument(200, 2)))
+	wantErrorKind(t, "more bytes after a snapshot", restored.Check(newChange("again", serviceScope, 0, long)), ErrorInvalid)
+	// If a document replaces another, only the difference in length counts.
+	mustPut(t, r, 1, newChange("other", Scope{Level: LevelService, Name: "s0"}, 1, longDocument(200, 2)))
 	total := 0
 	for _, scope := range r.Scopes() {
 		latest, _ := r.Revision(scope)
 		total += len(latest.Document)
 	}
-	if total != r.bytes || total > GroupMost {
-		t.Errorf("%d bytes by sum, %d by count", total, r.bytes)
+	if total != r.bytes || total > MaxGroupBytes {
+		t.Errorf("documents have %d bytes, the registry counted %d", total, r.bytes)
 	}
 }
 
-// A replica of an older version follows the log of a newer one's leader, but proposes nothing that it can't check.
-func TestRegistryFollowsLaterFormats(t *testing.T) {
+// A replica of an older version applies the entries of a leader with a newer version, but its Check refuses
+// documents that it can't check.
+func TestRegistryAppliesLaterFormats(t *testing.T) {
 	r := NewRegistry(FleetGroup)
-	later := change("later", Fleet, 0, &Document{Format: 1})
+	later := newChange("later", Fleet, 0, &Document{Format: 1})
 	later.Document = json.RawMessage(`{"novelty":{"x":1},"format":2}`)
-	wantKind(t, "check", r.Check(later), ErrorInvalid)
+	wantErrorKind(t, "check", r.Check(later), ErrorInvalid)
 	if _, err := put(t, r, 1, later); err != nil {
 		t.Fatal(err)
 	}
@@ -223,13 +224,13 @@
 	}
 }
 
-// randomChange is mostly one that passes.
+// randomChange returns a change that is accepted in most cases.
 func randomChange(seed uint64, i int, r *Registry) Change {
 	rng := newRand(seed<<16 + uint64(i))
-	scopes := []Scope{Fleet, service, {Level: LevelService, Name: "search"}, {Level: LevelRegion, Region: "east"}}
+	scopes := []Scope{Fleet, serviceScope, {Level: LevelService, Name: "search"}, {Level: LevelRegion, Region: "east"}}
 	scope := scopes[min(rng.IntN(8), rng.IntN(len(scopes)))]
 	latest, _ := r.Revision(scope)
-	c := change(fmt.Sprint("c", i-i*rng.IntN(2)/(1+rng.IntN(9))), scope, latest.Revision, randomDocument(rng))
+	c := newChange(fmt.Sprint("c", i-i*rng.IntN(2)/(1+rng.IntN(9))), scope, latest.Revision, randomDocument(rng))
 	switch rng.IntN(10) {
 	case 0:
 		c.Base += uint64(rng.IntN(3)) - 1
@@ -241,8 +242,8 @@
 	return c
 }
 
-// Replicas that apply the same log are equal, also one that begins with a snapshot somewhere; and what Check passes
-// Apply accepts.
+// Replicas that apply the same log have equal snapshots, including a replica that is restored from a snapshot
+// on the way. A change that passes Check is accepted by Apply.
 func TestRegistryReplicasAgree(t *testing.T) {
 	accepted, refused := 0, 0
 	for seed := range uint64(20) {
@@ -262,12 +263,12 @@
 			if _, err := DecodeResult(resultA); err == nil {
 				accepted++
 			} else if refused++; passes && !known {
-				t.Fatalf("seed %d, change %d: Check passes it, Apply says %v", seed, i, err)
+				t.Fatalf("seed %d, change %d: Check accepted it, Apply returned %v", seed, i, err)
 			}
 			if i%10 == 9 {
 				b = restoredCopy(t, b)
 			}
-			a.Updates(Fleet, Position{Revision: uint64(i / 2), Epoch: uint64(i)}) // asking changes nothing
+			a.Updates(Fleet, Position{Revision: uint64(i / 2), Epoch: uint64(i)}) // must not change the state
 			snapshotA, _ := a.Snapshot()
 			snapshotB, _ := b.Snapshot()
 			if string(snapshotA) != string(snapshotB) {
@@ -277,7 +278,7 @@
 	}
 	t.Logf("%d accepted, %d refused", accepted, refused)
 	if accepted < 100 || refused < 100 {
-		t.Errorf("%d accepted and %d refused don't reach what this is for", accepted, refused)
+		t.Errorf("%d accepted and %d refused, want at least 100 of each", accepted, refused)
 	}
 }
 
@@ -294,11 +295,11 @@
 	return restored
 }
 
-func TestRegistryRestoreRefuses(t *testing.T) {
+func TestRegistryRestoreRejectsInvalidSnapshots(t *testing.T) {
 	r := NewRegistry(FleetGroup)
-	mustPut(t, r, 1, change("first", Fleet, 0, mustParse(t, `{"format":1,"limits":{"attempts":2}}`)))
+	mustPut(t, r, 1, newChange("first", Fleet, 0, mustParse(t, `{"format":1,"limits":{"attempts":2}}`)))
 	good, _ := r.Snapshot()
-	for _, c := range []struct{ old, new, says string }{
+	for _, c := range []struct{ old, new, wantMessage string }{
 		{`"format":1,"group"`, `"format":2,"group"`, "format 2"},
 		{`"group":"fleet"`, `"group":"region-east"`, "region-east"},
 		{`"attempts":2`, `"attempts":3`, "digest"},
@@ -309,7 +310,7 @@
 		if bad == string(good) {
 			t.Fatalf("%s isn't in the snapshot %s", c.old, good)
 		}
-		if err := r.Restore([]byte(bad)); err == nil || !strings.Contains(err.Error(), c.says) {
+		if err := r.Restore([]byte(bad)); err == nil || !strings.Contains(err.Error(), c.wantMessage) {
 			t.Errorf("%s: error %v", c.new, err)
 		}
 		if after, _ := r.Snapshot(); string(after) != string(good) {
--- a/internal/configuration/scope.go
+++ b/internal/configuration/scope.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// Level says how wide a scope is. Wider ones are smaller, and give way to narrower ones.
+// Level is the kind of a scope. Narrower levels have higher values, and their documents override those of
+// wider ones.
 type Level uint8
 
 // The levels, from the widest to the narrowest.
@@ -15,19 +16,19 @@
 	LevelZone
 	LevelService
 	LevelAgent
-	levels
+	levelCount
 )
 
-var levelNames = [levels]string{"fleet", "region", "zone", "service", "agent"}
+var levelNames = [levelCount]string{"fleet", "region", "zone", "service", "agent"}
 
 func (l Level) String() string {
-	if l < levels {
+	if l < levelCount {
 		return levelNames[l]
 	}
 	return fmt.Sprintf("level %d", uint8(l))
 }
 
-// Scope is a part of the fleet that a document holds for. It is comparable.
+// Scope is the part of the fleet that a document applies to. It is comparable. Its texts are:
 //
 //	fleet
 //	region/NAME
@@ -40,10 +41,10 @@
 	Name   string // of a zone, a service or an agent
 }
 
-// Fleet is the widest scope.
+// Fleet is the widest scope, which applies to all agents.
 var Fleet = Scope{Level: LevelFleet}
 
-// ParseScope reads a scope's text.
+// ParseScope parses the text of a scope.
 func ParseScope(text string) (Scope, error) {
 	parts := strings.Split(text, "/")
 	for _, name := range parts[1:] {
@@ -63,18 +64,18 @@
 	case parts[0] == "agent" && len(parts) == 3:
 		return Scope{Level: LevelAgent, Region: parts[1], Name: parts[2]}, nil
 	}
-	return Scope{}, fmt.Errorf("scope %q: none of fleet, region/NAME, zone/REGION/NAME, service/NAME and agent/REGION/NAME", text)
+	return Scope{}, fmt.Errorf("scope %q: must be fleet, region/NAME, zone/REGION/NAME, service/NAME or agent/REGION/NAME", text)
 }
 
-// checkName refuses names that paths and logs can't carry.
+// checkName refuses names that don't fit in paths and logs.
 func checkName(name string) error {
-	if name == "" || len(name) > NameMost {
-		return fmt.Errorf("name %q has %d bytes, not within 1 and %d", name, len(name), NameMost)
+	if name == "" || len(name) > MaxNameBytes {
+		return fmt.Errorf("name %q has %d bytes, not between 1 and %d", name, len(name), MaxNameBytes)
 	}
 	for _, r := range name {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
 		if !letter && r != '-' && r != '_' && r != '.' {
-			return fmt.Errorf("name %q: %q is none of letters, digits, '-', '_' and '.'", name, r)
+			return fmt.Errorf("name %q: %q is not a letter, a digit, '-', '_' or '.'", name, r)
 		}
 	}
 	return nil
@@ -92,16 +93,16 @@
 	return s.Level.String() + "/" + s.Region + "/" + s.Name
 }
 
-// MarshalText is String, for JSON, also as a key.
+// MarshalText returns the text of the scope, so that JSON can also use scopes as keys.
 func (s Scope) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText is ParseScope.
+// UnmarshalText parses the text of a scope, see ParseScope.
 func (s *Scope) UnmarshalText(text []byte) (err error) {
 	*s, err = ParseScope(string(text))
 	return err
 }
 
-// Group names the group of control machines that writes the scope.
+// Group returns the name of the group of control machines that writes the scope.
 func (s Scope) Group() string {
 	if s.Region == "" {
 		return FleetGroup
@@ -109,10 +110,10 @@
 	return RegionGroup(s.Region)
 }
 
-// RegionGroup names the group that writes a region's scopes.
-func RegionGroup(region string) string { return regionsPrefix + region }
+// RegionGroup returns the name of the group that writes a region's scopes.
+func RegionGroup(region string) string { return regionGroupPrefix + region }
 
-// Place is where an agent stands in the fleet.
+// Place identifies an agent and its location in the fleet.
 type Place struct {
 	Agent   string `json:"agent"`
 	Region  string `json:"region"`
@@ -120,7 +121,7 @@
 	Service string `json:"service"`
 }
 
-// Check refuses a place with a name that no scope can have.
+// Check returns an error if a name of the place can't be part of a scope.
 func (p Place) Check() error {
 	for _, f := range []struct{ field, name string }{
 		{"agent", p.Agent}, {"region", p.Region}, {"zone", p.Zone}, {"service", p.Service}} {
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// Scopes are those that hold for an agent, from the widest to the narrowest.
+// Scopes returns the scopes that apply to an agent, from the widest to the narrowest.
 func (p Place) Scopes() []Scope {
 	return []Scope{
 		Fleet,
@@ -142,7 +143,7 @@
 	}
 }
 
-// Holds reports whether the scope holds for an agent.
+// Holds reports whether the scope applies to an agent.
 func (s Scope) Holds(p Place) bool {
 	for _, own := range p.Scopes() {
 		if s == own {
--- a/internal/configuration/selector.go
+++ b/internal/configuration/selector.go
@@ -8,54 +8,56 @@
 	"time"
 )
 
-// Machine is a control machine as agents see it.
+// Machine is a control machine as configured at the agents.
 type Machine struct {
 	Name    string
 	Region  string
 	Address string
-	// WitnessOf are other regions whose scopes the machine holds too.
+	// WitnessOf lists other regions whose scopes the machine holds as well.
 	WitnessOf []string
 }
 
-// Times of a Selector.
+// Timing of a Selector.
 const (
-	FirstWaitMost   = time.Second       // before the first attempt of a process
-	FailureWaitBase = time.Second       // longest wait after the first failure; doubles with each further one
-	FailureWaitMost = 2 * time.Second   // up to this: a change has to be in force within 9 s, also where three in ten connections fail
-	HeldAfter       = 10 * time.Second  // a watch that has lasted this long ends a row of failures
-	ReturnAfter     = 30 * time.Second  // shortest time at another machine before a preferred one is tried again
-	ReturnSpread    = 120 * time.Second // agents return evenly spread over this time after it
-	// The same at a machine of another region: while regions are apart it doesn't get what the agent's own region writes,
-	// and that has to be in force within seconds.
+	MaxFirstWait    = time.Second       // longest wait before the first attempt of a process
+	BaseFailureWait = time.Second       // longest wait after the first failure; doubles with each further one
+	MaxFailureWait  = 2 * time.Second   // a change must be in force within 9 s even if 30% of connections fail
+	StableAfter     = 10 * time.Second  // a watch that has lasted this long resets the count of failures
+	ReturnAfter     = 30 * time.Second  // min time at another machine of the region before a preferred one is tried
+	ReturnSpread    = 120 * time.Second // agents return evenly spread over this time after ReturnAfter
+	// The same while at a machine of another region. These are short because that machine doesn't get the
+	// changes of the agent's own region while the regions are partitioned, and those have to be in force
+	// within seconds.
 	AwayReturnAfter  = 2 * time.Second
 	AwayReturnSpread = 4 * time.Second
 )
 
-// Selector decides which control machine an agent watches and when: one of its own region, by a hash of the agent's
-// name, then the region's others, then those of other regions that hold the region's scopes. After a failure it goes
-// on to the next one, with waits of full jitter, and returns to a preferred one later, at a time of chance.
+// Selector decides which control machine an agent watches, and when. It prefers the machines of the agent's
+// region in the order of a hash with the agent's name, then those of other regions that hold the region's
+// scopes. After a failure it moves to the next machine after a wait with full jitter, and after a random time
+// returns to a preferred one.
 type Selector struct {
 	random   func() float64
-	region   string    // the agent's
+	region   string    // region of the agent
 	machines []Machine // in order of preference
-	current  int       // place of the machine that is watched or tried
-	failures int       // in a row
+	current  int       // index of the machine that is watched or tried
+	failures int       // consecutive failures
 
 	connected   bool
 	connectedAt time.Duration
-	candidate   int // place of the preferred machine that is tried next, less than current
+	candidate   int // index of the preferred machine to try next, less than current
 	returnAt    time.Duration
 }
 
-// NewSelector returns the selector of an agent. random returns evenly spread numbers in [0, 1).
+// NewSelector returns the selector of an agent. random returns uniformly distributed numbers in [0, 1).
 func NewSelector(place Place, machines []Machine, random func() float64) *Selector {
-	return &Selector{random: random, region: place.Region, machines: preferred(place, machines)}
+	return &Selector{random: random, region: place.Region, machines: preferenceOrder(place, machines)}
 }
 
-// preferred are the machines that hold an agent's scopes, in its order of preference.
-func preferred(place Place, machines []Machine) []Machine {
-	holding := slices.Clone(machines)
-	holding = slices.DeleteFunc(holding, func(m Machine) bool {
+// preferenceOrder returns the machines that hold an agent's scopes, in the agent's order of preference.
+func preferenceOrder(place Place, machines []Machine) []Machine {
+	candidates := slices.Clone(machines)
+	candidates = slices.DeleteFunc(candidates, func(m Machine) bool {
 		return m.Region != place.Region && !slices.Contains(m.WitnessOf, place.Region)
 	})
 	distance := func(m Machine) int {
@@ -64,57 +66,58 @@
 		}
 		return 1
 	}
-	slices.SortFunc(holding, func(a, b Machine) int {
+	slices.SortFunc(candidates, func(a, b Machine) int {
 		return cmp.Or(
 			cmp.Compare(distance(a), distance(b)),
-			cmp.Compare(rank(place, b), rank(place, a)),
+			cmp.Compare(rendezvousHash(place, b), rendezvousHash(place, a)),
 			cmp.Compare(a.Name, b.Name))
 	})
-	return holding
+	return candidates
 }
 
-// rank is the rendezvous hash of an agent and a machine: the agent prefers the highest. A machine more or less moves
-// only the agents that prefer it.
-func rank(place Place, m Machine) uint64 {
+// rendezvousHash ranks the machines for an agent, which prefers the highest. Adding or removing a machine
+// moves only the agents that prefer that machine.
+func rendezvousHash(place Place, m Machine) uint64 {
 	sum := sha256.Sum256([]byte(place.Region + "/" + place.Agent + "/" + m.Name))
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// Machines are those that the agent may use, in its order of preference.
+// Machines returns the machines that the agent may use, in order of preference.
 func (s *Selector) Machines() []Machine { return slices.Clone(s.machines) }
 
-// Next is the machine to connect to, and how long to wait before. ok is false where no machine holds the agent's
-// scopes.
+// Next returns the machine to connect to and how long to wait before. ok is false if no machine holds the
+// agent's scopes.
 func (s *Selector) Next() (machine Machine, wait time.Duration, ok bool) {
 	if len(s.machines) == 0 {
 		return Machine{}, 0, false
 	}
-	return s.machines[s.current], s.wait(), true
+	return s.machines[s.current], s.jitteredWait(), true
 }
 
-// wait is full jitter: any time up to one that doubles with each failure.
-func (s *Selector) wait() time.Duration {
-	longest := FirstWaitMost
+// jitteredWait returns a wait with full jitter: uniform up to a limit that doubles with each failure.
+func (s *Selector) jitteredWait() time.Duration {
+	maxWait := MaxFirstWait
 	if s.failures > 0 {
-		longest = FailureWaitBase
-		for i := 1; i < s.failures && longest < FailureWaitMost; i++ {
-			longest *= 2
+		maxWait = BaseFailureWait
+		for i := 1; i < s.failures && maxWait < MaxFailureWait; i++ {
+			maxWait *= 2
 		}
-		longest = min(longest, FailureWaitMost)
+		maxWait = min(maxWait, MaxFailureWait)
 	}
-	return time.Duration(s.random() * float64(longest))
+	return time.Duration(s.random() * float64(maxWait))
 }
 
-// Connected says that a watch of the machine of the last Next stands.
+// Connected records that the watch of the machine returned by Next is established.
 func (s *Selector) Connected(now time.Duration) {
 	s.connected, s.connectedAt = true, now
 	s.candidate = 0
-	s.planReturn(now)
+	s.scheduleReturn(now)
 }
 
-// Failed says that the machine couldn't be reached, refused, or that its watch ended. Next then goes on to another.
+// Failed records that the machine couldn't be reached, refused the watch or ended it. Next then returns
+// another machine.
 func (s *Selector) Failed(now time.Duration) {
-	if s.connected && now-s.connectedAt >= HeldAfter {
+	if s.connected && now-s.connectedAt >= StableAfter {
 		s.failures = 0
 	}
 	s.failures++
@@ -124,8 +127,8 @@
 	}
 }
 
-// Return is a preferred machine where it is time to try it beside the watch of another one, which is to be kept until
-// the new one stands.
+// Return returns a preferred machine and true when it is time to try it while another machine is watched. The
+// current watch must be kept until the new one is established.
 func (s *Selector) Return(now time.Duration) (machine Machine, due bool) {
 	if !s.connected || s.current == 0 || now < s.returnAt {
 		return Machine{}, false
@@ -133,7 +136,8 @@
 	return s.machines[s.candidate], true
 }
 
-// Returned says whether the machine of Return could be reached. If not, it or another preferred one is tried later.
+// Returned records whether the machine of Return could be reached. If not, a preferred machine is tried again
+// later.
 func (s *Selector) Returned(now time.Duration, reached bool) {
 	if !s.connected || s.current == 0 {
 		return
@@ -144,10 +148,10 @@
 		return
 	}
 	s.candidate = (s.candidate + 1) % s.current
-	s.planReturn(now)
+	s.scheduleReturn(now)
 }
 
-func (s *Selector) planReturn(now time.Duration) {
+func (s *Selector) scheduleReturn(now time.Duration) {
 	after, spread := ReturnAfter, ReturnSpread
 	if s.machines[s.current].Region != s.region {
 		after, spread = AwayReturnAfter, AwayReturnSpread
--- a/internal/configuration/selector_test.go
+++ b/internal/configuration/selector_test.go
@@ -31,14 +31,14 @@
 	}
 	t.Logf("450 agents: %v", first)
 	for name, n := range first {
-		if n < 101 || n > 124 { // within a tenth of 112.5; by hash alone the names decide, so that it is the same each time
+		if n < 101 || n > 124 { // within 10% of 112.5; the hash of the names is deterministic
 			t.Errorf("%s is preferred by %d of 225", name, n)
 		}
 	}
 }
 
-// A machine more moves only the agents that prefer it.
-func TestSelectorMovesFewForAMachineMore(t *testing.T) {
+// Adding a machine moves only the agents that prefer the new machine.
+func TestSelectorMovesFewAgentsToAddedMachine(t *testing.T) {
 	more := append([]Machine{{Name: "a3", Region: "east"}}, controlMachines...)
 	moved, gained := 0, 0
 	for i := range 225 {
@@ -51,7 +51,7 @@
 		}
 	}
 	if moved > 0 || gained < 45 || gained > 105 {
-		t.Errorf("%d went to the new one, %d moved besides", gained, moved)
+		t.Errorf("%d agents moved to the added machine, %d to other machines", gained, moved)
 	}
 }
 
@@ -62,7 +62,7 @@
 	}
 	s.Failed(0)
 	if m, due := s.Return(time.Hour); due {
-		t.Errorf("return to %+v", m)
+		t.Errorf("Return returned %+v", m)
 	}
 }
 
@@ -79,17 +79,17 @@
 		}
 	}
 	for failures := range longest {
-		most := min(FailureWaitBase<<max(0, failures-1), FailureWaitMost)
-		if longest[failures] > most || longest[failures] < most*9/10 {
-			t.Errorf("after %d failures the longest wait is %v, want up to %v", failures, longest[failures], most)
+		maxWait := min(BaseFailureWait<<max(0, failures-1), MaxFailureWait)
+		if longest[failures] > maxWait || longest[failures] < maxWait*9/10 {
+			t.Errorf("after %d failures the longest wait is %v, want up to %v", failures, longest[failures], maxWait)
 		}
-		if mean := sum[failures] / agents; mean < most*4/10 || mean > most*6/10 {
-			t.Errorf("after %d failures the mean wait is %v of %v", failures, mean, most)
+		if mean := sum[failures] / agents; mean < maxWait*4/10 || mean > maxWait*6/10 {
+			t.Errorf("after %d failures the mean wait is %v of %v", failures, mean, maxWait)
 		}
 	}
 }
 
-func TestSelectorGoesOnAndReturns(t *testing.T) {
+func TestSelectorFailsOverAndReturns(t *testing.T) {
 	s := NewSelector(agentAt("east", 1), controlMachines, newRand(1).Float64)
 	order := s.Machines()
 	wantNext := func(place int) {
@@ -101,7 +101,7 @@
 	wantNext(0)
 	s.Connected(0)
 	if _, due := s.Return(time.Hour); due {
-		t.Fatal("return from the preferred one")
+		t.Fatal("Return is due at the preferred machine")
 	}
 	s.Failed(time.Hour)
 	wantNext(1)
@@ -110,77 +110,78 @@
 	s.Connected(time.Hour)
 	begin := time.Hour
 	if _, due := s.Return(begin + AwayReturnAfter - 1); due {
-		t.Fatal("return too early")
+		t.Fatal("Return is due too early")
 	}
-	for _, candidate := range []int{0, 1, 0} { // each preferred one in turn
+	for _, candidate := range []int{0, 1, 0} { // the preferred machines alternate
 		now := begin + AwayReturnAfter + AwayReturnSpread
 		m, due := s.Return(now)
 		if !due || m.Name != order[candidate].Name {
-			t.Fatalf("return to %+v, want %s", m, order[candidate].Name)
+			t.Fatalf("Return returned %+v, want %s", m, order[candidate].Name)
 		}
 		s.Returned(now, false)
 		if _, due := s.Return(now); due {
-			t.Fatal("again at once")
+			t.Fatal("Return is due again at once")
 		}
 		begin = now
 	}
 	s.Returned(begin, true)
 	if s.current != 1 {
-		t.Fatalf("it is at %d", s.current)
+		t.Fatalf("current machine index is %d", s.current)
 	}
 	if _, due := s.Return(begin + ReturnAfter - 1); due {
-		t.Fatal("return within the region too early")
+		t.Fatal("Return within the region is due too early")
 	}
 	m, due := s.Return(begin + ReturnAfter + ReturnSpread)
 	if !due || m.Name != order[0].Name {
-		t.Fatalf("then return to %+v", m)
+		t.Fatalf("Return within the region returned %+v", m)
 	}
 	s.Returned(begin+time.Hour, true)
 	if _, due := s.Return(begin + 2*time.Hour); due || s.current != 0 {
-		t.Fatalf("it is at %d, due %v", s.current, due)
+		t.Fatalf("current machine index is %d, due %v", s.current, due)
 	}
-	s.Failed(begin + 2*time.Hour) // while returning
+	s.Failed(begin + 2*time.Hour) // while a return is in progress
 	s.Returned(begin+2*time.Hour, true)
 	wantNext(1)
 }
 
-// A watch that breaks as soon as it stands doesn't start the waits anew; one that held does.
-func TestSelectorCountsFailuresInARow(t *testing.T) {
+// A watch that ends soon after it was established doesn't reset the wait; one that lasted HeldAfter does.
+func TestSelectorCountsConsecutiveFailures(t *testing.T) {
 	s := NewSelector(agentAt("east", 1), controlMachines, newRand(1).Float64)
 	for range 5 {
 		s.Connected(0)
-		s.Failed(HeldAfter - 1)
+		s.Failed(StableAfter - 1)
 	}
 	if s.failures != 5 {
 		t.Errorf("%d failures", s.failures)
 	}
 	s.Connected(0)
-	s.Failed(HeldAfter)
+	s.Failed(StableAfter)
 	if s.failures != 1 {
 		t.Errorf("%d failures after a watch that held", s.failures)
 	}
 }
 
-// After a machine's death its agents return spread over ReturnSpread: no second has many. Those that had to go to another
-// region's machine are back before a change of their own region may take longer than it is allowed to.
-func TestSelectorReturnsWithoutAWave(t *testing.T) {
+// After a machine has failed, its agents return spread over ReturnSpread, with few in any second. Agents that
+// had to use a machine of another region return early enough that a change of their own region is in force in
+// time.
+func TestSelectorSpreadsReturns(t *testing.T) {
 	for _, test := range []struct {
 		name          string
-		failures      int // machines of the region that were tried in vain
+		failures      int // machines of the region that failed before
 		after, spread time.Duration
-		most          int // in a second
+		maxPerSecond  int // agents that may return in one second
 	}{
 		{"within the region", 1, ReturnAfter, ReturnSpread, 15},
 		{"from another region", 2, AwayReturnAfter, AwayReturnSpread, 150},
 	} {
-		t.Run(test.name, func(t *testing.T) { returnsWithoutAWave(t, test.failures, test.after, test.spread, test.most) })
+		t.Run(test.name, func(t *testing.T) { testReturnSpread(t, test.failures, test.after, test.spread, test.maxPerSecond) })
 	}
 	if late := AwayReturnAfter + AwayReturnSpread; late > 7*time.Second {
-		t.Errorf("an agent may stay at another region's machine for %v", late)
+		t.Errorf("an agent may stay at a machine of another region for %v, want at most 7s", late)
 	}
 }
 
-func returnsWithoutAWave(t *testing.T, failures int, after, spread time.Duration, limit int) {
+func testReturnSpread(t *testing.T, failures int, after, spread time.Duration, limit int) {
 	perSecond := map[time.Duration]int{}
 	first, last := time.Hour, time.Duration(0)
 	for i := range 450 {
@@ -196,12 +197,12 @@
 		perSecond[now/time.Second]++
 		first, last = min(first, now), max(last, now)
 	}
-	most := 0
+	peak := 0
 	for _, n := range perSecond {
-		most = max(most, n)
+		peak = max(peak, n)
 	}
-	t.Logf("450 return between %v and %v, at most %d in a second", first, last, most)
-	if first < after || last > after+spread+10*time.Millisecond || most > limit {
-		t.Errorf("450 return between %v and %v, at most %d in a second", first, last, most)
+	t.Logf("450 return between %v and %v, at most %d in a second", first, last, peak)
+	if first < after || last > after+spread+10*time.Millisecond || peak > limit {
+		t.Errorf("450 return between %v and %v, at most %d in a second", first, last, peak)
 	}
 }
