--- a/internal/configuration/timetable_test.go
+++ b/internal/configuration/timetable_test.go
@@ -16,43 +16,44 @@
 )
 
 var (
-	timetables = flag.Int("timetables", 20, "seeded timetables that are played")
-	timetable  = flag.Int("timetable", -1, "the one timetable that is played")
+	timetables = flag.Int("timetables", 20, "number of random timetables to simulate")
+	timetable  = flag.Int("timetable", -1, "seed of the only timetable to simulate; -1: all")
 )
 
-// fault is a guard that is taken away, to show that the timetables find it.
-type fault string
+// missingGuard names a protection that is disabled to show that the timetables detect its absence.
+type missingGuard string
 
 const (
-	noFault       fault = ""
-	withoutCheck  fault = "check"              // of effective documents by the agent
-	withoutOrder  fault = "order"              // of revisions
-	withoutDigest fault = "digest"             // of documents
-	withoutFrom   fault = "digest and from"    // and of the revision that a patch is laid upon: the digest finds that too
-	reportsEarly  fault = "apply, then report" // it reports, then applies
-	withoutAnew   fault = "report anew"        // a watch doesn't void what was reported before
+	allGuards          missingGuard = ""
+	withoutCheck       missingGuard = "check"              // the agent doesn't check effective documents
+	withoutOrder       missingGuard = "order"              // the agent accepts older revisions
+	withoutDigest      missingGuard = "digest"             // the agent doesn't compare digests
+	withoutFrom        missingGuard = "digest and from"    // nor a patch's base revision, which digests would detect too
+	withEarlyReports   missingGuard = "apply, then report" // the agent reports before it applies
+	withoutReportReset missingGuard = "report anew"        // a new watch doesn't invalidate earlier reports
 )
 
-// timetableSteps happen before a timetable becomes quiet.
+// timetableSteps is the number of random steps before the system becomes quiet.
 const timetableSteps = 1500
 
-// world is two groups of control machines with perfect logs, and agents that watch them, in simulated time.
-type world struct {
-	t        *testing.T
-	rng      *rand.Rand
-	fault    fault
-	found    string // what went wrong first
-	now      time.Duration
-	epoch    uint64
-	logs     map[string][]logEntry
-	leaders  map[string]*Registry // have applied the whole log of each group
-	history  map[Scope]map[uint64]string
-	machines []*simulatedMachine
-	agents   []*simulatedAgent
-	hostile  bool     // documents may be ones that some agents refuse
-	sent     []Change // may be sent again
-	answers  map[string]Accepted
-	counts   map[string]int
+// simulation is a simulation in virtual time of two groups of control machines with replicated logs, and of
+// agents that watch them. A timetable is the sequence of random steps of one seed.
+type simulation struct {
+	t             *testing.T
+	rng           *rand.Rand
+	missing       missingGuard
+	failure       string // the first violation found
+	now           time.Duration
+	epoch         uint64
+	logs          map[string][]logEntry
+	leaders       map[string]*Registry // by group; they have applied the whole log
+	history       map[Scope]map[uint64]string
+	machines      []*simulatedMachine
+	agents        []*simulatedAgent
+	allowRefusals bool     // generate documents that some agents refuse
+	proposed      []Change // proposed changes, which may be sent again
+	answers       map[string]Accepted
+	counts        map[string]int
 }
 
 type logEntry struct {
@@ -62,23 +63,23 @@
 
 type simulatedMachine struct {
 	registries map[string]*Registry
-	applied    map[string]int // entries of each log
+	applied    map[string]int // number of applied entries of each log
 	tracker    *Tracker
 }
 
 type simulatedAgent struct {
-	place    Place
-	settings balance.Settings
-	names    wire.Names
-	follower *Follower
-	watches  []*simulatedWatch
-	due      bool // a report is to be sent
-	disk     [][]byte
+	place       Place
+	settings    balance.Settings
+	names       wire.Names
+	follower    *Follower
+	watches     []*simulatedWatch
+	reportDue   bool // a report has to be sent
+	savedStates [][]byte
 
-	document  *Document          // that the core works by
-	positions map[Scope]Position // and what it is made of
-	highest   map[Scope]uint64   // revisions that this process has had in force
-	early     *Effective         // reported before it is applied
+	document      *Document          // that the load balancer works with
+	positions     map[Scope]Position // revisions of which document is made
+	maxApplied    map[Scope]uint64   // highest revisions that this process has had in force
+	reportedEarly *Effective         // document that was reported before it is applied
 }
 
 type simulatedWatch struct {
@@ -88,11 +89,11 @@
 }
 
 var simulatedScopes = []Scope{
-	Fleet, eastScope, zoneScope, {Level: LevelZone, Region: "east", Name: "e2"}, service,
+	Fleet, eastScope, zoneScope, {Level: LevelZone, Region: "east", Name: "e2"}, serviceScope,
 	{Level: LevelService, Name: "search"}, agentScope, {Level: LevelAgent, Region: "east", Name: "a2"},
 }
 
-// manyClasses make a document that is sent in parts.
+// manyClasses has enough classes for a document that is sent in parts.
 var manyClasses = func() (names []string) {
 	for i := range 60 {
 		names = append(names, fmt.Sprintf("class-%03d", i))
@@ -100,8 +101,8 @@
 	return names
 }()
 
-func newWorld(t *testing.T, seed uint64, f fault) *world {
-	w := &world{t: t, rng: newRand(seed), fault: f, epoch: 1, hostile: seed%2 == 1,
+func newSimulation(t *testing.T, seed uint64, f missingGuard) *simulation {
+	w := &simulation{t: t, rng: newRand(seed), missing: f, epoch: 1, allowRefusals: seed%2 == 1,
 		logs: map[string][]logEntry{}, leaders: map[string]*Registry{},
 		history: map[Scope]map[uint64]string{}, answers: map[string]Accepted{}, counts: map[string]int{}}
 	for _, group := range []string{FleetGroup, RegionGroup("east")} {
@@ -110,7 +111,7 @@
 	}
 	for _, name := range []string{"m1", "m2", "m3"} {
 		m := &simulatedMachine{registries: map[string]*Registry{}, applied: map[string]int{}, tracker: NewTracker(name, 0)}
-		m.tracker.keepsReports = f == withoutAnew
+		m.tracker.keepReportsOnConnect = f == withoutReportReset
 		for group := range w.leaders {
 			m.registries[group] = NewRegistry(group)
 		}
@@ -124,118 +125,120 @@
 			a.names.Classes = append(a.names.Classes, name)
 			a.settings.Classes = append(a.settings.Classes, a.settings.Classes[0])
 		}
-		if w.hostile && i%3 == 2 { // a start file that is months old
-			a.names.Classes[2] = "write-before" // it was renamed since
+		if w.allowRefusals && i%3 == 2 { // an outdated start file
+			a.names.Classes[2] = "write-before" // the class has been renamed since
 			a.settings.Tenants, a.names.Tenants = nil, nil
 		}
 		w.agents = append(w.agents, a)
-		w.start(a, nil)
+		w.startAgent(a, nil)
 	}
 	return w
 }
 
-// record remembers the one document of each revision.
-func (w *world) record(r Revision) {
+// record stores the document of each revision and fails if a revision has two.
+func (w *simulation) record(r Revision) {
 	if w.history[r.Scope] == nil {
 		w.history[r.Scope] = map[uint64]string{}
 	}
 	if _, twice := w.history[r.Scope][r.Revision]; twice {
-		w.wrong("%v has two revisions %d", r.Scope, r.Revision)
+		w.fail("%v has two documents with revision %d", r.Scope, r.Revision)
 	}
 	w.history[r.Scope][r.Revision] = string(r.Document)
 }
 
-func (w *world) wrong(format string, values ...any) {
-	if w.found == "" {
-		w.found = fmt.Sprintf(format, values...)
+// fail records the first violation.
+func (w *simulation) fail(format string, values ...any) {
+	if w.failure == "" {
+		w.failure = fmt.Sprintf(format, values...)
 	}
 }
 
-// check is the follower's check of an agent.
+// check checks a document against the agent's own settings.
 func (a *simulatedAgent) check(d *Document) error {
 	_, err := d.Apply(a.settings, a.names)
 	return err
 }
 
-// start begins a process of an agent, with what its disk has unless that is nil.
-func (w *world) start(a *simulatedAgent, kept []byte) {
+// startAgent begins a process of an agent and restores the saved state unless it is nil.
+func (w *simulation) startAgent(a *simulatedAgent, kept []byte) {
 	for len(a.watches) > 0 {
-		w.end(a, a.watches[0])
+		w.endWatch(a, a.watches[0])
 	}
 	check := a.check
-	if w.fault == withoutCheck {
+	if w.missing == withoutCheck {
 		check = func(*Document) error { return nil }
 	}
 	a.follower = NewFollower(a.place, check)
-	a.follower.unguarded = guards{order: w.fault == withoutOrder, from: w.fault == withoutFrom,
-		digest: w.fault == withoutFrom || w.fault == withoutDigest}
-	a.document, a.positions, a.highest = Merge(nil, nil), map[Scope]Position{}, map[Scope]uint64{}
-	a.due, a.early = false, nil
+	a.follower.skip = skippedChecks{order: w.missing == withoutOrder, from: w.missing == withoutFrom,
+		digest: w.missing == withoutFrom || w.missing == withoutDigest}
+	a.document, a.positions, a.maxApplied = Merge(nil, nil), map[Scope]Position{}, map[Scope]uint64{}
+	a.reportDue, a.reportedEarly = false, nil
 	if kept != nil {
 		if err := a.follower.RestoreKept(kept); err != nil {
-			w.wrong("restore: %v", err)
+			w.fail("restore: %v", err)
 		}
-		w.settle(a)
+		w.applyPending(a)
 	}
 }
 
-func (w *world) begin(a *simulatedAgent, m *simulatedMachine) {
+func (w *simulation) beginWatch(a *simulatedAgent, m *simulatedMachine) {
 	must(w.t, m.tracker.Connected(a.place, w.now))
 	a.follower.Connected()
-	w.settle(a)
+	w.applyPending(a)
 	a.watches = append(a.watches, &simulatedWatch{machine: m, sent: a.follower.Have()})
-	a.due = true
+	a.reportDue = true
 	w.counts["watches"]++
 }
 
-func (w *world) end(a *simulatedAgent, watch *simulatedWatch) {
+func (w *simulation) endWatch(a *simulatedAgent, watch *simulatedWatch) {
 	watch.machine.tracker.Disconnected(a.place, w.now)
 	a.watches = slices.DeleteFunc(a.watches, func(other *simulatedWatch) bool { return other == watch })
 }
 
-// settle applies what is pending. It reports after that, unless that is the fault.
-func (w *world) settle(a *simulatedAgent) {
+// applyPending applies the pending documents and makes a report due afterwards, or before with
+// withEarlyReports.
+func (w *simulation) applyPending(a *simulatedAgent) {
 	for effective, ok := a.follower.Pending(); ok; effective, ok = a.follower.Pending() {
 		a.follower.InForce(effective)
-		a.due = true
+		a.reportDue = true
 		w.counts["in force"]++
-		if w.fault == reportsEarly {
-			a.early = effective
+		if w.missing == withEarlyReports {
+			a.reportedEarly = effective
 			return
 		}
 		w.apply(a, effective)
 	}
 }
 
-// apply makes an effective document the core's, and checks that it may be.
-func (w *world) apply(a *simulatedAgent, effective *Effective) {
+// apply makes an effective document that of the load balancer, after checking that the agent may apply it.
+func (w *simulation) apply(a *simulatedAgent, effective *Effective) {
 	if err := a.check(effective.Document); err != nil {
-		w.wrong("%s applies what makes no sense there: %v", a.place.Agent, err)
+		w.fail("%s applies an invalid document: %v", a.place.Agent, err)
 	}
-	for scope, d := range effective.made {
+	for scope, d := range effective.sources {
 		if want := w.history[scope][d.Revision]; string(d.text) != want {
-			w.wrong("%s has another document of %v, revision %d: %s, not %s", a.place.Agent, scope, d.Revision, d.text, want)
+			w.fail("%s has a wrong document for %v, revision %d: %s, want %s", a.place.Agent, scope, d.Revision, d.text, want)
 		}
-		if d.Revision < a.highest[scope] {
-			w.wrong("%s goes back in %v from revision %d to %d", a.place.Agent, scope, a.highest[scope], d.Revision)
+		if d.Revision < a.maxApplied[scope] {
+			w.fail("%s goes back in scope %v from revision %d to %d", a.place.Agent, scope, a.maxApplied[scope], d.Revision)
 		}
-		a.highest[scope] = max(a.highest[scope], d.Revision)
+		a.maxApplied[scope] = max(a.maxApplied[scope], d.Revision)
 	}
 	a.document, a.positions = effective.Document, effective.Positions
 	kept, err := a.follower.Kept()
 	must(w.t, err)
-	a.disk = append(a.disk, kept)
+	a.savedStates = append(a.savedStates, kept)
 }
 
-// step lets one thing happen.
-func (w *world) step() {
+// step runs one random event.
+func (w *simulation) step() {
 	w.now += time.Duration(1+w.rng.IntN(1000)) * time.Microsecond
 	a, m := w.agents[w.rng.IntN(len(w.agents))], w.machines[w.rng.IntN(len(w.machines))]
 	switch n := w.rng.IntN(100); {
 	case n < 6:
 		w.change()
 	case n < 7:
-		w.sendAgain()
+		w.resendChange()
 	case n < 8:
 		w.epoch++
 	case n < 9:
@@ -245,55 +248,56 @@
 	case n < 40:
 		w.push(m)
 	case n < 44:
-		w.damage(a)
-	case n < 48 && len(a.watches) < 2: // a second one while the first stands, as on a return
-		w.begin(a, m)
+		w.damageLine(a)
+	case n < 48 && len(a.watches) < 2: // a second watch beside the first, as when returning to a preferred machine
+		w.beginWatch(a, m)
 	case n < 50 && len(a.watches) > 0:
-		w.end(a, a.watches[w.rng.IntN(len(a.watches))])
+		w.endWatch(a, a.watches[w.rng.IntN(len(a.watches))])
 	case n < 51:
 		w.restart(a)
 	case n < 60:
 		w.report(a)
-	case n < 62 && a.early != nil:
-		w.apply(a, a.early)
-		a.early = nil
-		w.settle(a)
+	case n < 62 && a.reportedEarly != nil:
+		w.apply(a, a.reportedEarly)
+		a.reportedEarly = nil
+		w.applyPending(a)
 	default:
 		w.deliver(a)
 	}
-	w.status()
+	w.checkStatus()
 }
 
-// change makes a new revision of a scope by way of a leader.
-func (w *world) change() {
+// change creates a new revision of a random scope at the leader of its group.
+func (w *simulation) change() {
 	scope := simulatedScopes[w.rng.IntN(len(simulatedScopes))]
 	latest, _ := w.leaders[scope.Group()].Revision(scope)
-	document := w.document()
-	if w.rng.IntN(2) == 0 && latest.Revision > 0 { // a part of it alone
+	document := w.randomDocument()
+	if w.rng.IntN(2) == 0 && latest.Revision > 0 { // change only some of the fields
 		earlier, err := ParseDocument(latest.Document)
 		must(w.t, err)
 		document = Merge(earlier, document)
 	}
-	c := change(fmt.Sprint("c", len(w.sent)), scope, latest.Revision, document)
+	c := newChange(fmt.Sprint("c", len(w.proposed)), scope, latest.Revision, document)
 	if w.rng.IntN(10) == 0 {
-		c.Base-- // two changes at once
+		c.Base-- // a conflict, as of two concurrent changes
 	}
 	w.propose(c)
 }
 
-// document is one that all agents can apply, or in hostile worlds one that some can't.
-func (w *world) document() *Document {
-	if w.hostile && w.rng.IntN(3) == 0 {
+// randomDocument returns a document that all agents can apply, or, with allowRefusals, sometimes one that
+// some can't.
+func (w *simulation) randomDocument() *Document {
+	if w.allowRefusals && w.rng.IntN(3) == 0 {
 		d := randomDocument(w.rng)
 		d.Classes["point-read"] = ClassDocument{DeadlineMs: pointer(float64(20 + w.rng.IntN(400)))}
 		return d
 	}
 	d := randomDocument(w.rng)
-	if w.hostile {
+	if w.allowRefusals {
 		delete(d.Classes, "write")
 		d.Tenants = nil
 	}
-	if w.rng.IntN(4) == 0 { // long enough for parts
+	if w.rng.IntN(4) == 0 { // long enough to be sent in parts
 		for _, name := range manyClasses {
 			d.Classes[name] = ClassDocument{Worth: pointer(w.rng.Float64())}
 		}
@@ -301,13 +305,13 @@
 	return d
 }
 
-func (w *world) propose(c Change) {
-	w.sent = append(w.sent, c)
+func (w *simulation) propose(c Change) {
+	w.proposed = append(w.proposed, c)
 	w.write(c)
 }
 
-// write has a change written by the group of its scope.
-func (w *world) write(c Change) {
+// write proposes a change to the group of its scope and appends it to the log if it passes Check.
+func (w *simulation) write(c Change) {
 	leader := w.leaders[c.Scope.Group()]
 	if leader.Check(c) != nil {
 		w.counts["refused"]++
@@ -318,24 +322,25 @@
 	w.logs[c.Scope.Group()] = append(w.logs[c.Scope.Group()], logEntry{w.epoch, command})
 	accepted, err := DecodeResult(leader.Apply(w.epoch, command))
 	if err != nil {
-		w.wrong("Check passes %+v, Apply says %v", c, err)
+		w.fail("Check accepted %+v, Apply returned %v", c, err)
 		return
 	}
 	if first, known := w.answers[c.ID]; known && first != accepted {
-		w.wrong("change %s gets %+v, after %+v", c.ID, accepted, first)
+		w.fail("repeated change %s got %+v, first %+v", c.ID, accepted, first)
 	}
 	w.answers[c.ID] = accepted
 	w.counts["changes"]++
 }
 
-func (w *world) sendAgain() {
-	if n := len(w.sent); n > 0 {
-		w.write(w.sent[n-1-w.rng.IntN(min(n, 20))])
+// resendChange sends one of the last 20 changes again.
+func (w *simulation) resendChange() {
+	if n := len(w.proposed); n > 0 {
+		w.write(w.proposed[n-1-w.rng.IntN(min(n, 20))])
 	}
 }
 
-// replicate lets a machine apply so many entries of each log.
-func (w *world) replicate(m *simulatedMachine, entries int) {
+// replicate lets a machine apply up to entries log entries.
+func (w *simulation) replicate(m *simulatedMachine, entries int) {
 	for group, log := range w.logs {
 		for ; entries > 0 && m.applied[group] < len(log); entries-- {
 			entry := log[m.applied[group]]
@@ -345,8 +350,9 @@
 	}
 }
 
-// restartMachine loses what isn't replicated; the groups' state comes back by a snapshot.
-func (w *world) restartMachine(m *simulatedMachine) {
+// restartMachine restarts a machine: it loses its tracker and watches, and restores the groups' state from
+// snapshots.
+func (w *simulation) restartMachine(m *simulatedMachine) {
 	for group, r := range m.registries {
 		snapshot, err := r.Snapshot()
 		must(w.t, err)
@@ -356,16 +362,16 @@
 	for _, a := range w.agents {
 		for _, watch := range slices.Clone(a.watches) {
 			if watch.machine == m {
-				w.end(a, watch)
+				w.endWatch(a, watch)
 			}
 		}
 	}
 	m.tracker = NewTracker(m.tracker.machine, w.now)
-	m.tracker.keepsReports = w.fault == withoutAnew
+	m.tracker.keepReportsOnConnect = w.missing == withoutReportReset
 }
 
-// push lets a machine send what its agents don't have yet.
-func (w *world) push(m *simulatedMachine) {
+// push lets a machine send the updates that its agents don't have yet.
+func (w *simulation) push(m *simulatedMachine) {
 	for _, a := range w.agents {
 		for _, watch := range a.watches {
 			if watch.machine == m {
@@ -375,7 +381,7 @@
 	}
 }
 
-func (w *world) pushTo(a *simulatedAgent, watch *simulatedWatch) {
+func (w *simulation) pushTo(a *simulatedAgent, watch *simulatedWatch) {
 	var updates []Update
 	for _, scope := range a.place.Scopes() {
 		more := watch.machine.registries[scope.Group()].Updates(scope, watch.sent[scope])
@@ -400,8 +406,8 @@
 	}
 }
 
-// damage does to a line what a perfect connection wouldn't.
-func (w *world) damage(a *simulatedAgent) {
+// damageLine drops, repeats, reorders or alters a line, as a faulty connection might.
+func (w *simulation) damageLine(a *simulatedAgent) {
 	if len(a.watches) == 0 {
 		return
 	}
@@ -418,7 +424,7 @@
 	case 2:
 		last := len(watch.lines) - 1
 		watch.lines[at], watch.lines[last] = watch.lines[last], watch.lines[at]
-	case 3: // a digit is another one
+	case 3: // alter a digit
 		line := []byte(strings.Replace(string(watch.lines[at]), `"aim_ms":1`, `"aim_ms":2`, 1))
 		if json.Valid(line) {
 			watch.lines[at] = line
@@ -427,8 +433,8 @@
 	w.counts["damaged"]++
 }
 
-func (w *world) deliver(a *simulatedAgent) {
-	if len(a.watches) == 0 || a.early != nil { // the core is busy applying
+func (w *simulation) deliver(a *simulatedAgent) {
+	if len(a.watches) == 0 || a.reportedEarly != nil { // the load balancer is still applying a document
 		return
 	}
 	watch := a.watches[w.rng.IntN(len(a.watches))]
@@ -441,25 +447,25 @@
 	result := a.follower.Take(u)
 	w.counts[fmt.Sprint("result ", result.Kind)]++
 	if result.Kind == ResultAskWhole {
-		w.end(a, watch)
+		w.endWatch(a, watch)
 	}
-	a.due = true
-	w.settle(a)
+	a.reportDue = true
+	w.applyPending(a)
 }
 
-// restart ends an agent's process and begins another, from an older disk now and then, or from none.
-func (w *world) restart(a *simulatedAgent) {
+// restart replaces an agent's process by a new one, which restores one of the last three saved states or none.
+func (w *simulation) restart(a *simulatedAgent) {
 	var kept []byte
-	if n := len(a.disk); n > 0 && w.rng.IntN(3) > 0 {
-		kept = a.disk[n-1-w.rng.IntN(min(n, 3))]
+	if n := len(a.savedStates); n > 0 && w.rng.IntN(3) > 0 {
+		kept = a.savedStates[n-1-w.rng.IntN(min(n, 3))]
 	}
-	w.start(a, kept)
+	w.startAgent(a, kept)
 	w.counts["restarts"]++
 }
 
-// report sends an agent's report, which may be lost.
-func (w *world) report(a *simulatedAgent) {
-	if !a.due || len(a.watches) == 0 {
+// report sends an agent's report to the machine of a random watch.
+func (w *simulation) report(a *simulatedAgent) {
+	if !a.reportDue || len(a.watches) == 0 {
 		return
 	}
 	report := a.follower.Report()
@@ -468,15 +474,16 @@
 	var arrived Report
 	must(w.t, json.Unmarshal(line, &arrived))
 	if !maps.Equal(arrived.InForce, a.positions) || arrived.Digest != Digest(a.document.Canonical()) {
-		w.wrong("%s reports %v, in force is %v", a.place.Agent, arrived.InForce, a.positions)
+		w.fail("%s reports %v, but %v is in force", a.place.Agent, arrived.InForce, a.positions)
 	}
 	must(w.t, a.watches[w.rng.IntN(len(a.watches))].machine.tracker.Reported(arrived, w.now))
-	a.due = false
+	a.reportDue = false
 	w.counts["reports"]++
 }
 
-// status is right where it says that a revision is in force everywhere: each agent has had it since its process began.
-func (w *world) status() {
+// checkStatus fails if the status says that a revision is in force everywhere while a known agent's process
+// hasn't had it.
+func (w *simulation) checkStatus() {
 	scope := simulatedScopes[w.rng.IntN(len(simulatedScopes))]
 	latest, ok := w.leaders[scope.Group()].Revision(scope)
 	if !ok {
@@ -492,54 +499,54 @@
 	for _, a := range w.agents {
 		if known := slices.ContainsFunc(w.allStatuses(), func(statuses []AgentStatus) bool {
 			return slices.ContainsFunc(statuses, func(s AgentStatus) bool { return s.Agent == a.place.Agent })
-		}); known && scope.Holds(a.place) && a.highest[scope] < at.Revision {
-			w.wrong("%v at %d is told to be in force everywhere, %s has had %d", scope, at.Revision, a.place.Agent, a.highest[scope])
+		}); known && scope.Holds(a.place) && a.maxApplied[scope] < at.Revision {
+			w.fail("status says that %v revision %d is in force everywhere, but %s had at most %d", scope, at.Revision, a.place.Agent, a.maxApplied[scope])
 		}
 	}
 }
 
-func (w *world) allStatuses() (all [][]AgentStatus) {
+func (w *simulation) allStatuses() (all [][]AgentStatus) {
 	for _, m := range w.machines {
 		all = append(all, m.tracker.Local(w.now))
 	}
 	return all
 }
 
-// quiet lets everything arrive.
-func (w *world) quiet() {
+// deliverAll replicates all logs and delivers all updates and reports.
+func (w *simulation) deliverAll() {
 	for _, m := range w.machines {
 		w.replicate(m, 1<<30)
 		w.replicate(m, 1<<30)
 	}
 	for _, a := range w.agents {
 		for len(a.watches) > 0 {
-			w.end(a, a.watches[0])
+			w.endWatch(a, a.watches[0])
 		}
 		for round := 0; len(a.watches) == 0; round++ {
 			if round > 3 {
-				w.wrong("%s asks for the whole again and again", a.place.Agent)
+				w.fail("%s still requests whole documents after 3 watches", a.place.Agent)
 				return
 			}
-			w.begin(a, w.machines[w.rng.IntN(len(w.machines))])
+			w.beginWatch(a, w.machines[w.rng.IntN(len(w.machines))])
 			w.pushTo(a, a.watches[0])
 			for len(a.watches) > 0 && len(a.watches[0].lines) > 0 {
-				if a.early != nil {
-					w.apply(a, a.early)
-					a.early = nil
+				if a.reportedEarly != nil {
+					w.apply(a, a.reportedEarly)
+					a.reportedEarly = nil
 				}
 				w.deliver(a)
 			}
 		}
-		w.settle(a)
+		w.applyPending(a)
 		w.now += time.Millisecond
-		a.due = true
+		a.reportDue = true
 		w.report(a)
 	}
 }
 
-// wantEffective checks what an agent has in force against a computation of its own: canonical texts laid over one
-// another as merge patches, those that make no sense left out.
-func (w *world) wantEffective(a *simulatedAgent) {
+// wantEffective checks what an agent has in force against an independent computation: canonical texts merged
+// as RFC 7396 patches, without the invalid ones.
+func (w *simulation) wantEffective(a *simulatedAgent) {
 	merged := []byte(`{"format":1}`)
 	var refused []Scope
 	add := func(text string) bool {
@@ -558,25 +565,25 @@
 			continue
 		}
 		refused = append(refused, scope)
-		if has := a.positions[scope].Revision; has > 0 && !add(w.history[scope][has]) {
-			w.wrong("%s has revision %d of %v in force, which makes no sense there", a.place.Agent, has, scope)
+		if applied := a.positions[scope].Revision; applied > 0 && !add(w.history[scope][applied]) {
+			w.fail("%s has revision %d of %v in force, which is invalid there", a.place.Agent, applied, scope)
 		}
 	}
 	if got := Digest(a.document.Canonical()); got != Digest(merged) {
-		w.wrong("%s has %s in force, want %s", a.place.Agent, a.document.Canonical(), merged)
+		w.fail("%s has %s in force, want %s", a.place.Agent, a.document.Canonical(), merged)
 	}
-	var told []Scope
+	var reported []Scope
 	for _, refusal := range a.follower.Report().Refused {
-		told = append(told, refusal.Scope)
+		reported = append(reported, refusal.Scope)
 	}
-	if !slices.Equal(told, refused) {
-		w.wrong("%s refuses %v, want %v", a.place.Agent, told, refused)
+	if !slices.Equal(reported, refused) {
+		w.fail("%s refuses %v, want %v", a.place.Agent, reported, refused)
 	}
 	w.counts["refusals"] += len(refused)
 }
 
-// wantEverywhere checks that the status says so, unless somebody refuses.
-func (w *world) wantEverywhere() {
+// wantEverywhere checks that the status is in force everywhere unless some agent refuses the revision.
+func (w *simulation) wantEverywhere() {
 	for _, scope := range simulatedScopes {
 		latest, ok := w.leaders[scope.Group()].Revision(scope)
 		if !ok {
@@ -585,36 +592,36 @@
 		status := InForce(scope, latest.Position, w.allStatuses(), nil)
 		refusing := 0
 		for _, a := range w.agents {
-			if _, refuses := refusalOf(scope, AgentStatus{Report: a.follower.Report()}); refuses && scope.Holds(a.place) {
+			if _, refuses := refusalFor(scope, AgentStatus{Report: a.follower.Report()}); refuses && scope.Holds(a.place) {
 				refusing++
 			}
 		}
 		if status.Everywhere != (refusing == 0) || len(status.Behind) != refusing {
-			w.wrong("%v: %d refuse, status %+v", scope, refusing, status)
+			w.fail("%v: %d agents refuse, status %+v", scope, refusing, status)
 		}
 	}
 }
 
-// play is one timetable: changes and faults, quiet, then sensible documents everywhere, and quiet again.
-func (w *world) play() {
+// run runs one timetable: random steps, then quiet, then valid documents for all scopes, and quiet again.
+func (w *simulation) run() {
 	for range timetableSteps {
-		if w.step(); w.found != "" {
+		if w.step(); w.failure != "" {
 			return
 		}
 	}
-	w.quiet()
+	w.deliverAll()
 	for _, a := range w.agents {
 		w.wantEffective(a)
 	}
 	w.wantEverywhere()
 	for _, scope := range simulatedScopes {
 		latest, _ := w.leaders[scope.Group()].Revision(scope)
-		w.propose(change("last "+scope.String(), scope, latest.Revision, mustParse(w.t, `{"format":1,"limits":{"attempts":2}}`)))
+		w.propose(newChange("last "+scope.String(), scope, latest.Revision, mustParse(w.t, `{"format":1,"limits":{"attempts":2}}`)))
 	}
-	w.quiet()
+	w.deliverAll()
 	for _, a := range w.agents {
 		if w.wantEffective(a); len(a.follower.Report().Refused) > 0 || string(a.document.Canonical()) != `{"format":1,"limits":{"attempts":2}}` {
-			w.wrong("%s: at the end %s is in force, %+v refused", a.place.Agent, a.document.Canonical(), a.follower.Report().Refused)
+			w.fail("%s: at the end %s is in force, %+v refused", a.place.Agent, a.document.Canonical(), a.follower.Report().Refused)
 		}
 	}
 	w.wantEverywhere()
@@ -626,9 +633,9 @@
 		if *timetable >= 0 {
 			seed = *timetable
 		}
-		w := newWorld(t, uint64(seed), noFault)
-		if w.play(); w.found != "" {
-			t.Fatalf("timetable %d: %s\n\tgo test ./internal/configuration -run 'TestTimetables$' -timetables 1 -timetable %d", seed, w.found, seed)
+		w := newSimulation(t, uint64(seed), allGuards)
+		if w.run(); w.failure != "" {
+			t.Fatalf("timetable %d: %s\n\tgo test ./internal/configuration -run 'TestTimetables$' -timetables 1 -timetable %d", seed, w.failure, seed)
 		}
 		for what, n := range w.counts {
 			counts[what] += n
@@ -641,25 +648,25 @@
 	for _, what := range []string{"changes", "refused", "watches", "in force", "whole", "patches", "parts", "damaged", "restarts", "reports",
 		"everywhere", "refusals", "result 0", "result 1", "result 2", "result 4"} {
 		if counts[what] < *timetables {
-			t.Errorf("%d times %s don't reach what the timetables are for", counts[what], what)
+			t.Errorf("%d times %s, want at least one per timetable", counts[what], what)
 		}
 	}
 }
 
-// Each guard taken away is found within the first timetables.
+// Each missing guard is detected within the first maxSeeds timetables.
 func TestTimetablesFindEachFault(t *testing.T) {
-	const most = 20
-	for _, f := range []fault{withoutCheck, withoutOrder, withoutDigest, withoutFrom, reportsEarly, withoutAnew} {
+	const maxSeeds = 20
+	for _, f := range []missingGuard{withoutCheck, withoutOrder, withoutDigest, withoutFrom, withEarlyReports, withoutReportReset} {
 		found := false
-		for seed := uint64(0); seed < most && !found; seed++ {
-			w := newWorld(t, seed, f)
-			if w.play(); w.found != "" {
-				t.Logf("without %s: timetable %d: %s", f, seed, w.found)
+		for seed := uint64(0); seed < maxSeeds && !found; seed++ {
+			w := newSimulation(t, seed, f)
+			if w.run(); w.failure != "" {
+				t.Logf("without %s: timetable %d: %s", f, seed, w.failure)
 				found = true
 			}
 		}
 		if !found {
-			t.Errorf("without %s nothing is found in %d timetables", f, most)
+			t.Errorf("without %s: no failure in %d timetables", f, maxSeeds)
 		}
 	}
 }
--- a/internal/configuration/tracker.go
+++ b/internal/configuration/tracker.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// Tracker is what one control machine knows of the agents that watch it or have reported to it. Times are on the
-// machine's monotonic clock, whose zero is of no matter.
+// Tracker holds what one control machine knows of the agents that watch it or have reported to it. Times are
+// readings of the machine's monotonic clock, with an arbitrary zero.
 type Tracker struct {
 	machine string
 	started time.Duration
 	agents  map[agentKey]*trackedAgent
 
-	keepsReports bool // set by a test that shows why a watch voids what was reported before
+	keepReportsOnConnect bool // set by a test that shows why a new watch must invalidate earlier reports
 }
 
-// Bounds of a Tracker.
+// Limits of a Tracker.
 const (
-	AgentsMost  = 4096             // agents that are remembered
-	ForgetAfter = 24 * time.Hour   // after the last word of an agent that isn't connected
-	SettleTime  = 15 * time.Second // after the machine's start, in which agents may not have found it yet
+	MaxAgents   = 4096             // agents that are remembered
+	ForgetAfter = 24 * time.Hour   // time since the last contact after which a disconnected agent is forgotten
+	SettleTime  = 15 * time.Second // time after the machine's start in which agents may not have found it yet
 )
 
-// agentKey names an agent over the whole fleet.
+// agentKey identifies an agent within the fleet.
 type agentKey struct{ region, agent string }
 
 func keyOf(p Place) agentKey { return agentKey{p.Region, p.Agent} }
@@ -35,48 +35,49 @@
 }
 
 type trackedAgent struct {
-	report     Report        // Format 0: none has come
-	reportedAt time.Duration // when it came, or when the watch began for which none has come yet
-	lastWord   time.Duration // when something was last heard of it
-	watches    int           // that are open
+	report      Report        // Format 0: none since the last watch began
+	reportedAt  time.Duration // when the report came, or when the watch began if none has come since
+	lastContact time.Duration // last report, or beginning or end of a watch
+	watches     int           // open watches
 }
 
-// NewTracker returns the tracker of a machine that starts now and knows nobody.
+// NewTracker returns the tracker of a machine that starts now and knows no agents.
 func NewTracker(machine string, now time.Duration) *Tracker {
 	return &Tracker{machine: machine, started: now, agents: map[agentKey]*trackedAgent{}}
 }
 
-// Settled reports whether the machine has run for SettleTime. Until then what it knows may be short of agents, and it
-// is to count as unreachable for InForce.
+// Settled reports whether the machine has run for SettleTime. Before that it may not know all agents, and
+// must be counted as unreachable for InForce.
 func (t *Tracker) Settled(now time.Duration) bool { return now-t.started >= SettleTime }
 
-// Connected says that an agent has begun a watch; it is to be called before the watch is answered. What the agent
-// reported before doesn't count any more, as its process may be another one: an agent reports anew as soon as a watch is
-// answered. An agent may have several watches open. It is refused where AgentsMost agents are connected already.
+// Connected records that an agent has begun a watch; call it before the watch is answered. It invalidates the
+// agent's earlier reports, because the process may be a new one, and the agent reports again as soon as the
+// watch is answered. An agent may have several watches open. It is an error if MaxAgents other agents are
+// connected.
 func (t *Tracker) Connected(place Place, now time.Duration) error {
 	agent, err := t.agent(place, now)
 	if err != nil {
 		return err
 	}
 	agent.watches++
-	if !t.keepsReports {
+	if !t.keepReportsOnConnect {
 		agent.report, agent.reportedAt = Report{Place: place}, now
 	}
 	return nil
 }
 
-// Disconnected says that a watch of an agent has ended.
+// Disconnected records that a watch of an agent has ended.
 func (t *Tracker) Disconnected(place Place, now time.Duration) {
 	agent, ok := t.agents[keyOf(place)]
 	if !ok {
 		return
 	}
 	agent.watches = max(0, agent.watches-1)
-	agent.lastWord = now
+	agent.lastContact = now
 }
 
-// Reported takes an agent's report. It is refused where it makes no sense, and where AgentsMost agents are connected
-// and this one is none of them.
+// Reported records an agent's report. It is an error if the report is invalid, or if MaxAgents other agents are
+// connected.
 func (t *Tracker) Reported(report Report, now time.Duration) error {
 	if err := report.check(); err != nil {
 		return err
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// check refuses a report that no agent makes, and with it what is out of bounds.
+// check returns an error if a report is invalid or exceeds a limit.
 func (r *Report) check() error {
 	if err := r.Place.Check(); err != nil {
 		return err
@@ -103,27 +104,27 @@
 	}
 	for scope := range r.InForce {
 		if !scope.Holds(r.Place) {
-			return fmt.Errorf("in_force: %v doesn't hold for this agent", scope)
+			return fmt.Errorf("in_force: %v doesn't apply to this agent", scope)
 		}
 	}
-	if most := len(r.Place.Scopes()); len(r.Refused) > most {
-		return fmt.Errorf("refused: %d, over %d", len(r.Refused), most)
+	if maxRefusals := len(r.Place.Scopes()); len(r.Refused) > maxRefusals {
+		return fmt.Errorf("refused: %d, over the limit of %d", len(r.Refused), maxRefusals)
 	}
 	for i, refusal := range r.Refused {
 		if !refusal.Scope.Holds(r.Place) {
-			return fmt.Errorf("refused[%d]: %v doesn't hold for this agent", i, refusal.Scope)
+			return fmt.Errorf("refused[%d]: %v doesn't apply to this agent", i, refusal.Scope)
 		}
-		if len(refusal.Why) > RefusalMost {
-			return fmt.Errorf("refused[%d].why: %d bytes, over %d", i, len(refusal.Why), RefusalMost)
+		if len(refusal.Why) > MaxRefusalBytes {
+			return fmt.Errorf("refused[%d].why: %d bytes, over the limit of %d", i, len(refusal.Why), MaxRefusalBytes)
 		}
 	}
 	if len(r.Digest) > 2*digestBytes {
-		return fmt.Errorf("digest: %d bytes, over %d", len(r.Digest), 2*digestBytes)
+		return fmt.Errorf("digest: %d bytes, over the limit of %d", len(r.Digest), 2*digestBytes)
 	}
 	return nil
 }
 
-// agent finds an agent of which something has just been heard, or makes room for it.
+// agent returns the entry of an agent that has just made contact, and creates it if necessary.
 func (t *Tracker) agent(place Place, now time.Duration) (*trackedAgent, error) {
 	if err := place.Check(); err != nil {
 		return nil, err
@@ -138,45 +139,45 @@
 		t.agents[key] = agent
 	}
 	agent.report.Place = place
-	agent.lastWord = now
+	agent.lastContact = now
 	return agent, nil
 }
 
-// makeRoom forgets the agent that has been away for longest where there are as many as there may be.
+// makeRoom forgets the agent that has been disconnected for longest if MaxAgents agents are remembered.
 func (t *Tracker) makeRoom(now time.Duration) error {
-	t.forget(now)
-	if len(t.agents) < AgentsMost {
+	t.expire(now)
+	if len(t.agents) < MaxAgents {
 		return nil
 	}
 	var oldest *agentKey
 	for key, agent := range t.agents {
-		if agent.watches == 0 && (oldest == nil || t.longerAway(key, *oldest)) {
+		if agent.watches == 0 && (oldest == nil || t.awayLonger(key, *oldest)) {
 			oldest = &key
 		}
 	}
 	if oldest == nil {
-		return fmt.Errorf("%d agents are connected to %s, the most it can have", AgentsMost, t.machine)
+		return fmt.Errorf("%d agents are connected to %s, the maximum", MaxAgents, t.machine)
 	}
 	delete(t.agents, *oldest)
 	return nil
 }
 
-func (t *Tracker) longerAway(a, b agentKey) bool {
-	order := cmp.Or(cmp.Compare(t.agents[a].lastWord, t.agents[b].lastWord), compareKeys(a, b))
+func (t *Tracker) awayLonger(a, b agentKey) bool {
+	order := cmp.Or(cmp.Compare(t.agents[a].lastContact, t.agents[b].lastContact), compareKeys(a, b))
 	return order < 0
 }
 
-// forget drops agents of which nothing has been heard for long.
-func (t *Tracker) forget(now time.Duration) {
+// expire forgets agents that have been disconnected for ForgetAfter.
+func (t *Tracker) expire(now time.Duration) {
 	maps.DeleteFunc(t.agents, func(_ agentKey, agent *trackedAgent) bool {
-		return agent.watches == 0 && now-agent.lastWord >= ForgetAfter
+		return agent.watches == 0 && now-agent.lastContact >= ForgetAfter
 	})
 }
 
-// Local is what the machine knows, by region and agent. An agent that has not reported since it connected has a Format
-// of 0 and the age of its watch.
+// Local returns the status of each agent that the machine knows, sorted by region and agent. An agent that
+// has not reported since it connected has a Format of 0 and the age of its watch.
 func (t *Tracker) Local(now time.Duration) []AgentStatus {
-	t.forget(now)
+	t.expire(now)
 	statuses := make([]AgentStatus, 0, len(t.agents))
 	for _, key := range slices.SortedFunc(maps.Keys(t.agents), compareKeys) {
 		agent := t.agents[key]
--- a/internal/configuration/tracker_test.go
+++ b/internal/configuration/tracker_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-func place(agent string) Place {
+func agentPlace(agent string) Place {
 	return Place{Agent: agent, Region: "east", Zone: "e1", Service: "cart"}
 }
 
 func reportOf(agent string, revision uint64) Report {
-	return Report{Place: place(agent), Format: Format, InForce: map[Scope]Position{Fleet: {revision, 1}}, Digest: "d"}
+	return Report{Place: agentPlace(agent), Format: Format, InForce: map[Scope]Position{Fleet: {revision, 1}}, Digest: "d"}
 }
 
 func must(t *testing.T, err error) {
@@ -23,98 +23,98 @@
 	}
 }
 
-func TestTrackerKnowsWhoIsConnected(t *testing.T) {
+func TestTrackerTracksConnectedAgents(t *testing.T) {
 	tracker := NewTracker("m1", time.Hour)
-	must(t, tracker.Connected(place("b"), time.Hour))
-	must(t, tracker.Connected(place("a"), time.Hour))
+	must(t, tracker.Connected(agentPlace("b"), time.Hour))
+	must(t, tracker.Connected(agentPlace("a"), time.Hour))
 	must(t, tracker.Reported(reportOf("a", 2), time.Hour+time.Second))
-	must(t, tracker.Connected(place("a"), time.Hour+2*time.Second)) // before its first watch is known to have ended
+	must(t, tracker.Connected(agentPlace("a"), time.Hour+2*time.Second)) // before the end of the first watch is noticed
 	if got := tracker.Local(time.Hour + 2*time.Second)[0]; got.Format != 0 || len(got.InForce) > 0 || !got.Connected {
-		t.Errorf("what was reported before the watch counts: %+v", got)
+		t.Errorf("a report from before the watch still counts: %+v", got)
 	}
 	must(t, tracker.Reported(reportOf("a", 3), time.Hour+2500*time.Millisecond))
-	tracker.Disconnected(place("a"), time.Hour+3*time.Second)
-	tracker.Disconnected(place("b"), time.Hour+4*time.Second)
-	tracker.Disconnected(place("b"), time.Hour+4*time.Second)
-	tracker.Disconnected(place("nobody"), time.Hour)
+	tracker.Disconnected(agentPlace("a"), time.Hour+3*time.Second)
+	tracker.Disconnected(agentPlace("b"), time.Hour+4*time.Second)
+	tracker.Disconnected(agentPlace("b"), time.Hour+4*time.Second)
+	tracker.Disconnected(agentPlace("nobody"), time.Hour)
 	want := []AgentStatus{
 		{Report: reportOf("a", 3), Connected: true, Machine: "m1", AgeMs: 2500},
-		{Report: Report{Place: place("b")}, Connected: false, Machine: "m1", AgeMs: 5000},
+		{Report: Report{Place: agentPlace("b")}, Connected: false, Machine: "m1", AgeMs: 5000},
 	}
 	if got := tracker.Local(time.Hour + 5*time.Second); !reflect.DeepEqual(got, want) {
 		t.Errorf("local %+v", got)
 	}
-	must(t, tracker.Connected(place("b"), time.Hour+5*time.Second))
+	must(t, tracker.Connected(agentPlace("b"), time.Hour+5*time.Second))
 	if got := tracker.Local(time.Hour + 5*time.Second)[1]; !got.Connected {
-		t.Errorf("back again it is %+v", got)
+		t.Errorf("after reconnecting: %+v", got)
 	}
-	tracker.Disconnected(place("b"), time.Hour+5*time.Second)
+	tracker.Disconnected(agentPlace("b"), time.Hour+5*time.Second)
 	leaving := reportOf("a", 3)
 	leaving.Leaving = true
 	must(t, tracker.Reported(leaving, time.Hour+6*time.Second))
-	tracker.Disconnected(place("a"), time.Hour+7*time.Second)
+	tracker.Disconnected(agentPlace("a"), time.Hour+7*time.Second)
 	if got := tracker.Local(time.Hour + 8*time.Second); len(got) != 1 || got[0].Agent != "b" {
-		t.Errorf("after it has left: %+v", got)
+		t.Errorf("after the leaving report: %+v", got)
 	}
 }
 
 func TestTrackerSettles(t *testing.T) {
 	tracker := NewTracker("m1", time.Hour)
 	if tracker.Settled(time.Hour+SettleTime-1) || !tracker.Settled(time.Hour+SettleTime) {
-		t.Error("it settles at another time")
+		t.Error("Settled doesn't change at SettleTime")
 	}
 }
 
-func TestTrackerForgets(t *testing.T) {
+func TestTrackerExpiresAgents(t *testing.T) {
 	tracker := NewTracker("m1", 0)
-	must(t, tracker.Connected(place("stays"), 0))
-	must(t, tracker.Connected(place("goes"), 0))
-	tracker.Disconnected(place("goes"), time.Hour)
+	must(t, tracker.Connected(agentPlace("stays"), 0))
+	must(t, tracker.Connected(agentPlace("goes"), 0))
+	tracker.Disconnected(agentPlace("goes"), time.Hour)
 	if got := tracker.Local(time.Hour + ForgetAfter - 1); len(got) != 2 {
-		t.Errorf("too early: %+v", got)
+		t.Errorf("forgotten too early: %+v", got)
 	}
 	if got := tracker.Local(time.Hour + ForgetAfter); len(got) != 1 || got[0].Agent != "stays" {
-		t.Errorf("too late: %+v", got)
+		t.Errorf("not forgotten after ForgetAfter: %+v", got)
 	}
 }
 
-func TestTrackerIsBounded(t *testing.T) {
+func TestTrackerLimitsAgents(t *testing.T) {
 	tracker := NewTracker("m1", 0)
-	name := func(i int) Place { return place(fmt.Sprintf("a%d", i)) }
-	for i := range AgentsMost {
+	name := func(i int) Place { return agentPlace(fmt.Sprintf("a%d", i)) }
+	for i := range MaxAgents {
 		must(t, tracker.Connected(name(i), time.Duration(i)))
 	}
-	if err := tracker.Connected(place("more"), time.Hour); err == nil {
-		t.Error("one more is connected")
+	if err := tracker.Connected(agentPlace("more"), time.Hour); err == nil {
+		t.Error("Connected accepted one agent too many")
 	}
 	if err := tracker.Reported(reportOf("more", 1), time.Hour); err == nil {
-		t.Error("one more has reported")
+		t.Error("Reported accepted one agent too many")
 	}
-	must(t, tracker.Connected(name(5), time.Hour)) // known
+	must(t, tracker.Connected(name(5), time.Hour)) // known already
 	tracker.Disconnected(name(5), 2*time.Hour)
 	tracker.Disconnected(name(7), 4*time.Hour)
 	tracker.Disconnected(name(6), 3*time.Hour)
-	must(t, tracker.Connected(place("more"), 5*time.Hour)) // in place of the one that has been away for longest
+	must(t, tracker.Connected(agentPlace("more"), 5*time.Hour)) // replaces the agent that has been disconnected for longest
 	local := tracker.Local(5 * time.Hour)
-	if _, ok := tracker.agents[keyOf(name(6))]; ok || len(local) != AgentsMost {
-		t.Errorf("%d agents, 6 among them: %v", len(local), ok)
+	if _, ok := tracker.agents[keyOf(name(6))]; ok || len(local) != MaxAgents {
+		t.Errorf("%d agents, a6 among them: %v", len(local), ok)
 	}
-	for _, kept := range []Place{name(5), name(7), place("more")} {
+	for _, kept := range []Place{name(5), name(7), agentPlace("more")} {
 		if _, ok := tracker.agents[keyOf(kept)]; !ok {
 			t.Errorf("%s is forgotten", kept.Agent)
 		}
 	}
 }
 
-func TestTrackerRefusesWhatNoAgentSays(t *testing.T) {
+func TestTrackerRejectsInvalidReports(t *testing.T) {
 	alter := func(f func(r *Report)) Report {
 		r := reportOf("a", 1)
 		f(&r)
 		return r
 	}
 	for _, c := range []struct {
-		report Report
-		says   string
+		report      Report
+		wantMessage string
 	}{
 		{alter(func(r *Report) { r.Agent = "" }), "agent: "},
 		{alter(func(r *Report) { r.Zone = "a/b" }), "zone: "},
@@ -122,23 +122,23 @@
 		{alter(func(r *Report) { r.InForce[Scope{Level: LevelService, Name: "x"}] = Position{} }), "in_force: service/x"},
 		{alter(func(r *Report) { r.Refused = make([]Refusal, 6) }), "refused: 6"},
 		{alter(func(r *Report) { r.Refused = []Refusal{{}, {Scope: Scope{Level: LevelService, Name: "x"}}} }), "refused[1]: service/x"},
-		{alter(func(r *Report) { r.Refused = []Refusal{{Why: strings.Repeat("x", RefusalMost+1)}} }), "refused[0].why: 513"},
+		{alter(func(r *Report) { r.Refused = []Refusal{{Why: strings.Repeat("x", MaxRefusalBytes+1)}} }), "refused[0].why: 513"},
 		{alter(func(r *Report) { r.Digest = strings.Repeat("x", 33) }), "digest: 33"},
 	} {
 		tracker := NewTracker("m1", 0)
-		if err := tracker.Reported(c.report, 0); err == nil || !strings.HasPrefix(err.Error(), c.says) {
-			t.Errorf("want %q: error %v", c.says, err)
+		if err := tracker.Reported(c.report, 0); err == nil || !strings.HasPrefix(err.Error(), c.wantMessage) {
+			t.Errorf("want %q: error %v", c.wantMessage, err)
 		}
 		if len(tracker.Local(0)) > 0 {
-			t.Errorf("%q: it is known all the same", c.says)
+			t.Errorf("%q: refused, but the agent is known", c.wantMessage)
 		}
 	}
 	if err := NewTracker("m1", 0).Connected(Place{}, 0); err == nil {
-		t.Error("an empty place is connected")
+		t.Error("Connected accepted an empty place")
 	}
 }
 
-func TestInForceNamesWhoIsBehind(t *testing.T) {
+func TestInForceListsAgentsBehind(t *testing.T) {
 	at := Position{5, 2}
 	status := func(agent string, revision uint64, connected bool, age float64) AgentStatus {
 		return AgentStatus{Report: reportOf(agent, revision), Connected: connected, Machine: "m", AgeMs: age}
@@ -147,7 +147,7 @@
 	refusing.Refused = []Refusal{{Scope: Fleet, Position: Position{5, 2}, Why: "classes.scan: no such class"}}
 	refusedBefore := status("refused-before", 3, true, 10)
 	refusedBefore.Refused = []Refusal{{Scope: Fleet, Position: Position{4, 2}, Why: "old"}}
-	fresh := AgentStatus{Report: Report{Place: place("fresh")}, Connected: true, Machine: "m"}
+	fresh := AgentStatus{Report: Report{Place: agentPlace("fresh")}, Connected: true, Machine: "m"}
 	elsewhere := status("elsewhere", 1, true, 10)
 	elsewhere.Region = "west"
 	all := [][]AgentStatus{
@@ -161,7 +161,7 @@
 		"refused-before": "not yet reported; it reported revision 3 10ms ago",
 		"fresh":          "not yet reported",
 		"behind":         "not yet reported; it reported revision 4 1.5s ago",
-		"away":           "away; it reported revision 5 3s ago",
+		"away":           "not connected; it reported revision 5 3s ago",
 		"elsewhere":      "not yet reported; it reported revision 1 10ms ago",
 	}
 	behind := map[string]string{}
@@ -175,28 +175,28 @@
 		t.Errorf("status %+v", got)
 	}
 	if got := InForce(eastScope, Position{}, all, nil); got.Agents != 8 {
-		t.Errorf("of the region: %+v", got)
+		t.Errorf("status of the region: %+v", got)
 	}
 }
 
 func TestInForceEverywhere(t *testing.T) {
 	good := AgentStatus{Report: reportOf("a", 5), Connected: true, Machine: "m", AgeMs: 1}
 	for _, c := range []struct {
-		what        string
+		name        string
 		all         [][]AgentStatus
 		unreachable []string
 		want        bool
 	}{
-		{"all of them", [][]AgentStatus{{good}}, nil, true},
-		{"reported to another machine than it watches", [][]AgentStatus{
+		{"all agents", [][]AgentStatus{{good}}, nil, true},
+		{"report to another machine than the watched one", [][]AgentStatus{
 			{{Report: reportOf("a", 4), Connected: true, Machine: "m1", AgeMs: 50}},
 			{{Report: reportOf("a", 5), Connected: false, Machine: "m2", AgeMs: 5}}}, nil, true},
 		{"a machine is unreachable", [][]AgentStatus{{good}}, []string{"m2"}, false},
-		{"nobody is known", [][]AgentStatus{{}}, nil, false},
-		{"asked nobody", nil, nil, false},
+		{"no agents", [][]AgentStatus{{}}, nil, false},
+		{"no machines", nil, nil, false},
 	} {
 		if got := InForce(Fleet, Position{5, 1}, c.all, c.unreachable); got.Everywhere != c.want || !reflect.DeepEqual(got.Unreachable, c.unreachable) {
-			t.Errorf("%s: %+v", c.what, got)
+			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
 }
