--- a/internal/exercise/exercise.go
+++ b/internal/exercise/exercise.go
@@ -1,10 +1,10 @@
-// Package exercise sends Diameter requests to a relay or a server as many clients do, and tells what came back:
-// each request's Result-Code and latency, what was never answered, and what was answered twice.
+// Package exercise is a Diameter load generator: it sends requests of many clients to a relay or a server and
+// reports the results: each request's Result-Code and latency, unanswered requests and duplicate answers.
 //
-// Of each client one goroutine owns the connection's state (requests out, when each is sent again or given up);
-// a reader of the connection hands it the answers. Bounded are clients, requests out on each, and the time for one
-// request; of a request that has ended nothing is kept but its End-to-End id, for the rest of the run, so that a
-// second answer is known for one.
+// One goroutine per client owns the connection's state (pending requests, when each is resent or abandoned);
+// a reader of the connection passes it the answers. Bounded are the number of clients, the pending requests
+// of each, and the time for one request. Of a completed request only the End-to-End identifier is kept, until
+// the run ends, to detect duplicate answers.
 package exercise
 
 import (
@@ -22,47 +22,47 @@
 	"lemonrail/internal/standin"
 )
 
-// Config says what is sent.
+// Config describes the requests to send.
 type Config struct {
 	Target      string        // address and port
-	Identity    string        // of the clients: %d in it is each one's number from 1
+	Identity    string        // of the clients; %d is replaced with the client's number, from 1
 	Realm       string        // Destination-Realm
 	Host        string        // Destination-Host; empty: any server
 	Application uint32        // of the requests
 	Command     uint32        // of the requests
-	Type        uint32        // CC-Request-Type; 0: none
-	Action      int64         // Requested-Action; under 0: none
-	Clients     int           // connections
-	Each        int           // requests of each client
-	Out         int           // of these, at a time
-	Patience    time.Duration // for an answer, before a request is sent again under the T flag, or given up
-	Resends     int           // of a request
-	Heed        bool          // announce that reports of overload are taken (RFC 7683); what they say is counted, not done
+	Type        uint32        // CC-Request-Type; 0: omitted
+	Action      int64         // Requested-Action; negative: omitted
+	Clients     int           // number of clients, each with one connection
+	Each        int           // requests per client
+	Out         int           // maximum number of pending requests per client
+	Patience    time.Duration // wait for an answer before a request is resent with the T flag, or abandoned
+	Resends     int           // maximum number per request
+	Heed        bool          // announce support for overload reports (RFC 7683); they are counted, but not applied
 }
 
 func (c *Config) check() error {
 	for _, f := range []struct {
-		name     string
-		v, least int
+		name       string
+		v, minimum int
 	}{{"clients", c.Clients, 1}, {"each", c.Each, 1}, {"out", c.Out, 1}, {"resends", c.Resends, 0}} {
-		if f.v < f.least {
-			return fmt.Errorf("%s: %d makes no sense", f.name, f.v)
+		if f.v < f.minimum {
+			return fmt.Errorf("%s: %d is too small", f.name, f.v)
 		}
 	}
 	if c.Patience <= 0 {
-		return fmt.Errorf("patience: %v makes no sense", c.Patience)
+		return fmt.Errorf("patience: %v is not positive", c.Patience)
 	}
 	return nil
 }
 
-// Report is what came of it. Times are in milliseconds.
+// Report holds the results of a run. Latencies are in milliseconds.
 type Report struct {
 	Requests   int            `json:"requests"`
 	Answered   int            `json:"answered"`
-	Unanswered int            `json:"unanswered"` // after all resends
+	Unanswered int            `json:"unanswered"` // requests without an answer after all resends
 	Resent     int            `json:"resent"`
-	Twice      int            `json:"twice"`     // further answers to what had been answered
-	Strangers  int            `json:"strangers"` // answers to what was never asked
+	Twice      int            `json:"twice"`     // duplicate answers
+	Strangers  int            `json:"strangers"` // answers to unknown requests
 	Overload   int            `json:"overload_reports"`
 	Results    map[uint32]int `json:"results"` // by Result-Code; 0: an answer without one
 	P50        float64        `json:"p50_ms"`
@@ -74,8 +74,8 @@
 	latency *hdrhistogram.Histogram // microseconds
 }
 
-// Run sends all that is to be sent and returns once each request has an answer or has been given up, or ctx ends.
-// progress, which may be nil, is told now and then how many have ended.
+// Run sends the requests and returns once each has been answered or abandoned, or ctx ends. progress, which
+// may be nil, is called once per second with the number of completed requests.
 func Run(ctx context.Context, cfg Config, progress func(ended, all int)) (*Report, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 	defer func() {
 		for _, c := range all {
 			c.conn.Close()
-			for range c.conn.Got { // its reader ends with the connection
+			for range c.conn.Got { // until its reader has ended
 			}
 		}
 	}()
@@ -95,9 +95,9 @@
 		if err != nil {
 			return nil, fmt.Errorf("client %d: %w", n+1, err)
 		}
-		c := &client{cfg: &cfg, report: r, conn: conn, name: name, first: uint32(n*cfg.Each) + 1, out: map[uint32]*request{}, ended: map[uint32]bool{}}
+		c := &client{cfg: &cfg, report: r, conn: conn, name: name, firstID: uint32(n*cfg.Each) + 1, pending: map[uint32]*request{}, ended: map[uint32]bool{}}
 		all = append(all, c)
-		if err := c.hello(ctx); err != nil {
+		if err := c.awaitCEA(ctx); err != nil {
 			return nil, fmt.Errorf("client %d (%s): %w", n+1, name, err)
 		}
 	}
@@ -113,7 +113,7 @@
 	}()
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
-	for over := false; !over; {
+	for finished := false; !finished; {
 		select {
 		case <-tick.C:
 			if progress != nil {
@@ -123,7 +123,7 @@
 				progress(ended, cfg.Clients*cfg.Each)
 			}
 		case <-done:
-			over = true
+			finished = true
 		}
 	}
 	r.Seconds = time.Since(began).Seconds()
@@ -132,26 +132,26 @@
 	return r, ctx.Err()
 }
 
-// client is one connection.
+// client is the state of one client and its connection.
 type client struct {
-	cfg    *Config
-	report *Report
-	conn   *standin.DiameterConn
-	name   string
-	first  uint32 // its requests' ids begin here
-	out    map[uint32]*request
-	ended  map[uint32]bool
+	cfg     *Config
+	report  *Report
+	conn    *standin.DiameterConn
+	name    string
+	firstID uint32 // identifier of its first request
+	pending map[uint32]*request
+	ended   map[uint32]bool
 }
 
 type request struct {
 	message *diameter.Message
 	began   time.Time
-	due     time.Time // to be sent again or given up
+	due     time.Time // when it is resent or abandoned
 	resends int
 }
 
-// hello waits for the answer to the CER.
-func (c *client) hello(ctx context.Context) error {
+// awaitCEA waits for the answer to the CER.
+func (c *client) awaitCEA(ctx context.Context) error {
 	wait := time.NewTimer(c.cfg.Patience)
 	defer wait.Stop()
 	select {
@@ -173,15 +173,15 @@
 func (c *client) run(ctx context.Context) {
 	sent := 0
 	for {
-		for sent < c.cfg.Each && len(c.out) < c.cfg.Out {
-			c.send(c.first + uint32(sent))
+		for sent < c.cfg.Each && len(c.pending) < c.cfg.Out {
+			c.send(c.firstID + uint32(sent))
 			sent++
 		}
-		if len(c.out) == 0 {
+		if len(c.pending) == 0 {
 			return
 		}
 		next := time.Time{}
-		for _, q := range c.out {
+		for _, q := range c.pending {
 			if next.IsZero() || q.due.Before(next) {
 				next = q.due
 			}
@@ -189,16 +189,16 @@
 		wait := time.NewTimer(time.Until(next))
 		select {
 		case m, open := <-c.conn.Got:
-			if !open { // the rest is not answered any more
-				c.count(func(r *Report) { r.Requests += c.cfg.Each - sent; r.Unanswered += len(c.out) + c.cfg.Each - sent })
+			if !open { // the remaining requests can't be answered
+				c.count(func(r *Report) { r.Requests += c.cfg.Each - sent; r.Unanswered += len(c.pending) + c.cfg.Each - sent })
 				wait.Stop()
 				return
 			}
-			c.take(m)
+			c.handle(m)
 		case <-wait.C:
-			c.overdue(time.Now())
+			c.handleOverdue(time.Now())
 		case <-ctx.Done():
-			c.count(func(r *Report) { r.Unanswered += len(c.out) })
+			c.count(func(r *Report) { r.Unanswered += len(c.pending) })
 			wait.Stop()
 			return
 		}
@@ -232,17 +232,17 @@
 		add(diameter.Optional(diameter.Group(diameter.CodeOCSupportedFeatures)))
 	}
 	now := time.Now()
-	c.out[id] = &request{message: m, began: now, due: now.Add(c.cfg.Patience)}
+	c.pending[id] = &request{message: m, began: now, due: now.Add(c.cfg.Patience)}
 	c.count(func(r *Report) { r.Requests++ })
 	c.conn.Send(m)
 }
 
-func (c *client) take(m *diameter.Message) {
+func (c *client) handle(m *diameter.Message) {
 	if m.Request() {
-		return // nothing is asked of clients here
+		return // requests to clients are ignored
 	}
 	id := m.EndToEnd
-	q := c.out[id]
+	q := c.pending[id]
 	c.count(func(r *Report) {
 		switch {
 		case q == nil && c.ended[id]:
@@ -258,13 +258,13 @@
 			}
 		}
 	})
-	delete(c.out, id)
+	delete(c.pending, id)
 	c.ended[id] = true
 }
 
-// overdue sends again, or gives up, what has waited for too long.
-func (c *client) overdue(now time.Time) {
-	for id, q := range c.out {
+// handleOverdue resends or abandons the requests whose answers are overdue.
+func (c *client) handleOverdue(now time.Time) {
+	for id, q := range c.pending {
 		switch {
 		case now.Before(q.due):
 		case q.resends < c.cfg.Resends:
@@ -274,7 +274,7 @@
 			c.count(func(r *Report) { r.Resent++ })
 			c.conn.Send(q.message)
 		default:
-			delete(c.out, id)
+			delete(c.pending, id)
 			c.ended[id] = true
 			c.count(func(r *Report) { r.Unanswered++ })
 		}
--- a/internal/exercise/exercise_test.go
+++ b/internal/exercise/exercise_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func usual(target string) Config {
+func defaultConfig(target string) Config {
 	return Config{Target: target, Identity: "client%d.example.net", Realm: "example.net", Application: diameter.AppCreditControl,
 		Command: diameter.CreditControl, Type: 4, Action: 2, Clients: 3, Each: 20, Out: 4, Patience: 20 * time.Second}
 }
@@ -30,16 +30,16 @@
 	return n
 }
 
-// Each kind of answer is told for what it is.
-func TestWhatComesBack(t *testing.T) {
+// Each kind of answer is counted in its own field of the report.
+func TestReportCounts(t *testing.T) {
 	var n atomic.Int64
 	s := node(t, func(c *standin.DiameterConn, m *diameter.Message) {
 		switch n.Add(1) {
 		case 1:
 			c.Answer(m, diameter.Success)
-			c.Answer(m, diameter.Success) // once more
+			c.Answer(m, diameter.Success) // a duplicate
 		case 2:
-			m.EndToEnd = 1 << 30 // of nobody
+			m.EndToEnd = 1 << 30 // an unknown request
 			c.Answer(m, diameter.Success)
 		case 3:
 			c.Answer(m, diameter.TooBusy)
@@ -47,8 +47,8 @@
 			c.Answer(m, diameter.Success, diameter.Group(diameter.CodeOCOLR))
 		}
 	})
-	cfg := usual(s.Addr())
-	cfg.Clients, cfg.Out, cfg.Patience = 1, 1, 2*time.Second // one is never answered
+	cfg := defaultConfig(s.Addr())
+	cfg.Clients, cfg.Out, cfg.Patience = 1, 1, 2*time.Second // one request is never answered
 	r, err := Run(context.Background(), cfg, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 	}
 }
 
-// What is not answered goes out again under the T flag, with the same ids.
+// A request without an answer is resent with the T flag and the same identifiers.
 func TestResends(t *testing.T) {
 	first := make(chan uint32, 100)
 	s := node(t, func(c *standin.DiameterConn, m *diameter.Message) {
@@ -69,17 +69,17 @@
 		}
 		c.Answer(m, diameter.Success)
 	})
-	cfg := usual(s.Addr())
+	cfg := defaultConfig(s.Addr())
 	cfg.Each, cfg.Patience, cfg.Resends = 2, 50*time.Millisecond, 1000
 	r, err := Run(context.Background(), cfg, nil)
 	if err != nil || r.Answered != 6 || r.Resent < 6 || r.Unanswered != 0 || len(first) != 6 {
-		t.Errorf("%+v, %v; %d first ones", r, err, len(first))
+		t.Errorf("%+v, %v; %d requests without the T flag", r, err, len(first))
 	}
 }
 
 func TestManyClients(t *testing.T) {
 	s := node(t, func(c *standin.DiameterConn, m *diameter.Message) { c.Answer(m, diameter.Success) })
-	cfg := usual(s.Addr())
+	cfg := defaultConfig(s.Addr())
 	cfg.Clients = 50
 	r, err := Run(context.Background(), cfg, nil)
 	if err != nil || r.Answered != 1000 || r.Twice+r.Strangers+r.Unanswered != 0 {
@@ -87,10 +87,10 @@
 	}
 }
 
-// A connection that ends, and one that is never had, are told.
+// A lost connection, an invalid configuration and a failed connection attempt are reported.
 func TestServerEnds(t *testing.T) {
 	s := node(t, func(c *standin.DiameterConn, m *diameter.Message) { c.Close() })
-	cfg := usual(s.Addr())
+	cfg := defaultConfig(s.Addr())
 	if r, err := Run(context.Background(), cfg, nil); err != nil || r.Unanswered != r.Requests || r.Requests != 60 {
 		t.Errorf("%+v, %v", r, err)
 	}
