--- a/internal/backend/diameter/backend.go
+++ b/internal/backend/diameter/backend.go
@@ -1,9 +1,9 @@
-// Package diameter makes attempts over Diameter: one kept connection to each server carries many requests
-// at a time, up to a window. It connects to servers that the core sends something to, and to no others.
+// Package diameter makes attempts over Diameter: one persistent connection to each server carries many
+// requests at a time, up to a window. It connects only to servers that the core makes attempts at.
 //
-// Of each server a mutex guards all state; a reader and a writer goroutine live as long as its connection,
-// and a timer wakes the peer state machine. Attempts are written once: one whose message was not written
-// whole never ran; one that was written and has no answer when the connection ends may have run.
+// A mutex guards all state of a server; a reader and a writer goroutine live as long as its connection, and a
+// timer drives the peer state machine. An attempt is written once: one whose message was not written
+// completely has not run; one that was written and has no answer when the connection ends may have run.
 package diameter
 
 import (
@@ -23,100 +23,100 @@
 	"lemonrail/internal/diameter/relay"
 )
 
-// Request is a client's request as the core carries it. Attempts share it.
+// Request is a client's request as the core carries it. All its attempts share it.
 type Request struct {
-	Message *diameter.Message
-	From    string       // the client's identity
-	tries   atomic.Int32 // attempts written or begun
+	Message  *diameter.Message
+	From     string       // the client's identity
+	attempts atomic.Int32 // attempts queued so far
 }
 
-// Config is what a Backend is told.
+// Config holds the parameters of a Backend.
 type Config struct {
 	Rules          *relay.Rules
 	Identity       string
 	Realm          string
-	ConnectTimeout time.Duration // for a connection and its capabilities exchange
-	Window         int           // attempts on one connection
+	ConnectTimeout time.Duration // how long an attempt waits for a connection with capabilities exchanged
+	Window         int           // maximum number of pending attempts on a connection
 	Peer           diameter.PeerConfig
-	Leaves         func(id string, leaves bool) // a server wants nothing new, or is back; may be nil
+	Leaves         func(id string, leaves bool) // called after a DPR and after reopening; may be nil
 	Log            *slog.Logger
 }
 
 const (
-	writeLimit = time.Second     // a server that does not read for so long has gone
-	leaveRest  = 5 * time.Second // before a server that takes leave to restart is connected to again
-	leaveLong  = time.Minute     // and one that is busy, or does not want to talk to us
-	baseRoom   = 8               // messages of the base protocol that may wait beside a window's requests
+	writeTimeout = time.Second     // the connection to a server that reads no data for this time is closed
+	restartPause = 5 * time.Second // before reconnecting to a server whose DPR has the cause REBOOTING
+	busyPause    = time.Minute     // before reconnecting to a server whose DPR has another cause
+	baseQueue    = 8               // queued messages of the base protocol, in addition to a window of requests
 )
 
 // Backend implements core.Backend.
 type Backend struct {
-	cfg   Config
-	began time.Time
+	cfg       Config
+	startedAt time.Time
 
 	mu      sync.Mutex
 	servers map[core.Target]*server
-	leaving map[*server]bool // taken leave of, with a connection yet
+	closing map[*server]bool // removed from servers while still connected
 	closed  bool
 	wait    sync.WaitGroup
 }
 
-// New returns a backend without connections. Close ends it.
+// New returns a backend without connections. Close releases it.
 func New(cfg Config) *Backend {
-	return &Backend{cfg: cfg, began: time.Now(), servers: map[core.Target]*server{}, leaving: map[*server]bool{}}
+	return &Backend{cfg: cfg, startedAt: time.Now(), servers: map[core.Target]*server{}, closing: map[*server]bool{}}
 }
 
-func (b *Backend) now() time.Duration { return time.Since(b.began) + time.Millisecond }
+func (b *Backend) now() time.Duration { return time.Since(b.startedAt) + time.Millisecond }
 
-// server is one server: its peer, connection and what is out there.
+// server is the state of one server: its peer state machine, its connection and its pending attempts.
 type server struct {
-	b  *Backend
-	to core.Target // by the list; where it speaks Diameter is the rules' matter
-
-	mu      sync.Mutex
-	peer    *diameter.Peer
-	conn    net.Conn
-	writes  chan *item
-	window  *relay.Window
-	out     map[uint64]*attempt
-	next    uint64
-	opened  chan struct{} // closed while requests may be sent
-	open    bool
-	timer   *time.Timer
-	ids     uint32        // of our own requests
-	name    string        // its identity, once it has said so
-	leaves  bool          // took leave and has not been back
-	shun    time.Duration // no connection before
-	stopped bool
-	told    chan struct{} // closed when the last Leaves has been told
+	b      *Backend
+	target core.Target // as listed; the rules may give another Diameter address
+
+	mu              sync.Mutex
+	peer            *diameter.Peer
+	conn            net.Conn
+	writes          chan *item
+	window          *relay.Window
+	pending         map[uint64]*attempt
+	lastAttempt     uint64
+	opened          chan struct{} // closed while requests may be sent, replaced when they no longer may
+	open            bool
+	timer           *time.Timer
+	lastID          uint32        // identifier of the last request of the base protocol
+	identity        string        // Origin-Host of the server's CEA
+	leaving         bool          // the server sent a DPR and has not been opened since
+	noConnectBefore time.Duration // set by a DPR
+	stopped         bool
+	lastNotified    chan struct{} // closed when the last call of Config.Leaves has returned
 }
 
-// attempt is one that is out.
+// attempt is a pending attempt.
 type attempt struct {
-	no   uint64
+	id   uint64
 	hop  uint32
-	it   *item
+	item *item
 	done chan core.Response
 }
 
-// item is a message on its way to a connection.
+// item is a message in a connection's write queue.
 type item struct {
 	raw   []byte
 	state itemState
 
-	permit *core.Permit // nil: of the base protocol
+	permit *core.Permit // nil for messages of the base protocol
 }
 
 type itemState uint8
 
 const (
-	queued itemState = iota
-	begun            // being written: not whole
+	queued  itemState = iota
+	writing           // may have been written in part
 	written
-	dropped // not to be written any more
+	dropped // must not be written
 )
 
-// server returns the one at an address, nil once the backend has ended.
+// server returns the server of a target, creating it if necessary, or nil if the backend is closed.
 func (b *Backend) server(to core.Target) *server {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -126,8 +126,8 @@
 	s := b.servers[to]
 	if s == nil {
 		seed := rand.Uint64()
-		s = &server{b: b, to: to, window: relay.NewWindow(b.cfg.Window, rand.Uint32()), out: map[uint64]*attempt{}, opened: make(chan struct{}),
-			ids: rand.Uint32(), peer: diameter.NewPeer(b.cfg.Identity, b.cfg.Peer, rand.New(rand.NewPCG(seed, 0)))}
+		s = &server{b: b, target: to, window: relay.NewWindow(b.cfg.Window, rand.Uint32()), pending: map[uint64]*attempt{}, opened: make(chan struct{}),
+			lastID: rand.Uint32(), peer: diameter.NewPeer(b.cfg.Identity, b.cfg.Peer, rand.New(rand.NewPCG(seed, 0)))}
 		b.servers[to] = s
 		s.mu.Lock()
 		s.step(diameter.Event{Input: diameter.Start})
@@ -136,24 +136,24 @@
 	return s
 }
 
-// Exchange makes one attempt.
+// Exchange makes one attempt and returns its outcome.
 func (b *Backend) Exchange(ctx context.Context, p *core.Permit, to core.Target, request any) core.Response {
 	r := request.(*Request)
 	s := b.server(to)
 	if s == nil {
 		return core.Response{Result: balance.NotSent}
 	}
-	back := make(chan struct{})
-	if !p.Await(func() { close(back) }) {
+	revoked := make(chan struct{})
+	if !p.Await(func() { close(revoked) }) {
 		return core.Response{Result: balance.Withdrawn}
 	}
-	var late <-chan time.Time
+	var expired <-chan time.Time
 	if by := p.By(); !by.IsZero() {
 		t := time.NewTimer(time.Until(by))
 		defer t.Stop()
-		late = t.C
+		expired = t.C
 	}
-	if res, ok := s.await(ctx, back, late); !ok {
+	if res, ok := s.awaitOpen(ctx, revoked, expired); !ok {
 		return core.Response{Result: res}
 	}
 	a, res := s.send(r, p)
@@ -165,31 +165,32 @@
 		case got := <-a.done:
 			return got
 		case <-ctx.Done():
-			return s.giveUp(ctx, a)
-		case <-back:
+			return s.abandon(ctx, a)
+		case <-revoked:
 			if s.withdraw(a) {
 				return core.Response{Result: balance.Withdrawn}
 			}
-			back = nil // it is out
-		case <-late:
+			revoked = nil // its writing has begun
+		case <-expired:
 			if s.withdraw(a) {
 				return core.Response{Result: balance.Withdrawn}
 			}
-			late = nil
+			expired = nil
 		}
 	}
 }
 
-// Named is the backend whose server has an identity: by the rules, else as the servers said themselves.
+// Named returns the backend whose server has an identity: in the rules, or else in the CEA of a connected
+// server.
 func (b *Backend) Named(identity string) (id string, ok bool) {
-	if id, ok = b.cfg.Rules.Named(identity); ok {
+	if id, ok = b.cfg.Rules.HostByIdentity(identity); ok {
 		return id, true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for to, s := range b.servers {
 		s.mu.Lock()
-		name := s.name
+		name := s.identity
 		s.mu.Unlock()
 		if strings.EqualFold(name, identity) {
 			return to.ID, true
@@ -198,8 +199,9 @@
 	return "", false
 }
 
-// await waits until requests may be sent, for as long as a connection may take.
-func (s *server) await(ctx context.Context, back <-chan struct{}, late <-chan time.Time) (balance.Result, bool) {
+// awaitOpen waits until requests may be sent, for at most the connect timeout. If they can't, it returns the
+// result.
+func (s *server) awaitOpen(ctx context.Context, revoked <-chan struct{}, expired <-chan time.Time) (balance.Result, bool) {
 	s.mu.Lock()
 	opened := s.opened
 	s.mu.Unlock()
@@ -210,9 +212,9 @@
 		return 0, true
 	case <-limit.C:
 		return balance.ConnectFailed, false
-	case <-back:
+	case <-revoked:
 		return balance.Withdrawn, false
-	case <-late:
+	case <-expired:
 		return balance.Withdrawn, false
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.Canceled) {
@@ -228,56 +230,56 @@
 	if !s.open || s.conn == nil {
 		return nil, balance.ConnectFailed
 	}
-	s.next++
-	a := &attempt{no: s.next, done: make(chan core.Response, 1)}
-	hop, ok := s.window.Send(a.no)
+	s.lastAttempt++
+	a := &attempt{id: s.lastAttempt, done: make(chan core.Response, 1)}
+	hop, ok := s.window.Send(a.id)
 	if !ok {
-		return nil, balance.Full // nothing of it has left
+		return nil, balance.Full // nothing was written
 	}
 	a.hop = hop
-	again := r.tries.Add(1) > 1
-	raw, err := s.b.cfg.Rules.Onward(r.Message, r.From, hop, again).Append(nil)
+	again := r.attempts.Add(1) > 1
+	raw, err := s.b.cfg.Rules.Forward(r.Message, r.From, hop, again).Append(nil)
 	if err != nil {
-		s.window.Answer(hop)
+		s.window.Release(hop)
 		return nil, balance.NotSent
 	}
-	a.it = &item{raw: raw, permit: p}
+	a.item = &item{raw: raw, permit: p}
 	select {
-	case s.writes <- a.it:
-	default: // the window bounds what waits, so that this is a full window too
-		s.window.Answer(hop)
+	case s.writes <- a.item:
+	default: // unreachable in practice, since the window bounds the queue; treated as a full window
+		s.window.Release(hop)
 		return nil, balance.Full
 	}
-	s.out[a.no] = a
+	s.pending[a.id] = a
 	return a, 0
 }
 
-// withdraw takes an attempt back whose turn to be written has not come. It reports whether it could.
+// withdraw drops an attempt that has not begun to be written, and reports whether it could.
 func (s *server) withdraw(a *attempt) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a.it.state != queued && a.it.state != dropped {
+	if a.item.state != queued && a.item.state != dropped {
 		return false
 	}
-	a.it.state = dropped
-	delete(s.out, a.no)
-	s.window.Answer(a.hop)
+	a.item.state = dropped
+	delete(s.pending, a.id)
+	s.window.Release(a.hop)
 	return true
 }
 
-// giveUp ends an attempt whose time is up. A late answer to it finds nobody.
-func (s *server) giveUp(ctx context.Context, a *attempt) core.Response {
+// abandon ends an attempt whose context has ended. A later answer to it is ignored.
+func (s *server) abandon(ctx context.Context, a *attempt) core.Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case got := <-a.done: // it came at the same instant
+	case got := <-a.done: // the answer arrived at the same time
 		return got
 	default:
 	}
-	delete(s.out, a.no)
-	s.window.Answer(a.hop)
-	if a.it.state == queued || a.it.state == dropped {
-		a.it.state = dropped
+	delete(s.pending, a.id)
+	s.window.Release(a.hop)
+	if a.item.state == queued || a.item.state == dropped {
+		a.item.state = dropped
 		return core.Response{Result: balance.NotSent}
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
@@ -286,28 +288,28 @@
 	return core.Response{Result: balance.TimedOut}
 }
 
-// step takes an event and carries out what the peer's machine wants. The lock is held.
+// step passes an event to the peer state machine and carries out its actions. The caller holds s.mu.
 func (s *server) step(e diameter.Event) {
 	for _, act := range s.peer.Step(s.b.now(), e) {
-		switch act.Act {
+		switch act.Kind {
 		case diameter.Connect:
 			s.connect()
 		case diameter.SendCER:
-			s.base(s.capabilities())
+			s.enqueueBase(s.newCER())
 		case diameter.SendDWR:
-			s.base(s.own(diameter.DeviceWatchdog))
+			s.enqueueBase(s.baseRequest(diameter.DeviceWatchdog))
 		case diameter.SendDPR:
-			m := s.own(diameter.DisconnectPeer)
+			m := s.baseRequest(diameter.DisconnectPeer)
 			m.AVPs = append(m.AVPs, diameter.U32(diameter.CodeDisconnectCause, diameter.Rebooting))
-			s.base(m)
+			s.enqueueBase(m)
 		case diameter.Disconnect:
 			if s.conn != nil {
 				s.conn.Close()
 			}
 		case diameter.Opened, diameter.Failback:
 			s.setOpen(true)
-			if s.leaves && act.Act == diameter.Opened {
-				s.left(false)
+			if s.leaving && act.Kind == diameter.Opened {
+				s.setLeaving(false)
 			}
 		case diameter.Failover, diameter.Lost:
 			s.setOpen(false)
@@ -316,7 +318,7 @@
 	if _, usable := s.peer.Usable(); !usable {
 		s.setOpen(false)
 	}
-	s.wake()
+	s.scheduleTick()
 }
 
 func (s *server) setOpen(open bool) {
@@ -329,8 +331,8 @@
 	s.open = open
 }
 
-// wake has the machine ticked when it wants to be.
-func (s *server) wake() {
+// scheduleTick sets the timer for the state machine's next Tick. The caller holds s.mu.
+func (s *server) scheduleTick() {
 	if s.timer != nil {
 		s.timer.Stop()
 		s.timer = nil
@@ -346,14 +348,14 @@
 	}
 }
 
-func (s *server) own(command uint32) *diameter.Message {
-	s.ids++
-	return &diameter.Message{Flags: diameter.FlagRequest, Command: command, HopByHop: s.ids, EndToEnd: s.ids,
+func (s *server) baseRequest(command uint32) *diameter.Message {
+	s.lastID++
+	return &diameter.Message{Flags: diameter.FlagRequest, Command: command, HopByHop: s.lastID, EndToEnd: s.lastID,
 		AVPs: []diameter.AVP{diameter.Str(diameter.CodeOriginHost, s.b.cfg.Identity), diameter.Str(diameter.CodeOriginRealm, s.b.cfg.Realm)}}
 }
 
-func (s *server) capabilities() *diameter.Message {
-	m := s.own(diameter.CapabilitiesExchange)
+func (s *server) newCER() *diameter.Message {
+	m := s.baseRequest(diameter.CapabilitiesExchange)
 	if a, ok := s.conn.LocalAddr().(*net.TCPAddr); ok {
 		m.AVPs = append(m.AVPs, diameter.IP(diameter.CodeHostIPAddress, a.AddrPort().Addr().Unmap()))
 	}
@@ -364,8 +366,8 @@
 	return m
 }
 
-// base queues a message of the base protocol.
-func (s *server) base(m *diameter.Message) {
+// enqueueBase queues a message of the base protocol. The caller holds s.mu.
+func (s *server) enqueueBase(m *diameter.Message) {
 	raw, err := m.Append(nil)
 	if err != nil || s.conn == nil {
 		return
@@ -373,7 +375,7 @@
 	select {
 	case s.writes <- &item{raw: raw}:
 	default:
-		s.conn.Close() // it does not read
+		s.conn.Close() // the server does not read
 	}
 }
 
@@ -381,12 +383,12 @@
 	if s.stopped {
 		return
 	}
-	if s.b.now() < s.shun { // the machine waits, longer each time
+	if s.b.now() < s.noConnectBefore { // fail, so that the state machine retries after a growing delay
 		s.step(diameter.Event{Input: diameter.ConnFailed})
 		return
 	}
 	s.b.wait.Go(func() {
-		conn, err := (&net.Dialer{Timeout: s.b.cfg.ConnectTimeout, KeepAlive: -1}).Dial("tcp4", s.b.cfg.Rules.Address(s.to.ID, s.to.Addr))
+		conn, err := (&net.Dialer{Timeout: s.b.cfg.ConnectTimeout, KeepAlive: -1}).Dial("tcp4", s.b.cfg.Rules.Address(s.target.ID, s.target.Addr))
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		switch {
@@ -398,14 +400,14 @@
 			return
 		}
 		s.conn = conn
-		s.writes = make(chan *item, s.b.cfg.Window+baseRoom)
+		s.writes = make(chan *item, s.b.cfg.Window+baseQueue)
 		ended := make(chan struct{})
 		writes := s.writes
 		s.b.wait.Go(func() { s.write(conn, writes, ended) })
 		s.b.wait.Go(func() {
 			s.read(conn)
 			close(ended)
-			s.gone(conn)
+			s.handleClosed(conn)
 		})
 		s.step(diameter.Event{Input: diameter.ConnUp})
 	})
@@ -425,13 +427,13 @@
 		}
 		skip := it.state == dropped
 		if !skip {
-			it.state = begun
+			it.state = writing
 		}
 		s.mu.Unlock()
 		if skip {
 			continue
 		}
-		conn.SetWriteDeadline(time.Now().Add(writeLimit))
+		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		_, err := conn.Write(it.raw)
 		s.mu.Lock()
 		if err == nil {
@@ -439,7 +441,7 @@
 		}
 		s.mu.Unlock()
 		if err != nil {
-			conn.Close() // the reader ends, and tells
+			conn.Close() // the reader then ends and reports the closed connection
 			return
 		}
 	}
@@ -455,17 +457,17 @@
 		}
 		m, err := diameter.Decode(raw, limits)
 		if err != nil {
-			s.b.cfg.Log.Warn("diameter server sent what can't be read", "server", s.to.ID, "err", err)
-			return // what follows can't be trusted to begin where it seems to
+			s.b.cfg.Log.Warn("invalid message from diameter server", "server", s.target.ID, "err", err)
+			return // the start of the next message is uncertain
 		}
-		if !s.take(m, raw) {
+		if !s.handle(m, raw) {
 			return
 		}
 	}
 }
 
-// take reports whether the connection goes on.
-func (s *server) take(m *diameter.Message, raw []byte) bool {
+// handle processes a message and reports whether the connection stays open.
+func (s *server) handle(m *diameter.Message, raw []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	event := func(request, answer diameter.Input) {
@@ -477,7 +479,7 @@
 			a := m.Answer()
 			a.AVPs = []diameter.AVP{diameter.U32(diameter.CodeResultCode, diameter.Success),
 				diameter.Str(diameter.CodeOriginHost, s.b.cfg.Identity), diameter.Str(diameter.CodeOriginRealm, s.b.cfg.Realm)}
-			s.base(a)
+			s.enqueueBase(a)
 		}
 		s.step(diameter.Event{Input: in, Side: diameter.Initiator, Result: m.Result()})
 	}
@@ -486,7 +488,7 @@
 	case m.Command == diameter.CapabilitiesExchange && !m.Request():
 		if a := diameter.Find(m.AVPs, diameter.CodeOriginHost, 0); a != nil {
 			if name, err := a.Identity(); err == nil && m.Result() == diameter.Success {
-				s.name = name
+				s.identity = name
 			}
 		}
 		s.step(diameter.Event{Input: diameter.GotCEA, Result: m.Result()})
@@ -496,57 +498,58 @@
 		return true
 	case m.Command == diameter.DisconnectPeer:
 		if m.Request() {
-			rest := leaveRest
+			rest := restartPause
 			if a := diameter.Find(m.AVPs, diameter.CodeDisconnectCause, 0); a != nil {
 				if cause, err := a.Uint32(); err == nil && cause != diameter.Rebooting {
-					rest = leaveLong
+					rest = busyPause
 				}
 			}
-			s.shun = s.b.now() + rest
-			s.left(true)
+			s.noConnectBefore = s.b.now() + rest
+			s.setLeaving(true)
 		}
 		event(diameter.GotDPR, diameter.GotDPA)
 		return true
 	}
 	s.step(diameter.Event{Input: diameter.GotOther, Side: diameter.Initiator})
-	if m.Request() { // a server has nothing to ask here
-		a := s.b.cfg.Rules.Refusal(m, diameter.UnableToDeliver, "requests of servers are not relayed")
-		s.base(a)
+	if m.Request() { // requests from servers are not supported
+		a := s.b.cfg.Rules.LocalAnswer(m, diameter.UnableToDeliver, "requests of servers are not relayed")
+		s.enqueueBase(a)
 		return true
 	}
-	no, ok := s.window.Answer(m.HopByHop)
-	a := s.out[no]
+	no, ok := s.window.Release(m.HopByHop)
+	a := s.pending[no]
 	if !ok || a == nil {
-		s.b.cfg.Log.Debug("diameter answer that nobody waits for", "server", s.to.ID, "hop-by-hop", m.HopByHop)
+		s.b.cfg.Log.Debug("unexpected answer from diameter server", "server", s.target.ID, "hop-by-hop", m.HopByHop)
 		return true
 	}
-	delete(s.out, no)
+	delete(s.pending, no)
 	a.done <- outcome(m, raw)
 	return true
 }
 
-// left tells that the server takes leave, or is back. Not under its lock: who is told may wait, and in the
-// order in which it happened.
-func (s *server) left(leaves bool) {
-	s.leaves = leaves
+// setLeaving calls Config.Leaves in a goroutine, since the caller holds s.mu and the callback may block.
+// Calls are made in the order of the events.
+func (s *server) setLeaving(leaves bool) {
+	s.leaving = leaves
 	if s.b.cfg.Leaves == nil {
 		return
 	}
-	before, told := s.told, make(chan struct{})
-	s.told = told
+	previous, notified := s.lastNotified, make(chan struct{})
+	s.lastNotified = notified
 	s.b.wait.Go(func() {
-		if before != nil {
-			<-before
+		if previous != nil {
+			<-previous
 		}
-		s.b.cfg.Leaves(s.to.ID, leaves)
-		close(told)
+		s.b.cfg.Leaves(s.target.ID, leaves)
+		close(notified)
 	})
 }
 
-// outcome is what a server's answer says. Too busy, and unable to deliver, come before anything ran; unable
-// to comply (5012) is the server's own trouble. All else is the answer to the request, good or bad.
+// outcome converts a server's answer to the core's response. Too busy (3004) and unable to deliver (3002) are
+// sent before anything has run; unable to comply (5012) is a failure of the server. Any other answer is the
+// result of the request.
 func outcome(m *diameter.Message, raw []byte) core.Response {
-	r := core.Response{Result: balance.OK, Payload: raw, Load: load(m)}
+	r := core.Response{Result: balance.OK, Payload: raw, Load: loadReport(m)}
 	switch code := m.Result(); {
 	case code == diameter.TooBusy || code == diameter.UnableToDeliver && m.Flags&diameter.FlagError != 0:
 		r.Result, r.Payload = balance.Full, nil
@@ -556,21 +559,21 @@
 	return r
 }
 
-// Codes of RFC 8583.
+// AVP codes and the largest Load-Value of RFC 8583.
 const (
 	codeLoad      = 650
 	codeLoadValue = 652
-	loadMost      = 65535
+	maxLoad       = 65535
 )
 
-// load reads a report of load (RFC 8583): 0 to 65535, of what the server can do.
-func load(m *diameter.Message) balance.Load {
+// loadReport reads a Load AVP (RFC 8583), whose value 0 to 65535 stands for a utilization of 0 to 1.
+func loadReport(m *diameter.Message) balance.Load {
 	l := balance.NoLoad()
 	if a := diameter.Find(m.AVPs, codeLoad, 0); a != nil {
 		if list, err := a.Group(diameter.DefaultLimits(), 0); err == nil {
 			if v := diameter.Find(list, codeLoadValue, 0); v != nil {
-				if n, err := v.Uint64(); err == nil && n <= loadMost {
-					l.Valid, l.Utilization = true, float64(n)/loadMost
+				if n, err := v.Uint64(); err == nil && n <= maxLoad {
+					l.Valid, l.Utilization = true, float64(n)/maxLoad
 				}
 			}
 		}
@@ -578,12 +581,12 @@
 	return l
 }
 
-// gone ends a connection: what is out there gets its outcome.
-func (s *server) gone(conn net.Conn) {
+// handleClosed cleans up after a connection has ended: its pending attempts get their results.
+func (s *server) handleClosed(conn net.Conn) {
 	conn.Close()
 	defer func() {
 		s.b.mu.Lock()
-		delete(s.b.leaving, s)
+		delete(s.b.closing, s)
 		s.b.mu.Unlock()
 	}()
 	s.mu.Lock()
@@ -594,22 +597,22 @@
 	s.conn = nil
 	s.setOpen(false)
 	for _, no := range s.window.Close() {
-		a := s.out[no]
+		a := s.pending[no]
 		if a == nil {
 			continue
 		}
-		delete(s.out, no)
+		delete(s.pending, no)
 		res := balance.Reset
-		if a.it.state != written { // no whole message has left
-			a.it.state = dropped
+		if a.item.state != written { // the message was not written completely
+			a.item.state = dropped
 			res = balance.ConnectFailed
 		}
 		a.done <- core.Response{Result: res}
 	}
-	s.step(diameter.Event{Input: diameter.PeerGone, Side: diameter.Initiator})
+	s.step(diameter.Event{Input: diameter.PeerDisconnected, Side: diameter.Initiator})
 }
 
-// Probe reports whether requests may be sent; nothing goes out for it.
+// Probe reports whether requests may be sent to a server. It does not send anything.
 func (b *Backend) Probe(to core.Target) core.Response {
 	b.mu.Lock()
 	s := b.servers[to]
@@ -624,39 +627,39 @@
 	return core.Response{Result: balance.ConnectFailed}
 }
 
-// Keep takes leave of all servers but those that are wanted.
+// Keep disconnects from all servers that are not wanted.
 func (b *Backend) Keep(wanted func(core.Target) bool) {
 	b.mu.Lock()
 	var leave []*server
 	for to, s := range b.servers {
 		if !wanted(to) {
 			leave = append(leave, s)
-			b.leaving[s] = true
+			b.closing[s] = true
 			delete(b.servers, to)
 		}
 	}
 	b.mu.Unlock()
 	for _, s := range leave {
 		s.mu.Lock()
-		s.step(diameter.Event{Input: diameter.Stop}) // by DPR; answers that are owed still come
+		s.step(diameter.Event{Input: diameter.Stop}) // sends a DPR; pending answers are still received
 		idle := s.conn == nil
 		s.mu.Unlock()
 		if idle {
 			b.mu.Lock()
-			delete(b.leaving, s)
+			delete(b.closing, s)
 			b.mu.Unlock()
 		}
 	}
 }
 
-// Close ends all connections and waits for their goroutines.
+// Close closes all connections and waits for the goroutines.
 func (b *Backend) Close() {
 	b.mu.Lock()
 	b.closed = true
 	for _, s := range b.servers {
-		b.leaving[s] = true
+		b.closing[s] = true
 	}
-	for s := range b.leaving {
+	for s := range b.closing {
 		s.mu.Lock()
 		s.stopped = true
 		if s.timer != nil {
--- a/internal/backend/diameter/backend_test.go
+++ b/internal/backend/diameter/backend_test.go
@@ -20,9 +20,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A server that speaks Diameter at an address of its own is taken leave of when the list no longer names
-// it, which knows it by another address.
-func TestLeavesWhatTheListNoLongerNames(t *testing.T) {
+// Keep identifies servers by their listed addresses. A server with another Diameter address in the rules is
+// kept while it is listed, and disconnected when it no longer is.
+func TestKeepClosesUnlistedServers(t *testing.T) {
 	node, err := standin.NewDiameterNode("s0", func(c *standin.DiameterConn, m *diameter.Message) { c.Answer(m, diameter.Success) })
 	if err != nil {
 		t.Fatal(err)
@@ -49,10 +49,10 @@
 	}
 	b.Keep(func(to core.Target) bool { return to == listed })
 	if len(b.servers) != 1 {
-		t.Error("a server that the list names was taken leave of")
+		t.Error("a listed server was removed")
 	}
 	b.Keep(func(core.Target) bool { return false })
 	if len(b.servers) != 0 {
-		t.Error("a server that the list no longer names is kept")
+		t.Error("a server that is no longer listed was kept")
 	}
 }
--- a/internal/diameter/dictionary.go
+++ b/internal/diameter/dictionary.go
@@ -93,25 +93,25 @@
 	CodeOCReduction         = 627
 )
 
-// AVPRule is how often an AVP may stand in a message or group.
+// AVPRule bounds how often an AVP may occur in a message or a group.
 type AVPRule struct {
 	Name string `toml:"name"`
 	Min  int    `toml:"min"`
-	Max  int    `toml:"max"` // 0: any number
+	Max  int    `toml:"max"` // 0: unlimited
 }
 
-// AVPDef describes an attribute.
+// AVPDef defines an AVP.
 type AVPDef struct {
 	Name   string            `toml:"name"`
 	Code   uint32            `toml:"code"`
 	Vendor uint32            `toml:"vendor"`
 	Type   Type              `toml:"type"`
 	Must   bool              `toml:"mandatory"` // the M bit must be set
-	Values map[string]uint32 `toml:"values"`    // names of an Enumerated's values
-	Group  []AVPRule         `toml:"group"`     // what a Grouped holds; none told: anything
+	Values map[string]uint32 `toml:"values"`    // the named values of an Enumerated AVP
+	Group  []AVPRule         `toml:"group"`     // the members of a Grouped AVP; empty: any
 }
 
-// CommandDef describes a command of an application.
+// CommandDef defines a command of an application, with the rules for its request and its answer.
 type CommandDef struct {
 	Name        string    `toml:"name"`
 	Code        uint32    `toml:"code"`
@@ -121,50 +121,51 @@
 	Answer      []AVPRule `toml:"answer"`
 }
 
-// Dictionary knows attributes and commands. It is not changed once it is in use.
+// Dictionary holds the known AVPs and commands. It must not be changed after NewDictionary has returned it.
 type Dictionary struct {
 	Commands []CommandDef `toml:"command"`
 	AVPs     []AVPDef     `toml:"avp"`
 
-	byKey   map[key]*AVPDef
-	byName  map[string]*AVPDef
-	command map[[2]uint32]*CommandDef
+	byKey     map[key]*AVPDef
+	byName    map[string]*AVPDef
+	byCommand map[[2]uint32]*CommandDef
 }
 
 //go:embed dictionary.toml
 var dictionaryText []byte
 
-// NewDictionary returns base, credit control and Sh, and what the files add.
+// NewDictionary returns the built-in dictionary (base protocol, credit control and Sh), extended by the given
+// files.
 func NewDictionary(files ...string) (*Dictionary, error) {
 	var d Dictionary
 	if err := strict.Decode("the built-in dictionary", dictionaryText, &d); err != nil {
 		return nil, err
 	}
-	for _, f := range files {
-		var more Dictionary
-		if err := strict.DecodeFile(f, &more); err != nil {
+	for _, file := range files {
+		var added Dictionary
+		if err := strict.DecodeFile(file, &added); err != nil {
 			return nil, err
 		}
-		d.Commands = append(d.Commands, more.Commands...)
-		d.AVPs = append(d.AVPs, more.AVPs...)
+		d.Commands = append(d.Commands, added.Commands...)
+		d.AVPs = append(d.AVPs, added.AVPs...)
 	}
 	return &d, d.index()
 }
 
-// index checks the dictionary and makes it searchable. What a file defines anew replaces what was there.
+// index validates the dictionary and builds its lookup maps. A later definition replaces an earlier one.
 func (d *Dictionary) index() error {
-	d.byKey, d.byName, d.command = map[key]*AVPDef{}, map[string]*AVPDef{}, map[[2]uint32]*CommandDef{}
+	d.byKey, d.byName, d.byCommand = map[key]*AVPDef{}, map[string]*AVPDef{}, map[[2]uint32]*CommandDef{}
 	for i := range d.AVPs {
 		a := &d.AVPs[i]
-		if _, known := sizes[a.Type]; a.Name == "" || a.Code == 0 || !known {
-			return fmt.Errorf("dictionary: avp %d (%s): name, code or type %q make no sense", i+1, a.Name, a.Type)
+		if _, known := fixedSizes[a.Type]; a.Name == "" || a.Code == 0 || !known {
+			return fmt.Errorf("dictionary: avp %d (%s): the name is empty, the code is 0 or type %q is unknown", i+1, a.Name, a.Type)
 		}
 		d.byKey[key{a.Code, a.Vendor}], d.byName[a.Name] = a, a
 	}
 	check := func(where string, rules []AVPRule) error {
 		for _, r := range rules {
 			if d.byName[r.Name] == nil || r.Min < 0 || r.Max < 0 || r.Max > 0 && r.Min > r.Max {
-				return fmt.Errorf("dictionary: %s: rule for %q makes no sense", where, r.Name)
+				return fmt.Errorf("dictionary: %s: rule for %q names an unknown AVP or has invalid bounds (min and max at least 0, min at most max)", where, r.Name)
 			}
 		}
 		return nil
@@ -172,12 +173,12 @@
 	for i := range d.Commands {
 		c := &d.Commands[i]
 		if c.Name == "" || c.Code == 0 || c.Code > maxLength {
-			return fmt.Errorf("dictionary: command %d (%s): name or code make no sense", i+1, c.Name)
+			return fmt.Errorf("dictionary: command %d (%s): the name is empty or the code is not between 1 and 16777215", i+1, c.Name)
 		}
 		if err := check(c.Name, append(slices.Clone(c.Request), c.Answer...)); err != nil {
 			return err
 		}
-		d.command[[2]uint32{c.Application, c.Code}] = c
+		d.byCommand[[2]uint32{c.Application, c.Code}] = c
 	}
 	for i := range d.AVPs {
 		if err := check(d.AVPs[i].Name, d.AVPs[i].Group); err != nil {
@@ -187,46 +188,48 @@
 	return nil
 }
 
-// Command returns what is known of a command; nil: nothing.
+// Command returns the definition of a command of an application, or nil if the dictionary has none.
 func (d *Dictionary) Command(application, code uint32) *CommandDef {
-	return d.command[[2]uint32{application, code}]
+	return d.byCommand[[2]uint32{application, code}]
 }
 
-// AVP returns what is known of an attribute; nil: nothing.
+// AVP returns the definition of the AVP with a code and vendor, or nil if the dictionary has none.
 func (d *Dictionary) AVP(code, vendor uint32) *AVPDef { return d.byKey[key{code, vendor}] }
 
-// Check holds a message against the dictionary: the flags and data of each AVP, unknown ones with
-// the M bit, what is missing and what stands too often. The first breach comes back as an *Error.
+// Check validates a message against the dictionary: the flags and the data of each AVP, unknown AVPs that
+// have the M bit set, missing AVPs and AVPs that occur too often. It returns the first violation as an
+// *Error.
 func (d *Dictionary) Check(m *Message, limits Limits) error {
 	c := d.Command(m.Application, m.Command)
 	if c == nil {
-		return fault(CommandUnsupported, nil, "command %d of application %d is not known", m.Command, m.Application)
+		return newError(CommandUnsupported, nil, "command %d of application %d is not known", m.Command, m.Application)
 	}
 	if m.Flags&FlagProxiable != 0 != c.Proxiable {
-		return fault(InvalidHeaderBits, nil, "the P bit of %s", c.Name)
+		return newError(InvalidHeaderBits, nil, "the P bit of %s", c.Name)
 	}
 	rules := c.Answer
 	if m.Request() {
 		rules = c.Request
 	} else if m.Flags&FlagError != 0 {
-		rules = nil // RFC 6733 section 7.2: any command's answer with a protocol error looks alike
+		rules = nil // RFC 6733 section 7.2: answers with a protocol error have the same format for every command
 	}
 	return d.checkList(m.AVPs, rules, true, limits, 0)
 }
 
-// checkList checks AVPs that stand together. open: others than the rules name may stand there.
+// checkList validates the AVPs of a message or a group. open has no effect: AVPs that no rule names are
+// allowed.
 func (d *Dictionary) checkList(list []AVP, rules []AVPRule, open bool, limits Limits, depth int) error {
 	for i := range list {
 		a := &list[i]
 		def := d.byKey[a.key()]
 		if def == nil {
 			if a.Flags&AVPMandatory != 0 {
-				return fault(AVPUnsupported, a, "AVP %d of vendor %d is not known and mandatory", a.Code, a.Vendor)
+				return newError(AVPUnsupported, a, "AVP %d of vendor %d is not known and mandatory", a.Code, a.Vendor)
 			}
 			continue
 		}
 		if a.Flags&avpReserved != 0 || def.Must && a.Flags&AVPMandatory == 0 {
-			return fault(InvalidAVPBits, a, "flags %#x of %s", a.Flags, def.Name)
+			return newError(InvalidAVPBits, a, "flags %#x of %s", a.Flags, def.Name)
 		}
 		if err := a.check(def.Type, limits, depth); err != nil {
 			return err
@@ -254,17 +257,17 @@
 			}
 		}
 		if n < r.Min {
-			return fault(MissingAVP, def.empty(), "%s is missing", def.Name)
+			return newError(MissingAVP, def.empty(), "%s is missing", def.Name)
 		}
 		if r.Max > 0 && n > r.Max {
-			return fault(AVPOccursTooOften, last, "%s stands there %d times", def.Name, n)
+			return newError(AVPOccursTooOften, last, "%s stands there %d times", def.Name, n)
 		}
 	}
 	return nil
 }
 
-// empty is an AVP of the kind with the least data, as Failed-AVP names one that is missing: RFC 6733
-// section 7.5.
+// empty returns an AVP of this definition with the least data that its type allows. Failed-AVP holds such an
+// AVP in place of a missing one: RFC 6733 section 7.5.
 func (def *AVPDef) empty() *AVP {
 	a := &AVP{Code: def.Code, Vendor: def.Vendor}
 	if def.Must {
@@ -273,24 +276,24 @@
 	if def.Vendor != 0 {
 		a.Flags |= AVPVendor
 	}
-	if n := sizes[def.Type]; n > 0 {
+	if n := fixedSizes[def.Type]; n > 0 {
 		a.Data = make([]byte, n)
 	}
 	return a
 }
 
-// Node is an AVP as people read it.
+// Node is an AVP in readable form.
 type Node struct {
-	Name   string `json:"name"`
-	Code   uint32 `json:"code"`
-	Vendor uint32 `json:"vendor,omitempty"`
-	Flags  string `json:"flags,omitempty"`
-	Value  any    `json:"value,omitempty"`
-	Meant  string `json:"meaning,omitempty"` // of an Enumerated's value
-	Group  []Node `json:"group,omitempty"`
+	Name    string `json:"name"`
+	Code    uint32 `json:"code"`
+	Vendor  uint32 `json:"vendor,omitempty"`
+	Flags   string `json:"flags,omitempty"`
+	Value   any    `json:"value,omitempty"`
+	Meaning string `json:"meaning,omitempty"` // name of an Enumerated's value
+	Group   []Node `json:"group,omitempty"`
 }
 
-// Tree is a message as people read it.
+// Tree is a message in readable form.
 type Tree struct {
 	Command     string `json:"command"`
 	Code        uint32 `json:"code"`
@@ -311,7 +314,7 @@
 	return b.String()
 }
 
-// Tree renders a message.
+// Tree converts a message into its readable form.
 func (d *Dictionary) Tree(m *Message, limits Limits) Tree {
 	t := Tree{Command: fmt.Sprintf("Command-%d", m.Command), Code: m.Command, Application: m.Application, Flags: flagNames(m.Flags, "RPET"),
 		HopByHop: m.HopByHop, EndToEnd: m.EndToEnd, AVPs: d.nodes(m.AVPs, limits, 0)}
@@ -345,7 +348,7 @@
 		if def != nil && t == Enumerated {
 			for name, v := range def.Values {
 				if v == n.Value {
-					n.Meant = name
+					n.Meaning = name
 				}
 			}
 		}
@@ -354,7 +357,7 @@
 	return out
 }
 
-// String renders a tree, an AVP a line.
+// String formats the tree as text with one AVP per line.
 func (t Tree) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s (%d) application %d flags %s hop-by-hop %#x end-to-end %#x\n", t.Command, t.Code, t.Application, t.Flags, t.HopByHop, t.EndToEnd)
@@ -374,8 +377,8 @@
 			b.WriteString("\n")
 			writeNodes(b, n.Group, indent+"  ")
 			continue
-		case n.Meant != "":
-			fmt.Fprintf(b, " %v %s", n.Value, n.Meant)
+		case n.Meaning != "":
+			fmt.Fprintf(b, " %v %s", n.Value, n.Meaning)
 		default:
 			fmt.Fprintf(b, " %v", n.Value)
 		}
--- a/internal/diameter/message.go
+++ b/internal/diameter/message.go
@@ -1,13 +1,13 @@
-// Package diameter is the Diameter base protocol of RFC 6733: messages and AVPs on the wire, a
-// dictionary, and the peer state machine. It knows nothing of the agent.
+// Package diameter implements the Diameter base protocol of RFC 6733: the encoding of messages and AVPs, a
+// dictionary, and the peer state machine. It does not depend on the agent.
 //
-//	Reader ─▶ Message (header, AVPs that point into the bytes read) ─▶ Dictionary.Check ─▶ Peer
+//	Reader ─▶ Message (header, AVPs that refer to the bytes read) ─▶ Dictionary.Check ─▶ Peer
 //
-// Decoding copies no data: an AVP's Data is a part of the message's bytes and must not be changed.
-// Grouped AVPs are taken apart when they are asked for. What breaks a rule of the protocol comes
-// back as an *Error with the Result-Code that the RFC wants and the AVP to name in Failed-AVP.
+// Decoding copies no data: an AVP's Data is a slice of the message's bytes and must not be changed. Grouped
+// AVPs are decoded only when AVP.Group is called. A protocol violation is returned as an *Error that holds
+// the Result-Code of the RFC and the AVP for Failed-AVP.
 //
-// Bounds: Limits hold a message's size, the number of its AVPs and the depth of groups.
+// Limits bounds the size of a message, the number of its AVPs and the nesting depth of groups.
 package diameter
 
 import (
@@ -23,7 +23,7 @@
 	FlagRequest       = 0x80 // R
 	FlagProxiable     = 0x40 // P
 	FlagError         = 0x20 // E: an answer with a protocol error
-	FlagRetransmitted = 0x10 // T: possibly sent before
+	FlagRetransmitted = 0x10 // T: the request may have been sent before
 	flagsReserved     = 0x0f
 )
 
@@ -38,10 +38,10 @@
 const (
 	version    = 1
 	headerSize = 20
-	maxLength  = 1<<24 - 1 // of a message or an AVP: three bytes tell it
+	maxLength  = 1<<24 - 1 // of a message or an AVP: the length field has three bytes
 )
 
-// Message is a request or an answer.
+// Message is a Diameter request or answer.
 type Message struct {
 	Flags       uint8
 	Command     uint32
@@ -51,53 +51,53 @@
 	AVPs        []AVP
 }
 
-// Request reports whether the message is one.
+// Request reports whether the message is a request.
 func (m *Message) Request() bool { return m.Flags&FlagRequest != 0 }
 
-// AVP is an attribute and its value.
+// AVP is an attribute-value pair.
 type AVP struct {
 	Code   uint32
 	Flags  uint8
-	Vendor uint32 // with AVPVendor
+	Vendor uint32 // set if Flags has AVPVendor
 	Data   []byte // without padding
 }
 
-// key tells an attribute.
+// key identifies an attribute by code and vendor.
 type key struct{ code, vendor uint32 }
 
 func (a *AVP) key() key { return key{a.Code, a.Vendor} }
 
-// size is the number of bytes on the wire, padding included.
-func (a *AVP) size() int { return (a.head() + len(a.Data) + 3) &^ 3 }
+// size returns the number of bytes of the encoded AVP, including padding.
+func (a *AVP) size() int { return (a.headerLen() + len(a.Data) + 3) &^ 3 }
 
-func (a *AVP) head() int {
+func (a *AVP) headerLen() int {
 	if a.Flags&AVPVendor != 0 {
 		return 12
 	}
 	return 8
 }
 
-// Limits bound what a message may take.
+// Limits bounds the messages that are decoded.
 type Limits struct {
-	Message int // bytes
-	AVPs    int // in a message or a group
-	Depth   int // of groups within groups
+	Message int // bytes of a message
+	AVPs    int // AVPs in a message or a group
+	Depth   int // nesting depth of groups
 }
 
-// DefaultLimits are enough for base, credit control and Sh.
+// DefaultLimits returns limits that are sufficient for the base protocol, credit control and Sh.
 func DefaultLimits() Limits { return Limits{Message: 64 << 10, AVPs: 512, Depth: 8} }
 
-// Error is a breach of the protocol.
+// Error is a violation of the protocol.
 type Error struct {
-	Result uint32 // Result-Code for the answer
-	Failed *AVP   // for Failed-AVP; nil: none
-	Fatal  bool   // the place of the next message is not known: the connection ends
+	Result uint32 // Result-Code of the answer
+	Failed *AVP   // content of Failed-AVP; nil: none
+	Fatal  bool   // the start of the next message can't be determined: the connection has to be closed
 	Text   string
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("diameter: %s (%d)", e.Text, e.Result) }
 
-func fault(result uint32, failed *AVP, format string, args ...any) *Error {
+func newError(result uint32, failed *AVP, format string, args ...any) *Error {
 	return &Error{Result: result, Failed: failed, Text: fmt.Sprintf(format, args...)}
 }
 
@@ -107,13 +107,13 @@
 	limits Limits
 }
 
-// NewReader returns a Reader with bounds.
+// NewReader returns a Reader that rejects messages beyond the limits.
 func NewReader(r io.Reader, limits Limits) *Reader {
 	return &Reader{r: bufio.NewReaderSize(r, 16<<10), limits: limits}
 }
 
-// Next reads one message's bytes. io.EOF: the stream ended between two; io.ErrUnexpectedEOF: within
-// one. A fatal *Error says that the stream can't be read on.
+// Next returns the bytes of the next message. The error is io.EOF if the stream ends between two messages and
+// io.ErrUnexpectedEOF if it ends within one. After a fatal *Error the stream can't be read any further.
 func (r *Reader) Next() ([]byte, error) {
 	head, err := r.r.Peek(4)
 	if err != nil {
@@ -141,8 +141,8 @@
 	return raw, nil
 }
 
-// Decode reads a whole message. With an *Error the message holds what could be read, its header at
-// least where that is whole, so that an answer can be made.
+// Decode decodes a whole message. Together with an *Error it returns the part that could be decoded, at least
+// the header if that is complete, so that the caller can build an answer.
 func Decode(raw []byte, limits Limits) (*Message, error) {
 	if len(raw) < headerSize {
 		return nil, &Error{Result: InvalidMessageLength, Fatal: true, Text: fmt.Sprintf("message of %d bytes", len(raw))}
@@ -156,58 +156,58 @@
 	case length != len(raw) || length%4 != 0 || length > limits.Message:
 		return m, &Error{Result: InvalidMessageLength, Fatal: true, Text: fmt.Sprintf("message of %d bytes says %d", len(raw), length)}
 	case m.Flags&flagsReserved != 0:
-		return m, fault(InvalidHeaderBits, nil, "reserved bits of the command flags are set: %#x", m.Flags)
+		return m, newError(InvalidHeaderBits, nil, "reserved bits of the command flags are set: %#x", m.Flags)
 	case m.Request() && m.Flags&FlagError != 0:
-		return m, fault(InvalidHeaderBits, nil, "a request with the E bit")
+		return m, newError(InvalidHeaderBits, nil, "a request with the E bit")
 	case !m.Request() && m.Flags&FlagRetransmitted != 0:
-		return m, fault(InvalidHeaderBits, nil, "an answer with the T bit")
+		return m, newError(InvalidHeaderBits, nil, "an answer with the T bit")
 	}
 	var err error
 	m.AVPs, err = decodeAVPs(raw[headerSize:], limits)
 	return m, err
 }
 
-// decodeAVPs reads what stands one behind the other. With an error come those before the fault.
+// decodeAVPs decodes a sequence of AVPs. With an error it also returns the AVPs before the invalid one.
 func decodeAVPs(raw []byte, limits Limits) ([]AVP, error) {
 	var list []AVP
 	for len(raw) > 0 {
 		if len(list) >= limits.AVPs {
-			return list, fault(InvalidMessageLength, nil, "more than %d AVPs", limits.AVPs)
+			return list, newError(InvalidMessageLength, nil, "more than %d AVPs", limits.AVPs)
 		}
 		if len(raw) < 8 {
-			// RFC 6733 section 7.1.5: a header that is cut off is filled up with zeros.
+			// RFC 6733 section 7.1.5: a truncated AVP header is padded with zeros.
 			full := append(append([]byte(nil), raw...), make([]byte, 8)...)
 			a := AVP{Code: binary.BigEndian.Uint32(full)}
-			return list, fault(InvalidAVPLength, &a, "%d bytes left for an AVP's header", len(raw))
+			return list, newError(InvalidAVPLength, &a, "%d bytes left for an AVP's header", len(raw))
 		}
 		a := AVP{Code: binary.BigEndian.Uint32(raw), Flags: raw[4]}
-		length, head := int(binary.BigEndian.Uint32(raw[4:])&maxLength), a.head()
+		length, head := int(binary.BigEndian.Uint32(raw[4:])&maxLength), a.headerLen()
 		if length < head || length > len(raw) || head > len(raw) {
 			if head == 12 && len(raw) >= 12 {
 				a.Vendor = binary.BigEndian.Uint32(raw[8:])
 			}
-			return list, fault(InvalidAVPLength, &AVP{Code: a.Code, Flags: a.Flags, Vendor: a.Vendor}, "AVP %d of %d bytes with %d left", a.Code, length, len(raw))
+			return list, newError(InvalidAVPLength, &AVP{Code: a.Code, Flags: a.Flags, Vendor: a.Vendor}, "AVP %d of %d bytes with %d left", a.Code, length, len(raw))
 		}
 		if head == 12 {
 			a.Vendor = binary.BigEndian.Uint32(raw[8:])
 		}
 		a.Data = raw[head:length:length]
 		list = append(list, a)
-		// Guards against padding that is missing at the end of a group: senders leave it out.
+		// Some senders omit the padding of the last AVP in a group.
 		raw = raw[min((length+3)&^3, len(raw)):]
 	}
 	return list, nil
 }
 
-// Group takes a Grouped AVP apart. Depth is how deep it stands, 0 in a message itself.
+// Group decodes the members of a Grouped AVP. depth is the AVP's nesting depth, 0 directly in a message.
 func (a *AVP) Group(limits Limits, depth int) ([]AVP, error) {
 	if depth >= limits.Depth {
-		return nil, fault(InvalidAVPValue, a, "groups deeper than %d", limits.Depth)
+		return nil, newError(InvalidAVPValue, a, "groups deeper than %d", limits.Depth)
 	}
 	return decodeAVPs(a.Data, limits)
 }
 
-// Size is the number of bytes that the message takes.
+// Size returns the number of bytes of the encoded message.
 func (m *Message) Size() int {
 	n := headerSize
 	for i := range m.AVPs {
@@ -216,10 +216,10 @@
 	return n
 }
 
-// ErrTooLong says that something doesn't fit the three bytes that tell its length.
+// ErrTooLong is returned for a message whose size doesn't fit into the three bytes of the length field.
 var ErrTooLong = errors.New("diameter: longer than 16 MiB")
 
-// Append writes the message behind what buf holds.
+// Append appends the encoded message to buf.
 func (m *Message) Append(buf []byte) ([]byte, error) {
 	size := m.Size()
 	if size > maxLength {
@@ -233,28 +233,28 @@
 	return AppendAVPs(buf, m.AVPs), nil
 }
 
-// AppendAVPs writes AVPs behind what buf holds, as a group's Data.
+// AppendAVPs appends the encoded AVPs to buf. The result is also the Data of a Grouped AVP.
 func AppendAVPs(buf []byte, list []AVP) []byte {
 	for i := range list {
 		a := &list[i]
 		buf = binary.BigEndian.AppendUint32(buf, a.Code)
-		buf = binary.BigEndian.AppendUint32(buf, uint32(a.Flags)<<24|uint32(a.head()+len(a.Data))&maxLength)
+		buf = binary.BigEndian.AppendUint32(buf, uint32(a.Flags)<<24|uint32(a.headerLen()+len(a.Data))&maxLength)
 		if a.Flags&AVPVendor != 0 {
 			buf = binary.BigEndian.AppendUint32(buf, a.Vendor)
 		}
 		buf = append(buf, a.Data...)
-		for range a.size() - a.head() - len(a.Data) {
+		for range a.size() - a.headerLen() - len(a.Data) {
 			buf = append(buf, 0)
 		}
 	}
 	return buf
 }
 
-// SetHopByHop overwrites the Hop-by-Hop identifier in a message's bytes: all that a relay changes of
-// an answer.
+// SetHopByHop overwrites the Hop-by-Hop identifier in an encoded message. It is the only field of an answer
+// that a relay changes.
 func SetHopByHop(raw []byte, id uint32) { binary.BigEndian.PutUint32(raw[12:], id) }
 
-// Find returns the first AVP with a code and vendor (0: none); nil if there is none.
+// Find returns the first AVP with the given code and vendor (0: no vendor), or nil if there is none.
 func Find(list []AVP, code, vendor uint32) *AVP {
 	for i := range list {
 		if list[i].Code == code && list[i].Vendor == vendor {
@@ -264,7 +264,7 @@
 	return nil
 }
 
-// Result is an answer's Result-Code; 0: it has none.
+// Result returns the Result-Code of an answer, or 0 if it has none.
 func (m *Message) Result() uint32 {
 	if a := Find(m.AVPs, CodeResultCode, 0); a != nil {
 		if v, err := a.Uint32(); err == nil {
@@ -274,7 +274,8 @@
 	return 0
 }
 
-// Answer returns the beginning of an answer to a request: its header as RFC 6733 section 6.2 wants it.
+// Answer returns an answer to a request with its header set according to RFC 6733 section 6.2 and without
+// AVPs.
 func (m *Message) Answer() *Message {
 	return &Message{Flags: m.Flags & FlagProxiable, Command: m.Command, Application: m.Application, HopByHop: m.HopByHop, EndToEnd: m.EndToEnd}
 }
--- a/internal/diameter/message_test.go
+++ b/internal/diameter/message_test.go
@@ -35,14 +35,14 @@
 	return raw
 }
 
-// cer is a capabilities exchange as a client sends it.
+// cer returns a Capabilities-Exchange-Request as a client sends it.
 func cer() *Message {
 	return &Message{Flags: FlagRequest, Command: CapabilitiesExchange, HopByHop: 1, EndToEnd: 2, AVPs: []AVP{
 		Str(CodeOriginHost, "gx1.example"), Str(CodeOriginRealm, "example"), IP(CodeHostIPAddress, netip.MustParseAddr("127.0.0.1")),
 		U32(CodeVendorID, 0), Optional(Str(CodeProductName, "stand-in")), U32(CodeAuthApplication, AppCreditControl)}}
 }
 
-// ccr is a credit control request of a type.
+// ccr returns a Credit-Control-Request with the given CC-Request-Type.
 func ccr(kind uint32) *Message {
 	return &Message{Flags: FlagRequest | FlagProxiable, Command: CreditControl, Application: AppCreditControl, HopByHop: 7, EndToEnd: 8, AVPs: []AVP{
 		Str(CodeSessionID, "gx1.example;1;2"), Str(CodeOriginHost, "gx1.example"), Str(CodeOriginRealm, "example"), Str(CodeDestinationRealm, "home.example"),
@@ -50,10 +50,10 @@
 		Group(437, U32(420, 600), Group(445, avp(447, AVPMandatory, binary.BigEndian.AppendUint64(nil, 5)), U32(429, 1)))}}
 }
 
-// The bytes of a known message, laid out by hand from RFC 6733 section 3 and 4.1.
-func TestWire(t *testing.T) {
+// The encoding equals bytes that were composed manually from RFC 6733 sections 3 and 4.1.
+func TestWireFormat(t *testing.T) {
 	m := &Message{Flags: FlagRequest, Command: DeviceWatchdog, HopByHop: 0x01020304, EndToEnd: 0x05060708,
-		AVPs: []AVP{Str(CodeOriginHost, "a.b"), Of(Vendor3GPP, U32(629, 9))}}
+		AVPs: []AVP{Str(CodeOriginHost, "a.b"), WithVendor(Vendor3GPP, U32(629, 9))}}
 	want := []byte{1, 0, 0, 48, 0x80, 0, 1, 24, 0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8,
 		0, 0, 1, 8, 0x40, 0, 0, 11, 'a', '.', 'b', 0,
 		0, 0, 2, 117, 0xc0, 0, 0, 16, 0, 0, 0x28, 0xaf, 0, 0, 0, 9}
@@ -74,8 +74,8 @@
 	}
 }
 
-// What is sent is what is read, for any message.
-func TestDecodeOfEncode(t *testing.T) {
+// Any message that is encoded and decoded again is unchanged.
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &Message{Flags: rapid.SampledFrom([]uint8{0, FlagRequest, FlagRequest | FlagProxiable | FlagRetransmitted, FlagError, FlagProxiable}).Draw(t, "flags"),
 			Command: rapid.Uint32Max(maxLength).Draw(t, "command"), Application: rapid.Uint32().Draw(t, "app"),
@@ -106,7 +106,8 @@
 	})
 }
 
-// A stream that is cut anywhere ends with an error, but between two messages.
+// A stream that is truncated within a message ends with an error; io.EOF is returned only between two
+// messages.
 func TestCutAtEveryByte(t *testing.T) {
 	raw := encode(t, ccr(1))
 	for n := range len(raw) {
@@ -116,7 +117,7 @@
 		}
 		if n > 0 {
 			if _, err := Decode(raw[:n], DefaultLimits()); err == nil {
-				t.Errorf("%d bytes of %d are decoded", n, len(raw))
+				t.Errorf("a prefix of %d of %d bytes was decoded without an error", n, len(raw))
 			}
 		}
 	}
@@ -130,8 +131,8 @@
 	return 0
 }
 
-// Each breach gets the Result-Code that RFC 6733 section 7.1 gives it, and names the AVP at fault.
-func TestBreaches(t *testing.T) {
+// Each protocol violation is reported with the Result-Code of RFC 6733 section 7.1 and the offending AVP.
+func TestProtocolErrors(t *testing.T) {
 	d, limits := dictionary(t), Limits{Message: 2000, AVPs: 20, Depth: 3}
 	set := func(m *Message, code uint32, a ...AVP) *Message { // replaces an AVP
 		var list []AVP
@@ -158,7 +159,7 @@
 		want   uint32
 		failed uint32 // code of the Failed-AVP; 0: none
 	}{
-		{"nothing wrong", encode(t, ccr(1)), 0, 0},
+		{"a valid request", encode(t, ccr(1)), 0, 0},
 		{"a capabilities exchange", encode(t, cer()), 0, 0},
 		{"another version", patch(ccr(1), 0, 2), UnsupportedVersion, 0},
 		{"length 0", patch(ccr(1), 1, 0, 0, 0), InvalidMessageLength, 0},
@@ -172,18 +173,18 @@
 		{"the P bit in the base protocol", patch(cer(), 4, FlagRequest|FlagProxiable), InvalidHeaderBits, 0},
 		{"an unknown command", patch(ccr(1), 5, 0, 9, 9), CommandUnsupported, 0},
 		{"an AVP past the message's end", patch(ccr(1), 25, 0, 0xff, 0xff), InvalidAVPLength, CodeSessionID},
-		{"an AVP shorter than its head", patch(ccr(1), 25, 0, 0, 7), InvalidAVPLength, CodeSessionID},
+		{"an AVP shorter than its header", patch(ccr(1), 25, 0, 0, 7), InvalidAVPLength, CodeSessionID},
 		{"reserved AVP bits", patch(ccr(1), 24, AVPMandatory|1), InvalidAVPBits, CodeSessionID},
 		{"the M bit missing", patch(ccr(1), 24, 0), InvalidAVPBits, CodeSessionID},
 		{"an unknown AVP with the M bit", encode(t, set(ccr(1), 0, Str(99999, "x"))), AVPUnsupported, 99999},
 		{"an unknown AVP without it", encode(t, set(ccr(1), 0, Optional(Str(99999, "x")))), 0, 0},
 		{"a missing AVP", encode(t, set(ccr(1), CodeCCRequestType)), MissingAVP, CodeCCRequestType},
-		{"one too many", encode(t, set(ccr(1), 0, Str(CodeSessionID, "again"))), AVPOccursTooOften, CodeSessionID},
+		{"an AVP that occurs too often", encode(t, set(ccr(1), 0, Str(CodeSessionID, "again"))), AVPOccursTooOften, CodeSessionID},
 		{"a number of 3 bytes", encode(t, set(ccr(1), CodeCCRequestType, Str(CodeCCRequestType, "abc"))), InvalidAVPLength, CodeCCRequestType},
-		{"a name with a blank", encode(t, set(ccr(1), CodeOriginHost, Str(CodeOriginHost, "a b"))), InvalidAVPValue, CodeOriginHost},
-		{"no UTF-8", encode(t, set(ccr(1), CodeSessionID, Str(CodeSessionID, "\xff"))), InvalidAVPValue, CodeSessionID},
+		{"an identity with a space", encode(t, set(ccr(1), CodeOriginHost, Str(CodeOriginHost, "a b"))), InvalidAVPValue, CodeOriginHost},
+		{"invalid UTF-8", encode(t, set(ccr(1), CodeSessionID, Str(CodeSessionID, "\xff"))), InvalidAVPValue, CodeSessionID},
 		{"an AVP past its group's end", encode(t, set(ccr(1), 437, avp(437, AVPMandatory, []byte{0, 0, 1, 0xa4, 0x40, 0, 0, 99, 0, 0, 0, 1}))), InvalidAVPLength, 420},
-		{"half a head in a group", encode(t, set(ccr(1), 437, avp(437, AVPMandatory, []byte{0, 0, 1}))), InvalidAVPLength, 256},
+		{"a truncated header in a group", encode(t, set(ccr(1), 437, avp(437, AVPMandatory, []byte{0, 0, 1}))), InvalidAVPLength, 256},
 		{"groups too deep", encode(t, set(ccr(1), 437, deep)), InvalidAVPValue, 437},
 		{"too many AVPs", encode(t, set(ccr(1), 0, make([]AVP, 20)...)), InvalidMessageLength, 0},
 	} {
@@ -197,13 +198,13 @@
 			}
 			var e *Error
 			if errors.As(err, &e) && tt.failed != 0 && (e.Failed == nil || e.Failed.Code != tt.failed) {
-				t.Errorf("names %+v, want %d", e.Failed, tt.failed)
+				t.Errorf("Failed-AVP is %+v, want code %d", e.Failed, tt.failed)
 			}
 		})
 	}
 }
 
-func TestReaderRefuses(t *testing.T) {
+func TestReaderRejectsInvalidStreams(t *testing.T) {
 	for name, raw := range map[string][]byte{"HTTP": []byte("GET / HTTP/1.1\r\n\r\n"), "a huge message": {1, 0xff, 0xff, 0xfc}, "length 0": {1, 0, 0, 0}, "length 19": {1, 0, 0, 19}} {
 		_, err := NewReader(bytes.NewReader(append(raw, make([]byte, 100)...)), DefaultLimits()).Next()
 		var e *Error
@@ -217,8 +218,8 @@
 	when := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
 	late := time.Date(2040, 1, 1, 0, 0, 0, 0, time.UTC) // beyond 2036 the high bit is clear
 	for _, w := range []time.Time{when, late} {
-		a := At(55, w)
-		if got, err := a.When(); err != nil || !got.Equal(w) {
+		a := Timestamp(55, w)
+		if got, err := a.Time(); err != nil || !got.Equal(w) {
 			t.Errorf("got %v, %v", got, err)
 		}
 	}
@@ -241,7 +242,7 @@
 	}
 }
 
-// A message as people and programs read it; what a file adds to the dictionary is known as well.
+// A message is rendered as text and as JSON; definitions from an additional dictionary file are used.
 func TestTree(t *testing.T) {
 	more := filepath.Join(t.TempDir(), "more.toml")
 	if err := os.WriteFile(more, []byte("[[avp]]\nname = \"District\"\ncode = 9001\nvendor = 4242\ntype = \"UTF8String\"\n"), 0o600); err != nil {
@@ -249,7 +250,7 @@
 	}
 	d := dictionary(t, more)
 	m := ccr(4)
-	m.AVPs = append(m.AVPs, Of(4242, Optional(Str(9001, "anand"))), Optional(Str(77777, "\x01")))
+	m.AVPs = append(m.AVPs, WithVendor(4242, Optional(Str(9001, "anand"))), Optional(Str(77777, "\x01")))
 	text := d.Tree(m, DefaultLimits()).String()
 	for _, want := range []string{"Credit-Control-Request (272) application 4 flags RP", "CC-Request-Type (416) M 4 EVENT_REQUEST",
 		"  Requested-Service-Unit (437) M\n    CC-Time (420) M 600\n    Unit-Value (445) M\n      Value-Digits (447) M 5", "District (9001, vendor 4242) V anand", "AVP-77777 (77777)  0x01"} {
@@ -262,7 +263,7 @@
 	}
 }
 
-func TestDictionariesThatMakeNoSense(t *testing.T) {
+func TestInvalidDictionaries(t *testing.T) {
 	for text, want := range map[string]string{
 		"[[avp]]\nname='x'\ncode=1\ntype='Colour'\n":                  `type "Colour"`,
 		"[[avp]]\nname='x'\ncod=1\n":                                  "line 3: unknown key avp.cod",
@@ -309,7 +310,7 @@
 		if again, err := m.Append(nil); err != nil || len(again) < headerSize {
 			t.Fatalf("can't be written again: %v", err)
 		} else if back, err := Decode(again, limits); err != nil && len(again) <= limits.Message || err == nil && len(back.AVPs) != len(m.AVPs) {
-			t.Fatalf("written again it reads otherwise: %v", err)
+			t.Fatalf("decoding the encoded message again gives another result: %v", err)
 		}
 	})
 }
--- a/internal/diameter/overload/overload.go
+++ b/internal/diameter/overload/overload.go
@@ -1,14 +1,15 @@
-// Package overload decides what a Diameter relay tells its clients about its overload (RFC 7683, the loss
-// algorithm): by how much they are to send less, for how long, and when that is over. It has no I/O and no clock
-// and belongs to one goroutine.
+// Package overload decides which overload reports a Diameter relay sends to its clients (RFC 7683, loss
+// algorithm): by which share they should reduce their traffic, for how long, and when the overload has ended.
+// It has no I/O and no clock, and must be used by one goroutine only.
 //
-//	quiet ──something refused──▶ reducing ──nothing refused, step by step──▶ ending ──validity has passed──▶ quiet
-//	                               ▲ │ every Span, by what is refused of what clients still send
-//	                               └─┘
+//	idle ──requests refused──▶ reducing ──none refused, in steps──▶ ended ──validity has passed──▶ idle
+//	                             ▲ │
+//	                             └─┘ every Interval, by the share refused of the requests that still arrive
 //
-// A reduction is not what was refused: clients that do as told send less, of which less is refused. What they hold
-// back and what is refused of the rest make up the next reduction together; else it would fall as soon as it works,
-// and the load come back in waves. Bounds: two counts and one report, whatever the number of clients.
+// The reduction is not simply the share of refused requests: clients that comply send less, and less of that
+// is refused. The share that they hold back and the share refused of the rest are therefore combined into the
+// next reduction; otherwise it would drop as soon as it takes effect, and the load would return in waves.
+// Memory is bounded: two counts and one report, for any number of clients.
 package overload
 
 import (
@@ -17,58 +18,58 @@
 	"time"
 )
 
-// Config says how a Reporter acts.
+// Config holds the parameters of a Reporter.
 type Config struct {
-	Span     time.Duration // over which is counted, and after which a reduction may change
-	Validity time.Duration // of a report, in whole seconds
-	Least    int           // ends in a span under which nothing is concluded from them
-	Grow     float64       // by which what clients still send may grow in a span in which nothing is refused
-	Step     float64       // reductions of less are none
-	Most     float64       // share that is asked for at the most: who sends nothing never learns that it is over
+	Interval     time.Duration // length of a measuring interval; the reduction changes at its end
+	Validity     time.Duration // of a report; whole seconds, at least two intervals
+	MinAnswers   int           // an interval with fewer answers does not start a reduction
+	GrowthFactor float64       // growth of the admitted share per interval without refusals; above 1, at most 2
+	MinReduction float64       // smaller reductions are treated as none
+	MaxReduction float64       // at most 1; clients that send nothing would not learn that the overload has ended
 }
 
-// DefaultConfig suits clients that send several requests a second.
+// DefaultConfig returns a configuration for clients that send several requests per second.
 func DefaultConfig() Config {
-	return Config{Span: time.Second, Validity: 5 * time.Second, Least: 8, Grow: 1.2, Step: 0.05, Most: 0.9}
+	return Config{Interval: time.Second, Validity: 5 * time.Second, MinAnswers: 8, GrowthFactor: 1.2, MinReduction: 0.05, MaxReduction: 0.9}
 }
 
 func (c Config) check() error {
 	switch {
-	case c.Span <= 0:
-		return fmt.Errorf("overload: Span: %v makes no sense", c.Span)
-	case c.Validity < time.Second || c.Validity%time.Second != 0 || c.Validity < 2*c.Span:
-		return fmt.Errorf("overload: Validity: %v is no whole number of seconds, or under two spans", c.Validity)
-	case c.Least < 1:
-		return fmt.Errorf("overload: Least: %d makes no sense", c.Least)
-	case !(c.Grow > 1 && c.Grow <= 2):
-		return fmt.Errorf("overload: Grow: %v makes no sense", c.Grow)
-	case !(c.Step > 0 && c.Step < c.Most && c.Most <= 1):
-		return fmt.Errorf("overload: Step: %v and Most: %v make no sense", c.Step, c.Most)
+	case c.Interval <= 0:
+		return fmt.Errorf("overload: Interval: %v is not positive", c.Interval)
+	case c.Validity < time.Second || c.Validity%time.Second != 0 || c.Validity < 2*c.Interval:
+		return fmt.Errorf("overload: Validity: %v is not a whole number of seconds or is shorter than two intervals", c.Validity)
+	case c.MinAnswers < 1:
+		return fmt.Errorf("overload: MinAnswers: %d is not positive", c.MinAnswers)
+	case !(c.GrowthFactor > 1 && c.GrowthFactor <= 2):
+		return fmt.Errorf("overload: GrowthFactor: %v is not above 1 and at most 2", c.GrowthFactor)
+	case !(c.MinReduction > 0 && c.MinReduction < c.MaxReduction && c.MaxReduction <= 1):
+		return fmt.Errorf("overload: MinReduction: %v must be above 0 and below MaxReduction: %v, which may be 1 at most", c.MinReduction, c.MaxReduction)
 	}
 	return nil
 }
 
-// Report is what goes with an answer (OC-OLR).
+// Report is an overload report, the content of the AVP OC-OLR.
 type Report struct {
-	Sequence  uint64 // rises with each report that says something else, or the same for longer
-	Reduction uint32 // percent of the traffic that is to be held back
+	Sequence  uint64 // rises with each report that has another content or a later end of validity
+	Reduction uint32 // percentage of the traffic that clients should hold back
 	Validity  uint32 // seconds; 0: the overload has ended
 }
 
-// Reporter decides on reports.
+// Reporter counts answers and computes overload reports.
 type Reporter struct {
-	cfg       Config
-	refused   int // in this span
-	ended     int
-	since     time.Duration // when the span began
-	begun     bool
-	reduction float64       // share that clients are to hold back now
-	report    Report        // as it was given out last
-	at        time.Duration // when it was made
+	cfg           Config
+	refused       int // of the answers in this interval
+	answered      int // in this interval
+	intervalStart time.Duration
+	started       bool          // intervalStart is set
+	reduction     float64       // share that clients should currently hold back
+	report        Report        // the last one issued
+	issuedAt      time.Duration // when report was issued
 }
 
-// New returns a Reporter without a report. First is above all sequence numbers that clients may have seen of an
-// earlier process: the time since 1970 will do.
+// New returns a Reporter without a report. first must be above all sequence numbers that clients have
+// received from an earlier process; the current Unix time is sufficient.
 func New(cfg Config, first uint64) (*Reporter, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -76,69 +77,71 @@
 	return &Reporter{cfg: cfg, report: Report{Sequence: first}}, nil
 }
 
-// Ended notes the final answer to a request, refused or not.
-func (r *Reporter) Ended(refused bool, now time.Duration) {
-	r.turn(now)
-	r.ended++
+// Record counts the final answer to a request. refused: the request was refused because of overload.
+func (r *Reporter) Record(refused bool, now time.Duration) {
+	r.advance(now)
+	r.answered++
 	if refused {
 		r.refused++
 	}
 }
 
-// turn ends spans that have passed.
-func (r *Reporter) turn(now time.Duration) {
-	if !r.begun {
-		r.begun, r.since = true, now
+// advance evaluates the measuring intervals that have ended by now.
+func (r *Reporter) advance(now time.Duration) {
+	if !r.started {
+		r.started, r.intervalStart = true, now
 		return
 	}
-	spans := int64((now - r.since) / r.cfg.Span)
-	if spans <= 0 {
+	intervals := int64((now - r.intervalStart) / r.cfg.Interval)
+	if intervals <= 0 {
 		return
 	}
-	r.since += time.Duration(spans) * r.cfg.Span
-	// Few ends say nothing by themselves, but where clients hold back they are all there is.
-	if r.ended >= r.cfg.Least || r.reduction > 0 && r.ended > 0 {
-		r.change(float64(r.refused) / float64(r.ended))
-		spans--
+	r.intervalStart += time.Duration(intervals) * r.cfg.Interval
+	// A few answers are not significant, but while clients hold back requests no more can be expected.
+	if r.answered >= r.cfg.MinAnswers || r.reduction > 0 && r.answered > 0 {
+		r.adjust(float64(r.refused) / float64(r.answered))
+		intervals--
 	}
-	r.refused, r.ended = 0, 0
-	for ; spans > 0 && r.reduction > 0; spans-- { // nobody asked: nothing was refused
-		r.change(0)
+	r.refused, r.answered = 0, 0
+	for ; intervals > 0 && r.reduction > 0; intervals-- { // intervals without answers count as ones without refusals
+		r.adjust(0)
 	}
 }
 
-// change works out the next reduction from the share that was refused of what came all the same.
-func (r *Reporter) change(share float64) {
+// adjust computes the next reduction from the share refused of the requests that clients sent despite the
+// current one.
+func (r *Reporter) adjust(share float64) {
 	if share > 0 {
-		r.reduction = min(1-(1-r.reduction)*(1-share), r.cfg.Most)
+		r.reduction = min(1-(1-r.reduction)*(1-share), r.cfg.MaxReduction)
 	} else {
-		// What passes grows, not what is held back falls: from three quarters to a half would double the load.
-		r.reduction = 1 - (1-r.reduction)*r.cfg.Grow
+		// The admitted share grows by a factor. A decrease of the reduction by a factor would be too fast:
+		// from three quarters to a half it would double the load.
+		r.reduction = 1 - (1-r.reduction)*r.cfg.GrowthFactor
 	}
-	if r.reduction < r.cfg.Step {
+	if r.reduction < r.cfg.MinReduction {
 		r.reduction = 0
 	}
 }
 
-// Report returns what goes with an answer now; !ok: nothing does.
+// Report returns the report to add to an answer that is sent now; !ok: no report is to be added.
 func (r *Reporter) Report(now time.Duration) (Report, bool) {
-	r.turn(now)
+	r.advance(now)
 	percent := uint32(math.Round(100 * r.reduction))
-	out := r.report.Validity > 0 && now-r.at < r.cfg.Validity // clients go by it yet
+	active := r.report.Validity > 0 && now-r.issuedAt < r.cfg.Validity // clients still apply the last report
 	switch {
 	case percent > 0:
-		if !out || percent != r.report.Reduction || now-r.at >= r.cfg.Validity/2 {
-			r.give(percent, uint32(r.cfg.Validity/time.Second), now)
+		if !active || percent != r.report.Reduction || now-r.issuedAt >= r.cfg.Validity/2 {
+			r.issue(percent, uint32(r.cfg.Validity/time.Second), now)
 		}
-	case out:
-		r.give(0, 0, now)
-	case r.report.Reduction > 0: // has passed by itself
+	case active:
+		r.issue(0, 0, now)
+	case r.report.Reduction > 0: // the last report has expired
 		return Report{}, false
 	}
-	// An end is told for as long as the report before it may be gone by.
-	return r.report, percent > 0 || r.at > 0 && r.report.Validity == 0 && now-r.at < r.cfg.Validity
+	// The end is reported for as long as clients may still apply the previous report.
+	return r.report, percent > 0 || r.issuedAt > 0 && r.report.Validity == 0 && now-r.issuedAt < r.cfg.Validity
 }
 
-func (r *Reporter) give(percent, validity uint32, now time.Duration) {
-	r.report, r.at = Report{Sequence: r.report.Sequence + 1, Reduction: percent, Validity: validity}, now
+func (r *Reporter) issue(percent, validity uint32, now time.Duration) {
+	r.report, r.issuedAt = Report{Sequence: r.report.Sequence + 1, Reduction: percent, Validity: validity}, now
 }
--- a/internal/diameter/peer.go
+++ b/internal/diameter/peer.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// State is where a peer stands, RFC 6733 section 5.6. I is the connection that we began, R the one
-// that the peer began.
+// State is the state of a peer's connections, RFC 6733 section 5.6. I is the connection that this node
+// initiated, R the one that the peer initiated.
 type State uint8
 
 const (
@@ -32,15 +32,15 @@
 	return fmt.Sprintf("State(%d)", uint8(s))
 }
 
-// Health is what the watchdog makes of an open peer, RFC 3539 section 3.4.1.
+// Health is the watchdog's status of an open peer, RFC 3539 section 3.4.1.
 type Health uint8
 
 const (
-	Initial Health = iota // never open so far
-	Okay                  // takes requests
-	Suspect               // silent for too long: what is out may fail over, nothing new is sent
-	Down                  // its connection was closed for that
-	Reopen                // open again, and has yet to answer three watchdogs
+	Initial Health = iota // the peer has not been open yet
+	Okay                  // requests may be sent
+	Suspect               // a watchdog was not answered in time: pending requests may fail over, no new ones are sent
+	Down                  // the connection was closed or lost
+	Reopen                // reconnected: three watchdog answers are needed before requests are sent again
 )
 
 var healthNames = []string{"INITIAL", "OKAY", "SUSPECT", "DOWN", "REOPEN"}
@@ -52,7 +52,7 @@
 	return fmt.Sprintf("Health(%d)", uint8(h))
 }
 
-// Side tells a peer's two connections apart.
+// Side identifies one of the two connections to a peer.
 type Side uint8
 
 const (
@@ -63,122 +63,122 @@
 
 func (s Side) String() string { return []string{"-", "I", "R"}[min(s, 2)] }
 
-// Input is what happens to a peer.
+// Input is the kind of an Event.
 type Input uint8
 
 const (
-	Start      Input = iota // we want to talk to it
-	Stop                    // and no longer; Cause tells why
-	ConnUp                  // our connection is up
-	ConnFailed              // it could not be made
-	GotCER                  // on a new connection of the peer's
-	GotCEA                  // on ours; Result tells
-	GotDWR                  // on Side
+	Start      Input = iota // the application wants a connection to the peer
+	Stop                    // the application wants the connection closed; Event.Cause holds the Disconnect-Cause
+	ConnUp                  // the initiated connection is established
+	ConnFailed              // the initiated connection could not be established
+	GotCER                  // a CER arrived on a new connection from the peer
+	GotCEA                  // a CEA arrived on the initiated connection; Event.Result holds its Result-Code
+	GotDWR                  // a DWR arrived on Event.Side; so for the next three
 	GotDWA
 	GotDPR
 	GotDPA
-	GotOther // any other message on Side
-	PeerGone // Side's connection ended
-	Tick     // time has passed: see Peer.Due
+	GotOther         // any other message arrived on Event.Side
+	PeerDisconnected // the connection of Event.Side ended
+	Tick             // the time returned by Peer.Due has come
 )
 
-// Rebooting is the Disconnect-Cause that lets a peer come back soon (RFC 6733, 5.4.3).
+// Rebooting is the Disconnect-Cause after which the peer may be connected to again soon (RFC 6733, 5.4.3).
 const Rebooting = 0
 
-// Event is an input with what belongs to it.
+// Event is an input to the state machine with its parameters.
 type Event struct {
 	Input  Input
 	Side   Side
-	Host   string // Origin-Host, with GotCER
-	Result uint32 // with GotCEA
-	Cause  uint32 // with Stop
+	Host   string // Origin-Host, for GotCER
+	Result uint32 // Result-Code, for GotCEA
+	Cause  uint32 // Disconnect-Cause, for Stop
 }
 
-// Act is what is to be done for a peer.
-type Act uint8
+// ActionKind is an operation that the caller has to carry out for a peer.
+type ActionKind uint8
 
 const (
-	Connect Act = iota // begin our connection
-	SendCER            // on I
-	SendCEA            // on R, with success
-	SendDWR            // on Side
+	Connect ActionKind = iota // initiate a connection
+	SendCER                   // on the initiated connection
+	SendCEA                   // on the peer's connection, with DIAMETER_SUCCESS
+	SendDWR                   // on Action.Side; so for the next three
 	SendDWA
 	SendDPR
 	SendDPA
-	Disconnect // close Side's connection
-	Reject     // close the new connection of the peer's: there is one already
-	Deliver    // pass the message on
-	Opened     // requests may be sent on Side
-	Failover   // send nothing new; what is out may go elsewhere, with the T bit
-	Failback   // send again
-	Lost       // no connection is left: what is out has no answer to come
+	Disconnect // close the connection of Action.Side
+	Reject     // close the new connection from the peer: another one is already in use
+	Deliver    // pass the message to the application
+	Opened     // requests may be sent on Action.Side
+	Failover   // send no new requests; pending ones may be sent to another peer with the T bit
+	Failback   // resume sending requests
+	Lost       // no connection is left: pending requests will not be answered
 )
 
-var actNames = []string{"Connect", "SendCER", "SendCEA", "SendDWR", "SendDWA", "SendDPR", "SendDPA", "Disconnect", "Reject", "Deliver", "Opened", "Failover", "Failback", "Lost"}
+var actionNames = []string{"Connect", "SendCER", "SendCEA", "SendDWR", "SendDWA", "SendDPR", "SendDPA", "Disconnect", "Reject", "Deliver", "Opened", "Failover", "Failback", "Lost"}
 
-func (a Act) String() string { return actNames[a] }
+func (a ActionKind) String() string { return actionNames[a] }
 
-// Action is an Act with the connection that it is for.
+// Action is an operation and the connection that it applies to.
 type Action struct {
-	Act  Act
+	Kind ActionKind
 	Side Side
 }
 
 func (a Action) String() string {
 	if a.Side == NoSide {
-		return a.Act.String()
+		return a.Kind.String()
 	}
-	return a.Act.String() + "(" + a.Side.String() + ")"
+	return a.Kind.String() + "(" + a.Side.String() + ")"
 }
 
-// PeerConfig are a peer's times.
+// PeerConfig holds the timing parameters of a peer.
 type PeerConfig struct {
-	Watchdog     time.Duration // Tw; RFC 3539 asks for 30 s, and for 6 s at least
-	Jitter       time.Duration // of Tw, both ways; RFC 3539: 2 s
-	Answer       time.Duration // to wait for a connection, a CEA or a DPA
-	Reconnect    time.Duration // first wait before another try, doubled each time
-	ReconnectMax time.Duration
-	Persistent   bool // we connect, and connect again
+	Watchdog       time.Duration // Tw; RFC 3539 recommends 30 s and requires at least 6 s
+	WatchdogJitter time.Duration // largest deviation from Tw in both directions; RFC 3539: 2 s
+	AnswerTimeout  time.Duration // for a connection attempt, a CEA or a DPA
+	ReconnectBase  time.Duration // upper bound of the first random delay before reconnecting, doubled with each attempt
+	ReconnectMax   time.Duration // upper bound of the delay after all doublings
+	Persistent     bool          // reconnect after a started peer's connection has ended
 }
 
-// DefaultPeerConfig follows RFC 6733 section 12 and RFC 3539.
+// DefaultPeerConfig returns the values of RFC 6733 section 12 and RFC 3539.
 func DefaultPeerConfig() PeerConfig {
-	return PeerConfig{Watchdog: 30 * time.Second, Jitter: 2 * time.Second, Answer: 10 * time.Second,
-		Reconnect: time.Second, ReconnectMax: 30 * time.Second, Persistent: true}
+	return PeerConfig{Watchdog: 30 * time.Second, WatchdogJitter: 2 * time.Second, AnswerTimeout: 10 * time.Second,
+		ReconnectBase: time.Second, ReconnectMax: 30 * time.Second, Persistent: true}
 }
 
-// Peer is the state machine of one peer. It has no clock, sockets or goroutine: Step takes what
-// happened and returns what to do, Due says when to come back with a Tick.
+// Peer is the state machine of one peer. It has no clock, sockets or goroutines: Step takes an event and
+// returns the actions to carry out, Due returns when the next Tick has to be passed to Step.
 type Peer struct {
 	cfg   PeerConfig
-	local string // our Origin-Host, in lower case
+	local string // Origin-Host of this node, in lower case
 	rng   *rand.Rand
 
-	state   State
-	health  Health
-	pending bool // a DWR has no answer yet
-	dwas    int  // answered since it was opened again
-	remote  string
-	wanted  bool
-	tries   int
-	answer  time.Duration // when we give up waiting; 0: not waiting
-	watch   time.Duration // when the watchdog expires; 0: not watching
-	again   time.Duration // when to connect again; 0: not
-	closing Side
+	state           State
+	health          Health
+	dwrPending      bool          // a DWR has not been answered yet
+	dwaCount        int           // DWAs received in Reopen (NumDWA of RFC 3539), from -1; at 2 the peer is Okay
+	remote          string        // Origin-Host of the peer's CER, in lower case
+	started         bool          // Start was called, and no Stop since
+	connectAttempts int           // failed or ended connections since the peer was last open
+	answerDue       time.Duration // when waiting for the peer ends; 0: not waiting
+	watchdogDue     time.Duration // when the watchdog timer expires; 0: not running
+	reconnectDue    time.Duration // when to connect again; 0: no reconnect is planned
+	closingSide     Side          // the connection that is being closed in state Closing
 }
 
-// NewPeer returns the machine of a closed peer; rng draws jitter.
+// NewPeer returns the state machine of a closed peer. rng is the source of jitter.
 func NewPeer(local string, cfg PeerConfig, rng *rand.Rand) *Peer {
 	return &Peer{cfg: cfg, local: strings.ToLower(local), rng: rng}
 }
 
-// State is where the peer stands.
+// State returns the state of the peer's connections.
 func (p *Peer) State() State { return p.state }
 
-// Health is what the watchdog makes of it.
+// Health returns the status of the watchdog.
 func (p *Peer) Health() Health { return p.health }
 
-// Usable reports whether new requests may be sent, and on which side.
+// Usable reports whether new requests may be sent, and on which connection.
 func (p *Peer) Usable() (Side, bool) {
 	if p.health != Okay {
 		return NoSide, false
@@ -192,9 +192,9 @@
 	return NoSide, false
 }
 
-// Due is when a Tick is wanted; 0: not at all.
+// Due returns the earliest time at which a Tick is needed, or 0 if none is.
 func (p *Peer) Due() (at time.Duration) {
-	for _, t := range []time.Duration{p.answer, p.watch, p.again} {
+	for _, t := range []time.Duration{p.answerDue, p.watchdogDue, p.reconnectDue} {
 		if t > 0 && (at == 0 || t < at) {
 			at = t
 		}
@@ -202,31 +202,31 @@
 	return at
 }
 
-// Step takes one event at a time that never runs backwards, and is above 0.
+// Step processes one event. now must be above 0 and must not decrease from call to call.
 func (p *Peer) Step(now time.Duration, e Event) (acts []Action) {
-	do := func(a Act, s Side) { acts = append(acts, Action{a, s}) }
+	do := func(a ActionKind, s Side) { acts = append(acts, Action{a, s}) }
 	switch e.Input {
 	case Start:
-		p.wanted = true
-		if p.state == Closed && p.again == 0 {
+		p.started = true
+		if p.state == Closed && p.reconnectDue == 0 {
 			p.connect(now, do)
 		}
 	case Stop:
 		p.stop(now, do)
 	case Tick:
-		p.tick(now, do)
+		p.handleTick(now, do)
 	case GotCER:
-		p.gotCER(now, e, do)
+		p.handleCER(now, e, do)
 	case ConnUp:
 		switch p.state {
 		case WaitConnAck:
 			do(SendCER, Initiator)
-			p.state, p.answer = WaitICEA, now+p.cfg.Answer
+			p.state, p.answerDue = WaitICEA, now+p.cfg.AnswerTimeout
 		case WaitConnAckElect:
 			do(SendCER, Initiator)
 			p.elect(now, do)
 		case Closed, ROpen, Closing:
-			do(Disconnect, Initiator) // one that we no longer wait for
+			do(Disconnect, Initiator) // this connection is no longer needed
 		}
 	case ConnFailed:
 		switch p.state {
@@ -237,11 +237,11 @@
 			p.open(now, ROpen, do)
 		}
 	case GotCEA:
-		p.gotCEA(now, e, do)
-	case PeerGone:
-		p.gone(now, e.Side, do)
+		p.handleCEA(now, e, do)
+	case PeerDisconnected:
+		p.handleDisconnect(now, e.Side, do)
 	case GotDWR, GotDWA, GotDPR, GotDPA, GotOther:
-		p.message(now, e, do)
+		p.handleMessage(now, e, do)
 	}
 	return acts
 }
@@ -253,23 +253,24 @@
 	case ROpen:
 		return Responder
 	case Closing:
-		return p.closing
+		return p.closingSide
 	}
 	return NoSide
 }
 
-func (p *Peer) connect(now time.Duration, do func(Act, Side)) {
-	p.again = 0
+func (p *Peer) connect(now time.Duration, do func(ActionKind, Side)) {
+	p.reconnectDue = 0
 	do(Connect, Initiator)
-	p.state, p.answer = WaitConnAck, now+p.cfg.Answer
+	p.state, p.answerDue = WaitConnAck, now+p.cfg.AnswerTimeout
 }
 
-// open begins an open state: the watchdog starts, and a peer that was down has to show that it is well.
-func (p *Peer) open(now time.Duration, s State, do func(Act, Side)) {
-	p.state, p.answer, p.tries, p.again, p.pending = s, 0, 0, 0, false
-	p.setWatch(now)
+// open enters an open state and starts the watchdog. A peer that was down has to answer watchdogs before it
+// is used.
+func (p *Peer) open(now time.Duration, s State, do func(ActionKind, Side)) {
+	p.state, p.answerDue, p.connectAttempts, p.reconnectDue, p.dwrPending = s, 0, 0, 0, false
+	p.resetWatchdog(now)
 	if p.health == Down || p.health == Reopen {
-		p.health, p.dwas, p.pending = Reopen, -1, true
+		p.health, p.dwaCount, p.dwrPending = Reopen, -1, true
 		do(SendDWR, p.side())
 		return
 	}
@@ -277,36 +278,36 @@
 	do(Opened, p.side())
 }
 
-func (p *Peer) setWatch(now time.Duration) {
-	p.watch = now + max(p.cfg.Watchdog+time.Duration((2*p.rng.Float64()-1)*float64(p.cfg.Jitter)), time.Millisecond)
+func (p *Peer) resetWatchdog(now time.Duration) {
+	p.watchdogDue = now + max(p.cfg.Watchdog+time.Duration((2*p.rng.Float64()-1)*float64(p.cfg.WatchdogJitter)), time.Millisecond)
 }
 
-// close ends all; failed: the watchdog found the peer down.
-func (p *Peer) close(now time.Duration, failed bool, do func(Act, Side)) {
+// close enters Closed and plans a reconnect. failed: the watchdog declared the peer down.
+func (p *Peer) close(now time.Duration, failed bool, do func(ActionKind, Side)) {
 	was := p.state
-	p.state, p.answer, p.watch, p.pending, p.closing = Closed, 0, 0, false, NoSide
+	p.state, p.answerDue, p.watchdogDue, p.dwrPending, p.closingSide = Closed, 0, 0, false, NoSide
 	if was == IOpen || was == ROpen || was == Closing {
 		do(Lost, NoSide)
-		// RFC 3539: a connection that ends leaves the peer down. One that a side ended on purpose, by a
-		// DPR, tells nothing against it.
+		// RFC 3539: a lost connection leaves the peer Down. A connection that either side closed by a DPR
+		// doesn't, since that says nothing about the peer's health.
 		if p.health = Initial; failed || was != Closing {
 			p.health = Down
 		}
 	}
-	if p.wanted && p.cfg.Persistent {
-		wait := min(float64(p.cfg.ReconnectMax), float64(p.cfg.Reconnect)*math.Exp2(float64(min(p.tries, 30))))
-		p.tries++
-		p.again = now + time.Duration(p.rng.Float64()*wait) + time.Millisecond
+	if p.started && p.cfg.Persistent {
+		wait := min(float64(p.cfg.ReconnectMax), float64(p.cfg.ReconnectBase)*math.Exp2(float64(min(p.connectAttempts, 30))))
+		p.connectAttempts++
+		p.reconnectDue = now + time.Duration(p.rng.Float64()*wait) + time.Millisecond
 	}
 }
 
-func (p *Peer) stop(now time.Duration, do func(Act, Side)) {
-	p.wanted, p.again = false, 0
+func (p *Peer) stop(now time.Duration, do func(ActionKind, Side)) {
+	p.started, p.reconnectDue = false, 0
 	switch p.state {
 	case IOpen, ROpen:
 		s := p.side()
 		do(SendDPR, s)
-		p.state, p.closing, p.answer, p.watch = Closing, s, now+p.cfg.Answer, 0
+		p.state, p.closingSide, p.answerDue, p.watchdogDue = Closing, s, now+p.cfg.AnswerTimeout, 0
 	case WaitConnAck, WaitICEA:
 		do(Disconnect, Initiator)
 		p.close(now, false, do)
@@ -317,7 +318,7 @@
 	}
 }
 
-func (p *Peer) gotCER(now time.Duration, e Event, do func(Act, Side)) {
+func (p *Peer) handleCER(now time.Duration, e Event, do func(ActionKind, Side)) {
 	host := strings.ToLower(e.Host)
 	switch p.state {
 	case Closed:
@@ -335,10 +336,10 @@
 	}
 }
 
-// elect decides between two connections that crossed: the peer with the higher name keeps the one
-// that the other began. RFC 6733 section 5.6.4.
-func (p *Peer) elect(now time.Duration, do func(Act, Side)) {
-	p.state, p.answer = WaitReturns, now+p.cfg.Answer
+// elect resolves the election between two connections that were initiated at the same time: the node with the
+// higher identity keeps the connection that its peer initiated. RFC 6733 section 5.6.4.
+func (p *Peer) elect(now time.Duration, do func(ActionKind, Side)) {
+	p.state, p.answerDue = WaitReturns, now+p.cfg.AnswerTimeout
 	if p.local > p.remote {
 		do(Disconnect, Initiator)
 		do(SendCEA, Responder)
@@ -346,7 +347,7 @@
 	}
 }
 
-func (p *Peer) gotCEA(now time.Duration, e Event, do func(Act, Side)) {
+func (p *Peer) handleCEA(now time.Duration, e Event, do func(ActionKind, Side)) {
 	switch p.state {
 	case WaitICEA, WaitReturns:
 		if e.Result != Success && e.Result != LimitedSuccess {
@@ -366,7 +367,7 @@
 	}
 }
 
-func (p *Peer) gone(now time.Duration, s Side, do func(Act, Side)) {
+func (p *Peer) handleDisconnect(now time.Duration, s Side, do func(ActionKind, Side)) {
 	switch {
 	case p.state == WaitConnAck && s == Initiator, p.state == WaitICEA && s == Initiator:
 		p.close(now, false, do)
@@ -383,10 +384,10 @@
 	}
 }
 
-// message takes a message on an open connection.
-func (p *Peer) message(now time.Duration, e Event, do func(Act, Side)) {
+// handleMessage processes a message on an open connection.
+func (p *Peer) handleMessage(now time.Duration, e Event, do func(ActionKind, Side)) {
 	if p.state == WaitICEA && e.Side == Initiator || p.state == WaitReturns && e.Side == Initiator {
-		do(Disconnect, Initiator) // anything but a CEA
+		do(Disconnect, Initiator) // only a CEA is allowed here
 		if p.state == WaitReturns {
 			do(SendCEA, Responder)
 			p.open(now, ROpen, do)
@@ -406,53 +407,53 @@
 		case GotDPR:
 			do(SendDPA, e.Side)
 		case GotOther:
-			do(Deliver, e.Side) // answers that are still owed
+			do(Deliver, e.Side) // answers to requests that are still pending
 		}
 		return
 	}
-	p.heard(now, e.Input == GotDWA, do)
+	p.noteReceived(now, e.Input == GotDWA, do)
 	switch e.Input {
 	case GotDWR:
 		do(SendDWA, e.Side)
 	case GotOther:
 		do(Deliver, e.Side)
 	case GotDPR:
-		// It wants nothing new; answers that it owes may still come until it closes.
+		// The peer accepts no new requests; it may still send answers until it closes the connection.
 		do(SendDPA, e.Side)
-		p.state, p.closing, p.answer, p.watch = Closing, e.Side, now+p.cfg.Answer, 0
+		p.state, p.closingSide, p.answerDue, p.watchdogDue = Closing, e.Side, now+p.cfg.AnswerTimeout, 0
 	}
 }
 
-// heard is the watchdog's view of a message.
-func (p *Peer) heard(now time.Duration, dwa bool, do func(Act, Side)) {
+// noteReceived updates the watchdog after a message was received. dwa: the message is a DWA.
+func (p *Peer) noteReceived(now time.Duration, dwa bool, do func(ActionKind, Side)) {
 	if dwa {
-		p.pending = false
+		p.dwrPending = false
 	}
 	switch p.health {
 	case Okay:
-		p.setWatch(now)
+		p.resetWatchdog(now)
 	case Suspect:
 		p.health = Okay
-		p.setWatch(now)
+		p.resetWatchdog(now)
 		do(Failback, p.side())
 	case Reopen:
 		if !dwa {
 			return
 		}
-		p.setWatch(now)
-		if p.dwas++; p.dwas >= 2 {
+		p.resetWatchdog(now)
+		if p.dwaCount++; p.dwaCount >= 2 {
 			p.health = Okay
 			do(Opened, p.side())
 		}
 	}
 }
 
-func (p *Peer) tick(now time.Duration, do func(Act, Side)) {
-	if p.again > 0 && now >= p.again && p.state == Closed {
+func (p *Peer) handleTick(now time.Duration, do func(ActionKind, Side)) {
+	if p.reconnectDue > 0 && now >= p.reconnectDue && p.state == Closed {
 		p.connect(now, do)
 		return
 	}
-	if p.answer > 0 && now >= p.answer {
+	if p.answerDue > 0 && now >= p.answerDue {
 		switch p.state {
 		case WaitConnAck, WaitICEA:
 			do(Disconnect, Initiator)
@@ -462,39 +463,39 @@
 			do(Disconnect, Responder)
 			p.close(now, false, do)
 		case Closing:
-			do(Disconnect, p.closing)
+			do(Disconnect, p.closingSide)
 			p.close(now, false, do)
 		}
 		return
 	}
-	if p.watch == 0 || now < p.watch {
+	if p.watchdogDue == 0 || now < p.watchdogDue {
 		return
 	}
 	switch p.health {
 	case Okay:
-		if p.pending {
+		if p.dwrPending {
 			p.health = Suspect
 			do(Failover, p.side())
 		} else {
-			p.pending = true
+			p.dwrPending = true
 			do(SendDWR, p.side())
 		}
-		p.setWatch(now)
+		p.resetWatchdog(now)
 	case Suspect:
 		do(Disconnect, p.side())
 		p.close(now, true, do)
 	case Reopen:
 		switch {
-		case !p.pending:
-			p.pending = true
+		case !p.dwrPending:
+			p.dwrPending = true
 			do(SendDWR, p.side())
-			p.setWatch(now)
-		case p.dwas < 0:
+			p.resetWatchdog(now)
+		case p.dwaCount < 0:
 			do(Disconnect, p.side())
 			p.close(now, true, do)
 		default:
-			p.dwas = -1
-			p.setWatch(now)
+			p.dwaCount = -1
+			p.resetWatchdog(now)
 		}
 	}
 }
--- a/internal/diameter/peer_test.go
+++ b/internal/diameter/peer_test.go
@@ -14,20 +14,21 @@
 
 func newPeer(local string) *Peer {
 	cfg := DefaultPeerConfig()
-	cfg.Jitter = 0
+	cfg.WatchdogJitter = 0
 	return NewPeer(local, cfg, rand.New(rand.NewPCG(1, 2)))
 }
 
-// Conversations with a peer: each line is a time, what happens, what is done, and where it stands then.
-func TestConversations(t *testing.T) {
+// Scripts for a peer: each line holds a time in seconds, an event, the expected actions and the state after
+// it.
+func TestPeerScripts(t *testing.T) {
 	inputs := map[string]Event{
 		"start": {Input: Start}, "stop": {Input: Stop}, "conn-up": {Input: ConnUp}, "conn-failed": {Input: ConnFailed},
 		"cer": {Input: GotCER, Side: Responder, Host: "b.example"}, "cea": {Input: GotCEA, Side: Initiator, Result: Success},
 		"cea-5010": {Input: GotCEA, Side: Initiator, Result: NoCommonApplication},
 		"i-dwr":    {Input: GotDWR, Side: Initiator}, "i-dwa": {Input: GotDWA, Side: Initiator}, "i-dpr": {Input: GotDPR, Side: Initiator},
-		"i-dpa": {Input: GotDPA, Side: Initiator}, "i-other": {Input: GotOther, Side: Initiator}, "i-gone": {Input: PeerGone, Side: Initiator},
+		"i-dpa": {Input: GotDPA, Side: Initiator}, "i-other": {Input: GotOther, Side: Initiator}, "i-gone": {Input: PeerDisconnected, Side: Initiator},
 		"r-dwr": {Input: GotDWR, Side: Responder}, "r-dpr": {Input: GotDPR, Side: Responder}, "r-other": {Input: GotOther, Side: Responder},
-		"r-gone": {Input: PeerGone, Side: Responder}, "tick": {Input: Tick},
+		"r-gone": {Input: PeerDisconnected, Side: Responder}, "tick": {Input: Tick},
 	}
 	for _, tt := range []struct{ name, local, script string }{
 		{"we connect, talk and stop", "a.example", `
@@ -39,7 +40,7 @@
 			6 stop -> SendDPR(I) | Closing
 			7 i-other -> Deliver(I) | Closing
 			8 i-dpa -> Disconnect(I) Lost | Closed`},
-		{"it connects", "a.example", `
+		{"the peer connects", "a.example", `
 			1 cer -> SendCEA(R) Opened(R) | R-Open OKAY
 			2 cer -> Reject(R) | R-Open OKAY
 			3 r-dpr -> SendDPA(R) | Closing
@@ -50,15 +51,15 @@
 			2 cer -> | Wait-Conn-Ack/Elect
 			3 conn-up -> SendCER(I) | Wait-Returns
 			4 cea -> Disconnect(R) Opened(I) | I-Open OKAY`},
-		{"both connect, and we win it", "c.example", `
+		{"both connect, and we win the election", "c.example", `
 			1 start -> Connect(I) | Wait-Conn-Ack
 			2 conn-up -> SendCER(I) | Wait-I-CEA
 			3 cer -> Disconnect(I) SendCEA(R) Opened(R) | R-Open OKAY`},
-		{"both connect, and ours fails", "a.example", `
+		{"both connect, and our connection fails", "a.example", `
 			1 start -> Connect(I) | Wait-Conn-Ack
 			2 cer -> | Wait-Conn-Ack/Elect
 			3 conn-failed -> SendCEA(R) Opened(R) | R-Open OKAY`},
-		{"both connect, and its ends", "a.example", `
+		{"both connect, and the peer's connection ends", "a.example", `
 			1 start -> Connect(I) | Wait-Conn-Ack
 			2 cer -> | Wait-Conn-Ack/Elect
 			3 r-gone -> | Wait-Conn-Ack
@@ -74,22 +75,22 @@
 			1 start -> Connect(I) | Wait-Conn-Ack
 			2 conn-up -> SendCER(I) | Wait-I-CEA
 			3 i-other -> Disconnect(I) | Closed`},
-		{"nobody answers", "a.example", `
+		{"our connection attempt times out", "a.example", `
 			1 start -> Connect(I) | Wait-Conn-Ack
 			10 tick -> | Wait-Conn-Ack
 			11 tick -> Disconnect(I) | Closed
 			13 tick -> Connect(I) | Wait-Conn-Ack`},
-		{"it never answers our DPR", "a.example", `
+		{"the peer does not answer our DPR", "a.example", `
 			1 cer -> SendCEA(R) Opened(R) | R-Open OKAY
 			2 stop -> SendDPR(R) | Closing
 			12 tick -> Disconnect(R) Lost | Closed`},
-		{"it falls silent, and comes back", "a.example", `
+		{"the peer is suspect and recovers", "a.example", `
 			1 cer -> SendCEA(R) Opened(R) | R-Open OKAY
 			30 tick -> | R-Open OKAY
 			31 tick -> SendDWR(R) | R-Open OKAY
 			61 tick -> Failover(R) | R-Open SUSPECT
 			62 r-other -> Failback(R) Deliver(R) | R-Open OKAY`},
-		{"it falls silent for good, and has to show that it is well", "a.example", `
+		{"the peer goes down and is reopened", "a.example", `
 			1 start -> Connect(I) | Wait-Conn-Ack
 			2 conn-up -> SendCER(I) | Wait-I-CEA
 			3 cea -> Opened(I) | I-Open OKAY
@@ -104,7 +105,7 @@
 			129 i-dwa -> | I-Open REOPEN
 			159 tick -> SendDWR(I) | I-Open REOPEN
 			160 i-dwa -> Opened(I) | I-Open OKAY`},
-		{"its connection just ends", "a.example", `
+		{"the connection is lost", "a.example", `
 			1 start -> Connect(I) | Wait-Conn-Ack
 			2 conn-up -> SendCER(I) | Wait-I-CEA
 			3 cea -> Opened(I) | I-Open OKAY
@@ -131,16 +132,16 @@
 					state += " " + p.Health().String()
 				}
 				if acts != strings.TrimSpace(wantActs) || state != strings.TrimSpace(wantState) {
-					t.Fatalf("%s: did %q and stands in %q", line, acts, state)
+					t.Fatalf("%s: got actions %q and state %q", line, acts, state)
 				}
 			}
 		})
 	}
 }
 
-// Over any order of events: requests may be sent only on a connection that has exchanged capabilities
-// and was not closed, a connection that is closed is not spoken on, and whoever waits has a time.
-func TestPeerHolds(t *testing.T) {
+// For any sequence of events: requests are sent only on a connection that has exchanged capabilities and is
+// not closed, nothing is sent on a closed connection, and every state that waits has a timer.
+func TestPeerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPeer(rapid.SampledFrom([]string{"a.example", "c.example"}).Draw(t, "local"))
 		now := s
@@ -148,7 +149,7 @@
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 40).Draw(t, "s")) * s
 			e := Event{Input: Input(rapid.IntRange(0, int(Tick)).Draw(t, "input")), Side: Side(rapid.IntRange(0, 2).Draw(t, "side")), Host: "b.example", Result: Success}
-			switch e.Input { // what can't happen doesn't
+			switch e.Input { // set the side that the event can occur on
 			case GotCER:
 				e.Side = Responder
 			case GotCEA, ConnUp, ConnFailed:
@@ -157,12 +158,12 @@
 			switch e.Input {
 			case ConnUp:
 				up[Initiator] = true
-			case PeerGone:
+			case PeerDisconnected:
 				up[e.Side] = false
 			}
 			had := up[Responder]
 			for _, a := range p.Step(now, e) {
-				switch a.Act {
+				switch a.Kind {
 				case Disconnect:
 					up[a.Side] = false
 				case Connect:
@@ -181,10 +182,10 @@
 				t.Fatalf("usable on %v in %v %v", side, p.State(), p.Health())
 			}
 			if p.State() != Closed && p.Due() == 0 || p.Due() < 0 {
-				t.Fatalf("%v without a time", p.State())
+				t.Fatalf("no timer is set in %v", p.State())
 			}
-			if p.State() == Closed && p.wanted && p.again == 0 {
-				t.Fatal("wanted, closed and not to be connected again")
+			if p.State() == Closed && p.started && p.reconnectDue == 0 {
+				t.Fatal("the peer is started and closed, and no reconnect is planned")
 			}
 		}
 	})
--- a/internal/diameter/relay/overload_test.go
+++ b/internal/diameter/relay/overload_test.go
@@ -8,27 +8,27 @@
 	"lemonrail/internal/diameter/overload"
 )
 
-func TestWhoHeedsReports(t *testing.T) {
+func TestAcceptsOverloadReports(t *testing.T) {
 	for name, tt := range map[string]struct {
 		avps []diameter.AVP
 		want bool
 	}{
-		"says nothing":     {nil, false},
-		"names none":       {[]diameter.AVP{diameter.Group(diameter.CodeOCSupportedFeatures)}, true},
-		"loss":             {[]diameter.AVP{diameter.Group(diameter.CodeOCSupportedFeatures, diameter.U64(diameter.CodeOCFeatureVector, 3))}, true},
-		"another one":      {[]diameter.AVP{diameter.Group(diameter.CodeOCSupportedFeatures, diameter.U64(diameter.CodeOCFeatureVector, 2))}, false},
-		"no features":      {[]diameter.AVP{diameter.Group(diameter.CodeOCSupportedFeatures, diameter.U32(diameter.CodeOCFeatureVector, 1))}, false},
-		"no group":         {[]diameter.AVP{diameter.Str(diameter.CodeOCSupportedFeatures, "abc")}, false},
-		"another's vendor": {[]diameter.AVP{diameter.Of(9, diameter.Group(diameter.CodeOCSupportedFeatures))}, false},
+		"no supported features":     {nil, false},
+		"no feature vector":         {[]diameter.AVP{diameter.Group(diameter.CodeOCSupportedFeatures)}, true},
+		"loss":                      {[]diameter.AVP{diameter.Group(diameter.CodeOCSupportedFeatures, diameter.U64(diameter.CodeOCFeatureVector, 3))}, true},
+		"another algorithm":         {[]diameter.AVP{diameter.Group(diameter.CodeOCSupportedFeatures, diameter.U64(diameter.CodeOCFeatureVector, 2))}, false},
+		"vector of the wrong type":  {[]diameter.AVP{diameter.Group(diameter.CodeOCSupportedFeatures, diameter.U32(diameter.CodeOCFeatureVector, 1))}, false},
+		"features not a group":      {[]diameter.AVP{diameter.Str(diameter.CodeOCSupportedFeatures, "abc")}, false},
+		"AVP of a different vendor": {[]diameter.AVP{diameter.WithVendor(9, diameter.Group(diameter.CodeOCSupportedFeatures))}, false},
 	} {
-		if got := Heeds(&diameter.Message{AVPs: tt.avps}); got != tt.want {
+		if got := AcceptsOverloadReports(&diameter.Message{AVPs: tt.avps}); got != tt.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
 }
 
-// A report goes behind what an answer holds; the answer reads whole, by the dictionary too.
-func TestReported(t *testing.T) {
+// A report is appended to the AVPs of an answer, and the result can be decoded.
+func TestAppendReport(t *testing.T) {
 	m := &diameter.Message{Command: diameter.CreditControl, Application: diameter.AppCreditControl, Flags: diameter.FlagProxiable,
 		AVPs: []diameter.AVP{diameter.Str(diameter.CodeSessionID, "s;1"), diameter.U32(diameter.CodeResultCode, diameter.Success)}}
 	raw, err := m.Append(nil)
@@ -36,9 +36,9 @@
 		t.Fatal(err)
 	}
 	before := bytes.Clone(raw)
-	out := Reported(raw, overload.Report{Sequence: 9, Reduction: 40, Validity: 5})
+	out := AppendReport(raw, overload.Report{Sequence: 9, Reduction: 40, Validity: 5})
 	if !bytes.Equal(raw, before) {
-		t.Error("the answer itself was changed")
+		t.Error("AppendReport changed the original answer")
 	}
 	got, err := diameter.Decode(out, diameter.DefaultLimits())
 	if err != nil || len(got.AVPs) != 4 || got.AVPs[2].Code != diameter.CodeOCSupportedFeatures || got.AVPs[3].Code != diameter.CodeOCOLR {
@@ -60,7 +60,7 @@
 	} else if v, err := a.Uint64(); err != nil || v != 9 {
 		t.Errorf("sequence number %d, %v", v, err)
 	}
-	if again := Reported(out, overload.Report{Sequence: 10}); !bytes.Equal(again, out) {
-		t.Error("an answer that has its report got another")
+	if again := AppendReport(out, overload.Report{Sequence: 10}); !bytes.Equal(again, out) {
+		t.Error("a second report was added to an answer")
 	}
 }
--- a/internal/diameter/relay/relay.go
+++ b/internal/diameter/relay/relay.go
@@ -1,10 +1,10 @@
-// Package relay decides for a Diameter relay: which requests are taken and what they are (Rules), which of
-// them are one request that was sent again (Table), and which answer belongs to which attempt on a server's
-// connection (Window). It does no I/O, has no clock and belongs to one goroutine; the decision module stays
-// the one that picks servers, tries again and turns away.
+// Package relay holds the rules and the state of a Diameter relay: which requests are relayed and which class
+// they have (Rules), which ones are resends of an earlier request (Table), and which attempt an answer on a
+// server's connection belongs to (Window). It does no I/O, has no clock and must be used by one goroutine at
+// a time; the decision module still picks servers, retries and refuses.
 //
-// Bounds: a Table holds InHand requests with WaitersMost connections each, and Kept answers of KeptBytes
-// together; a Window holds its size.
+// Bounds: a Table holds at most MaxPending requests with MaxWaiters connections each, and MaxKept answers of
+// MaxKeptBytes in total; a Window holds a fixed number of attempts.
 package relay
 
 import (
@@ -21,45 +21,45 @@
 	"lemonrail/internal/strict"
 )
 
-// Config is a file such as deploy/diameter.toml.
+// Config is the content of a relay's configuration file, such as deploy/diameter.toml.
 type Config struct {
-	Listen      string   `toml:"listen"`   // where clients connect
-	Identity    string   `toml:"identity"` // ours, as in Origin-Host and Route-Record
+	Listen      string   `toml:"listen"`   // address and port for clients
+	Identity    string   `toml:"identity"` // the relay's own, for Origin-Host and Route-Record
 	Realm       string   `toml:"realm"`
-	Connections int      `toml:"connections"` // of clients at the most; 0: 256
-	Window      int      `toml:"window"`      // requests out on a server's connection; 0: 64
+	Connections int      `toml:"connections"` // maximum number of client connections; 0: 256
+	Window      int      `toml:"window"`      // maximum number of pending requests on a server's connection; 0: 64
 	Servers     []Server `toml:"server"`
 	Peers       []Peer   `toml:"peer"`
 	Routes      []Route  `toml:"route"`
 	Classes     []Class  `toml:"class"`
 }
 
-// Server is where a backend of the list speaks Diameter, if not at its address in the list.
+// Server holds the Diameter address or identity of a backend, where its address in the list does not suffice.
 type Server struct {
 	Host     string `toml:"host"`
-	Address  string `toml:"address"`  // empty: that in the list
-	Identity string `toml:"identity"` // as requests name it in Destination-Host; empty: known once it has been connected to
+	Address  string `toml:"address"`  // empty: the address in the list
+	Identity string `toml:"identity"` // the Destination-Host for this server; empty: taken from its CEA
 }
 
 const (
-	usualConnections = 256
-	usualWindow      = 64
-	mostOfEither     = 1 << 16
+	defaultConnections = 256
+	defaultWindow      = 64
+	maxConfigured      = 1 << 16 // upper bound of Connections and of Window
 )
 
-// Peer is a client that may connect.
+// Peer is a client that is allowed to connect.
 type Peer struct {
 	Identity string `toml:"identity"`
-	Address  string `toml:"address"` // of the machine; empty: any
+	Address  string `toml:"address"` // IP address of the client; empty: any
 }
 
-// Route is a realm and an application whose requests go to the servers.
+// Route names a realm and an application whose requests are relayed to the servers.
 type Route struct {
 	Realm       string `toml:"realm"`
 	Application uint32 `toml:"application"`
 }
 
-// Class says what requests of a kind are. The first that fits counts.
+// Class selects requests and defines their class. The first matching class of the file applies.
 type Class struct {
 	Name        string `toml:"name"`
 	Application uint32 `toml:"application"`
@@ -69,7 +69,7 @@
 	AimMs       int64  `toml:"aim_ms"`
 	DeadlineMs  int64  `toml:"deadline_ms"`
 	Effect      string `toml:"effect"` // safe, keyed or unsafe
-	Group       string `toml:"group"`  // with keyed, of servers that drop a repeat: all, zone or cell
+	Group       string `toml:"group"`  // for keyed: the servers among which a repeat is dropped: all, zone or cell
 	WindowMs    int64  `toml:"window_ms"`
 }
 
@@ -78,19 +78,21 @@
 	groups  = map[string]balance.Group{"all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell}
 )
 
-// Rules are a checked Config.
+// Rules is a validated Config.
 type Rules struct {
-	cfg     Config
-	servers map[string]string // addresses, by host
-	named   map[string]string // hosts, by identity
-	// Classes are the module's, in the order of the file. The last one is for what no class fits: unsafe.
+	cfg            Config
+	addressByHost  map[string]string // of the configured servers; empty: the address in the list
+	hostByIdentity map[string]string // of the servers with a configured identity, which is in lower case
+	// Classes are the decision module's classes, in the order of the file. The last one is for requests that
+	// match no class: unsafe, so that they are never sent twice.
 	Classes []balance.Class
 }
 
-// What no class fits has the longest deadline of the file, and this one where it names none.
-const otherDeadline = 5 * time.Second
+// fallbackDeadline is the minimum deadline of the class for requests that match no other class. Its deadline
+// is at least the longest one in the file.
+const fallbackDeadline = 5 * time.Second
 
-// ReadRules reads and checks a file.
+// ReadRules reads and validates a configuration file.
 func ReadRules(path string) (*Rules, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -99,7 +101,7 @@
 	return ParseRules(path, raw)
 }
 
-// ParseRules checks the text of a file; errors name it, the line and the key.
+// ParseRules validates the text of a configuration file. Errors name the file, the line and the key.
 func ParseRules(file string, raw []byte) (*Rules, error) {
 	r := &Rules{}
 	if err := strict.Decode(file, raw, &r.cfg); err != nil {
@@ -107,121 +109,124 @@
 	}
 	c := &r.cfg
 	for key, v := range map[string]string{"identity": c.Identity, "realm": c.Realm} {
-		if !identity(v) {
-			return nil, fmt.Errorf("%s: %s: %q is no host or realm name", file, key, v)
+		if !validIdentity(v) {
+			return nil, fmt.Errorf("%s: %s: %q is not a valid host or realm name", file, key, v)
 		}
 	}
-	bad := func(table string, i int, key string, v any, what string) error {
+	invalid := func(table string, i int, key string, v any, what string) error {
 		return fmt.Errorf("%s: line %d: %s.%s: %v %s", file, strict.Table(raw, table, i), table, key, v, what)
 	}
 	for i, p := range c.Peers {
-		if !identity(p.Identity) {
-			return nil, bad("peer", i, "identity", fmt.Sprintf("%q", p.Identity), "is no host name")
+		if !validIdentity(p.Identity) {
+			return nil, invalid("peer", i, "identity", fmt.Sprintf("%q", p.Identity), "is not a valid host name")
 		}
 	}
 	if _, err := netip.ParseAddrPort(c.Listen); c.Listen != "" && err != nil {
 		return nil, fmt.Errorf("%s: listen: %w", file, err)
 	}
 	for key, v := range map[string]*int{"connections": &c.Connections, "window": &c.Window} {
-		if *v < 0 || *v > mostOfEither {
-			return nil, fmt.Errorf("%s: %s: %d makes no sense", file, key, *v)
+		if *v < 0 || *v > maxConfigured {
+			return nil, fmt.Errorf("%s: %s: %d is not between 0 and 65536", file, key, *v)
 		}
 	}
-	c.Connections, c.Window = cmp.Or(c.Connections, usualConnections), cmp.Or(c.Window, usualWindow)
-	r.servers, r.named = map[string]string{}, map[string]string{}
+	c.Connections, c.Window = cmp.Or(c.Connections, defaultConnections), cmp.Or(c.Window, defaultWindow)
+	r.addressByHost, r.hostByIdentity = map[string]string{}, map[string]string{}
 	for i, v := range c.Servers {
 		if _, err := netip.ParseAddrPort(v.Address); err != nil && v.Address != "" {
-			return nil, bad("server", i, "address", fmt.Sprintf("%q", v.Address), "is no address with a port")
+			return nil, invalid("server", i, "address", fmt.Sprintf("%q", v.Address), "is not an IP address with a port")
 		}
 		if v.Host == "" || slices.ContainsFunc(c.Servers[:i], func(o Server) bool { return o.Host == v.Host }) {
-			return nil, bad("server", i, "host", fmt.Sprintf("%q", v.Host), "is empty or taken")
+			return nil, invalid("server", i, "host", fmt.Sprintf("%q", v.Host), "is empty or used twice")
 		}
 		if v.Address == "" && v.Identity == "" {
-			return nil, bad("server", i, "host", fmt.Sprintf("%q", v.Host), "has neither address nor identity")
+			return nil, invalid("server", i, "host", fmt.Sprintf("%q", v.Host), "has neither address nor identity")
 		}
-		r.servers[v.Host] = v.Address
+		r.addressByHost[v.Host] = v.Address
 		if name := strings.ToLower(v.Identity); v.Identity != "" {
-			if !identity(v.Identity) || r.named[name] != "" {
-				return nil, bad("server", i, "identity", fmt.Sprintf("%q", v.Identity), "is no host name, or taken")
+			if !validIdentity(v.Identity) || r.hostByIdentity[name] != "" {
+				return nil, invalid("server", i, "identity", fmt.Sprintf("%q", v.Identity), "is not a valid host name or is used twice")
 			}
-			r.named[name] = v.Host
+			r.hostByIdentity[name] = v.Host
 		}
 	}
 	for i, t := range c.Routes {
-		if !identity(t.Realm) {
-			return nil, bad("route", i, "realm", fmt.Sprintf("%q", t.Realm), "is no realm name")
+		if !validIdentity(t.Realm) {
+			return nil, invalid("route", i, "realm", fmt.Sprintf("%q", t.Realm), "is not a valid realm name")
 		}
 		if t.Application == diameter.AppBase || t.Application == diameter.AppRelay {
-			return nil, bad("route", i, "application", t.Application, "is not one that requests are routed by")
+			return nil, invalid("route", i, "application", t.Application, "is not an application that requests can be routed by")
 		}
 	}
-	other := balance.Class{Deadline: otherDeadline, Effect: balance.Unsafe, Worth: 1}
+	fallback := balance.Class{Deadline: fallbackDeadline, Effect: balance.Unsafe, Worth: 1}
 	for i, k := range c.Classes {
 		b := balance.Class{Aim: time.Duration(k.AimMs) * time.Millisecond, Deadline: time.Duration(k.DeadlineMs) * time.Millisecond,
 			Worth: 1, Window: time.Duration(k.WindowMs) * time.Millisecond}
 		var known bool
 		switch {
 		case k.Name == "" || slices.ContainsFunc(c.Classes[:i], func(o Class) bool { return o.Name == k.Name }):
-			return nil, bad("class", i, "name", fmt.Sprintf("%q", k.Name), "is empty or taken")
+			return nil, invalid("class", i, "name", fmt.Sprintf("%q", k.Name), "is empty or used twice")
 		case k.Command == 0:
-			return nil, bad("class", i, "command", k.Command, "is none")
+			return nil, invalid("class", i, "command", k.Command, "is not a command code")
 		case k.AimMs <= 0 || k.AimMs > 3600_000:
-			return nil, bad("class", i, "aim_ms", k.AimMs, "makes no sense")
+			return nil, invalid("class", i, "aim_ms", k.AimMs, "is not between 1 and 3600000")
 		case k.DeadlineMs < k.AimMs || k.DeadlineMs > 3600_000:
-			return nil, bad("class", i, "deadline_ms", k.DeadlineMs, "is under aim_ms or over an hour")
+			return nil, invalid("class", i, "deadline_ms", k.DeadlineMs, "is below aim_ms or above 3600000")
 		}
 		if b.Effect, known = effects[k.Effect]; !known {
-			return nil, bad("class", i, "effect", fmt.Sprintf("%q", k.Effect), "is not safe, keyed or unsafe")
+			return nil, invalid("class", i, "effect", fmt.Sprintf("%q", k.Effect), "is not safe, keyed or unsafe")
 		}
 		if b.Effect == balance.Keyed {
 			if b.Group, known = groups[k.Group]; !known {
-				return nil, bad("class", i, "group", fmt.Sprintf("%q", k.Group), "is not all, zone or cell")
+				return nil, invalid("class", i, "group", fmt.Sprintf("%q", k.Group), "is not all, zone or cell")
 			}
 			if k.WindowMs <= 0 {
-				return nil, bad("class", i, "window_ms", k.WindowMs, "is no time for which a repeat is dropped")
+				return nil, invalid("class", i, "window_ms", k.WindowMs, "is not positive")
 			}
 		} else if k.Group != "" || k.WindowMs != 0 {
-			return nil, bad("class", i, "group", fmt.Sprintf("%q", k.Group), "and window_ms go with keyed only")
+			return nil, invalid("class", i, "group", fmt.Sprintf("%q", k.Group), "and window_ms are allowed for keyed only")
 		}
-		other.Deadline = max(other.Deadline, b.Deadline)
+		fallback.Deadline = max(fallback.Deadline, b.Deadline)
 		r.Classes = append(r.Classes, b)
 	}
-	other.Aim = other.Deadline
-	r.Classes = append(r.Classes, other)
+	fallback.Aim = fallback.Deadline
+	r.Classes = append(r.Classes, fallback)
 	return r, nil
 }
 
-// identity reports whether a text may stand for a host or a realm (RFC 6733, 4.3.1).
-func identity(v string) bool {
+// validIdentity reports whether v is accepted as a host or realm name (RFC 6733, 4.3.1).
+func validIdentity(v string) bool {
 	return v != "" && len(v) <= 255 && !strings.ContainsFunc(v, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
-// same compares host and realm names, which know no case.
-func same(a, b string) bool { return strings.EqualFold(a, b) }
+// equalNames compares host or realm names, which are case-insensitive.
+func equalNames(a, b string) bool { return strings.EqualFold(a, b) }
 
-// Known reports whether a client that calls itself so, from a machine, may connect (else 3010).
-func (r *Rules) Known(name, machine string) bool {
+// AllowsPeer reports whether a client with an identity and an IP address may connect; otherwise it gets
+// result 3010.
+func (r *Rules) AllowsPeer(name, machine string) bool {
 	return slices.ContainsFunc(r.cfg.Peers, func(p Peer) bool {
-		return same(p.Identity, name) && (p.Address == "" || p.Address == machine)
+		return equalNames(p.Identity, name) && (p.Address == "" || p.Address == machine)
 	})
 }
 
-// Config is what the file says, with what it leaves out filled in.
+// Config returns the content of the file with defaults filled in.
 func (r *Rules) Config() Config { return r.cfg }
 
-// Address is where a backend speaks Diameter, given its address in the list.
-func (r *Rules) Address(host, listed string) string { return cmp.Or(r.servers[host], listed) }
+// Address returns the Diameter address of a backend, given its address in the list.
+func (r *Rules) Address(host, listed string) string { return cmp.Or(r.addressByHost[host], listed) }
 
-// Named is the backend whose server has an identity, as far as the file tells.
-func (r *Rules) Named(identity string) (host string, ok bool) {
-	host, ok = r.named[strings.ToLower(identity)]
+// HostByIdentity returns the backend whose server has an identity in the file.
+func (r *Rules) HostByIdentity(identity string) (host string, ok bool) {
+	host, ok = r.hostByIdentity[strings.ToLower(identity)]
 	return host, ok
 }
 
-// Wanted is the server that a request names (Destination-Host); empty: any will do.
-func (r *Rules) Wanted(m *diameter.Message) string { return text(m, diameter.CodeDestinationHost) }
+// DestinationHost returns the server that a request names, or "" if any server may answer it.
+func (r *Rules) DestinationHost(m *diameter.Message) string {
+	return identityAVP(m, diameter.CodeDestinationHost)
+}
 
-// Applications are those that requests are routed by, for the capabilities exchange.
+// Applications returns the routed applications, for the capabilities exchange.
 func (r *Rules) Applications() (list []uint32) {
 	for _, t := range r.cfg.Routes {
 		if !slices.Contains(list, t.Application) {
@@ -231,7 +236,7 @@
 	return list
 }
 
-func text(m *diameter.Message, code uint32) string {
+func identityAVP(m *diameter.Message, code uint32) string {
 	if a := diameter.Find(m.AVPs, code, 0); a != nil {
 		if v, err := a.Identity(); err == nil {
 			return v
@@ -240,9 +245,9 @@
 	return ""
 }
 
-// Take says whether a request from a client is to be relayed. An error carries the Result-Code for its
-// answer. Nothing of it has run then.
-func (r *Rules) Take(m *diameter.Message) *diameter.Error {
+// CheckRequest returns nil if a request from a client is to be relayed, otherwise an error with the
+// Result-Code and the Error-Message of the answer. A rejected request has not reached any server.
+func (r *Rules) CheckRequest(m *diameter.Message) *diameter.Error {
 	refuse := func(code uint32, format string, args ...any) *diameter.Error {
 		return &diameter.Error{Result: code, Text: fmt.Sprintf(format, args...)}
 	}
@@ -251,27 +256,27 @@
 		if a.Code != diameter.CodeRouteRecord || a.Vendor != 0 {
 			continue
 		}
-		// Guards against a circle of relays, which would carry a request until its deadline.
-		if v, err := a.Identity(); err == nil && same(v, r.cfg.Identity) {
+		// A loop of relays would otherwise forward a request until its deadline.
+		if v, err := a.Identity(); err == nil && equalNames(v, r.cfg.Identity) {
 			return refuse(diameter.LoopDetected, "it has been here before")
 		}
 	}
 	if m.Flags&diameter.FlagProxiable == 0 {
 		return refuse(diameter.UnableToDeliver, "it may not be relayed, and nothing here answers it")
 	}
-	if host := text(m, diameter.CodeDestinationHost); same(host, r.cfg.Identity) {
+	if host := identityAVP(m, diameter.CodeDestinationHost); equalNames(host, r.cfg.Identity) {
 		return refuse(diameter.UnableToDeliver, "it is for this relay, which answers none itself")
 	}
-	if text(m, diameter.CodeOriginHost) == "" {
+	if identityAVP(m, diameter.CodeOriginHost) == "" {
 		return refuse(diameter.MissingAVP, "Origin-Host is missing")
 	}
-	realm := text(m, diameter.CodeDestinationRealm)
+	realm := identityAVP(m, diameter.CodeDestinationRealm)
 	if realm == "" {
 		return refuse(diameter.MissingAVP, "Destination-Realm is missing")
 	}
 	served := false
 	for _, t := range r.cfg.Routes {
-		if same(t.Realm, realm) {
+		if equalNames(t.Realm, realm) {
 			if t.Application == m.Application {
 				return nil
 			}
@@ -284,7 +289,7 @@
 	return refuse(diameter.RealmNotServed, "no route for %s", realm)
 }
 
-// Classify is the place of a request's class in Classes.
+// Classify returns the index in Classes of a request's class.
 func (r *Rules) Classify(m *diameter.Message) int {
 	value := func(code uint32) (int64, bool) {
 		if a := diameter.Find(m.AVPs, code, 0); a != nil {
@@ -301,7 +306,7 @@
 		if kind, _ := value(diameter.CodeCCRequestType); c.RequestType != 0 && kind != int64(c.RequestType) {
 			continue
 		}
-		if action, told := value(diameter.CodeRequestedAction); c.Action != nil && (!told || action != *c.Action) {
+		if action, present := value(diameter.CodeRequestedAction); c.Action != nil && (!present || action != *c.Action) {
 			continue
 		}
 		return i
@@ -309,9 +314,10 @@
 	return len(r.cfg.Classes)
 }
 
-// Onward is a client's request as an attempt carries it: Route-Record added, all else as it came, under the
-// attempt's Hop-by-Hop. again: an earlier attempt may have run, or the client says so.
-func (r *Rules) Onward(m *diameter.Message, from string, hop uint32, again bool) *diameter.Message {
+// Forward returns a client's request as it is sent to a server: with Route-Record added and the attempt's
+// Hop-by-Hop identifier. again sets the T bit: an earlier attempt may have run. A T bit that the client has
+// set is kept.
+func (r *Rules) Forward(m *diameter.Message, from string, hop uint32, again bool) *diameter.Message {
 	out := *m
 	out.HopByHop = hop
 	if again {
@@ -321,8 +327,8 @@
 	return &out
 }
 
-// Refusal is the answer to a request that ends here: the Result-Code, and E for protocol errors (3xxx).
-func (r *Rules) Refusal(m *diameter.Message, code uint32, why string) *diameter.Message {
+// LocalAnswer returns the relay's own answer to a request, with the E bit set for protocol errors (3xxx).
+func (r *Rules) LocalAnswer(m *diameter.Message, code uint32, why string) *diameter.Message {
 	a := m.Answer()
 	if code/1000 == 3 {
 		a.Flags |= diameter.FlagError
--- a/internal/diameter/relay/relay_test.go
+++ b/internal/diameter/relay/relay_test.go
@@ -23,7 +23,7 @@
 	return r
 }
 
-// request is a credit control request that is taken as it stands.
+// request returns a credit control request that CheckRequest accepts.
 func request(more ...diameter.AVP) *diameter.Message {
 	return &diameter.Message{Flags: diameter.FlagRequest | diameter.FlagProxiable, Command: diameter.CreditControl,
 		Application: diameter.AppCreditControl, HopByHop: 7, EndToEnd: 9,
@@ -31,18 +31,18 @@
 			diameter.Str(diameter.CodeDestinationRealm, "Example.NET")}, more...)}
 }
 
-func TestTake(t *testing.T) {
+func TestCheckRequest(t *testing.T) {
 	r := rules(t)
 	for _, tt := range []struct {
 		name   string
 		change func(m *diameter.Message)
 		want   uint32
 	}{
-		{"as it should be", func(*diameter.Message) {}, 0},
+		{"valid", func(*diameter.Message) {}, 0},
 		{"through other relays", func(m *diameter.Message) {
 			m.AVPs = append(m.AVPs, diameter.Str(diameter.CodeRouteRecord, "other.example.net"))
 		}, 0},
-		{"a circle", func(m *diameter.Message) {
+		{"a routing loop", func(m *diameter.Message) {
 			m.AVPs = append(m.AVPs, diameter.Str(diameter.CodeRouteRecord, "RELAY.example.net"))
 		}, diameter.LoopDetected},
 		{"not proxiable", func(m *diameter.Message) { m.Flags &^= diameter.FlagProxiable }, diameter.UnableToDeliver},
@@ -57,7 +57,7 @@
 		m := request()
 		tt.change(m)
 		got := uint32(0)
-		if err := r.Take(m); err != nil {
+		if err := r.CheckRequest(m); err != nil {
 			got = err.Result
 		}
 		if got != tt.want {
@@ -82,37 +82,38 @@
 		}
 	}
 	if got := r.Classify(request(diameter.U32(diameter.CodeCCRequestType, 1))); got != 1 {
-		t.Errorf("a first interrogation is of class %d", got)
+		t.Errorf("an initial request is of class %d", got)
 	}
 	if last := r.Classes[len(r.Classes)-1]; last.Effect != balance.Unsafe || last.Deadline != 5*time.Second {
-		t.Errorf("what no class fits: %+v", last)
+		t.Errorf("the class for requests that match no other: %+v", last)
 	}
 	if k := r.Classes[1]; k.Effect != balance.Keyed || k.Group != balance.GroupZone || k.Window != 30*time.Second {
 		t.Errorf("charge: %+v", k)
 	}
 }
 
-// What goes on carries Route-Record and the attempt's id, and is otherwise what came, whose message is untouched.
-func TestOnward(t *testing.T) {
+// A forwarded request has Route-Record added and the attempt's identifier, and the client's message is not
+// changed.
+func TestForward(t *testing.T) {
 	r, m := rules(t), request()
-	out := r.Onward(m, "client1.example.net", 1234, true)
+	out := r.Forward(m, "client1.example.net", 1234, true)
 	if out.HopByHop != 1234 || out.EndToEnd != 9 || out.Flags&diameter.FlagRetransmitted == 0 || len(out.AVPs) != len(m.AVPs)+1 {
 		t.Errorf("got %+v", out)
 	}
 	if m.HopByHop != 7 || m.Flags&diameter.FlagRetransmitted != 0 || len(m.AVPs) != 3 {
 		t.Errorf("the client's message became %+v", m)
 	}
-	refusal := r.Refusal(m, diameter.TooBusy, "come back")
+	refusal := r.LocalAnswer(m, diameter.TooBusy, "come back")
 	if refusal.Request() || refusal.Flags&diameter.FlagError == 0 || refusal.HopByHop != 7 || refusal.EndToEnd != 9 ||
 		diameter.Find(refusal.AVPs, diameter.CodeSessionID, 0) == nil {
 		t.Errorf("refusal: %+v", refusal)
 	}
-	if failed := r.Refusal(m, diameter.UnableToComply, ""); failed.Flags&diameter.FlagError != 0 {
+	if failed := r.LocalAnswer(m, diameter.UnableToComply, ""); failed.Flags&diameter.FlagError != 0 {
 		t.Error("5012 is no protocol error")
 	}
 }
 
-func TestRulesRefuseNonsense(t *testing.T) {
+func TestInvalidRules(t *testing.T) {
 	whole, err := os.ReadFile("../../../deploy/diameter.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -141,16 +142,16 @@
 		}
 	}
 	r := rules(t)
-	if !r.Known("Client1.example.net", "127.0.0.1") || r.Known("client1.example.net", "127.0.0.2") || r.Known("stranger", "127.0.0.1") {
-		t.Error("peers are not told apart")
+	if !r.AllowsPeer("Client1.example.net", "127.0.0.1") || r.AllowsPeer("client1.example.net", "127.0.0.2") || r.AllowsPeer("stranger", "127.0.0.1") {
+		t.Error("AllowsPeer does not tell peers apart by identity and address")
 	}
 	if got := fmt.Sprint(r.Applications()); got != "[4 16777217]" {
 		t.Errorf("applications %s", got)
 	}
 }
 
-func TestResends(t *testing.T) {
-	table := NewTable(Limits{InHand: 2, Kept: 2, KeptBytes: 100, KeepFor: time.Minute})
+func TestTableResends(t *testing.T) {
+	table := NewTable(Limits{MaxPending: 2, MaxKept: 2, MaxKeptBytes: 100, KeepFor: time.Minute})
 	o := Origin{"c", 1}
 	arrive := func(o Origin, w Waiter, now time.Duration, want Verdict) []byte {
 		t.Helper()
@@ -161,58 +162,58 @@
 		return raw
 	}
 	arrive(o, Waiter{1, 10}, 0, New)
-	arrive(o, Waiter{1, 11}, 0, Joined) // again on the same connection: the later id counts
-	arrive(o, Waiter{2, 10}, 0, Joined) // and on another
+	arrive(o, Waiter{1, 11}, 0, Joined) // resent on the same connection: the later id is answered
+	arrive(o, Waiter{2, 10}, 0, Joined) // resent on another connection
 	arrive(Origin{"d", 1}, Waiter{3, 10}, 0, New)
 	arrive(Origin{"d", 2}, Waiter{3, 11}, 0, Busy)
-	if got := table.Answer(o, []byte("answer"), true, 0); fmt.Sprint(got) != "[{1 11} {2 10}]" {
+	if got := table.Complete(o, []byte("answer"), true, 0); fmt.Sprint(got) != "[{1 11} {2 10}]" {
 		t.Errorf("waiters %v", got)
 	}
-	if got := table.Answer(o, []byte("late"), true, 0); got != nil {
+	if got := table.Complete(o, []byte("late"), true, 0); got != nil {
 		t.Errorf("a second answer goes to %v", got)
 	}
 	if raw := arrive(o, Waiter{4, 1}, 59*time.Second, Answered); string(raw) != "answer" {
 		t.Errorf("answered %q", raw)
 	}
-	arrive(o, Waiter{4, 2}, 61*time.Second, New) // long enough ago: ids may come round
-	table.Left(3)
-	if got := table.Answer(Origin{"d", 1}, []byte("x"), false, 0); len(got) != 0 {
-		t.Errorf("waiters that have gone: %v", got)
+	arrive(o, Waiter{4, 2}, 61*time.Second, New) // the kept answer has expired: the client may have reused the id
+	table.RemoveConn(3)
+	if got := table.Complete(Origin{"d", 1}, []byte("x"), false, 0); len(got) != 0 {
+		t.Errorf("waiters on a closed connection: %v", got)
 	}
-	arrive(Origin{"d", 1}, Waiter{5, 1}, 61*time.Second, New) // refused: a new try
+	arrive(Origin{"d", 1}, Waiter{5, 1}, 61*time.Second, New) // the refusal was not kept: a new request
 }
 
-// Whatever comes in whatever order: one final answer for each waiter at the most, all bounds kept, and no
-// second New while a request is in hand or its answer is kept.
+// For any sequence of calls: each waiter gets at most one final answer, all bounds are kept, and a request is
+// New only if it is not pending and has no kept answer.
 func TestTableProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		l := Limits{InHand: rapid.IntRange(1, 5).Draw(rt, "in hand"), Kept: rapid.IntRange(0, 3).Draw(rt, "kept"), KeptBytes: 40, KeepFor: 10}
+		l := Limits{MaxPending: rapid.IntRange(1, 5).Draw(rt, "in hand"), MaxKept: rapid.IntRange(0, 3).Draw(rt, "kept"), MaxKeptBytes: 40, KeepFor: 10}
 		table, now := NewTable(l), time.Duration(0)
-		hand := map[Origin]bool{}
+		pending := map[Origin]bool{}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			now += time.Duration(rapid.IntRange(0, 4).Draw(rt, "gap"))
 			o := Origin{"c", uint32(rapid.IntRange(0, 6).Draw(rt, "request"))}
 			switch rapid.IntRange(0, 3).Draw(rt, "what") {
 			case 0, 1:
 				v, raw := table.Arrive(o, Waiter{uint64(rapid.IntRange(0, 8).Draw(rt, "connection")), 1}, now)
-				if hand[o] && v != Joined || v == New && hand[o] || (v == Answered) != (raw != nil) {
-					rt.Fatalf("verdict %d while in hand: %v", v, hand[o])
+				if pending[o] && v != Joined || v == New && pending[o] || (v == Answered) != (raw != nil) {
+					rt.Fatalf("verdict %d, pending: %v", v, pending[o])
 				}
 				if v == New {
-					hand[o] = true
+					pending[o] = true
 				}
 			case 2:
-				was := hand[o]
-				got := table.Answer(o, make([]byte, rapid.IntRange(0, 50).Draw(rt, "size")), rapid.Bool().Draw(rt, "ran"), now)
-				if !was && got != nil || len(got) > WaitersMost {
-					rt.Fatalf("%d answers, in hand: %v", len(got), was)
+				was := pending[o]
+				got := table.Complete(o, make([]byte, rapid.IntRange(0, 50).Draw(rt, "size")), rapid.Bool().Draw(rt, "ran"), now)
+				if !was && got != nil || len(got) > MaxWaiters {
+					rt.Fatalf("%d answers, pending: %v", len(got), was)
 				}
-				delete(hand, o)
+				delete(pending, o)
 			case 3:
-				table.Left(uint64(rapid.IntRange(0, 8).Draw(rt, "gone")))
+				table.RemoveConn(uint64(rapid.IntRange(0, 8).Draw(rt, "gone")))
 			}
-			if table.InHand() != len(hand) || len(hand) > l.InHand || len(table.order) > l.Kept || len(table.kept) != len(table.order) || table.bytes > l.KeptBytes {
-				rt.Fatalf("%d in hand, %d kept, %d bytes", table.InHand(), len(table.order), table.bytes)
+			if table.Pending() != len(pending) || len(pending) > l.MaxPending || len(table.keptOrder) > l.MaxKept || len(table.kept) != len(table.keptOrder) || table.keptBytes > l.MaxKeptBytes {
+				rt.Fatalf("%d pending, %d kept, %d bytes", table.Pending(), len(table.keptOrder), table.keptBytes)
 			}
 		}
 	})
@@ -223,25 +224,25 @@
 	a, _ := w.Send(100)
 	b, _ := w.Send(101)
 	if a != 1<<32-1 || b != 0 {
-		t.Errorf("ids %d, %d: they wrap", a, b)
+		t.Errorf("ids %d, %d: they don't wrap", a, b)
 	}
 	if _, ok := w.Send(102); ok {
-		t.Error("a full window took one more")
+		t.Error("a full window accepted one more attempt")
 	}
-	if got, ok := w.Answer(b); !ok || got != 101 {
+	if got, ok := w.Release(b); !ok || got != 101 {
 		t.Errorf("answer to %d, %v", got, ok)
 	}
 	for _, hop := range []uint32{b, 77} {
-		if _, ok := w.Answer(hop); ok {
-			t.Errorf("an answer to %d that nobody waits for was taken", hop)
+		if _, ok := w.Release(hop); ok {
+			t.Errorf("Release accepted the unused id %d", hop)
 		}
 	}
-	w.next = a // ids come round while one is still out
+	w.next = a // ids wrap around while one is still in use
 	if hop, ok := w.Send(103); !ok || hop == a {
-		t.Errorf("%d was given out twice", hop)
+		t.Errorf("id %d was assigned twice", hop)
 	}
-	if owed := w.Close(); fmt.Sprint(owed) != "[100 103]" || w.Open() != 0 {
-		t.Errorf("owed %v, %d open", owed, w.Open())
+	if unanswered := w.Close(); fmt.Sprint(unanswered) != "[100 103]" || w.InUse() != 0 {
+		t.Errorf("unanswered %v, %d in use", unanswered, w.InUse())
 	}
 }
 
@@ -258,25 +259,25 @@
 			t.Error("neither rules nor an error, or both")
 		}
 		if r != nil && len(r.Classes) == 0 {
-			t.Error("no class for what no class fits")
+			t.Error("no class for requests that match no other")
 		}
 	})
 }
 
-func TestServersHaveNames(t *testing.T) {
+func TestServerIdentities(t *testing.T) {
 	const head = "identity = \"r.example.net\"\nrealm = \"example.net\"\n"
 	r, err := ParseRules("f", []byte(head+"[[server]]\nhost = \"a\"\nidentity = \"Ocs1.example.net\"\n[[server]]\nhost = \"b\"\naddress = \"127.0.0.1:1\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if host, ok := r.Named("ocs1.EXAMPLE.net"); !ok || host != "a" {
+	if host, ok := r.HostByIdentity("ocs1.EXAMPLE.net"); !ok || host != "a" {
 		t.Errorf("%q, %v", host, ok)
 	}
-	if _, ok := r.Named("b"); ok {
+	if _, ok := r.HostByIdentity("b"); ok {
 		t.Error("a host without an identity has one")
 	}
 	if got := r.Address("a", "127.0.0.1:2"); got != "127.0.0.1:2" {
-		t.Errorf("address %q, not that in the list", got)
+		t.Errorf("address %q, want the one in the list", got)
 	}
 	for text, want := range map[string]string{
 		"[[server]]\nhost = \"a\"\n":                                                               "neither address nor identity",
--- a/internal/diameter/relay/table.go
+++ b/internal/diameter/relay/table.go
@@ -5,107 +5,109 @@
 	"time"
 )
 
-// Origin tells a request from all others for minutes, whoever sends it again and by which connection
-// (RFC 6733, 3 and 5.5.4). Hop-by-Hop ids can't: two clients may use the same.
+// Origin identifies a request for several minutes, whichever client connection it is resent on (RFC 6733, 3
+// and 5.5.4). Hop-by-Hop identifiers are not suitable: two clients may use the same one.
 type Origin struct {
 	Host     string // Origin-Host
 	EndToEnd uint32
 }
 
-// Waiter is where an answer goes: a client's connection, and the Hop-by-Hop id that it used there.
+// Waiter is a destination for an answer: a client connection and the Hop-by-Hop identifier of the request on
+// it.
 type Waiter struct {
 	Conn     uint64
 	HopByHop uint32
 }
 
-// Verdict is what becomes of a request that has arrived.
+// Verdict is how a request that has arrived is to be treated.
 type Verdict uint8
 
 const (
-	New      Verdict = iota // to the decision module
-	Joined                  // the same is in hand: its one answer will go to this waiter too
-	Answered                // the same has been answered: that answer again
-	Busy                    // nothing more can be held: refuse it, nothing ran
+	New      Verdict = iota // pass it to the decision module
+	Joined                  // the same request is pending: its answer will go to this waiter as well
+	Answered                // the same request has been answered: send that answer again
+	Busy                    // too many requests are pending: refuse it; it has not reached any server
 )
 
-// Limits bound a Table.
+// Limits bounds a Table.
 type Limits struct {
-	InHand    int           // requests
-	Kept      int           // answers
-	KeptBytes int           // of these
-	KeepFor   time.Duration // an answer
+	MaxPending   int           // requests
+	MaxKept      int           // answers
+	MaxKeptBytes int           // total size of the kept answers
+	KeepFor      time.Duration // how long an answer is kept
 }
 
-// DefaultLimits keep answers for as long as a client's time-out and one resend usually take.
+// DefaultLimits keeps answers for the duration of a client's time-out and one resend.
 func DefaultLimits() Limits {
-	return Limits{InHand: 4096, Kept: 4096, KeptBytes: 4 << 20, KeepFor: 30 * time.Second}
+	return Limits{MaxPending: 4096, MaxKept: 4096, MaxKeptBytes: 4 << 20, KeepFor: 30 * time.Second}
 }
 
-// WaitersMost is how many connections may wait for one request. Further ones take the place of the oldest.
-const WaitersMost = 4
+// MaxWaiters is the number of connections that may wait for one request. A further one replaces the oldest.
+const MaxWaiters = 4
 
-// Table knows the requests in hand and those that were answered lately. Guards against a second attempt
-// that the class forbids, and against a second final answer: a request that is sent again, marked or not, on
-// the same connection or another, is the same request.
+// Table holds the pending requests and the recently answered ones. A request that is resent, with or without
+// the T bit, on the same connection or another, is treated as the same request. This prevents a second
+// attempt that its class does not allow, and a second final answer.
 type Table struct {
-	limits Limits
-	hand   map[Origin]*entry
-	kept   map[Origin]*entry
-	order  []*entry // kept, the oldest first
-	bytes  int
+	limits    Limits
+	pending   map[Origin]*entry
+	kept      map[Origin]*entry
+	keptOrder []*entry // the entries of kept, oldest first
+	keptBytes int      // total size of the kept answers
 }
 
 type entry struct {
-	origin  Origin
-	waiters []Waiter
-	answer  []byte
-	at      time.Duration
+	origin     Origin
+	waiters    []Waiter
+	answer     []byte
+	answeredAt time.Duration
 }
 
 // NewTable returns an empty table.
 func NewTable(l Limits) *Table {
-	return &Table{limits: l, hand: map[Origin]*entry{}, kept: map[Origin]*entry{}}
+	return &Table{limits: l, pending: map[Origin]*entry{}, kept: map[Origin]*entry{}}
 }
 
-// Arrive takes a request. With Answered comes the answer, whose Hop-by-Hop id is to be set for w.
+// Arrive records a request. For Answered it returns the kept answer, in which the caller sets w's Hop-by-Hop
+// identifier.
 func (t *Table) Arrive(o Origin, w Waiter, now time.Duration) (Verdict, []byte) {
 	t.expire(now)
 	if e := t.kept[o]; e != nil {
 		return Answered, e.answer
 	}
-	if e := t.hand[o]; e != nil {
-		// A resend on the same connection takes the place of the first, for which the client may no longer wait.
+	if e := t.pending[o]; e != nil {
+		// A resend on the same connection replaces the earlier one, for which the client may no longer wait.
 		e.waiters = slices.DeleteFunc(e.waiters, func(x Waiter) bool { return x.Conn == w.Conn })
-		if len(e.waiters) >= WaitersMost {
+		if len(e.waiters) >= MaxWaiters {
 			e.waiters = slices.Delete(e.waiters, 0, 1)
 		}
 		e.waiters = append(e.waiters, w)
 		return Joined, nil
 	}
-	if len(t.hand) >= t.limits.InHand {
+	if len(t.pending) >= t.limits.MaxPending {
 		return Busy, nil
 	}
-	t.hand[o] = &entry{origin: o, waiters: []Waiter{w}}
+	t.pending[o] = &entry{origin: o, waiters: []Waiter{w}}
 	return New, nil
 }
 
-// Answer ends a request in hand and returns who waits for it: nobody, where its connections have gone, or
-// where it is not in hand, as for a second answer. keep: the answer says that the request may have run, so
-// that it stands for resends too; one that says that nothing ran ends the matter, and a resend is a new try.
-func (t *Table) Answer(o Origin, raw []byte, keep bool, now time.Duration) []Waiter {
-	e := t.hand[o]
+// Complete ends a pending request and returns its waiters: none if their connections have closed or the
+// request is not pending, as for a second answer. keep: the request may have run, so the answer is kept for
+// resends. After an answer that reports that nothing ran, a resend is a new request.
+func (t *Table) Complete(o Origin, raw []byte, keep bool, now time.Duration) []Waiter {
+	e := t.pending[o]
 	if e == nil {
 		return nil
 	}
-	delete(t.hand, o)
+	delete(t.pending, o)
 	t.expire(now)
-	if keep && len(raw) <= t.limits.KeptBytes && t.limits.Kept > 0 {
-		e.answer, e.at = raw, now
+	if keep && len(raw) <= t.limits.MaxKeptBytes && t.limits.MaxKept > 0 {
+		e.answer, e.answeredAt = raw, now
 		t.kept[o] = e
-		t.order = append(t.order, e)
-		t.bytes += len(raw)
-		for len(t.order) > t.limits.Kept || t.bytes > t.limits.KeptBytes {
-			t.drop()
+		t.keptOrder = append(t.keptOrder, e)
+		t.keptBytes += len(raw)
+		for len(t.keptOrder) > t.limits.MaxKept || t.keptBytes > t.limits.MaxKeptBytes {
+			t.dropOldest()
 		}
 	}
 	waiters := e.waiters
@@ -113,75 +115,77 @@
 	return waiters
 }
 
-// Left drops the waiters of a connection that has ended. Their requests stay in hand: what runs, runs.
-func (t *Table) Left(conn uint64) {
-	for _, e := range t.hand {
+// RemoveConn drops the waiters of a closed connection. Their requests remain pending, since servers may be
+// running them.
+func (t *Table) RemoveConn(conn uint64) {
+	for _, e := range t.pending {
 		e.waiters = slices.DeleteFunc(e.waiters, func(w Waiter) bool { return w.Conn == conn })
 	}
 }
 
-// InHand is how many requests are.
-func (t *Table) InHand() int { return len(t.hand) }
+// Pending returns the number of pending requests.
+func (t *Table) Pending() int { return len(t.pending) }
 
 func (t *Table) expire(now time.Duration) {
-	for len(t.order) > 0 && now-t.order[0].at >= t.limits.KeepFor {
-		t.drop()
+	for len(t.keptOrder) > 0 && now-t.keptOrder[0].answeredAt >= t.limits.KeepFor {
+		t.dropOldest()
 	}
 }
 
-func (t *Table) drop() {
-	e := t.order[0]
-	t.order[0] = nil
-	t.order = t.order[1:]
-	t.bytes -= len(e.answer)
+func (t *Table) dropOldest() {
+	e := t.keptOrder[0]
+	t.keptOrder[0] = nil
+	t.keptOrder = t.keptOrder[1:]
+	t.keptBytes -= len(e.answer)
 	delete(t.kept, e.origin)
 }
 
-// Window maps the attempts on one server's connection to the Hop-by-Hop ids that they go out under, a
-// bounded number at a time. Ids wrap; one that is in use is passed over.
+// Window assigns Hop-by-Hop identifiers to a bounded number of pending attempts on one server's connection.
+// Identifiers wrap around; those in use are skipped.
 type Window struct {
-	size int
-	next uint32
-	out  map[uint32]uint64
+	size     int
+	next     uint32
+	attempts map[uint32]uint64 // pending attempts by Hop-by-Hop identifier
 }
 
-// NewWindow returns an empty window whose ids begin at first, which should be random (RFC 6733, 3).
+// NewWindow returns an empty window whose identifiers start at first, which should be random (RFC 6733, 3).
 func NewWindow(size int, first uint32) *Window {
-	return &Window{size: size, next: first, out: map[uint32]uint64{}}
+	return &Window{size: size, next: first, attempts: map[uint32]uint64{}}
 }
 
-// Send gives an attempt its id; !ok: the window is full, and nothing was sent.
+// Send assigns an identifier to an attempt; !ok: the window is full and the attempt must not be sent.
 func (w *Window) Send(attempt uint64) (hop uint32, ok bool) {
-	if len(w.out) >= w.size {
+	if len(w.attempts) >= w.size {
 		return 0, false
 	}
 	for {
 		hop = w.next
 		w.next++
-		if _, used := w.out[hop]; !used {
-			w.out[hop] = attempt
+		if _, used := w.attempts[hop]; !used {
+			w.attempts[hop] = attempt
 			return hop, true
 		}
 	}
 }
 
-// Answer is the attempt that an answer's id belongs to, once; !ok: nobody asked for it, or it has been
-// answered, or given up.
-func (w *Window) Answer(hop uint32) (attempt uint64, ok bool) {
-	attempt, ok = w.out[hop]
-	delete(w.out, hop)
+// Release frees an identifier and returns its attempt; !ok: the identifier is not in use, because its attempt
+// was answered or abandoned, or because it was never assigned.
+func (w *Window) Release(hop uint32) (attempt uint64, ok bool) {
+	attempt, ok = w.attempts[hop]
+	delete(w.attempts, hop)
 	return attempt, ok
 }
 
-// Close ends the connection: the attempts that are owed an answer may have run, each is a reset.
-func (w *Window) Close() (owed []uint64) {
-	for _, attempt := range w.out {
-		owed = append(owed, attempt)
+// Close frees all identifiers when the connection has ended and returns the attempts without an answer, in
+// ascending order. They may have run.
+func (w *Window) Close() (unanswered []uint64) {
+	for _, attempt := range w.attempts {
+		unanswered = append(unanswered, attempt)
 	}
-	clear(w.out)
-	slices.Sort(owed)
-	return owed
+	clear(w.attempts)
+	slices.Sort(unanswered)
+	return unanswered
 }
 
-// Open is how many attempts are out.
-func (w *Window) Open() int { return len(w.out) }
+// InUse returns the number of pending attempts.
+func (w *Window) InUse() int { return len(w.attempts) }
--- a/internal/diameter/values.go
+++ b/internal/diameter/values.go
@@ -31,53 +31,53 @@
 	IPFilter    Type = "IPFilterRule"
 )
 
-// sizes are the lengths of those types that have one.
-var sizes = map[Type]int{Integer32: 4, Integer64: 8, Unsigned32: 4, Unsigned64: 8, Float32: 4, Float64: 8, Time: 4, Enumerated: 4,
+// fixedSizes holds the data length in bytes of each type; -1: variable.
+var fixedSizes = map[Type]int{Integer32: 4, Integer64: 8, Unsigned32: 4, Unsigned64: 8, Float32: 4, Float64: 8, Time: 4, Enumerated: 4,
 	OctetString: -1, Grouped: -1, Address: -1, UTF8String: -1, Identity: -1, URI: -1, IPFilter: -1}
 
-// ntpEra is where times begin: 1900, as in NTP. RFC 6733 section 4.3.1 lets the high bit tell the era:
-// set, it counts from 1900; clear, from 2036.
+// ntpToUnix is the number of seconds from the NTP epoch (1900) to the Unix epoch (1970). By RFC 6733 section
+// 4.3.1 a Time whose high bit is set counts from 1900, otherwise from 2036.
 const ntpToUnix = 2208988800
 
-// Uint32 reads an Unsigned32, Integer32 or Enumerated.
+// Uint32 decodes an Unsigned32, Integer32 or Enumerated.
 func (a *AVP) Uint32() (uint32, error) {
 	if len(a.Data) != 4 {
-		return 0, fault(InvalidAVPLength, a, "AVP %d: %d bytes where 4 are needed", a.Code, len(a.Data))
+		return 0, newError(InvalidAVPLength, a, "AVP %d: %d bytes where 4 are needed", a.Code, len(a.Data))
 	}
 	return binary.BigEndian.Uint32(a.Data), nil
 }
 
-// Uint64 reads an Unsigned64 or Integer64.
+// Uint64 decodes an Unsigned64 or Integer64.
 func (a *AVP) Uint64() (uint64, error) {
 	if len(a.Data) != 8 {
-		return 0, fault(InvalidAVPLength, a, "AVP %d: %d bytes where 8 are needed", a.Code, len(a.Data))
+		return 0, newError(InvalidAVPLength, a, "AVP %d: %d bytes where 8 are needed", a.Code, len(a.Data))
 	}
 	return binary.BigEndian.Uint64(a.Data), nil
 }
 
-// Text reads a UTF8String.
+// Text decodes a UTF8String.
 func (a *AVP) Text() (string, error) {
 	if !utf8.Valid(a.Data) {
-		return "", fault(InvalidAVPValue, a, "AVP %d is no UTF-8", a.Code)
+		return "", newError(InvalidAVPValue, a, "AVP %d is no UTF-8", a.Code)
 	}
 	return string(a.Data), nil
 }
 
-// Identity reads a DiameterIdentity: a host or realm name of ASCII letters, digits, hyphens and points,
-// at most 255 bytes. It comes back in lower case, as names compare.
+// Identity decodes a DiameterIdentity: a host or realm name of 1 to 255 ASCII letters, digits, hyphens,
+// underscores and dots. The result is in lower case, since names are compared without regard to case.
 func (a *AVP) Identity() (string, error) {
 	if len(a.Data) == 0 || len(a.Data) > 255 {
-		return "", fault(InvalidAVPValue, a, "AVP %d: a name of %d bytes", a.Code, len(a.Data))
+		return "", newError(InvalidAVPValue, a, "AVP %d: a name of %d bytes", a.Code, len(a.Data))
 	}
 	for _, c := range a.Data {
 		if !(c == '-' || c == '.' || c == '_' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z') {
-			return "", fault(InvalidAVPValue, a, "AVP %d is no name: %.40q", a.Code, a.Data)
+			return "", newError(InvalidAVPValue, a, "AVP %d is no name: %.40q", a.Code, a.Data)
 		}
 	}
 	return strings.ToLower(string(a.Data)), nil
 }
 
-// Addr reads an Address: IANA's number of the family, then the address.
+// Addr decodes an Address: the IANA address family number, followed by the address.
 func (a *AVP) Addr() (netip.Addr, error) {
 	if len(a.Data) >= 2 {
 		addr, ok := netip.AddrFromSlice(a.Data[2:])
@@ -85,38 +85,38 @@
 			return addr, nil
 		}
 	}
-	return netip.Addr{}, fault(InvalidAVPValue, a, "AVP %d is no address", a.Code)
+	return netip.Addr{}, newError(InvalidAVPValue, a, "AVP %d is no address", a.Code)
 }
 
-// When reads a Time.
-func (a *AVP) When() (time.Time, error) {
+// Time decodes a Time.
+func (a *AVP) Time() (time.Time, error) {
 	n, err := a.Uint32()
 	if err != nil {
 		return time.Time{}, err
 	}
 	s := int64(n) - ntpToUnix
-	if n&(1<<31) == 0 { // of the era that begins in 2036
+	if n&(1<<31) == 0 { // in the era that begins in 2036
 		s += 1 << 32
 	}
 	return time.Unix(s, 0).UTC(), nil
 }
 
-// Values to put into AVPs.
+// Constructors of AVPs.
 
 func avp(code uint32, flags uint8, data []byte) AVP { return AVP{Code: code, Flags: flags, Data: data} }
 
-// U32 is an AVP of the base protocol with an Unsigned32, Integer32 or Enumerated; M is set.
+// U32 returns an AVP with an Unsigned32, Integer32 or Enumerated value and the M bit set, without a vendor.
 func U32(code, v uint32) AVP { return avp(code, AVPMandatory, binary.BigEndian.AppendUint32(nil, v)) }
 
-// U64 is one with an Unsigned64.
+// U64 is like U32 for an Unsigned64 or Integer64 value.
 func U64(code uint32, v uint64) AVP {
 	return avp(code, AVPMandatory, binary.BigEndian.AppendUint64(nil, v))
 }
 
-// Str is one with a text, a name or bytes.
+// Str is like U32 for a string, an identity or bytes.
 func Str(code uint32, v string) AVP { return avp(code, AVPMandatory, []byte(v)) }
 
-// IP is one with an Address.
+// IP is like U32 for an Address value.
 func IP(code uint32, v netip.Addr) AVP {
 	family := uint16(1)
 	if v = v.Unmap(); v.Is6() {
@@ -125,28 +125,28 @@
 	return avp(code, AVPMandatory, append(binary.BigEndian.AppendUint16(nil, family), v.AsSlice()...))
 }
 
-// At is one with a Time.
-func At(code uint32, v time.Time) AVP { return U32(code, uint32(v.Unix()+ntpToUnix)) }
+// Timestamp is like U32 for a Time value.
+func Timestamp(code uint32, v time.Time) AVP { return U32(code, uint32(v.Unix()+ntpToUnix)) }
 
-// Group is one that holds others.
+// Group is like U32 for a Grouped AVP with the given members.
 func Group(code uint32, list ...AVP) AVP { return avp(code, AVPMandatory, AppendAVPs(nil, list)) }
 
-// Optional clears an AVP's M bit.
+// Optional returns the AVP with the M bit cleared.
 func Optional(a AVP) AVP {
 	a.Flags &^= AVPMandatory
 	return a
 }
 
-// Of gives an AVP a vendor.
-func Of(vendor uint32, a AVP) AVP {
+// WithVendor returns the AVP with the V bit and a vendor set.
+func WithVendor(vendor uint32, a AVP) AVP {
 	a.Flags, a.Vendor = a.Flags|AVPVendor, vendor
 	return a
 }
 
-// check reports whether data fits a type.
+// check reports whether the data is valid for a type.
 func (a *AVP) check(t Type, limits Limits, depth int) error {
-	if n := sizes[t]; n > 0 && len(a.Data) != n {
-		return fault(InvalidAVPLength, a, "AVP %d: %d bytes where %s needs %d", a.Code, len(a.Data), t, n)
+	if n := fixedSizes[t]; n > 0 && len(a.Data) != n {
+		return newError(InvalidAVPLength, a, "AVP %d: %d bytes where %s needs %d", a.Code, len(a.Data), t, n)
 	}
 	var err error
 	switch t {
@@ -155,21 +155,22 @@
 	case Identity:
 		_, err = a.Identity()
 	case Address:
-		// Other families than IP are none of ours to check.
+		// Addresses of families other than IPv4 and IPv6 are not validated.
 		if len(a.Data) < 2 {
-			err = fault(InvalidAVPLength, a, "AVP %d: %d bytes for an address", a.Code, len(a.Data))
+			err = newError(InvalidAVPLength, a, "AVP %d: %d bytes for an address", a.Code, len(a.Data))
 		} else if f := binary.BigEndian.Uint16(a.Data); f == 1 || f == 2 {
 			_, err = a.Addr()
 		}
 	case URI:
 		if s := string(a.Data); !strings.HasPrefix(s, "aaa://") && !strings.HasPrefix(s, "aaas://") {
-			err = fault(InvalidAVPValue, a, "AVP %d is no Diameter URI: %.40q", a.Code, s)
+			err = newError(InvalidAVPValue, a, "AVP %d is no Diameter URI: %.40q", a.Code, s)
 		}
 	}
 	return err
 }
 
-// value renders data of a type for people and programs.
+// value converts the data to a value for text and JSON output; data that is invalid for the type gives a hex
+// string.
 func (a *AVP) value(t Type) any {
 	switch t {
 	case Unsigned32, Enumerated:
@@ -190,14 +191,14 @@
 		}
 	case Float32:
 		if v, err := a.Uint32(); err == nil {
-			return finite(float64(math.Float32frombits(v)))
+			return jsonFloat(float64(math.Float32frombits(v)))
 		}
 	case Float64:
 		if v, err := a.Uint64(); err == nil {
-			return finite(math.Float64frombits(v))
+			return jsonFloat(math.Float64frombits(v))
 		}
 	case Time:
-		if v, err := a.When(); err == nil {
+		if v, err := a.Time(); err == nil {
 			return v.Format(time.RFC3339)
 		}
 	case Address:
@@ -212,8 +213,8 @@
 	return fmt.Sprintf("0x%x", a.Data)
 }
 
-// finite keeps what JSON can't write out of it.
-func finite(v float64) any {
+// jsonFloat returns v, or its text if JSON has no representation for it (NaN and infinities).
+func jsonFloat(v float64) any {
 	if math.IsNaN(v) || math.IsInf(v, 0) {
 		return fmt.Sprint(v)
 	}
--- a/internal/front/diameter/bench_test.go
+++ b/internal/front/diameter/bench_test.go
@@ -8,7 +8,7 @@
 	"lemonrail/internal/standin"
 )
 
-// pipelined asks b.N times with some requests out at a time.
+// pipelined sends b.N requests, of which up to eight are pending at a time.
 func pipelined(b *testing.B, c *standin.DiameterConn, ask func() *diameter.Message) {
 	const out = 8
 	b.ReportAllocs()
@@ -28,10 +28,10 @@
 	}
 }
 
-// The same client and server, with and without the relay between them, in one run.
+// The same client and server, connected directly and through the relay, in one run.
 func BenchmarkRequests(b *testing.B) {
 	b.Run("direct", func(b *testing.B) {
-		node, err := standin.NewDiameterNode("s0.example.net", good)
+		node, err := standin.NewDiameterNode("s0.example.net", answerSuccess)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -43,10 +43,10 @@
 		defer c.Close()
 		scripted.Await(b, c.Got)
 		s := &relaySite{t: b}
-		pipelined(b, c, func() *diameter.Message { return s.ask(4, 2) })
+		pipelined(b, c, func() *diameter.Message { return s.newRequest(4, 2) })
 	})
 	b.Run("relayed", func(b *testing.B) {
-		s := newSite(b, 64, good)
-		pipelined(b, s.client(), func() *diameter.Message { return s.ask(4, 2) })
+		s := newSite(b, 64, answerSuccess)
+		pipelined(b, s.client(), func() *diameter.Message { return s.newRequest(4, 2) })
 	})
 }
--- a/internal/front/diameter/finish_test.go
+++ b/internal/front/diameter/finish_test.go
@@ -13,7 +13,7 @@
 	"lemonrail/internal/scripted"
 )
 
-// tcpPair is both ends of a connection.
+// tcpPair returns both ends of a TCP connection.
 func tcpPair(t *testing.T) (here, there net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -31,20 +31,20 @@
 	return here, there
 }
 
-// An answer that is queued, and no longer in hand, when a planned stop ends its connection is written before the end,
-// though the writer comes to it only afterwards.
+// An answer that is queued, and whose request is no longer pending, when a planned stop ends its connection
+// is written before the connection is closed, although the writer processes the queue only afterwards.
 func TestQueuedAnswersAreWrittenAtTheEnd(t *testing.T) {
 	front, err := New(Config{Limits: relay.DefaultLimits(), Hello: 10 * time.Second, Log: slog.New(slog.DiscardHandler),
-		Overload: overload.Config{Span: 100 * time.Millisecond, Validity: time.Second, Least: 8, Grow: 2, Step: 0.05, Most: 0.9}}, nil)
+		Overload: overload.Config{Interval: 100 * time.Millisecond, Validity: time.Second, MinAnswers: 8, GrowthFactor: 2, MinReduction: 0.05, MaxReduction: 0.9}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	here, there := tcpPair(t)
 	c := &conn{Conn: here, f: front, writes: make(chan []byte, writeQueue), ended: make(chan struct{})}
-	front.conns[c.no] = c
+	front.conns[c.id] = c
 	c.enqueue([]byte("one answer, "))
 	c.enqueue([]byte("another"))
-	c.finish()
+	c.closeAfterWrites()
 	var running sync.WaitGroup
 	running.Go(c.write)
 	running.Go(c.read)
--- a/internal/front/diameter/front.go
+++ b/internal/front/diameter/front.go
@@ -1,10 +1,11 @@
-// Package diameter takes clients' requests over Diameter, as a relay, and answers them as the core decides.
+// Package diameter implements the Diameter relay's client side: it accepts clients' requests and sends them
+// the answers that the core obtains.
 //
-// Each connection has a reader and a writer goroutine, each request in hand one that waits for the core's
-// answer. A mutex guards connections and the table of requests. A request that is sent again, on the same
-// connection or another, is the same one: it has one final answer, which goes to all who wait for it.
-// Bounded are connections, the time until a client has made itself known, what waits to be written to each,
-// and by relay.Limits the requests in hand and the answers kept.
+// Each connection has a reader and a writer goroutine; each pending request has a goroutine that waits for
+// the core's answer. A mutex guards the connections and the table of requests. A request that is resent, on
+// the same connection or another, is treated as the same request: it has one final answer, which is sent to
+// all waiters. Bounded are the number of connections, the time until a client has sent its CER, the messages
+// queued for each client, and, by relay.Limits, the pending requests and the kept answers.
 package diameter
 
 import (
@@ -28,74 +29,74 @@
 	"lemonrail/internal/diameter/relay"
 )
 
-// Config is what a Front is told.
+// Config holds the parameters of a Front.
 type Config struct {
 	Rules       *relay.Rules
 	Identity    string
 	Realm       string
-	Offset      int // of the rules' classes among the module's
+	Offset      int // index of the rules' first class among the decision module's classes
 	Limits      relay.Limits
-	Overload    overload.Config // what clients that heed it are told of overload
+	Overload    overload.Config // for clients that accept overload reports
 	Peer        diameter.PeerConfig
-	Named       func(identity string) (backend string, ok bool) // whose server has an identity
-	Connections int                                             // of clients; more are closed at once
-	Hello       time.Duration                                   // for a client to make itself known
+	Named       func(identity string) (backend string, ok bool) // returns the backend whose server has an identity
+	Connections int                                             // maximum number; further ones are closed at once
+	Hello       time.Duration                                   // time limit for a client's CER
 	Log         *slog.Logger
 }
 
 const (
-	writeQueue = 256         // messages that wait for a client; one that reads so little is cut off
-	writeLimit = time.Second // for one of them
+	writeQueue   = 256         // queued messages per client; a client whose queue is full is disconnected
+	writeTimeout = time.Second // per message
 )
 
-// Front takes clients' requests.
+// Front accepts Diameter clients and passes their requests to the core.
 type Front struct {
-	cfg   Config
-	loop  *core.Loop
-	began time.Time
-	wait  sync.WaitGroup
+	cfg       Config
+	loop      *core.Loop
+	startedAt time.Time
+	wait      sync.WaitGroup
 
-	mu    sync.Mutex
-	load  *overload.Reporter
-	table *relay.Table
-	conns map[uint64]*conn
-	next  uint64
-	calls uint64
-	leave bool // a stop is planned: clients have been told, what is in hand is answered yet
-	done  bool
+	mu       sync.Mutex
+	reporter *overload.Reporter
+	table    *relay.Table
+	conns    map[uint64]*conn
+	lastConn uint64
+	calls    uint64
+	stopping bool // a planned stop has begun: a DPR was sent to the clients, pending requests are still answered
+	closed   bool
 }
 
-// New returns a front for a loop.
+// New returns a front that passes requests to loop.
 func New(cfg Config, loop *core.Loop) (*Front, error) {
 	load, err := overload.New(cfg.Overload, uint64(time.Now().Unix())<<20) // above those of an earlier process
 	if err != nil {
 		return nil, err
 	}
-	return &Front{cfg: cfg, loop: loop, began: time.Now(), load: load, table: relay.NewTable(cfg.Limits), conns: map[uint64]*conn{}}, nil
+	return &Front{cfg: cfg, loop: loop, startedAt: time.Now(), reporter: load, table: relay.NewTable(cfg.Limits), conns: map[uint64]*conn{}}, nil
 }
 
-func (f *Front) now() time.Duration { return time.Since(f.began) + time.Millisecond }
+func (f *Front) now() time.Duration { return time.Since(f.startedAt) + time.Millisecond }
 
-// conn is a client's connection.
+// conn is a connection of a client.
 type conn struct {
 	net.Conn
 	f      *Front
-	no     uint64
+	id     uint64
 	writes chan []byte
 	ended  chan struct{}
 
-	mu     sync.Mutex
-	peer   *diameter.Peer
-	name   string // the client's identity, once known
-	timer  *time.Timer
-	ids    uint32
-	gone   bool
-	agreed bool // the client knows that we leave: it has answered our DPR
+	mu          sync.Mutex
+	peer        *diameter.Peer
+	name        string // the client's identity; empty until its CER was accepted
+	timer       *time.Timer
+	lastID      uint32
+	closed      bool
+	dpaReceived bool // the client has answered the DPR of a planned stop, or its connection is to be closed
 }
 
-// Serve takes connections until ctx ends; then it ends them, once what is in hand has been answered or by
-// has passed, and waits for its goroutines.
-func (f *Front) Serve(ctx context.Context, ln net.Listener, by func() time.Time) error {
+// Serve accepts connections until ctx ends. It then closes them, once all pending requests have been answered
+// or the time that stopDeadline returns has passed, and waits for its goroutines.
+func (f *Front) Serve(ctx context.Context, ln net.Listener, stopDeadline func() time.Time) error {
 	stop := context.AfterFunc(ctx, func() { ln.Close() })
 	defer stop()
 	var fault error
@@ -109,24 +110,24 @@
 		}
 		f.accept(nc)
 	}
-	told := f.sayGoodbye()
-	end := by()
-	for ; time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	clients := f.disconnectClients()
+	deadline := stopDeadline()
+	for ; time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		f.mu.Lock()
-		n := f.table.InHand()
+		n := f.table.Pending()
 		f.mu.Unlock()
-		if n == 0 && !slices.ContainsFunc(told, (*conn).waits) {
+		if n == 0 && !slices.ContainsFunc(clients, (*conn).awaitsDPA) {
 			break
 		}
 	}
 	f.mu.Lock()
-	f.done = true
+	f.closed = true
 	open := slices.Collect(maps.Values(f.conns))
 	f.mu.Unlock()
 	for _, c := range open {
-		c.finish()
+		c.closeAfterWrites()
 	}
-	late := time.AfterFunc(time.Until(end), func() { // whatever is still to be written
+	late := time.AfterFunc(time.Until(deadline), func() { // abandons what is still queued
 		for _, c := range open {
 			c.Close()
 		}
@@ -136,28 +137,29 @@
 	return fault
 }
 
-// finish reads nothing more of a connection, which ends once what is queued for its client has been written. Guards
-// against an answer that is in the queue, and no longer in hand, when the connection is closed.
-func (c *conn) finish() {
+// closeAfterWrites stops reading from the connection, which is closed once the messages queued for the client
+// have been written. Closing it at once would lose a queued answer whose request is no longer pending.
+func (c *conn) closeAfterWrites() {
 	reader, ok := c.Conn.(interface{ CloseRead() error })
 	if !ok || reader.CloseRead() != nil {
 		c.Close()
 	}
 }
 
-// sayGoodbye asks the clients that are known to end their connections (DPR, RFC 6733, 5.4) and returns theirs. What
-// they still send is taken, what they are owed they get: the connections end once all is answered.
-func (f *Front) sayGoodbye() (told []*conn) {
+// disconnectClients sends a DPR (RFC 6733, 5.4) to the clients that have exchanged capabilities, closes the
+// connections of the others and returns all connections. Requests that still arrive are accepted; the
+// connections are closed once all requests have been answered.
+func (f *Front) disconnectClients() (clients []*conn) {
 	f.mu.Lock()
-	f.leave = true
+	f.stopping = true
 	for _, c := range f.conns {
-		told = append(told, c)
+		clients = append(clients, c)
 	}
 	f.mu.Unlock()
-	for _, c := range told { // outside the lock: a connection takes it within its own
+	for _, c := range clients { // without the lock, since a connection takes it while holding its own
 		c.mu.Lock()
 		switch {
-		case c.gone:
+		case c.closed:
 		case c.name == "":
 			c.Close()
 		default:
@@ -165,41 +167,42 @@
 		}
 		c.mu.Unlock()
 	}
-	return told
+	return clients
 }
 
-// waits reports whether a client has not yet answered our DPR, and has not gone.
-func (c *conn) waits() bool {
+// awaitsDPA reports whether the connection is open and the client has not answered the DPR yet.
+func (c *conn) awaitsDPA() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.gone && !c.agreed
+	return !c.closed && !c.dpaReceived
 }
 
-// leaving reports whether a stop is planned and something is in hand yet.
-func (f *Front) leaving() bool {
+// draining reports whether a planned stop has begun and requests are still pending.
+func (f *Front) draining() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.leave && f.table.InHand() > 0
+	return f.stopping && f.table.Pending() > 0
 }
 
 func (f *Front) accept(nc net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.done || len(f.conns) >= f.cfg.Connections {
+	if f.closed || len(f.conns) >= f.cfg.Connections {
 		nc.Close()
 		return
 	}
-	f.next++
+	f.lastConn++
 	cfg := f.cfg.Peer
 	cfg.Persistent = false
-	c := &conn{Conn: nc, f: f, no: f.next, writes: make(chan []byte, writeQueue), ended: make(chan struct{}), ids: rand.Uint32(),
+	c := &conn{Conn: nc, f: f, id: f.lastConn, writes: make(chan []byte, writeQueue), ended: make(chan struct{}), lastID: rand.Uint32(),
 		peer: diameter.NewPeer(f.cfg.Identity, cfg, rand.New(rand.NewPCG(rand.Uint64(), 0)))}
-	f.conns[c.no] = c
+	f.conns[c.id] = c
 	f.wait.Go(c.write)
 	f.wait.Go(c.read)
 }
 
-// enqueue hands a message to the writer. A client that does not read is cut off, and holds up nobody.
+// enqueue passes a message to the writer without blocking. A client that does not read fast enough is
+// disconnected.
 func (c *conn) enqueue(raw []byte) {
 	select {
 	case c.writes <- raw:
@@ -212,16 +215,16 @@
 	for {
 		select {
 		case raw := <-c.writes:
-			c.SetWriteDeadline(time.Now().Add(writeLimit))
+			c.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if _, err := c.Write(raw); err != nil {
 				c.Close()
 				return
 			}
 		case <-c.ended:
-			for { // what was decided before the end, such as the reason for it
+			for { // write what was queued before the end, such as an error answer that explains it
 				select {
 				case raw := <-c.writes:
-					c.SetWriteDeadline(time.Now().Add(writeLimit))
+					c.SetWriteDeadline(time.Now().Add(writeTimeout))
 					if _, err := c.Write(raw); err != nil {
 						c.Close()
 						return
@@ -236,7 +239,7 @@
 }
 
 func (c *conn) read() {
-	defer c.end()
+	defer c.handleClosed()
 	limits := diameter.DefaultLimits()
 	messages := diameter.NewReader(c, limits)
 	c.SetReadDeadline(time.Now().Add(c.f.cfg.Hello))
@@ -245,7 +248,7 @@
 		var breach *diameter.Error
 		if err != nil {
 			if errors.As(err, &breach) {
-				c.f.cfg.Log.Debug("diameter client", "err", err)
+				c.f.cfg.Log.Debug("invalid message from diameter client", "err", err)
 			}
 			return
 		}
@@ -257,30 +260,30 @@
 			c.answer(m, breach)
 			continue
 		}
-		if err != nil || !c.take(m) {
+		if err != nil || !c.handle(m) {
 			return
 		}
 	}
 }
 
-// end forgets a connection. What it asked for stays in hand: what runs, runs, and the client may ask again.
-func (c *conn) end() {
+// handleClosed removes the connection. Its requests remain pending, so that a resend finds their answers.
+func (c *conn) handleClosed() {
 	c.mu.Lock()
-	c.gone = true
+	c.closed = true
 	if c.timer != nil {
 		c.timer.Stop()
 	}
 	c.mu.Unlock()
 	c.f.mu.Lock()
-	delete(c.f.conns, c.no)
-	c.f.table.Left(c.no)
+	delete(c.f.conns, c.id)
+	c.f.table.RemoveConn(c.id)
 	c.f.mu.Unlock()
 	close(c.ended)
 }
 
-// answer answers a request that ends here.
+// answer sends an error answer, or the relay's own answer, to a request that is not relayed.
 func (c *conn) answer(m *diameter.Message, e *diameter.Error) {
-	a := c.f.cfg.Rules.Refusal(m, e.Result, e.Text)
+	a := c.f.cfg.Rules.LocalAnswer(m, e.Result, e.Text)
 	if e.Failed != nil {
 		a.AVPs = append(a.AVPs, diameter.Group(diameter.CodeFailedAVP, *e.Failed))
 	}
@@ -289,12 +292,12 @@
 	}
 }
 
-// take reports whether the connection goes on.
-func (c *conn) take(m *diameter.Message) bool {
+// handle processes a message and reports whether the connection stays open.
+func (c *conn) handle(m *diameter.Message) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.name == "" {
-		return c.hello(m)
+		return c.handleCER(m)
 	}
 	if m.Application == diameter.AppBase {
 		in, known := map[uint32][2]diameter.Input{
@@ -313,22 +316,22 @@
 		if m.Request() {
 			c.answer(m, &diameter.Error{Result: diameter.CommandUnsupported, Text: "not for a relay"})
 		}
-		return m.Command != diameter.CapabilitiesExchange // a second one: RFC 6733, 5.6, has no state for it
+		return m.Command != diameter.CapabilitiesExchange // RFC 6733, 5.6, has no transition for a second one
 	}
 	c.step(diameter.Event{Input: diameter.GotOther, Side: diameter.Responder})
 	if !m.Request() {
-		return true // nothing was asked of clients
+		return true // no requests are sent to clients, so this answer is unexpected
 	}
-	if err := c.f.cfg.Rules.Take(m); err != nil {
+	if err := c.f.cfg.Rules.CheckRequest(m); err != nil {
 		c.answer(m, err)
 		return true
 	}
-	c.request(m)
+	c.relayRequest(m)
 	return true
 }
 
-// hello takes the first message of a connection, which has to be a CER from a client that may connect.
-func (c *conn) hello(m *diameter.Message) bool {
+// handleCER processes the first message of a connection, which must be a CER of a client that may connect.
+func (c *conn) handleCER(m *diameter.Message) bool {
 	if m.Command != diameter.CapabilitiesExchange || m.Application != diameter.AppBase || !m.Request() {
 		return false
 	}
@@ -341,15 +344,15 @@
 	case name == "":
 		c.answer(m, &diameter.Error{Result: diameter.MissingAVP, Text: "Origin-Host is missing"})
 		return false
-	case !c.f.cfg.Rules.Known(name, machine):
+	case !c.f.cfg.Rules.AllowsPeer(name, machine):
 		c.answer(m, &diameter.Error{Result: diameter.UnknownPeer, Text: "not known here"})
 		return false
-	case !common(m, c.f.cfg.Rules.Applications()):
+	case !hasCommonApplication(m, c.f.cfg.Rules.Applications()):
 		c.answer(m, &diameter.Error{Result: diameter.NoCommonApplication, Text: "no application in common"})
 		return false
 	}
 	c.name = name
-	a := c.f.cfg.Rules.Refusal(m, diameter.Success, "")
+	a := c.f.cfg.Rules.LocalAnswer(m, diameter.Success, "")
 	if t, ok := c.LocalAddr().(*net.TCPAddr); ok {
 		a.AVPs = append(a.AVPs, diameter.IP(diameter.CodeHostIPAddress, t.AddrPort().Addr().Unmap()))
 	}
@@ -362,13 +365,13 @@
 		return false
 	}
 	c.enqueue(raw)
-	c.SetReadDeadline(time.Time{}) // the watchdog's matter from here on
+	c.SetReadDeadline(time.Time{}) // from here on the watchdog detects an unresponsive client
 	c.step(diameter.Event{Input: diameter.GotCER, Host: name})
 	return true
 }
 
-// common reports whether a client's capabilities hold one of our applications, or are a relay's.
-func common(m *diameter.Message, ours []uint32) bool {
+// hasCommonApplication reports whether a client's CER names one of the applications or the relay application.
+func hasCommonApplication(m *diameter.Message, applications []uint32) bool {
 	found := false
 	var look func(list []diameter.AVP, depth int)
 	look = func(list []diameter.AVP, depth int) {
@@ -382,7 +385,7 @@
 				}
 			case a.Code == diameter.CodeAuthApplication || a.Code == diameter.CodeAcctApplication:
 				v, err := a.Uint32()
-				for _, o := range ours {
+				for _, o := range applications {
 					found = found || err == nil && (v == o || v == diameter.AppRelay)
 				}
 			}
@@ -392,29 +395,29 @@
 	return found
 }
 
-// tell sends a request of the base protocol. The lock is held.
-func (c *conn) tell(command uint32, more ...diameter.AVP) {
-	c.ids++
-	m := diameter.Message{Flags: diameter.FlagRequest, Command: command, HopByHop: c.ids, EndToEnd: c.ids,
+// sendRequest sends a request of the base protocol. The caller holds c.mu.
+func (c *conn) sendRequest(command uint32, more ...diameter.AVP) {
+	c.lastID++
+	m := diameter.Message{Flags: diameter.FlagRequest, Command: command, HopByHop: c.lastID, EndToEnd: c.lastID,
 		AVPs: append([]diameter.AVP{diameter.Str(diameter.CodeOriginHost, c.f.cfg.Identity), diameter.Str(diameter.CodeOriginRealm, c.f.cfg.Realm)}, more...)}
 	if raw, err := m.Append(nil); err == nil {
 		c.enqueue(raw)
 	}
 }
 
-// step takes an event and carries out what the peer's machine wants; answers of the base protocol have been
-// written already. The lock is held.
+// step passes an event to the peer state machine and carries out its actions. Answers of the base protocol
+// have already been queued by handle. The caller holds c.mu.
 func (c *conn) step(e diameter.Event) {
 	for _, act := range c.peer.Step(c.f.now(), e) {
-		switch act.Act {
+		switch act.Kind {
 		case diameter.SendDWR:
-			c.tell(diameter.DeviceWatchdog)
+			c.sendRequest(diameter.DeviceWatchdog)
 		case diameter.SendDPR:
-			c.tell(diameter.DisconnectPeer, diameter.U32(diameter.CodeDisconnectCause, diameter.Rebooting))
+			c.sendRequest(diameter.DisconnectPeer, diameter.U32(diameter.CodeDisconnectCause, diameter.Rebooting))
 		case diameter.Disconnect, diameter.Reject:
-			c.agreed = true
-			// Guards against an answer that is owed on a connection whose client has agreed to its end.
-			if act.Act == diameter.Reject || !c.f.leaving() {
+			c.dpaReceived = true
+			// During a planned stop the connection stays open until the pending requests have been answered.
+			if act.Kind == diameter.Reject || !c.f.draining() {
 				c.Close()
 			}
 		}
@@ -423,26 +426,26 @@
 		c.timer.Stop()
 		c.timer = nil
 	}
-	if due := c.peer.Due(); due > 0 && !c.gone {
+	if due := c.peer.Due(); due > 0 && !c.closed {
 		c.timer = time.AfterFunc(max(0, due-c.f.now())+time.Millisecond, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			if !c.gone {
+			if !c.closed {
 				c.step(diameter.Event{Input: diameter.Tick})
 			}
 		})
 	}
 }
 
-// request takes a request that is to be relayed.
-func (c *conn) request(m *diameter.Message) {
+// relayRequest passes a request to the core, unless it is a resend or is refused here.
+func (c *conn) relayRequest(m *diameter.Message) {
 	f := c.f
 	host := ""
 	if a := diameter.Find(m.AVPs, diameter.CodeOriginHost, 0); a != nil {
 		host, _ = a.Identity()
 	}
 	only := ""
-	if name := f.cfg.Rules.Wanted(m); name != "" {
+	if name := f.cfg.Rules.DestinationHost(m); name != "" {
 		known := false
 		if only, known = f.cfg.Named(name); !known {
 			c.answer(m, &diameter.Error{Result: diameter.UnableToDeliver, Text: "no server of that name is known"})
@@ -452,27 +455,27 @@
 	origin := relay.Origin{Host: strings.ToLower(host), EndToEnd: m.EndToEnd}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.done { // it has come as the connection ends: nobody would get its answer
+	if f.closed { // Serve closes this connection, so an answer could not be sent
 		return
 	}
-	verdict, kept := f.table.Arrive(origin, relay.Waiter{Conn: c.no, HopByHop: m.HopByHop}, f.now())
+	verdict, kept := f.table.Arrive(origin, relay.Waiter{Conn: c.id, HopByHop: m.HopByHop}, f.now())
 	switch verdict {
 	case relay.Answered:
-		c.enqueue(addressed(kept, m.HopByHop))
+		c.enqueue(withHopByHop(kept, m.HopByHop))
 		return
 	case relay.Joined:
 		return
 	case relay.Busy:
-		f.load.Ended(true, f.now())
-		if raw, err := f.cfg.Rules.Refusal(m, diameter.TooBusy, "too many requests in hand").Append(nil); err == nil {
-			c.enqueue(f.report(m, raw))
+		f.reporter.Record(true, f.now())
+		if raw, err := f.cfg.Rules.LocalAnswer(m, diameter.TooBusy, "too many requests in hand").Append(nil); err == nil {
+			c.enqueue(f.addReport(m, raw))
 		}
 		return
 	}
 	f.calls++
 	class := f.cfg.Rules.Classify(m)
 	call := &core.Call{
-		// An id of its own for each: a request that was refused may come again under its old ids.
+		// A new ID for each call: a client may resend a refused request with the same identifiers.
 		Event:    balance.Request{ID: fmt.Sprintf("diameter-%d", f.calls), Class: f.cfg.Offset + class, Only: only},
 		Request:  &backend.Request{Message: m, From: c.name},
 		Deadline: time.Now().Add(f.cfg.Rules.Classes[class].Deadline),
@@ -484,48 +487,49 @@
 		select {
 		case a = <-call.Reply:
 		case <-f.loop.Dead:
-			select { // the loop may have answered on its way out
+			select { // the loop may have answered before it ended
 			case a = <-call.Reply:
 			default:
 				a.Kind = core.Failed
 			}
 		}
-		f.answered(origin, m, a)
+		f.complete(origin, m, a)
 	})
 }
 
-// answered gives a request its one final answer.
-func (f *Front) answered(origin relay.Origin, m *diameter.Message, a core.Answer) {
+// complete sends the final answer of a request to all its waiters.
+func (f *Front) complete(origin relay.Origin, m *diameter.Message, a core.Answer) {
 	var raw []byte
 	switch a.Kind {
 	case core.Served:
 		raw = a.Payload.([]byte)
 	case core.Refused: // nothing ran
-		raw, _ = f.cfg.Rules.Refusal(m, diameter.TooBusy, "no server has room").Append(nil)
-	default: // it may have run: unable to deliver (3002) would tell the client to try another agent
-		raw, _ = f.cfg.Rules.Refusal(m, diameter.UnableToComply, "no server has answered").Append(nil)
+		raw, _ = f.cfg.Rules.LocalAnswer(m, diameter.TooBusy, "no server has room").Append(nil)
+	default: // the request may have run: 3002 (unable to deliver) would make the client try another agent
+		raw, _ = f.cfg.Rules.LocalAnswer(m, diameter.UnableToComply, "no server has answered").Append(nil)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.load.Ended(a.Kind == core.Refused, f.now())
-	raw = f.report(m, raw)
-	for _, w := range f.table.Answer(origin, raw, a.Kind != core.Refused, f.now()) {
+	f.reporter.Record(a.Kind == core.Refused, f.now())
+	raw = f.addReport(m, raw)
+	for _, w := range f.table.Complete(origin, raw, a.Kind != core.Refused, f.now()) {
 		if c := f.conns[w.Conn]; c != nil {
-			c.enqueue(addressed(raw, w.HopByHop))
+			c.enqueue(withHopByHop(raw, w.HopByHop))
 		}
 	}
 }
 
-// report puts into an answer what its client, if it heeds such, is to know of overload. The lock is held.
-func (f *Front) report(m *diameter.Message, raw []byte) []byte {
-	if r, told := f.load.Report(f.now()); told && relay.Heeds(m) {
-		return relay.Reported(raw, r)
+// addReport adds the current overload report, if any, to an answer for a client that accepts reports. The
+// caller holds f.mu.
+func (f *Front) addReport(m *diameter.Message, raw []byte) []byte {
+	if r, present := f.reporter.Report(f.now()); present && relay.AcceptsOverloadReports(m) {
+		return relay.AppendReport(raw, r)
 	}
 	return raw
 }
 
-// addressed is a copy of an answer under a waiter's Hop-by-Hop id.
-func addressed(raw []byte, hop uint32) []byte {
+// withHopByHop returns a copy of an encoded answer with a waiter's Hop-by-Hop identifier.
+func withHopByHop(raw []byte, hop uint32) []byte {
 	out := append([]byte(nil), raw...)
 	diameter.SetHopByHop(out, hop)
 	return out
