--- a/internal/front/diameter/front_test.go
+++ b/internal/front/diameter/front_test.go
@@ -26,17 +26,17 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// relaySite is a relay between clients and scripted servers.
+// relaySite is a relay with scripted servers that test clients connect to.
 type relaySite struct {
-	t     testing.TB
-	addr  string
-	loop  *core.Loop
-	nodes []*standin.DiameterNode
-	list  func(state ...balance.BackendState)
-	ids   atomic.Uint32
-	leave context.CancelFunc // begins a planned stop of the front
-	left  chan struct{}      // closed at its end
-	by    time.Duration      // that it may take
+	t         testing.TB
+	addr      string
+	loop      *core.Loop
+	nodes     []*standin.DiameterNode
+	list      func(state ...balance.BackendState)
+	ids       atomic.Uint32
+	stopFront context.CancelFunc // begins a planned stop of the front
+	stopped   chan struct{}      // closed when the front has stopped
+	stopLimit time.Duration      // maximum duration of the planned stop
 }
 
 func newSite(t testing.TB, window int, scripts ...func(c *standin.DiameterConn, m *diameter.Message)) *relaySite {
@@ -61,7 +61,7 @@
 		Window: window, Peer: diameter.DefaultPeerConfig(), Log: log,
 		Leaves: func(id string, leaves bool) { loop.Post(func() { loop.Leaves(id, leaves) }) }})
 	loop.Backend = b
-	site := &relaySite{t: t, loop: loop, left: make(chan struct{}), by: 5 * time.Second}
+	site := &relaySite{t: t, loop: loop, stopped: make(chan struct{}), stopLimit: 5 * time.Second}
 	for i, script := range scripts {
 		n, err := standin.NewDiameterNode(fmt.Sprintf("s%d.example.net", i), script)
 		if err != nil {
@@ -92,21 +92,21 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	inner, stop := context.WithCancel(context.Background())
 	front, err := New(Config{Rules: rules, Identity: "relay.example.net", Realm: "example.net", Limits: relay.DefaultLimits(),
-		Overload: overload.Config{Span: 100 * time.Millisecond, Validity: time.Second, Least: 8, Grow: 2, Step: 0.05, Most: 0.9},
+		Overload: overload.Config{Interval: 100 * time.Millisecond, Validity: time.Second, MinAnswers: 8, GrowthFactor: 2, MinReduction: 0.05, MaxReduction: 0.9},
 		Peer:     diameter.DefaultPeerConfig(), Named: b.Named, Connections: 8, Hello: 10 * time.Second, Log: log}, loop)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var parts sync.WaitGroup
 	parts.Go(func() { loop.Run(inner) })
-	site.leave = cancel
+	site.stopFront = cancel
 	parts.Go(func() {
-		defer close(site.left)
-		front.Serve(ctx, ln, func() time.Time { return time.Now().Add(site.by) })
+		defer close(site.stopped)
+		front.Serve(ctx, ln, func() time.Time { return time.Now().Add(site.stopLimit) })
 	})
 	site.list()
 	t.Cleanup(func() {
-		stop() // answers what is in hand as failed
+		stop() // completes the pending requests as failed
 		cancel()
 		parts.Wait()
 		b.Close()
@@ -137,8 +137,9 @@
 	return m.Result()
 }
 
-// ask is a request of a kind: action 2 is safe, others are keyed; type 0 stands for one of no class.
-func (s *relaySite) ask(kind, action uint32) *diameter.Message {
+// newRequest returns a request with new ids: action 2 is safe, others are keyed; kind 0 gives one that
+// matches no class.
+func (s *relaySite) newRequest(kind, action uint32) *diameter.Message {
 	id := s.ids.Add(1)
 	m := &diameter.Message{Flags: diameter.FlagRequest | diameter.FlagProxiable, Command: diameter.CreditControl,
 		Application: diameter.AppCreditControl, HopByHop: 100 + id, EndToEnd: 1000 + id,
@@ -151,18 +152,18 @@
 	return m
 }
 
-func good(c *standin.DiameterConn, m *diameter.Message) { c.Answer(m, diameter.Success) }
+func answerSuccess(c *standin.DiameterConn, m *diameter.Message) { c.Answer(m, diameter.Success) }
 
-// What comes back is the server's answer under the client's ids; what went on carries Route-Record.
-func TestRelays(t *testing.T) {
+// A client gets the server's answer with its own identifiers; the forwarded request has Route-Record.
+func TestRelaysRequestAndAnswer(t *testing.T) {
 	routes := make(chan string, 1)
 	s := newSite(t, 16, func(c *standin.DiameterConn, m *diameter.Message) {
 		v, _ := diameter.Find(m.AVPs, diameter.CodeRouteRecord, 0).Identity()
 		routes <- v
-		good(c, m)
+		answerSuccess(c, m)
 	})
 	c := s.client()
-	m := s.ask(4, 2)
+	m := s.newRequest(4, 2)
 	c.Send(m)
 	a := scripted.Await(t, c.Got)
 	host, _ := diameter.Find(a.AVPs, diameter.CodeOriginHost, 0).Identity()
@@ -174,9 +175,9 @@
 	}
 }
 
-// A server vanishes with the answer owed. Whatever the class allows happens, marked as sent before; and the
-// client that asks again, on its connection and on a new one, gets the one answer.
-func TestServerVanishes(t *testing.T) {
+// A server closes its connection without an answer. A retry is made if the class allows it, with the T bit
+// set; a client that resends the request, on the same connection or a new one, gets the same answer.
+func TestServerDisconnectsWithoutAnswer(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		kind, action uint32
@@ -195,21 +196,21 @@
 				if first {
 					asked <- struct{}{}
 					<-release
-					c.Close() // with the answer owed
+					c.Close() // without an answer
 					return
 				}
-				good(c, m)
+				answerSuccess(c, m)
 			}
 			s := newSite(t, 16, script, script)
 			one, two := s.client(), s.client()
-			m := s.ask(tt.kind, tt.action)
+			m := s.newRequest(tt.kind, tt.action)
 			one.Send(m)
 			scripted.Await(t, asked)
 			again := *m
 			again.Flags |= diameter.FlagRetransmitted
 			again.HopByHop = 5000
 			two.Send(&again)
-			barrier := s.ask(4, 2) // by its answer what was sent before has been taken
+			barrier := s.newRequest(4, 2) // its answer shows that all earlier messages have been processed
 			barrier.Application = 77
 			two.Send(barrier)
 			if a := scripted.Await(t, two.Got); code(a) != diameter.ApplicationUnsupported {
@@ -222,7 +223,7 @@
 			if a := scripted.Await(t, two.Got); code(a) != tt.want || a.HopByHop != 5000 {
 				t.Errorf("second connection: %d", code(a))
 			}
-			again.HopByHop = 6000 // once more, after the answer
+			again.HopByHop = 6000 // a resend after the answer
 			one.Send(&again)
 			if a := scripted.Await(t, one.Got); code(a) != tt.want || a.HopByHop != 6000 {
 				t.Errorf("after the answer: %d", code(a))
@@ -230,34 +231,35 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if len(marked) != tt.runs || marked[0] || tt.runs == 2 && !marked[1] {
-				t.Errorf("attempts, marked as sent before: %v, want %d", marked, tt.runs)
+				t.Errorf("T bit of the attempts: %v, want %d attempts", marked, tt.runs)
 			}
 		})
 	}
 }
 
-// A server that takes leave by DPR while it owes answers still gives them, and gets nothing new.
-func TestServerTakesLeave(t *testing.T) {
+// A server that sends a DPR while requests are pending still gets its answers relayed, and receives no new
+// requests.
+func TestServerSendsDPR(t *testing.T) {
 	var leaving atomic.Bool
-	var late atomic.Int32
-	asked, release, bye := make(chan struct{}, 1), make(chan struct{}), make(chan struct{}, 1)
+	var lateRequests atomic.Int32
+	asked, release, dpaReceived := make(chan struct{}, 1), make(chan struct{}), make(chan struct{}, 1)
 	s := newSite(t, 16, func(c *standin.DiameterConn, m *diameter.Message) {
 		switch {
 		case m.Command == diameter.DisconnectPeer && !m.Request(): // the relay's DPA
-			bye <- struct{}{}
+			dpaReceived <- struct{}{}
 			return
 		case leaving.Load():
-			late.Add(1)
+			lateRequests.Add(1)
 		}
 		asked <- struct{}{}
 		go func() {
 			<-release
-			good(c, m)
+			answerSuccess(c, m)
 		}()
-	}, good)
-	s.list(balance.Up, balance.Draining) // so that the first has it
+	}, answerSuccess)
+	s.list(balance.Up, balance.Draining) // so that the first server gets the request
 	c := s.client()
-	first := s.ask(1, 0)
+	first := s.newRequest(1, 0)
 	c.Send(first)
 	scripted.Await(t, asked)
 	leaving.Store(true)
@@ -266,10 +268,10 @@
 			AVPs: []diameter.AVP{diameter.Str(diameter.CodeOriginHost, "s0.example.net"), diameter.Str(diameter.CodeOriginRealm, "example.net"),
 				diameter.U32(diameter.CodeDisconnectCause, 0)}})
 	})
-	scripted.Await(t, bye)
-	s.list() // which says that it is up
+	scripted.Await(t, dpaReceived)
+	s.list() // the server is listed as up
 	for range 20 {
-		m := s.ask(4, 2)
+		m := s.newRequest(4, 2)
 		c.Send(m)
 		if a := scripted.Await(t, c.Got); code(a) != diameter.Success || a.EndToEnd != m.EndToEnd {
 			t.Errorf("got %d", code(a))
@@ -277,20 +279,21 @@
 	}
 	close(release)
 	if a := scripted.Await(t, c.Got); code(a) != diameter.Success || a.EndToEnd != first.EndToEnd {
-		t.Errorf("the answer that was owed: %d", code(a))
+		t.Errorf("the pending answer: %d", code(a))
 	}
-	if n := late.Load(); n > 0 {
-		t.Errorf("%d requests to a server that had taken leave", n)
+	if n := lateRequests.Load(); n > 0 {
+		t.Errorf("%d requests to a server that had sent a DPR", n)
 	}
 }
 
-// A full window and a busy server turn away unseen, and another serves; where none is left, nothing ran.
+// A request that a busy server refuses is served by another server; if there is none, the client gets
+// TOO_BUSY.
 func TestBusy(t *testing.T) {
 	busy := func(c *standin.DiameterConn, m *diameter.Message) { c.Answer(m, diameter.TooBusy) }
-	s := newSite(t, 16, busy, good)
+	s := newSite(t, 16, busy, answerSuccess)
 	c := s.client()
 	for range 10 {
-		m := s.ask(0, 0)
+		m := s.newRequest(0, 0)
 		c.Send(m)
 		if a := scripted.Await(t, c.Got); code(a) != diameter.Success {
 			t.Errorf("got %d", code(a))
@@ -298,41 +301,41 @@
 	}
 	s = newSite(t, 16, busy)
 	c = s.client()
-	m := s.ask(0, 0)
+	m := s.newRequest(0, 0)
 	c.Send(m)
 	if a := scripted.Await(t, c.Got); code(a) != diameter.TooBusy || a.Flags&diameter.FlagError == 0 {
 		t.Errorf("got %d", code(a))
 	}
 }
 
-// Answers that nobody asked for, twice, or under another's id reach nobody.
+// Unexpected, duplicate and unknown answers of a server are not relayed to any client.
 func TestStrayAnswers(t *testing.T) {
 	s := newSite(t, 16, func(c *standin.DiameterConn, m *diameter.Message) {
 		stray := *m
 		stray.HopByHop += 77
-		good(c, &stray)
-		good(c, m)
-		good(c, m)
+		answerSuccess(c, &stray)
+		answerSuccess(c, m)
+		answerSuccess(c, m)
 	})
 	c := s.client()
 	for range 5 {
-		m := s.ask(4, 2)
+		m := s.newRequest(4, 2)
 		c.Send(m)
 		if a := scripted.Await(t, c.Got); a.EndToEnd != m.EndToEnd || a.HopByHop != m.HopByHop {
 			t.Errorf("got the answer to %d for %d", a.EndToEnd, m.EndToEnd)
 		}
 	}
 	if len(c.Got) > 0 {
-		t.Errorf("%d answers too many", len(c.Got))
+		t.Errorf("%d unexpected answers", len(c.Got))
 	}
 }
 
-// Two clients with equal ids are two requests; equal ids of one client are one.
+// Equal identifiers of clients with different Origin-Hosts belong to different requests.
 func TestEqualIDs(t *testing.T) {
 	var n atomic.Int32
-	s := newSite(t, 16, func(c *standin.DiameterConn, m *diameter.Message) { n.Add(1); good(c, m) })
+	s := newSite(t, 16, func(c *standin.DiameterConn, m *diameter.Message) { n.Add(1); answerSuccess(c, m) })
 	one, two := s.client(), s.client()
-	a, b := s.ask(4, 2), s.ask(4, 2)
+	a, b := s.newRequest(4, 2), s.newRequest(4, 2)
 	b.HopByHop, b.EndToEnd = a.HopByHop, a.EndToEnd
 	b.AVPs[1] = diameter.Str(diameter.CodeOriginHost, "other.example.net")
 	one.Send(a)
@@ -344,9 +347,10 @@
 	}
 }
 
-// Who may not connect is told why; what makes no sense gets the RFC's code or a close.
-func TestStrangers(t *testing.T) {
-	s := newSite(t, 16, good)
+// Clients that may not connect get an error answer that says why; invalid messages get the RFC's Result-Code
+// or end the connection.
+func TestRejectedConnections(t *testing.T) {
+	s := newSite(t, 16, answerSuccess)
 	for _, tt := range []struct {
 		identity    string
 		application uint32
@@ -360,7 +364,7 @@
 			t.Errorf("%s: %d, want %d", tt.identity, code(a), tt.want)
 		}
 		if m, open := <-c.Got; open {
-			t.Errorf("%s: then %+v", tt.identity, m)
+			t.Errorf("%s: got another message %+v", tt.identity, m)
 		}
 		c.Close()
 	}
@@ -374,12 +378,12 @@
 		if n, err := nc.Read(make([]byte, 1)); err == nil {
 			t.Errorf("%q got %d bytes", junk, n)
 		} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
-			t.Errorf("%q keeps its connection", junk)
+			t.Errorf("the connection stays open after %q", junk)
 		}
 		nc.Close()
 	}
 	c := s.client()
-	m := s.ask(4, 2)
+	m := s.newRequest(4, 2)
 	m.AVPs = m.AVPs[:3]
 	c.Send(m)
 	if a := scripted.Await(t, c.Got); code(a) != diameter.MissingAVP {
@@ -387,12 +391,12 @@
 	}
 }
 
-// A message that is cut off at any byte ends with its connection: nothing of it is asked of a server, and
-// others are served.
+// A message that is truncated at any byte ends with its connection: it is not forwarded, and other clients
+// are still served.
 func TestCutAtEveryByte(t *testing.T) {
 	var n atomic.Int32
-	s := newSite(t, 16, func(c *standin.DiameterConn, m *diameter.Message) { n.Add(1); good(c, m) })
-	whole, err := s.ask(4, 2).Append(nil)
+	s := newSite(t, 16, func(c *standin.DiameterConn, m *diameter.Message) { n.Add(1); answerSuccess(c, m) })
+	whole, err := s.newRequest(4, 2).Append(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -406,22 +410,22 @@
 		c.Close()
 	}
 	c := s.client()
-	c.Send(s.ask(4, 2))
+	c.Send(s.newRequest(4, 2))
 	if a := scripted.Await(t, c.Got); code(a) != diameter.Success || n.Load() != 1 {
 		t.Errorf("got %d after %d attempts", code(a), n.Load())
 	}
 }
 
-// One server that never answers and fills its window holds up nobody: others serve what comes.
-func TestSilentServerHoldsUpNobody(t *testing.T) {
-	s := newSite(t, 2, func(*standin.DiameterConn, *diameter.Message) {}, good)
+// A server that never answers and has a full window does not delay requests to other servers.
+func TestSilentServerDoesNotBlockOthers(t *testing.T) {
+	s := newSite(t, 2, func(*standin.DiameterConn, *diameter.Message) {}, answerSuccess)
 	c := s.client()
-	// Of no class: neither tried again nor answered before its time, so that what the silent one has stays there,
-	// two at the most. With three out, one has its answer soon.
+	// The requests match no class, so that they are neither retried nor answered early: at most two stay at
+	// the silent server. With three pending, one is therefore answered soon.
 	out, served := 0, 0
 	for served < 30 {
 		for ; out < 3; out++ {
-			c.Send(s.ask(0, 0))
+			c.Send(s.newRequest(0, 0))
 		}
 		if a := scripted.Await(t, c.Got); code(a) != diameter.Success {
 			t.Fatalf("%d after %d served", code(a), served)
@@ -431,8 +435,9 @@
 	}
 }
 
-// At a planned stop clients are told so, are owed what they asked for, and then lose their connection.
-func TestGoodbyeToClients(t *testing.T) {
+// A planned stop sends a DPR to the clients, answers their pending requests and then closes their
+// connections.
+func TestPlannedStopDisconnectsClients(t *testing.T) {
 	arrived, give := make(chan struct{}), make(chan struct{})
 	site := newSite(t, 8, func(c *standin.DiameterConn, m *diameter.Message) {
 		if !m.Request() {
@@ -443,9 +448,9 @@
 		c.Answer(m, diameter.Success)
 	})
 	idle, busy := site.client(), site.client()
-	busy.Send(site.ask(4, 2))
+	busy.Send(site.newRequest(4, 2))
 	scripted.Await(t, arrived)
-	site.leave()
+	site.stopFront()
 	for _, c := range []*standin.DiameterConn{idle, busy} {
 		if cause := scripted.Await(t, c.Goodbye); cause != 0 {
 			t.Errorf("cause %d, want REBOOTING", cause)
@@ -457,28 +462,28 @@
 	}
 	for _, c := range []*standin.DiameterConn{idle, busy} {
 		if m := scripted.Await(t, c.Got); m != nil {
-			t.Errorf("more came: %+v", m)
+			t.Errorf("another message was received: %+v", m)
 		}
 	}
-	scripted.Await(t, site.left)
+	scripted.Await(t, site.stopped)
 }
 
-// A client that never answers the goodbye holds the stop up for no longer than it may take.
-func TestStubbornClient(t *testing.T) {
-	site := newSite(t, 8, good)
-	site.by = 100 * time.Millisecond
+// A client that does not answer the DPR delays a planned stop by no more than the stop's time limit.
+func TestPlannedStopWithoutDPA(t *testing.T) {
+	site := newSite(t, 8, answerSuccess)
+	site.stopLimit = 100 * time.Millisecond
 	c := site.client()
 	c.Stubborn = true
-	site.leave()
+	site.stopFront()
 	scripted.Await(t, c.Goodbye)
-	scripted.Await(t, site.left)
+	scripted.Await(t, site.stopped)
 	if m := scripted.Await(t, c.Got); m != nil {
-		t.Errorf("more came: %+v", m)
+		t.Errorf("another message was received: %+v", m)
 	}
 }
 
-// While requests are refused, clients that heed reports of overload are told by how much to send less; others get
-// their refusals as before. Once all is served again the report ends.
+// While requests are refused, clients that accept overload reports are told by how much to reduce their
+// traffic; others get plain refusals. Once all requests are served again the end of the overload is reported.
 func TestOverloadIsReported(t *testing.T) {
 	var busy atomic.Bool
 	busy.Store(true)
@@ -490,12 +495,12 @@
 		}
 	})
 	c := s.client()
-	const batch = 20 // at once: a refusal is held for as long as another server might yet have room
-	told := func(heeds bool) (result, percent, seconds uint32, told bool) {
+	const batch = 20 // sent at once, since a refusal is held back while another server might still have room
+	sendBatch := func(accepts bool) (result, percent, seconds uint32, reported bool) {
 		t.Helper()
 		for range batch {
-			m := s.ask(4, 2)
-			if heeds {
+			m := s.newRequest(4, 2)
+			if accepts {
 				m.AVPs = append(m.AVPs, diameter.Optional(diameter.Group(diameter.CodeOCSupportedFeatures)))
 			}
 			c.Send(m)
@@ -513,9 +518,9 @@
 			}
 			percent, _ = diameter.Find(list, diameter.CodeOCReduction, 0).Uint32()
 			seconds, _ = diameter.Find(list, diameter.CodeOCValidityDuration, 0).Uint32()
-			told = true
+			reported = true
 		}
-		return result, percent, seconds, told
+		return result, percent, seconds, reported
 	}
 	until := func(what string, done func() bool) {
 		t.Helper()
@@ -525,38 +530,37 @@
 			}
 		}
 	}
-	until("told of overload", func() bool {
-		result, percent, seconds, told := told(true)
-		if told && (result != diameter.TooBusy || percent == 0 || seconds == 0) {
+	until("reported an overload", func() bool {
+		result, percent, seconds, reported := sendBatch(true)
+		if reported && (result != diameter.TooBusy || percent == 0 || seconds == 0) {
 			t.Errorf("%d with a reduction by %d %% for %d s", result, percent, seconds)
 		}
-		return told
+		return reported
 	})
-	if result, _, _, told := told(false); told || result != diameter.TooBusy {
-		t.Errorf("one that heeds no reports got %d, with one: %v", result, told)
+	if result, _, _, reported := sendBatch(false); reported || result != diameter.TooBusy {
+		t.Errorf("a client that does not accept reports got result %d, and a report: %v", result, reported)
 	}
 	busy.Store(false)
-	until("told of its end", func() bool {
-		result, percent, seconds, told := told(true)
-		return result == diameter.Success && told && percent == 0 && seconds == 0
+	until("reported the end of the overload", func() bool {
+		result, percent, seconds, reported := sendBatch(true)
+		return result == diameter.Success && reported && percent == 0 && seconds == 0
 	})
 }
 
-// A request that names a server goes to that one or to none: under the name that the server gives itself, once it has
-// been connected to.
+// A request with Destination-Host goes only to the server that has this identity in its CEA, or is refused.
 func TestDestinationHost(t *testing.T) {
 	var hits [2]atomic.Int64
 	script := func(i int) func(c *standin.DiameterConn, m *diameter.Message) {
 		return func(c *standin.DiameterConn, m *diameter.Message) {
 			hits[i].Add(1)
-			good(c, m)
+			answerSuccess(c, m)
 		}
 	}
 	s := newSite(t, 16, script(0), script(1))
 	c := s.client()
 	ask := func(server string) uint32 {
 		t.Helper()
-		m := s.ask(4, 2)
+		m := s.newRequest(4, 2)
 		if server != "" {
 			m.AVPs = append(m.AVPs, diameter.Str(diameter.CodeDestinationHost, server))
 		}
@@ -568,12 +572,12 @@
 			t.Fatalf("got %d", got)
 		}
 		if time.Now().After(end) {
-			t.Fatal("one server gets nothing")
+			t.Fatal("one server gets no requests")
 		}
 	}
 	before := hits[0].Load()
 	for range 30 {
-		if got := ask("S1.Example.net"); got != diameter.Success { // names know no case
+		if got := ask("S1.Example.net"); got != diameter.Success { // names are case-insensitive
 			t.Errorf("got %d", got)
 		}
 	}
@@ -581,20 +585,20 @@
 		t.Errorf("%d requests at another server", got-before)
 	}
 	if got := ask("s9.example.net"); got != diameter.UnableToDeliver {
-		t.Errorf("for a server that nobody knows: %d", got)
+		t.Errorf("for an unknown server: %d", got)
 	}
 	s.list(balance.Up, balance.Draining)
 	if got := ask("s1.example.net"); got != diameter.TooBusy {
-		t.Errorf("for a server that drains: %d", got)
+		t.Errorf("for a draining server: %d", got)
 	}
 	if got := hits[0].Load(); got != before {
 		t.Errorf("%d requests at another server", got-before)
 	}
 }
 
-// A server that ends its connection in the middle of an answer may have run the request: what may be repeated goes to
-// another, marked; what may not has failed. Nobody gets the half.
-func TestHalfAnAnswer(t *testing.T) {
+// A server that closes its connection within an answer may have run the request: a request that may be
+// repeated is retried at another server with the T bit, others fail. No client gets the truncated answer.
+func TestTruncatedAnswer(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		kind, action uint32
@@ -606,7 +610,7 @@
 			script := func(c *standin.DiameterConn, m *diameter.Message) {
 				if n.Add(1) > 1 {
 					marked.Store(m.Flags&diameter.FlagRetransmitted != 0)
-					good(c, m)
+					answerSuccess(c, m)
 					return
 				}
 				a := m.Answer()
@@ -620,13 +624,13 @@
 			}
 			s := newSite(t, 16, script, script)
 			c := s.client()
-			m := s.ask(tt.kind, tt.action)
+			m := s.newRequest(tt.kind, tt.action)
 			c.Send(m)
 			if a := scripted.Await(t, c.Got); code(a) != tt.want || a.EndToEnd != m.EndToEnd {
 				t.Errorf("got %d", code(a))
 			}
 			if again := tt.want == diameter.Success; n.Load() != map[bool]int64{true: 2, false: 1}[again] || marked.Load() != again {
-				t.Errorf("%d attempts, the last one marked: %v", n.Load(), marked.Load())
+				t.Errorf("%d attempts, T bit of the last one: %v", n.Load(), marked.Load())
 			}
 		})
 	}
--- a/internal/front/diameter/ledger_test.go
+++ b/internal/front/diameter/ledger_test.go
@@ -13,14 +13,15 @@
 	"lemonrail/internal/standin"
 )
 
-// effects are what took place at the servers, which drop repeats of keyed requests by their Session-Id.
-type effects struct {
+// effectLog records which requests took effect at the servers, which drop repeats of keyed requests by
+// Session-Id.
+type effectLog struct {
 	mu  sync.Mutex
 	ran map[string]bool
 }
 
-// first reports whether a keyed request takes effect.
-func (e *effects) first(id string) bool {
+// first reports whether a keyed request is the first one with its Session-Id, and records it.
+func (e *effectLog) first(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	again := e.ran[id]
@@ -28,16 +29,16 @@
 	return !again
 }
 
-// fault is what a server does instead of answering.
+// fault is what a scripted server does instead of answering.
 type fault uint8
 
 const (
 	none   fault = iota
-	vanish       // ends its connection with the answer owed
-	busy         // 3004: nothing ran
-	fails        // 5012: it may have run
-	silent       // no answer at all
-	late         // an answer after 1.5 s: who asked for a balance check has given up by then
+	vanish       // closes its connection without an answer
+	busy         // answers 3004: nothing ran
+	fails        // answers 5012: the request may have run
+	silent       // gives no answer
+	late         // answers after 1.5 s, which is past the deadline of a balance check
 )
 
 func sessionID(m *diameter.Message) string {
@@ -47,8 +48,8 @@
 	return ""
 }
 
-// kindOf is a request's class in deploy/diameter.toml.
-func kindOf(m *diameter.Message) string {
+// className returns the request's class in deploy/diameter.toml.
+func className(m *diameter.Message) string {
 	if m.Command != diameter.CreditControl {
 		return "other"
 	}
@@ -58,21 +59,21 @@
 	return "charge"
 }
 
-// observed is a script that tells the ledger what comes and what becomes of it; decide picks a fault by how many
-// requests the server has had.
-func observed(l *ledger.Ledger, done *effects, node string, after *sync.WaitGroup, decide func(n int64, kind string) fault) func(*standin.DiameterConn, *diameter.Message) {
+// recordingScript returns a server script that records each attempt and its outcome in the ledger; decide
+// picks a fault by the number of requests that the server has received.
+func recordingScript(l *ledger.Ledger, done *effectLog, node string, after *sync.WaitGroup, decide func(n int64, kind string) fault) func(*standin.DiameterConn, *diameter.Message) {
 	var n atomic.Int64
 	return func(c *standin.DiameterConn, m *diameter.Message) {
-		id, kind, now := sessionID(m), kindOf(m), time.Now()
+		id, kind, now := sessionID(m), className(m), time.Now()
 		ended := l.Began(ledger.Attempt{Request: id, Agent: "relay", Node: node, Zone: "a", First: now, Last: now})
-		what := decide(n.Add(1), kind)
-		if what == busy {
+		chosen := decide(n.Add(1), kind)
+		if chosen == busy {
 			ended(ledger.Ending{Turned: true})
 			c.Answer(m, diameter.TooBusy)
 			return
 		}
 		ran := kind != "charge" || done.first(id)
-		switch what {
+		switch chosen {
 		case vanish:
 			ended(ledger.Ending{Ran: ran})
 			c.Close()
@@ -81,7 +82,7 @@
 			c.Answer(m, diameter.UnableToComply)
 		case silent:
 			ended(ledger.Ending{Ran: ran})
-		case late: // of a charge it comes in time
+		case late: // in time for a charge
 			ended(ledger.Ending{Ran: ran, Answer: []byte(id)})
 			after.Add(1)
 			time.AfterFunc(1500*time.Millisecond, func() {
@@ -95,16 +96,17 @@
 	}
 }
 
-// The four rules over Diameter, judged by an observer: servers that vanish with answers owed, turn away, fail, say
-// nothing, answer too late and drain; clients that send requests again while the first copy is in hand or answered. Each
-// request gets one final answer, no effect takes place twice, and the one that drains is left alone.
-func TestRulesHoldOverDiameter(t *testing.T) {
+// The balancer's four rules over Diameter, checked by an independent ledger: servers close connections
+// without answers, refuse, fail, stay silent, answer too late and drain; clients resend requests that are
+// pending or answered. Each request gets one final answer, no effect takes place twice, and the draining
+// server gets no new requests.
+func TestGuaranteesOverDiameter(t *testing.T) {
 	l := ledger.New(ledger.Rules{Classes: map[string]ledger.Class{"balance-check": {Effect: ledger.Safe}, "other": {Effect: ledger.Unsafe},
 		"charge": {Effect: ledger.Keyed, Group: ledger.Zone, Window: 30 * time.Second}},
-		// Lateness is no matter here: a slow machine makes everything late.
+		// Deadlines are not checked here: on a slow machine every answer may be late.
 		AnswerGrace: scripted.Patience, DrainGrace: 500 * time.Millisecond, Slack: time.Second, Settle: time.Hour})
-	done := &effects{ran: map[string]bool{}}
-	var after sync.WaitGroup
+	done := &effectLog{ran: map[string]bool{}}
+	var lateAnswers sync.WaitGroup
 	every := func(n int64, k int64, f fault) fault {
 		if n%k == 0 {
 			return f
@@ -112,11 +114,11 @@
 		return none
 	}
 	s := newSite(t, 32,
-		observed(l, done, "s0.example.net", &after, func(n int64, _ string) fault { return every(n, 25, vanish) }),
-		observed(l, done, "s1.example.net", &after, func(int64, string) fault { return none }),
-		observed(l, done, "s2.example.net", &after, func(n int64, _ string) fault { return max(every(n, 5, busy), every(n, 12, fails)) }),
-		observed(l, done, "s3.example.net", &after, func(n int64, kind string) fault {
-			if kind == "other" { // it would hold the test up for its 5 s
+		recordingScript(l, done, "s0.example.net", &lateAnswers, func(n int64, _ string) fault { return every(n, 25, vanish) }),
+		recordingScript(l, done, "s1.example.net", &lateAnswers, func(int64, string) fault { return none }),
+		recordingScript(l, done, "s2.example.net", &lateAnswers, func(n int64, _ string) fault { return max(every(n, 5, busy), every(n, 12, fails)) }),
+		recordingScript(l, done, "s3.example.net", &lateAnswers, func(n int64, kind string) fault {
+			if kind == "other" { // a silent server would delay the test by the class's 5 s
 				return none
 			}
 			return max(every(n, 20, silent), every(n, 15, late))
@@ -126,61 +128,61 @@
 	}
 	const clients, each, out = 4, 150, 8
 	third := make(chan struct{}, clients)
-	left := map[string]time.Duration{"balance-check": time.Second, "charge": 2 * time.Second, "other": 5 * time.Second}
+	deadlines := map[string]time.Duration{"balance-check": time.Second, "charge": 2 * time.Second, "other": 5 * time.Second}
 	var wait sync.WaitGroup
 	for range clients {
 		c := s.client()
 		wait.Go(func() {
-			type copy struct {
+			type request struct {
 				sends, answers int
 				result         uint32
 			}
-			open := map[uint32]*copy{} // by End-to-End id
+			open := map[uint32]*request{} // by End-to-End id
 			ids := map[uint32]string{}
-			owed := 0
+			awaited := 0
 			send := func(i int) {
-				m := s.ask([]uint32{4, 1, 0}[i%3], []uint32{2, 0, 0}[i%3])
-				x := &copy{sends: 1}
+				m := s.newRequest([]uint32{4, 1, 0}[i%3], []uint32{2, 0, 0}[i%3])
+				x := &request{sends: 1}
 				open[m.EndToEnd], ids[m.EndToEnd] = x, sessionID(m)
-				l.Sent(sessionID(m), kindOf(m), "relay", time.Now(), left[kindOf(m)])
+				l.Sent(sessionID(m), className(m), "relay", time.Now(), deadlines[className(m)])
 				c.Send(m)
-				if i%10 == 0 { // the client has forgotten that it did
+				if i%10 == 0 { // a resend right after the request
 					again := *m
 					again.Flags |= diameter.FlagRetransmitted
 					again.HopByHop += 1 << 20
 					c.Send(&again)
 					x.sends++
 				}
-				owed++
+				awaited++
 			}
 			sent := 0
-			for sent < each || owed > 0 {
-				for ; sent < each && owed < out; sent++ {
+			for sent < each || awaited > 0 {
+				for ; sent < each && awaited < out; sent++ {
 					send(sent)
 					if sent == each/3 {
 						third <- struct{}{}
 					}
 				}
-				a, open2 := <-c.Got
-				if !open2 {
+				a, connected := <-c.Got
+				if !connected {
 					t.Error("the relay ended a client's connection")
 					return
 				}
 				x := open[a.EndToEnd]
 				if x == nil {
-					t.Errorf("an answer to none: %d", a.EndToEnd)
+					t.Errorf("an answer to an unknown request: %d", a.EndToEnd)
 					continue
 				}
 				if x.answers++; x.answers > x.sends {
 					t.Errorf("%s: %d answers to %d copies", ids[a.EndToEnd], x.answers, x.sends)
 				}
-				if x.answers > 1 { // to the other copy: it has to be the same one
+				if x.answers > 1 { // the answer to a resend must be the same
 					if code(a) != x.result && x.result != diameter.TooBusy {
 						t.Errorf("%s: answered %d, then %d", ids[a.EndToEnd], x.result, code(a))
 					}
 					continue
 				}
-				owed--
+				awaited--
 				x.result = code(a)
 				answer := ledger.Answer{Status: 500}
 				switch x.result {
@@ -203,7 +205,7 @@
 	s.list(balance.Up, balance.Draining)
 	l.Told("relay", "s1.example.net", "draining", time.Time{}, time.Now())
 	wait.Wait()
-	after.Wait() // late answers reach nobody, and do no harm
+	lateAnswers.Wait() // late answers must reach no client
 	v := l.Verdict()
 	t.Log(v.String())
 	if !v.Held() || v.Requests != clients*each {
@@ -213,14 +215,15 @@
 		}
 	}
 	if v.Served < clients*each/2 {
-		t.Errorf("only %d of %d served", v.Served, clients*each)
+		t.Errorf("%d of %d requests served, want at least half", v.Served, clients*each)
 	}
 }
 
-// A client that lost its agent in the middle asks a second one: that one can't know the request, but passes the T flag
-// on, and the servers, which drop repeats by Session-Id, let it take effect once. Both clients' answers are served.
+// A client that lost its agent resends a request to a second agent, which can't know the request but forwards
+// the T flag. The servers drop repeats by Session-Id, so that it takes effect once. Both clients get a
+// successful answer.
 func TestResendToASecondAgent(t *testing.T) {
-	done := &effects{ran: map[string]bool{}}
+	done := &effectLog{ran: map[string]bool{}}
 	var ran atomic.Int64
 	asked, release := make(chan struct{}), make(chan struct{})
 	marked := make(chan bool, 1)
@@ -240,7 +243,7 @@
 		c.Answer(m, diameter.Success)
 	})
 	one, two := first.client(), second.client()
-	m := first.ask(1, 0) // a charge
+	m := first.newRequest(1, 0) // a charge
 	one.Send(m)
 	scripted.Await(t, asked)
 	again := *m
@@ -250,10 +253,10 @@
 		t.Errorf("the second agent answered %d", code(a))
 	}
 	if !scripted.Await(t, marked) {
-		t.Error("the server was not told that the request may have been sent before")
+		t.Error("the request was forwarded to the server without the T bit")
 	}
 	close(release)
-	if a := scripted.Await(t, one.Got); code(a) != diameter.Success { // late, and to who still listens
+	if a := scripted.Await(t, one.Got); code(a) != diameter.Success { // the first client is still connected
 		t.Errorf("the first agent answered %d", code(a))
 	}
 	if n := ran.Load(); n != 1 {
