--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -15,103 +15,107 @@
 )
 
 const (
-	lockTries = 30 // for the lock on the state: whoever holds it writes one small file
-	lockPause = 10 * time.Millisecond
+	maxLockAttempts   = 30 // of the state's lock: its holder only writes one small file
+	lockRetryInterval = 10 * time.Millisecond
 )
 
-// Claim is a process's place among those of one agent.
+// Claim is the generation that a process holds among the processes of one agent, with the files of their shared
+// state. Its methods are safe for concurrent use.
 type Claim struct {
-	base  string // of the files' names
-	alive *os.File
+	pathPrefix string // the path that the names of all files begin with
+	aliveFile  *os.File
 
-	mu   sync.Mutex
-	gen  int
-	last State // as last read or written
+	mu         sync.Mutex
+	generation int
+	lastState  State // the state that this process read or wrote last
 }
 
-// Take takes the next generation of the agent of a name, in a folder that its processes share. A state that
-// makes no sense is dropped, with an error beside the claim: to serve comes first.
+// Take claims the next generation of the agent called name in dir, the folder that the agent's processes share. An
+// invalid state file is discarded: Take then returns an error together with a usable claim, since a broken file
+// must not keep a process from serving.
 func Take(dir, name string) (*Claim, State, error) {
-	c := &Claim{base: filepath.Join(dir, "lemonrail-"+url.PathEscape(name))}
-	var broken error
+	c := &Claim{pathPrefix: filepath.Join(dir, "lemonrail-"+url.PathEscape(name))}
+	var readErr error
 	s, err := c.change(func(s *State) error {
 		s.Generation++
-		c.gen = s.Generation
-		// Guards against a leftover of the same number, where the state was lost: that process may live.
+		c.generation = s.Generation
+		// After a loss of the state the number may belong to an earlier process that is still alive: its
+		// lock then is held, and the next number is tried.
 		for {
-			f, err := os.OpenFile(c.aliveName(c.gen), os.O_CREATE|os.O_RDWR, 0o600)
+			f, err := os.OpenFile(c.alivePath(c.generation), os.O_CREATE|os.O_RDWR, 0o600)
 			if err != nil {
 				return err
 			}
 			if syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil {
-				c.alive = f
+				c.aliveFile = f
 				break
 			}
 			f.Close()
 			s.Generation++
-			c.gen = s.Generation
+			c.generation = s.Generation
 		}
 		return nil
-	}, &broken)
+	}, &readErr)
 	if err != nil {
-		if c.alive != nil {
-			c.alive.Close()
+		if c.aliveFile != nil {
+			c.aliveFile.Close()
 		}
 		return nil, State{}, fmt.Errorf("takeover: %w", err)
 	}
-	return c, s, broken
+	return c, s, readErr
 }
 
-func (c *Claim) aliveName(gen int) string { return fmt.Sprintf("%s.%d.alive", c.base, gen) }
+func (c *Claim) alivePath(gen int) string { return fmt.Sprintf("%s.%d.alive", c.pathPrefix, gen) }
 
-// Generation is this process's.
-func (c *Claim) Generation() int { return c.gen }
+// Generation returns the generation of this process.
+func (c *Claim) Generation() int { return c.generation }
 
-// Change changes the state for all processes and returns what it is then.
+// Change applies f to the shared state under the lock, writes the result and returns it. An error of f leaves the
+// state unchanged.
 func (c *Claim) Change(f func(*State) error) (State, error) { return c.change(f, nil) }
 
-func (c *Claim) change(f func(*State) error, broken *error) (State, error) {
+func (c *Claim) change(f func(*State) error, readErr *error) (State, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	lock, err := os.OpenFile(c.base+".lock", os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := os.OpenFile(c.pathPrefix+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return State{}, err
 	}
-	defer lock.Close() // and with it the lock
-	for n := 1; ; n++ {
+	defer lock.Close() // releases the lock
+	for attempt := 1; ; attempt++ {
 		if err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err == nil {
 			break
 		}
-		if n == lockTries {
+		if attempt == maxLockAttempts {
 			return State{}, fmt.Errorf("lock: %w", err)
 		}
-		time.Sleep(lockPause)
+		time.Sleep(lockRetryInterval)
 	}
 	s, err := c.read()
-	if err != nil { // what this process knew last is better than nothing; at the start that is nothing
-		if broken != nil {
-			*broken = err
+	if err != nil { // falls back on the state that this process knew last, which is empty at its start
+		if readErr != nil {
+			*readErr = err
 		}
-		s = c.last
+		s = c.lastState
 	}
 	if err := f(&s); err != nil {
 		return State{}, err
 	}
 	s.Version++
-	raw, err := s.Text()
+	raw, err := s.Encode()
 	if err != nil {
 		return State{}, err
 	}
-	if err := replace(c.base+".state", c.base+".new", raw); err != nil {
+	if err := replaceFile(c.pathPrefix+".state", c.pathPrefix+".new", raw); err != nil {
 		return State{}, err
 	}
-	c.last = s
+	c.lastState = s
 	return s, nil
 }
 
-// replace writes a file that is whole at any moment.
-func replace(name, beside string, raw []byte) error {
-	f, err := os.OpenFile(beside, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+// replaceFile replaces a file atomically: it writes and syncs tempName, which it then renames to name.
+func replaceFile(name, tempName string, raw []byte) error {
+	f, err := os.OpenFile(tempName, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -119,11 +123,11 @@
 	if err := errors.Join(err, f.Sync(), f.Close()); err != nil {
 		return err
 	}
-	return os.Rename(beside, name)
+	return os.Rename(tempName, name)
 }
 
 func (c *Claim) read() (State, error) {
-	raw, err := os.ReadFile(c.base + ".state")
+	raw, err := os.ReadFile(c.pathPrefix + ".state")
 	if errors.Is(err, fs.ErrNotExist) {
 		return State{}, nil
 	}
@@ -133,40 +137,40 @@
 	return Parse(raw)
 }
 
-// Look reads the state as it is now, and says which other processes live. What those that have ended left
-// behind is removed. With an error the state is the last one that could be read.
+// Look reads the current state and determines which other processes of the agent are alive. It removes the files of
+// earlier processes that have ended. With an error the returned state is the last one that could be read.
 func (c *Claim) Look() (State, View, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s, err := c.read()
 	if err == nil {
-		c.last = s
+		c.lastState = s
 	}
-	return c.last, c.view(), err
+	return c.lastState, c.view(), err
 }
 
-// View is Look for the others alone.
+// View returns only the view of Look, without the state and its error.
 func (c *Claim) View() View {
 	_, v, _ := c.Look()
 	return v
 }
 
-// Ready notes that this process has begun to serve.
+// Ready records in the shared state that this process has begun to serve.
 func (c *Claim) Ready() error {
 	_, err := c.Change(func(s *State) error {
-		s.Ready = max(s.Ready, c.gen)
+		s.Ready = max(s.Ready, c.generation)
 		return nil
 	})
 	return err
 }
 
-// view is called with the lock held.
+// view determines the state of the other processes from their files. The caller holds c.mu.
 func (c *Claim) view() View {
-	v := View{Generation: c.gen, Ready: c.last.Ready}
-	names, _ := filepath.Glob(escape(c.base) + ".*.alive")
+	v := View{Generation: c.generation, Ready: c.lastState.Ready}
+	names, _ := filepath.Glob(escapeGlob(c.pathPrefix) + ".*.alive")
 	for _, name := range names {
-		gen, err := strconv.Atoi(strings.TrimSuffix(strings.TrimPrefix(name, c.base+"."), ".alive"))
-		if err != nil || gen == c.gen {
+		gen, err := strconv.Atoi(strings.TrimSuffix(strings.TrimPrefix(name, c.pathPrefix+"."), ".alive"))
+		if err != nil || gen == c.generation {
 			continue
 		}
 		f, err := os.OpenFile(name, os.O_RDWR, 0)
@@ -174,16 +178,16 @@
 			continue
 		}
 		if syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil {
-			if gen < c.gen { // a later one may be about to lock it
+			if gen < c.generation { // a later process may be about to lock its file
 				os.Remove(name)
 			}
-		} else if gen < c.gen {
+		} else if gen < c.generation {
 			v.Earlier = true
-			inHand, open := told(f)
-			v.Before, v.Open = v.Before+inHand, v.Open+open
+			earlierInFlight, earlierOpen := readLoad(f)
+			v.Before, v.Open = v.Before+earlierInFlight, v.Open+earlierOpen
 		} else {
 			v.Later = true
-			inHand, _ := told(f)
+			inHand, _ := readLoad(f)
 			v.After += inHand
 		}
 		f.Close()
@@ -191,36 +195,37 @@
 	return v
 }
 
-// Tell lets the others know how many requests this process has in hand, and how many connections it holds.
-func (c *Claim) Tell(inHand, open int) error {
-	_, err := c.alive.WriteAt(fmt.Appendf(nil, "%9d %9d\n", told9(inHand), told9(open)), 0)
+// Tell writes this process's requests in flight and open connections to its file, where other processes read them.
+func (c *Claim) Tell(inFlight, open int) error {
+	_, err := c.aliveFile.WriteAt(fmt.Appendf(nil, "%9d %9d\n", clampToNineDigits(inFlight), clampToNineDigits(open)), 0)
 	return err
 }
 
-// told9 is a number as it fits into nine digits.
-func told9(n int) int { return min(max(n, 0), 999_999_999) }
+// clampToNineDigits limits n to the range of a nine-digit field, from 0 up.
+func clampToNineDigits(n int) int { return min(max(n, 0), 999_999_999) }
 
-// told is what a process has told; 0 where it has not.
-func told(f *os.File) (inHand, open int) {
+// readLoad reads the requests in flight and open connections that a process has written to its file. A missing or
+// malformed number reads as 0.
+func readLoad(f *os.File) (inFlight, open int) {
 	var text [19]byte
 	n, _ := f.ReadAt(text[:], 0)
-	for i, to := range []*int{&inHand, &open} {
-		if from := 10 * i; n >= from+9 {
-			if v, err := strconv.Atoi(strings.TrimSpace(string(text[from : from+9]))); err == nil {
-				*to = max(v, 0)
+	for i, target := range []*int{&inFlight, &open} {
+		if start := 10 * i; n >= start+9 {
+			if v, err := strconv.Atoi(strings.TrimSpace(string(text[start : start+9]))); err == nil {
+				*target = max(v, 0)
 			}
 		}
 	}
-	return inHand, open
+	return inFlight, open
 }
 
-// escape takes the meaning from what filepath.Match reads in a name.
-func escape(name string) string {
+// escapeGlob escapes the characters of a name that are special in patterns of filepath.Match.
+func escapeGlob(name string) string {
 	return strings.NewReplacer(`\`, `\\`, "*", `\*`, "?", `\?`, "[", `\[`).Replace(name)
 }
 
-// Close gives the place up.
+// Close releases the claim and removes the process's file.
 func (c *Claim) Close() {
-	os.Remove(c.aliveName(c.gen))
-	c.alive.Close()
+	os.Remove(c.alivePath(c.generation))
+	c.aliveFile.Close()
 }
--- a/internal/takeover/state.go
+++ b/internal/takeover/state.go
@@ -1,11 +1,12 @@
-// Package takeover lets two processes be one agent while one replaces the other: they share a folder, in which
-// they keep one state and tell each other that they live. State and Plan are decisions without I/O; Claim
-// reads and writes the files.
+// Package takeover lets two processes act as one agent while one replaces the other. They share a folder that holds
+// their common state and shows which of them are alive. State, View and Plan decide without I/O; Claim reads and
+// writes the files.
 //
-// Files: NAME.state holds the state and is replaced whole, under a lock on NAME.lock; NAME.N.alive is locked by
-// the process of generation N for as long as it lives.
+// Files: NAME.state holds the state and is replaced atomically, under a lock on NAME.lock. The process of
+// generation N holds a lock on NAME.N.alive for as long as it lives.
 //
-// Bounds: of what staff did to backends pool.MaxOut entries each are kept, those of returns for backFor.
+// Bounds: the state holds at most pool.MaxOut excluded and pool.MaxOut restored backends. A restored backend is
+// kept for maxRestoreAge.
 package takeover
 
 import (
@@ -22,41 +23,41 @@
 )
 
 const (
-	backFor  = 10 * time.Minute // longer than any backend takes to become warm
-	maxBytes = 1 << 20
+	maxRestoreAge = 10 * time.Minute // longer than any backend takes to warm up
+	maxStateBytes = 1 << 20
 )
 
-// State is what processes of one agent share.
+// State is the state that the processes of one agent share.
 type State struct {
-	Version    int64            `json:"version"`         // rises with every change
-	Generation int              `json:"generation"`      // of the process that started last
-	Ready      int              `json:"ready"`           // the latest generation that has begun to serve
-	Out        []string         `json:"out"`             // backends out by hand
-	Back       map[string]int64 `json:"back,omitempty"`  // backends put back, and when: Unix time in nanoseconds
-	Zones      []int            `json:"zones,omitempty"` // out by hand as a whole, sorted
+	Version    int64            `json:"version"`         // increases with every change
+	Generation int              `json:"generation"`      // of the process that started last; the first is 1
+	Ready      int              `json:"ready"`           // the latest generation that has begun to serve; 0: none
+	Out        []string         `json:"out"`             // backends that operators excluded, sorted
+	Back       map[string]int64 `json:"back,omitempty"`  // when operators restored a backend, by its id: Unix time in nanoseconds
+	Zones      []int            `json:"zones,omitempty"` // zones that operators excluded as a whole, sorted
 }
 
-// mark begins a state; its checksum follows. Another form gets another mark.
-const mark = "lemonrail state 1 "
+// stateHeader begins a state file; the checksum follows it. Its number changes with the format.
+const stateHeader = "lemonrail state 1 "
 
-// Text is the state as it is written.
-func (s State) Text() ([]byte, error) {
+// Encode returns the state in the format of the state file.
+func (s State) Encode() ([]byte, error) {
 	raw, err := json.Marshal(s)
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
-	return fmt.Appendf(nil, "%s%08x\n%s", mark, crc32.ChecksumIEEE(raw), raw), nil
+	return fmt.Appendf(nil, "%s%08x\n%s", stateHeader, crc32.ChecksumIEEE(raw), raw), nil
 }
 
-// Parse reads a state and refuses one that is torn, of another form, or makes no sense.
+// Parse decodes a state file. It rejects one that is incomplete, of another format, or has invalid values.
 func Parse(raw []byte) (State, error) {
 	var s State
-	if len(raw) > maxBytes {
-		return s, fmt.Errorf("state of %d bytes", len(raw))
+	if len(raw) > maxStateBytes {
+		return s, fmt.Errorf("state: %d bytes are too many", len(raw))
 	}
-	head, raw, _ := bytes.Cut(raw, []byte("\n"))
-	if string(head) != fmt.Sprintf("%s%08x", mark, crc32.ChecksumIEEE(raw)) {
-		return s, errors.New("state: torn, or of another form")
+	header, raw, _ := bytes.Cut(raw, []byte("\n"))
+	if string(header) != fmt.Sprintf("%s%08x", stateHeader, crc32.ChecksumIEEE(raw)) {
+		return s, errors.New("state: incomplete, or of another format")
 	}
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
@@ -64,27 +65,27 @@
 		return State{}, fmt.Errorf("state: %w", err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return State{}, errors.New("state: more behind it")
+		return State{}, errors.New("state: data after the JSON object")
 	}
 	switch {
 	case s.Version < 0 || s.Generation < 0:
-		return State{}, errors.New("state: negative")
+		return State{}, errors.New("state: negative version or generation")
 	case s.Ready < 0 || s.Ready > s.Generation:
-		return State{}, fmt.Errorf("state: ready %d of generation %d", s.Ready, s.Generation)
+		return State{}, fmt.Errorf("state: ready is %d, must be from 0 to the generation %d", s.Ready, s.Generation)
 	case len(s.Zones) > pool.MaxOut || slices.ContainsFunc(s.Zones, func(z int) bool { return z < 0 }):
-		return State{}, errors.New("state: zones make no sense")
+		return State{}, errors.New("state: too many zones, or a negative one")
 	case len(s.Out) > pool.MaxOut || len(s.Back) > pool.MaxOut:
-		return State{}, errors.New("state: too many backends")
+		return State{}, errors.New("state: too many excluded or restored backends")
 	}
 	for _, id := range s.Out {
 		if id == "" {
-			return State{}, errors.New("state: a backend without a name is out")
+			return State{}, errors.New("state: an excluded backend has an empty name")
 		}
 	}
 	return s, nil
 }
 
-// Exclude notes that a backend is out.
+// Exclude records that operators excluded a backend. It returns pool.ErrTooMany where the state has no place left.
 func (s *State) Exclude(id string) error {
 	switch {
 	case slices.Contains(s.Out, id):
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// Include notes that a backend is back.
+// Include records that operators restored a backend, at the time now. A backend that is not excluded is ignored.
 func (s *State) Include(id string, now time.Time) {
 	at := slices.Index(s.Out, id)
 	if at < 0 {
@@ -110,7 +111,7 @@
 	}
 	oldest := ""
 	for other, t := range s.Back {
-		if now.Sub(time.Unix(0, t)) > backFor {
+		if now.Sub(time.Unix(0, t)) > maxRestoreAge {
 			delete(s.Back, other)
 		} else if oldest == "" || t < s.Back[oldest] {
 			oldest = other
@@ -122,71 +123,72 @@
 	s.Back[id] = now.UnixNano()
 }
 
-// ExcludeZone notes that a zone is out as a whole, or back.
+// ExcludeZone records whether operators exclude a zone as a whole: out is false where they restore it.
 func (s *State) ExcludeZone(zone int, out bool) {
-	at, is := slices.BinarySearch(s.Zones, zone)
+	at, found := slices.BinarySearch(s.Zones, zone)
 	switch {
-	case out && !is:
+	case out && !found:
 		s.Zones = slices.Insert(slices.Clone(s.Zones), at, zone)
-	case !out && is:
+	case !out && found:
 		s.Zones = slices.Delete(slices.Clone(s.Zones), at, at+1)
 	}
 }
 
-// View is what one process knows of the others.
+// View is what one process knows about the other processes of its agent.
 type View struct {
-	Generation int  // its own
-	Earlier    bool // a process of an earlier generation lives
-	Later      bool // one of a later generation lives
+	Generation int  // of the process that has this view
+	Earlier    bool // a process of an earlier generation is alive
+	Later      bool // a process of a later generation is alive
 	Ready      int  // the latest generation that has begun to serve
-	Before     int  // requests that processes of earlier generations have in hand
-	After      int  // and those of later ones
-	Open       int  // connections that processes of earlier generations hold
+	Before     int  // requests in flight at processes of earlier generations
+	After      int  // requests in flight at processes of later generations
+	Open       int  // connections that processes of earlier generations hold open
 }
 
-// Plan is what follows for it.
+// Plan says how a process is to act beside the other processes of its agent.
 type Plan struct {
-	Alone     bool // no other lives: memory is its own
-	Successor bool // a successor serves: a stop leaves new connections to it
-	Mute      bool // the one before it speaks for the agent
+	Alone     bool // no other process is alive, so all of the agent's memory is free for this one
+	Successor bool // a successor serves, so a stopping process leaves new connections to it
+	Mute      bool // an earlier process still sends the agent's messages to peers, so this one sends none
 }
 
-// Plan says how this process is to act.
+// Plan returns the plan that follows from the view.
 func (v View) Plan() Plan {
 	return Plan{Alone: !v.Earlier && !v.Later, Successor: v.Later && v.Ready > v.Generation,
 		Mute: v.Earlier}
 }
 
-// Part is the part of what is the agent's that this process may use, with so many requests in hand. Processes
-// that see the same numbers come to one together, where they are two.
-func (v View) Part(inHand int) float64 {
+// Part returns the share of the agent's budget that this process may use, from 0 to 1; inFlight is the number of its
+// requests in flight. The shares of two processes that see the same numbers add up to 1.
+func (v View) Part(inFlight int) float64 {
 	switch {
 	case v.Later:
-		return 1 - later(v.Ready > v.Generation, inHand+v.Before, v.After)
+		return 1 - successorShare(v.Ready > v.Generation, inFlight+v.Before, v.After)
 	case v.Earlier:
-		return later(v.Ready >= v.Generation, v.Before, inHand)
+		return successorShare(v.Ready >= v.Generation, v.Before, inFlight)
 	}
 	return 1
 }
 
-// later is the successor's part. Once it serves it has half at the least: the traffic is about to come to it.
-func later(ready bool, before, after int) float64 {
+// successorShare returns the successor's share of the agent's budget: 0 until it is ready, then at least half, since
+// the traffic is about to move to it.
+func successorShare(ready bool, before, after int) float64 {
 	if !ready {
 		return 0
 	}
 	return max(0.5, float64(after+1)/float64(before+after+1))
 }
 
-// Room is how many of so many connections, which the processes of one agent may hold together, this one may: the
-// one before keeps to three quarters, the successor to what is left of all, a quarter at the least.
-func (v View) Room(all int) int {
-	least := all / 4
-	room := all
+// Room returns how many connections this process may hold, of total that the processes of one agent may hold
+// together. The earlier process is limited to three quarters; the successor gets the rest, but at least a quarter.
+func (v View) Room(total int) int {
+	minRoom := total / 4
+	room := total
 	if v.Later {
-		room -= least
+		room -= minRoom
 	}
 	if v.Earlier {
-		room = max(least, room-v.Open)
+		room = max(minRoom, room-v.Open)
 	}
 	return room
 }
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -24,13 +24,13 @@
 	}{
 		{View{Generation: 1}, Plan{Alone: true}},
 		{View{Generation: 1, Ready: 1}, Plan{Alone: true}},
-		{View{Generation: 1, Later: true, Ready: 1}, Plan{}},                                           // it has only started
-		{View{Generation: 1, Later: true, Ready: 2}, Plan{Successor: true}},                            // it serves
-		{View{Generation: 1, Ready: 2}, Plan{Alone: true}},                                             // it served, and has ended
-		{View{Generation: 2, Earlier: true, Ready: 2}, Plan{Mute: true}},                               // the one before is still there
-		{View{Generation: 2, Earlier: true, Ready: 1}, Plan{Mute: true}},                               // and serves alone
-		{View{Generation: 3, Later: true, Ready: 2}, Plan{}},                                           // neither serves yet
-		{View{Generation: 2, Earlier: true, Later: true, Ready: 3}, Plan{Successor: true, Mute: true}}, // two upgrades at once
+		{View{Generation: 1, Later: true, Ready: 1}, Plan{}},                                           // the successor has started, but doesn't serve yet
+		{View{Generation: 1, Later: true, Ready: 2}, Plan{Successor: true}},                            // the successor serves
+		{View{Generation: 1, Ready: 2}, Plan{Alone: true}},                                             // the successor served and has ended
+		{View{Generation: 2, Earlier: true, Ready: 2}, Plan{Mute: true}},                               // both serve, the earlier process is still alive
+		{View{Generation: 2, Earlier: true, Ready: 1}, Plan{Mute: true}},                               // only the earlier process serves
+		{View{Generation: 3, Later: true, Ready: 2}, Plan{}},                                           // neither this process nor its successor serves yet
+		{View{Generation: 2, Earlier: true, Later: true, Ready: 3}, Plan{Successor: true, Mute: true}}, // two upgrades at the same time
 	} {
 		if got := c.v.Plan(); got != c.want {
 			t.Errorf("%+v: %+v", c.v, got)
@@ -38,11 +38,12 @@
 	}
 }
 
-// Whatever two processes have in hand, their parts come to one, and one that is alone has all.
-func TestPartsComeToOne(t *testing.T) {
+// For any numbers of requests in flight the shares of two processes add up to 1, and a process that is alone has
+// the whole budget.
+func TestPartsSumToOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		hands := rapid.IntRange(0, 1000)
-		old, fresh := hands.Draw(t, "old"), hands.Draw(t, "fresh")
+		counts := rapid.IntRange(0, 1000)
+		old, fresh := counts.Draw(t, "old"), counts.Draw(t, "fresh")
 		ready := rapid.IntRange(1, 2).Draw(t, "ready")
 		a := View{Generation: 1, Later: true, Ready: ready, After: fresh}.Part(old)
 		b := View{Generation: 2, Earlier: true, Ready: ready, Before: old}.Part(fresh)
@@ -58,9 +59,9 @@
 	})
 }
 
-// Whatever the one before holds within its room, both together hold no more than there is; neither is ever left
-// without.
-func TestRoomOfTwo(t *testing.T) {
+// For any number of connections that the earlier process holds within its limit, the limits keep both processes
+// together within the total, and each process always has a minimum.
+func TestRoomOfTwoProcesses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.IntRange(4, 2000).Draw(t, "all")
 		first := View{Generation: 1, Later: true}.Room(all)
@@ -79,8 +80,8 @@
 	})
 }
 
-// A process of a build that tells its requests alone is understood.
-func TestToldBefore(t *testing.T) {
+// The file of an older build, which writes only its requests in flight, is read with 0 connections.
+func TestReadLoadOfOlderBuild(t *testing.T) {
 	for text, want := range map[string][2]int{"": {}, "       12\n": {12, 0}, "       12        34\n": {12, 34}, "x": {}, "       -1        -2\n": {}} {
 		path := filepath.Join(t.TempDir(), "alive")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -90,15 +91,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		inHand, open := told(f)
+		inFlight, open := readLoad(f)
 		f.Close()
-		if inHand != want[0] || open != want[1] {
-			t.Errorf("%q tells %d and %d", text, inHand, open)
+		if inFlight != want[0] || open != want[1] {
+			t.Errorf("%q: read %d requests and %d connections", text, inFlight, open)
 		}
 	}
 }
 
-func TestStateOfBackends(t *testing.T) {
+func TestExcludeAndInclude(t *testing.T) {
 	var s State
 	now := time.Unix(1000, 0)
 	for _, id := range []string{"b", "a", "b"} {
@@ -114,13 +115,13 @@
 	if !slices.Equal(s.Out, []string{"a"}) || len(s.Back) != 1 || s.Back["b"] != now.UnixNano() {
 		t.Errorf("%+v", s)
 	}
-	s.Include("a", now.Add(2*backFor))
+	s.Include("a", now.Add(2*maxRestoreAge))
 	if len(s.Back) != 1 || len(s.Out) != 0 {
-		t.Errorf("an old return is kept: %+v", s)
+		t.Errorf("a restored backend is kept for too long: %+v", s)
 	}
 	s.Exclude("a")
 	if len(s.Back) != 0 {
-		t.Errorf("out and back: %+v", s)
+		t.Errorf("a backend is both excluded and restored: %+v", s)
 	}
 	for i := range pool.MaxOut + 1 {
 		if err := s.Exclude(fmt.Sprint("n", i)); (err != nil) != (i >= pool.MaxOut-1) {
@@ -132,7 +133,7 @@
 		s.Include(s.Out[0], now.Add(time.Duration(i)))
 	}
 	if len(s.Back) > pool.MaxOut || s.Back[fmt.Sprint("n", 2*pool.MaxOut-1)] == 0 {
-		t.Errorf("%d returns are kept", len(s.Back))
+		t.Errorf("%d restored backends are kept", len(s.Back))
 	}
 }
 
@@ -140,19 +141,19 @@
 	for _, seed := range []string{`{"version":3,"generation":2,"ready":1,"out":["a"],"back":{"b":5}}`, `{}`, `{"ready":1}`,
 		`{"version":1}{}`, `{"out":[""]}`, `{"more":1}`, ``} {
 		f.Add([]byte(seed))
-		f.Add(fmt.Appendf(nil, "%s%08x\n%s", mark, crc32.ChecksumIEEE([]byte(seed)), seed))
+		f.Add(fmt.Appendf(nil, "%s%08x\n%s", stateHeader, crc32.ChecksumIEEE([]byte(seed)), seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s, err := Parse(raw)
-		if err != nil { // a checksum is never met by chance
-			raw = fmt.Appendf(nil, "%s%08x\n%s", mark, crc32.ChecksumIEEE(raw), raw)
+		if err != nil { // random input never has a valid checksum, so it gets one
+			raw = fmt.Appendf(nil, "%s%08x\n%s", stateHeader, crc32.ChecksumIEEE(raw), raw)
 			if s, err = Parse(raw); err != nil {
 				return
 			}
 		}
-		text, err := s.Text()
+		text, err := s.Encode()
 		again, err2 := Parse(text)
-		if text2, err3 := again.Text(); errors.Join(err, err2, err3) != nil || !bytes.Equal(text, text2) {
+		if text2, err3 := again.Encode(); errors.Join(err, err2, err3) != nil || !bytes.Equal(text, text2) {
 			t.Errorf("%+v became %+v (%v, %v)", s, again, err, err2)
 		}
 		if s.Ready > s.Generation || s.Ready < 0 || len(s.Out) > pool.MaxOut || slices.Contains(s.Out, "") {
@@ -161,8 +162,8 @@
 	})
 }
 
-// Two processes of one agent: each knows whether the other lives and serves, and both see one state.
-func TestSuccession(t *testing.T) {
+// Each of two processes of one agent knows whether the other is alive and serves, and both see the same state.
+func TestTakeover(t *testing.T) {
 	dir := t.TempDir()
 	first, s, err := Take(dir, "n/0")
 	if err != nil || s.Generation != 1 {
@@ -172,11 +173,11 @@
 	if _, err := first.Change(func(s *State) error { return s.Exclude("a") }); err != nil {
 		t.Fatal(err)
 	}
-	stranger, _, err := Take(dir, "n1")
+	otherAgent, _, err := Take(dir, "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stranger.Close()
+	defer otherAgent.Close()
 	second, s, err := Take(dir, "n/0")
 	if err != nil || s.Generation != 2 || !slices.Equal(s.Out, []string{"a"}) {
 		t.Fatal(s, err)
@@ -194,16 +195,16 @@
 	first.Tell(30, 70)
 	second.Tell(9, 20)
 	if a, b := first.View().Part(30), second.View().Part(9); a != 0.5 || b != 0.5 {
-		t.Errorf("parts %v and %v", a, b)
+		t.Errorf("shares %v and %v", a, b)
 	}
 	if a, b := first.View().Room(200), second.View().Room(200); a != 150 || b != 130 {
 		t.Errorf("room for %d and %d connections", a, b)
 	}
 	first.Tell(0, 0)
 	if a, b := first.View().Part(0), second.View().Part(9); a != 0 || b != 1 {
-		t.Errorf("parts %v and %v", a, b)
+		t.Errorf("shares %v and %v", a, b)
 	}
-	second.alive.Close() // as at its sudden end
+	second.aliveFile.Close() // as when the process is killed
 	check(first, Plan{Alone: true})
 	third, _, err := Take(dir, "n/0")
 	if err != nil || third.Generation() != 3 {
@@ -215,10 +216,11 @@
 		t.Errorf("left behind: %v", left)
 	}
 	third.Close()
-	check(stranger, Plan{Alone: true})
+	check(otherAgent, Plan{Alone: true})
 }
 
-// A state that can't be read keeps no process from serving, and generations go on though their number is lost.
+// A state file that can't be read doesn't keep a process from starting, and a new process doesn't take the
+// generation of one that is alive, although the file with the number is lost.
 func TestBrokenState(t *testing.T) {
 	dir := t.TempDir()
 	first, _, err := Take(dir, "n")
@@ -226,7 +228,7 @@
 		t.Fatal(err)
 	}
 	defer first.Close()
-	if err := os.WriteFile(first.base+".state", []byte("{"), 0o600); err != nil {
+	if err := os.WriteFile(first.pathPrefix+".state", []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := first.Look(); err == nil {
@@ -234,11 +236,11 @@
 	}
 	second, _, err := Take(dir, "n")
 	if err == nil || second == nil {
-		t.Fatal("no error beside the claim")
+		t.Fatal("no error together with the claim")
 	}
 	defer second.Close()
-	// What staff did goes on though the file was broken meanwhile.
-	if err := os.WriteFile(first.base+".state", []byte("{"), 0o600); err != nil {
+	// A change by operators succeeds although the file was broken in the meantime.
+	if err := os.WriteFile(first.pathPrefix+".state", []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if s, err := second.Change(func(s *State) error { return s.Exclude("a") }); err != nil || !slices.Equal(s.Out, []string{"a"}) {
@@ -248,15 +250,15 @@
 		t.Errorf("%+v, %v", s, err)
 	}
 	if second.Generation() != 2 {
-		t.Errorf("generation %d beside the first", second.Generation())
+		t.Errorf("generation %d while the first is alive", second.Generation())
 	}
 	if _, _, err := Take(filepath.Join(dir, "none"), "n"); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("no folder: %v", err)
 	}
 }
 
-// Changes from many sides at once are all kept.
-func TestChangesAtOnce(t *testing.T) {
+// Concurrent changes of several processes are all kept.
+func TestConcurrentChanges(t *testing.T) {
 	dir := t.TempDir()
 	var wg sync.WaitGroup
 	for p := range 4 {
