--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,8 +1,9 @@
-// Package control is where staff reach a running agent: a listener of its own, HTTP/1.1, one call to a
-// connection. 2xx is yes, 4xx and 5xx are no.
+// Package control serves the calls by which operators and their tools reach a running agent: HTTP/1.1 on a listener
+// of its own, with one call on each connection. A call that succeeds is answered with 2xx, one that fails with 4xx or
+// 5xx.
 //
-// Bounds: callsMost connections, of which the oldest unfinished one gives way to one more; each call is
-// answered within callLimit of its last byte, or by a no.
+// Bounds: at most maxConnections connections; a further one closes the oldest. A handler has answerTimeout from the
+// last byte of its call, then it answers with an error status.
 package control
 
 import (
@@ -20,20 +21,20 @@
 )
 
 const (
-	callsMost = 16                     // connections; those who run the agent are few
-	callLimit = 900 * time.Millisecond // a caller waits for 1 s
-	readLimit = 5 * time.Second        // for a call to come in
-	headBytes = 4 << 10
+	maxConnections = 16                     // open connections: an agent has few operators
+	answerTimeout  = 900 * time.Millisecond // below the 1 s that a caller waits
+	readTimeout    = 5 * time.Second        // for reading a whole call
+	maxHeaderBytes = 4 << 10
 )
 
-// Route is one call: a method and a path, as net/http's patterns have them, and what answers it. Parts of an
-// agent offer their own.
+// Route is one call of the control listener: a pattern of net/http.ServeMux and its handler. Each part of an agent
+// contributes the routes of its own calls.
 type Route struct {
 	Pattern string
 	Answer  http.HandlerFunc
 }
 
-// Ready answers whether something is so.
+// Ready returns a route that answers 200 where ready returns true, and 503 otherwise.
 func Ready(pattern string, ready func() bool) Route {
 	return Route{pattern, func(w http.ResponseWriter, _ *http.Request) {
 		if !ready() {
@@ -44,47 +45,48 @@
 	}}
 }
 
-// Text answers with what text returns; its error is a no.
-func Text(pattern, kind string, text func(context.Context) ([]byte, error)) Route {
+// Text returns a route that answers with the body that produce returns, or with 503 and the text of its error.
+func Text(pattern, contentType string, produce func(context.Context) ([]byte, error)) Route {
 	return Route{pattern, func(w http.ResponseWriter, r *http.Request) {
-		body, err := text(r.Context())
+		body, err := produce(r.Context())
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
-		w.Header().Set("Content-Type", kind)
+		w.Header().Set("Content-Type", contentType)
 		w.Write(body)
 	}}
 }
 
-// Change does something to a backend: PUT /api/WHAT/ID.
-func Change(what string, do func(ctx context.Context, backend string) error, log *slog.Logger) Route {
-	return Route{"PUT /api/" + what + "/{id}", func(w http.ResponseWriter, r *http.Request) {
+// Change returns the route PUT /api/ACTION/ID, which applies an action of the operators to a backend. An unknown
+// backend is answered with 404, another error with 503.
+func Change(action string, apply func(ctx context.Context, backend string) error, log *slog.Logger) Route {
+	return Route{"PUT /api/" + action + "/{id}", func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
-		switch err := do(r.Context(), id); {
+		switch err := apply(r.Context(), id); {
 		case err == nil:
-			log.Info("by hand", "call", what, "backend", id)
+			log.Info("operator changed a backend", "call", action, "backend", id)
 			fmt.Fprintln(w, "ok")
 		case errors.Is(err, pool.ErrUnknown):
 			http.Error(w, err.Error(), http.StatusNotFound)
 		default:
-			log.Warn("by hand", "call", what, "backend", id, "err", err)
+			log.Warn("operator's change of a backend failed", "call", action, "backend", id, "err", err)
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		}
 	}}
 }
 
-// Handler answers the calls.
+// Handler returns the handler of all routes. Calls with a body are rejected.
 func Handler(routes []Route) http.Handler {
 	mux := http.NewServeMux()
 	for _, r := range routes {
 		mux.HandleFunc(r.Pattern, r.Answer)
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := context.WithTimeout(r.Context(), callLimit)
+		ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 		defer cancel()
 		w.Header().Set("Connection", "close")
-		if r.ContentLength != 0 { // a caller that sends one means something else
+		if r.ContentLength != 0 { // no call takes a body, so one with a body is a mistake of the caller
 			http.Error(w, "a call has no body", http.StatusBadRequest)
 			return
 		}
@@ -92,46 +94,47 @@
 	})
 }
 
-// Serve answers calls until ctx ends, and returns nil then.
+// Serve serves the routes on ln until ctx ends, and then returns nil.
 func Serve(ctx context.Context, ln net.Listener, routes []Route, log *slog.Logger) error {
-	srv := &http.Server{Handler: Handler(routes), ReadTimeout: readLimit, WriteTimeout: readLimit + callLimit, MaxHeaderBytes: headBytes,
+	srv := &http.Server{Handler: Handler(routes), ReadTimeout: readTimeout, WriteTimeout: readTimeout + answerTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	srv.SetKeepAlivesEnabled(false)
 	defer context.AfterFunc(ctx, func() { srv.Close() })()
-	if err := srv.Serve(&crowded{Listener: ln}); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+	if err := srv.Serve(&limitedListener{Listener: ln}); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("control listener: %w", err)
 	}
 	return nil
 }
 
-// crowded is a listener with room for callsMost connections. Guards against callers who connect and finish
-// no call: they would keep out those who do.
-type crowded struct {
+// limitedListener is a listener with at most maxConnections open connections. It closes the oldest for a new one, since
+// callers who connect without finishing a call would otherwise lock out all others.
+type limitedListener struct {
 	net.Listener
-	mu   sync.Mutex
-	open list.List // of *caller, the oldest first
+	mu    sync.Mutex
+	conns list.List // of *trackedConn, the oldest first
 }
 
-type caller struct {
+// trackedConn is an accepted connection that counts against the limit of its listener until it is closed.
+type trackedConn struct {
 	net.Conn
-	l    *crowded
-	at   *list.Element
-	once sync.Once
+	listener *limitedListener
+	element  *list.Element
+	once     sync.Once
 }
 
-// Accept takes the next caller; the oldest goes where there is no room.
-func (l *crowded) Accept() (net.Conn, error) {
+// Accept waits for the next connection. At the limit it closes the oldest open connection.
+func (l *limitedListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &caller{Conn: nc, l: l}
+	c := &trackedConn{Conn: nc, listener: l}
 	l.mu.Lock()
-	var oldest *caller
-	if l.open.Len() >= callsMost {
-		oldest = l.open.Front().Value.(*caller)
+	var oldest *trackedConn
+	if l.conns.Len() >= maxConnections {
+		oldest = l.conns.Front().Value.(*trackedConn)
 	}
-	c.at = l.open.PushBack(c)
+	c.element = l.conns.PushBack(c)
 	l.mu.Unlock()
 	if oldest != nil {
 		oldest.Close()
@@ -139,12 +142,12 @@
 	return c, nil
 }
 
-// Close frees the caller's place.
-func (c *caller) Close() error {
+// Close closes the connection and removes it from its listener's count.
+func (c *trackedConn) Close() error {
 	c.once.Do(func() {
-		c.l.mu.Lock()
-		defer c.l.mu.Unlock()
-		c.l.open.Remove(c.at)
+		c.listener.mu.Lock()
+		defer c.listener.mu.Unlock()
+		c.listener.conns.Remove(c.element)
 	})
 	return c.Conn.Close()
 }
