--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -1,5 +1,5 @@
-// Package figures counts what the agent does and writes the counts out for whoever reads them. All of it may
-// be used from any goroutine; nothing waits.
+// Package figures holds the metrics of one agent process and writes them in the Prometheus text format. Everything in
+// it is safe for concurrent use and does not block.
 package figures
 
 import (
@@ -9,56 +9,56 @@
 	"sync/atomic"
 )
 
-// Result is how a request ended.
+// Result is the outcome of a request.
 type Result uint8
 
 const (
-	OK     Result = iota // served
-	Shed                 // refused: another try is harmless
+	OK     Result = iota // served by a backend
+	Shed                 // refused before it was processed, so a retry is safe
 	Errors               // failed
-	results
+	resultCount
 )
 
-var resultNames = [results]string{"ok", "shed", "errors"}
+var resultNames = [resultCount]string{"ok", "shed", "errors"}
 
-// Figures are the counts of one process, from 0 at its start.
+// Figures holds the metrics of one process. All start at 0 with the process.
 type Figures struct {
 	classes   []string
-	responses [][results]atomic.Int64 // by class
+	responses [][resultCount]atomic.Int64 // by class and result
 
-	Tries   atomic.Int64 // attempts written whole to backends
-	Active  atomic.Int64 // requests taken and not ended
-	Pool    atomic.Int64 // backends listed
-	Ejected atomic.Int64 // of these, those that are avoided, by hand or by choice
+	Tries   atomic.Int64 // attempts that were written completely to a backend
+	Active  atomic.Int64 // requests accepted and not finished
+	Pool    atomic.Int64 // backends on the list
+	Ejected atomic.Int64 // backends on the list that are avoided: excluded by operators or by the balancer
 }
 
-// New returns figures for classes by their names.
+// New returns the figures for the classes of these names.
 func New(classes []string) *Figures {
-	return &Figures{classes: classes, responses: make([][results]atomic.Int64, len(classes))}
+	return &Figures{classes: classes, responses: make([][resultCount]atomic.Int64, len(classes))}
 }
 
-// Ended counts a request's end.
+// Ended counts a request that ended with r. It ignores an unknown class or result.
 func (f *Figures) Ended(class int, r Result) {
-	if class >= 0 && class < len(f.responses) && r < results {
+	if class >= 0 && class < len(f.responses) && r < resultCount {
 		f.responses[class][r].Add(1)
 	}
 }
 
-// escape is what a label's value is written by.
-var escape = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
+// labelEscaper escapes a label value for the Prometheus text format.
+var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// Gauge is a figure that a part of the agent keeps itself. Its name follows on svc_.
+// Gauge is a metric that another part of the agent keeps. It is written as svc_ followed by Name.
 type Gauge struct {
 	Name  string
 	Value func() int64
 }
 
-// Text is the figures in the form in which they are read, further ones behind.
-func (f *Figures) Text(further ...Gauge) []byte {
+// Text returns the figures in the Prometheus text format, followed by the extra gauges.
+func (f *Figures) Text(extra ...Gauge) []byte {
 	var b bytes.Buffer
 	for i, class := range f.classes {
 		for r, name := range resultNames {
-			fmt.Fprintf(&b, "svc_responses{kind=\"%s\",result=\"%s\"} %d\n", escape.Replace(class), name, f.responses[i][r].Load())
+			fmt.Fprintf(&b, "svc_responses{kind=\"%s\",result=\"%s\"} %d\n", labelEscaper.Replace(class), name, f.responses[i][r].Load())
 		}
 	}
 	for _, g := range []struct {
@@ -67,7 +67,7 @@
 	}{{"tries", &f.Tries}, {"active", &f.Active}, {"pool_size", &f.Pool}, {"pool_ejected", &f.Ejected}} {
 		fmt.Fprintf(&b, "svc_%s %d\n", g.name, g.v.Load())
 	}
-	for _, g := range further {
+	for _, g := range extra {
 		fmt.Fprintf(&b, "svc_%s %d\n", g.Name, g.Value())
 	}
 	return b.Bytes()
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -8,10 +8,10 @@
 	"github.com/prometheus/common/model"
 )
 
-// A known library reads what is written, whatever a class is called.
-func TestTextIsReadElsewhere(t *testing.T) {
-	odd := "a \"class\" \\ of\nits own"
-	f := New([]string{odd})
+// The Prometheus library parses the text, also for a class name with characters that must be escaped.
+func TestTextParsesAsPrometheusFormat(t *testing.T) {
+	specialName := "a \"class\" \\ of\nits own"
+	f := New([]string{specialName})
 	f.Ended(0, Shed)
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(bytes.NewReader(f.Text()))
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	for _, m := range families["svc_responses"].GetMetric() {
-		if m.GetLabel()[0].GetValue() != odd {
+		if m.GetLabel()[0].GetValue() != specialName {
 			t.Errorf("class %q", m.GetLabel()[0].GetValue())
 		}
 		if v := m.GetUntyped().GetValue(); (v == 1) != (m.GetLabel()[1].GetValue() == "shed") {
