--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,7 +7,7 @@
 	"lemonrail/balance"
 )
 
-// facts mirrors the settings object of the wire, in the wire's own names.
+// facts mirrors the settings object, with the field names of the wire.
 type facts struct {
 	Balancers int
 	Me        int
@@ -57,9 +57,9 @@
 	}
 }
 
-// The wire's words; an absent one means the first.
+// Enum values of the settings object. A value may be absent where its map has an entry for the empty string.
 var (
-	effects = map[string]balance.Effect{
+	effectsBySemantics = map[string]balance.Effect{
 		"repeatable": balance.Safe, "by_key": balance.Keyed, "once": balance.Unsafe}
 	groups = map[string]balance.Group{
 		"": balance.GroupAll, "all": balance.GroupAll,
@@ -67,17 +67,17 @@
 	weights = map[string]balance.WeightMeaning{
 		"": balance.WeightsOff, "off": balance.WeightsOff, "nominal": balance.WeightsNominal,
 		"rough": balance.WeightsRough, "live": balance.WeightsLive}
-	sources = map[string]balance.ReportSource{
+	reportSources = map[string]balance.ReportSource{
 		"": balance.ReportsOff, "off": balance.ReportsOff,
 		"inline": balance.ReportsInline, "on_probe": balance.ReportsOnProbe}
 )
 
-// Names are the words by which the settings call what the module knows by number.
+// Names holds the names in the settings of what package balance knows by index.
 type Names struct {
 	Classes, Tenants, Zones, Kinds []string
 }
 
-// ParseSettings translates the settings object. Unknown keys are ignored.
+// ParseSettings decodes the settings object and the names in it. Unknown keys are ignored.
 func ParseSettings(raw []byte) (balance.Settings, Names, error) {
 	var f facts
 	if err := json.Unmarshal(raw, &f); err != nil {
@@ -142,10 +142,10 @@
 		//lint:ignore ST1005 the error begins with the name of the field
 		return s, fmt.Errorf("Weights: unknown meaning %q", f.Weights)
 	}
-	if s.Reports, ok = sources[f.Report.Source]; !ok {
+	if s.Reports, ok = reportSources[f.Report.Source]; !ok {
 		return s, fmt.Errorf("Report.Source: unknown source %q", f.Report.Source)
 	}
-	for _, name := range f.Report.Fields { // others are skipped: new ones may come
+	for _, name := range f.Report.Fields { // skips unknown fields, since new ones may be added
 		switch name {
 		case "outstanding":
 			s.Fields.Outstanding = true
@@ -165,7 +165,7 @@
 		s.Tenants = append(s.Tenants, balance.Tenant{PerSecond: t.QuotaPerS, Portion: t.Portion})
 	}
 	for i, p := range f.Profiles {
-		effect, ok := effects[p.Semantics]
+		effect, ok := effectsBySemantics[p.Semantics]
 		if !ok {
 			return s, fmt.Errorf("Profiles[%d].Semantics: unknown kind %q", i, p.Semantics)
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the bench's JSON lines and balance's
-// events and actions. It decides nothing.
+// Package wire translates between the JSON lines of the bench and the events and actions of package balance. It makes
+// no decisions.
 package wire
 
 import (
@@ -17,14 +17,13 @@
 	"lemonrail/balance"
 )
 
-// Open tells that an instance starts with no state.
+// Open says that an instance starts, without any state.
 type Open struct {
 	Seed     uint64
 	Settings balance.Settings
 }
 
-// Event is one event of a batch, with the instance it belongs to. Exactly one
-// of Open, Retire and Event is set.
+// Event is one event of a batch and the instance that it belongs to. Exactly one of Open, Retire and Event is set.
 type Event struct {
 	Line   int // line number in the stream, from 1
 	Agent  int
@@ -33,13 +32,13 @@
 	Event  balance.Event
 }
 
-// Batch holds what happened at one instant.
+// Batch holds the events of one instant.
 type Batch struct {
 	Now    time.Duration
 	Events []Event
 }
 
-// Reader reads batches.
+// Reader reads batches of events from JSON lines.
 type Reader struct {
 	in    *bufio.Reader
 	line  int
@@ -51,6 +50,7 @@
 	return &Reader{in: bufio.NewReaderSize(r, 1<<16), lists: map[int][]balance.Backend{}}
 }
 
+// entry is one backend of a list on the wire.
 type entry struct {
 	Backend      string
 	Availability string
@@ -61,8 +61,7 @@
 	Dc           int
 }
 
-// message holds the fields of every message; pointers mark those that some
-// message must carry.
+// message holds the fields of all messages. A field is a pointer where it is required in some message.
 type message struct {
 	Kind       string `json:"msg"`
 	ClockMs    *float64
@@ -91,7 +90,7 @@
 	Text       *string `json:"Msg"`
 }
 
-// usage is a load report; values that it does not know are skipped.
+// usage is a load report on the wire. Unknown values are skipped.
 type usage struct {
 	Outstanding  *float64
 	Backlog      *float64
@@ -122,7 +121,7 @@
 	"on": balance.Up, "fading": balance.Draining, "off": balance.Gone,
 }
 
-// Next reads one batch. It returns io.EOF where the input ends between batches.
+// Next reads one batch. It returns io.EOF where the input ends between two batches.
 func (r *Reader) Next() (*Batch, error) {
 	var b *Batch
 	for {
@@ -137,7 +136,7 @@
 			return nil, fmt.Errorf("line %d: %w", r.line+1, err)
 		}
 		r.line++
-		if blank(text) {
+		if isBlank(text) {
 			continue
 		}
 		var m message
@@ -156,14 +155,14 @@
 		case m.Kind == "End":
 			return b, nil
 		default:
-			if err := r.add(b, &m); err != nil {
+			if err := r.addEvent(b, &m); err != nil {
 				return nil, fmt.Errorf("line %d: %s: %w", r.line, m.Kind, err)
 			}
 		}
 	}
 }
 
-func blank(text []byte) bool {
+func isBlank(text []byte) bool {
 	for _, c := range text {
 		if c != ' ' && c != '\t' && c != '\r' && c != '\n' {
 			return false
@@ -172,7 +171,7 @@
 	return true
 }
 
-func (r *Reader) add(b *Batch, m *message) error {
+func (r *Reader) addEvent(b *Batch, m *message) error {
 	if m.Kind == "DefineList" {
 		return r.defineList(m)
 	}
@@ -208,7 +207,7 @@
 			return fmt.Errorf("unknown Outcome %q", *m.Outcome)
 		}
 		e.Event = balance.Outcome{Request: *m.Job, Attempt: *m.SendNo, Backend: *m.Backend, Result: res,
-			Latency: Duration(*m.WaitTimeMs), Done: m.Ended, Load: load(m.Usage)}
+			Latency: Duration(*m.WaitTimeMs), Done: m.Ended, Load: toLoad(m.Usage)}
 	case "ProbeDone":
 		if m.Backend == nil || m.Outcome == nil || m.WaitTimeMs == nil {
 			return errors.New("missing Backend, Outcome or WaitTimeMs")
@@ -218,12 +217,12 @@
 			return fmt.Errorf("unknown Outcome %q", *m.Outcome)
 		}
 		e.Event = balance.ProbeResult{Backend: *m.Backend, Result: res,
-			Latency: Duration(*m.WaitTimeMs), Load: load(m.Usage)}
+			Latency: Duration(*m.WaitTimeMs), Load: toLoad(m.Usage)}
 	case "Streaming":
 		if m.Job == nil || m.SendNo == nil {
 			return errors.New("missing Job or SendNo")
 		}
-		e.Event = balance.StreamStarted{Request: *m.Job, Attempt: *m.SendNo, Latency: Duration(m.waited())}
+		e.Event = balance.StreamStarted{Request: *m.Job, Attempt: *m.SendNo, Latency: Duration(m.waitTimeMs())}
 	case "Expired":
 		if m.Job == nil {
 			return errors.New("missing Job")
@@ -300,26 +299,26 @@
 	return balance.List{Kind: kind, Version: m.Index, Backends: list}, nil
 }
 
-// ParseLoad reads a load report; values that it lacks are negative.
+// ParseLoad decodes a load report. Values that the report lacks are negative.
 func ParseLoad(raw []byte) (balance.Load, error) {
 	var u usage
 	if err := json.Unmarshal(raw, &u); err != nil {
 		return balance.NoLoad(), fmt.Errorf("load report: %w", err)
 	}
-	return load(&u), nil
+	return toLoad(&u), nil
 }
 
-const loadMost = 1e6 // no figure of a backend's load is larger: ten minutes, a million requests
+const maxLoadValue = 1e6 // larger than any real load value: above ten minutes in ms, a million requests
 
-func load(u *usage) balance.Load {
+func toLoad(u *usage) balance.Load {
 	l := balance.NoLoad()
 	if u == nil {
 		return l
 	}
 	l.Valid = true
-	// Guards against figures that can't be: they would stay in the module's running means.
+	// A report with an impossible value is dropped whole: the value would stay in the balancer's running averages.
 	for _, f := range []*float64{u.Outstanding, u.Backlog, u.Utilization, u.RecentMs, u.Throughput, u.ErrorsPerSec} {
-		if f != nil && !(*f >= 0 && *f <= loadMost) {
+		if f != nil && !(*f >= 0 && *f <= maxLoadValue) {
 			return balance.NoLoad()
 		}
 	}
@@ -338,30 +337,31 @@
 	return l
 }
 
-// waited is the message's WaitTimeMs, 0 if it has none.
-func (m *message) waited() float64 {
+// waitTimeMs returns the message's WaitTimeMs, or 0 if it has none.
+func (m *message) waitTimeMs() float64 {
 	if m.WaitTimeMs == nil {
 		return 0
 	}
 	return *m.WaitTimeMs
 }
 
-// Duration converts milliseconds; it keeps what lies beyond the longest span at that span.
+// Duration converts milliseconds to a duration. Values beyond 2^62 ns in either direction are limited to it.
 func Duration(ms float64) time.Duration {
-	const most = 1 << 62
-	return time.Duration(math.Round(min(max(ms*1e6, -most), most)))
+	const maxNanoseconds = 1 << 62
+	return time.Duration(math.Round(min(max(ms*1e6, -maxNanoseconds), maxNanoseconds)))
 }
 
-// Writer writes replies, each whole: what a reply holds before an error is not seen.
+// Writer writes replies, each one whole: a reply is buffered until End, so nothing of it is written if an error occurs
+// before.
 type Writer struct {
 	out   io.Writer
-	reply []byte // the lines so far
+	reply []byte // the buffered lines
 }
 
 // NewWriter returns a Writer on w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: w} }
 
-// Actions writes the actions of one instance.
+// Actions adds the actions of one instance to the reply.
 func (w *Writer) Actions(agent int, actions []balance.Action) error {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -403,13 +403,13 @@
 	return nil
 }
 
-// Broken reports that the decision code of an instance has failed.
+// Broken adds to the reply that the decision code of an instance has failed.
 func (w *Writer) Broken(agent int, text string) {
 	w.begin("Broken", agent).str("Msg", text)
 	w.reply = append(w.reply, "}\n"...)
 }
 
-// End closes a reply and writes it out.
+// End completes the reply and writes it out.
 func (w *Writer) End() error {
 	w.reply = append(w.reply, "{\"msg\":\"Eor\"}\n"...)
 	_, err := w.out.Write(w.reply)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -45,7 +45,7 @@
 			balance.ProbeResult{Backend: "b", Latency: 2 * ms, Load: balance.Load{Valid: true, Outstanding: 7,
 				Utilization: 0.5, Throughput: 3, Queue: -1, Service: -1, ErrorsPerSec: -1}}},
 		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"stale_send","WaitTimeMs":0,"Backend":"b","SendNo":0}`,
-			balance.Outcome{Request: "d0", Backend: "b", Result: balance.NotSent, Load: load(nil)}},
+			balance.Outcome{Request: "d0", Backend: "b", Result: balance.NotSent, Load: toLoad(nil)}},
 		{`{"msg":"Expired","Agent":3,"Job":"d0"}`, balance.Abandoned{Request: "d0"}},
 		{`{"msg":"Reminder","Agent":3,"Cookie":9223372036854775807}`, balance.TimerFired{Token: 1<<63 - 1}},
 		{`{"msg":"Streaming","Agent":3,"Job":"d0","WaitTimeMs":1,"SendNo":1,"Backend":"b"}`,
@@ -53,7 +53,7 @@
 		{`{"msg":"Peer","Agent":3,"From":2,"Msg":"68692037"}`,
 			balance.PeerMessage{From: 2, Data: []byte("hi 7")}},
 		{`{"msg":"ProbeDone","Agent":3,"Backend":"b","Outcome":"no_route","WaitTimeMs":2}`,
-			balance.ProbeResult{Backend: "b", Result: balance.ConnectFailed, Latency: 2 * ms, Load: load(nil)}},
+			balance.ProbeResult{Backend: "b", Result: balance.ConnectFailed, Latency: 2 * ms, Load: toLoad(nil)}},
 		{`{"msg":"View","Agent":3,"How":"error","Index":4,"Sheet":0}`, balance.List{Kind: balance.ListFailed, Version: 4}},
 		{list + "\n" + `{"msg":"View","Agent":3,"How":"diff","Index":4,"Sheet":3}`,
 			balance.List{Kind: balance.ListDelta, Version: 4, Backends: entries}},
@@ -115,7 +115,7 @@
 	v := reflect.ValueOf(want)
 	for i := range v.NumField() {
 		if v.Field(i).IsZero() {
-			t.Errorf("the example leaves %s out", v.Type().Field(i).Name)
+			t.Errorf("the example doesn't set %s", v.Type().Field(i).Name)
 		}
 	}
 	if _, err := balance.New(b.Events[0].Open.Settings, 1); err != nil {
@@ -204,8 +204,8 @@
 	}
 }
 
-// FuzzReader feeds the reader any bytes: it returns batches or an error, never panics, and what
-// it takes for settings New judges without a panic.
+// FuzzReader feeds arbitrary bytes to the reader. It must return batches or an error without a panic, and balance.New
+// must not panic on any settings that it accepts.
 func FuzzReader(f *testing.F) {
 	f.Add(frame(`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"GraceMs":1e300,"StateBits":-1}`))
 	f.Add(frame(`{"msg":"OpenInstance","Agent":1,"RandomSeed":77,"Facts":` + strings.ReplaceAll(factsJSON, "\n", "") + `}`))
@@ -248,7 +248,7 @@
 	}
 }
 
-// A figure that can't be spoils its report: it would stay in the module's running means.
+// An impossible value invalidates its whole report: it would stay in the balancer's running averages.
 func TestParseLoadRange(t *testing.T) {
 	for _, raw := range []string{`{"recent_ms":14,"backlog":-1}`, `{"recent_ms":1e300}`, `{"backlog":3,"throughput":1e7}`, `{"backlog":1e999}`, `{"outstanding":"3"}`} {
 		if l, _ := ParseLoad([]byte(raw)); l != balance.NoLoad() {
