--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink plays balancers on the bench's wire: batches of
-// events on standard input, one reply per batch on standard output.
+// Command benchlink runs balancers for the bench. It reads batches of events from standard input and writes one reply
+// per batch to standard output.
 package main
 
 import (
@@ -15,14 +15,14 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // short-lived garbage and a small heap: collect seldom
+	debug.SetGCPercent(800) // the heap is small and its garbage short-lived, so rare collections suffice
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
 		os.Exit(1)
 	}
 }
 
-// stepper is what an instance does; in service a *balance.Balancer.
+// stepper is the decision code of an instance: a *balance.Balancer outside of tests.
 type stepper interface {
 	Step(now time.Duration, events []balance.Event) []balance.Action
 }
@@ -48,8 +48,8 @@
 	}
 }
 
-// answer gives each instance its events of the batch in one step. A start or
-// stop within the batch ends the step before it.
+// answer passes each instance its events of the batch in one step, and writes their actions. Where an instance opens
+// again within the batch, its events before that are a step of their own; events before a Retire are dropped.
 func answer(batch *wire.Batch, instances map[int]stepper, w *wire.Writer) error {
 	var order []int
 	pending := map[int][]balance.Event{}
@@ -59,9 +59,9 @@
 			return nil
 		}
 		pending[agent] = nil
-		actions, fault := step(instances[agent], batch.Now, events)
-		if fault != "" {
-			w.Broken(agent, fault)
+		actions, panicText := step(instances[agent], batch.Now, events)
+		if panicText != "" {
+			w.Broken(agent, panicText)
 			return nil
 		}
 		return w.Actions(agent, actions)
@@ -84,7 +84,7 @@
 		case instances[e.Agent] == nil:
 			return fmt.Errorf("line %d: instance %d is not open", e.Line, e.Agent)
 		case e.Retire:
-			pending[e.Agent] = nil // killed: what came just before has no one to act on it
+			pending[e.Agent] = nil // the instance is killed, so its events of this batch are dropped
 			delete(instances, e.Agent)
 		default:
 			pending[e.Agent] = append(pending[e.Agent], e.Event)
@@ -98,11 +98,11 @@
 	return nil
 }
 
-// step turns a panic of the decision code into its text.
-func step(b stepper, now time.Duration, events []balance.Event) (acts []balance.Action, fault string) {
+// step runs one step of an instance. A panic of the decision code is recovered and returned as text.
+func step(b stepper, now time.Duration, events []balance.Event) (acts []balance.Action, panicText string) {
 	defer func() {
 		if p := recover(); p != nil {
-			fault = fmt.Sprint("panic: ", p)
+			panicText = fmt.Sprint("panic: ", p)
 		}
 	}()
 	return b.Step(now, events), ""
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -31,11 +31,11 @@
 	tests := []struct{ name, in, want string }{
 		{"nothing", "", ""},
 		{"an empty batch", batch("1"), eor},
-		{"a request is sent", batch("1", open, lists) + batch("6", submit), eor + try + eor},
+		{"request is sent", batch("1", open, lists) + batch("6", submit), eor + try + eor},
 		{"served", batch("1", open, lists, submit) + batch("26", ended("pass", `,"Ended":true`)), try + eor + eor},
 		{"failed", batch("1", open, lists, submit) + batch("26", ended("fault", "")),
 			try + eor + `{"msg":"DropRequest","Agent":3,"Job":"d0"}` + "\n" + eor},
-		{"killed and started in one batch forgets", batch("1", open, lists, submit) +
+		{"state is lost by a kill and start in one batch", batch("1", open, lists, submit) +
 			batch("6", `{"msg":"Retire","Agent":3}`, open, lists) + batch("26", ended("fault", "")),
 			try + eor + eor + eor},
 	}
@@ -52,12 +52,12 @@
 	}
 }
 
-func TestRunFaults(t *testing.T) {
+func TestRunErrors(t *testing.T) {
 	tests := []struct{ name, in, want string }{
 		{"instance not open", batch("1", `{"msg":"Reminder","Agent":8,"Cookie":1}`), "line 2: instance 8 is not open"},
-		{"settings make no sense", batch("1", strings.Replace(open, `"Balancers":1`, `"Balancers":0`, 1)), "Balancers: 0"},
+		{"invalid settings", batch("1", strings.Replace(open, `"Balancers":1`, `"Balancers":0`, 1)), "Balancers: 0"},
 		{"broken line", batch("1", "{"), "line 2: "},
-		{"nothing of the reply before a fault is written", batch("1", open, lists, `{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":700}`,
+		{"reply before an error is not written", batch("1", open, lists, `{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":700}`,
 			`{"msg":"Reminder","Agent":8,"Cookie":1}`), "instance 8 is not open"},
 	}
 	for _, tt := range tests {
@@ -74,8 +74,8 @@
 	}
 }
 
-// A panic of the decision code is reported with its text, and the link goes on.
-func TestPanicIsBroken(t *testing.T) {
+// A panic of the decision code is reported with its text, and benchlink keeps running.
+func TestPanicIsReported(t *testing.T) {
 	var out bytes.Buffer
 	w := wire.NewWriter(&out)
 	b := &wire.Batch{Events: []wire.Event{{Agent: 2, Event: balance.Request{ID: "x"}}}}
--- a/cmd/lemoncontrol/main.go
+++ b/cmd/lemoncontrol/main.go
@@ -1,5 +1,5 @@
-// Command lemoncontrol is a control machine's process: it keeps the settings that change while the fleet runs, agrees on
-// them with the other control machines, and brings them to the agents.
+// Command lemoncontrol is the process of a control machine. It stores the settings that change while the fleet runs,
+// agrees on them with the other control machines and sends them to the agents.
 package main
 
 import (
@@ -29,7 +29,8 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stderr))
 }
 
-// run is the process: 0 ended as asked, 1 failed, 2 not understood.
+// run runs the control machine until ctx ends and returns the exit code: 0 after a normal stop, exitFailed (1) after
+// a failure, exitUsage (2) for an invalid command line or settings file.
 func run(ctx context.Context, args []string, log io.Writer) int {
 	if len(args) != 1 {
 		fmt.Fprintln(log, errUsage)
--- a/cmd/lemoncontrol/main_test.go
+++ b/cmd/lemoncontrol/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func TestCommandLinesThatMakeNoSense(t *testing.T) {
+func TestInvalidCommandLines(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "control.toml")
 	if err := os.WriteFile(bad, []byte("name = 'a1'\ntock_ms = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -21,7 +21,7 @@
 	}{
 		{"no file", nil, "usage"},
 		{"two files", []string{bad, bad}, "usage"},
-		{"a file that isn't there", []string{bad + "x"}, "no such file"},
+		{"a missing file", []string{bad + "x"}, "no such file"},
 		{"an unknown key", []string{bad}, bad + ": line 2: unknown key tock_ms"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestAddressThatCannotBeListenedOn(t *testing.T) {
+func TestListenAddressFails(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "control.toml")
 	text := `name = "a1"
 region = "a"
