--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -1,10 +1,9 @@
-// Package deploy holds the files by which lemonrail is set up, for the programs that need their
-// text where no file is given.
+// Package deploy embeds settings files of lemonrail, for programs that use them as defaults where no file is given.
 package deploy
 
 import _ "embed"
 
-// Load is load.toml: how recorded entries become requests.
+// Load is the text of load.toml, which defines how recorded entries become requests.
 //
 //go:embed load.toml
 var Load string
