--- a/cmd/lemonrail/bulk_test.go
+++ b/cmd/lemonrail/bulk_test.go
@@ -16,8 +16,8 @@
 	"lemonrail/internal/scripted"
 )
 
-// peakMB is the most memory that a process has had resident.
-func peakMB(t *testing.T, pid int) int {
+// peakResidentMB returns the peak resident memory of a process.
+func peakResidentMB(t *testing.T, pid int) int {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -25,21 +25,21 @@
 	}
 	m := regexp.MustCompile(`VmHWM:\s+(\d+) kB`).FindSubmatch(raw)
 	if m == nil {
-		t.Skip("/proc tells no peak")
+		t.Skip("/proc has no peak resident size")
 	}
 	kb, _ := strconv.Atoi(string(m[1]))
 	return kb / 1024
 }
 
-// Answers and bodies of 32 MB, together twenty times the memory told, are all on their way at one time: each comes
-// whole, and the process keeps to its memory.
+// Answers and request bodies of 32 MB each, together twenty times the memory limit, are in flight at the same time.
+// Each arrives whole, and the process stays within its memory limit.
 func TestBulkWithinMemory(t *testing.T) {
 	if testing.Short() {
 		t.Skip("moves 1.3 GB over loopback")
 	}
-	const size, each, told = 32 << 20, 20, 64
-	var arrived sync.WaitGroup
-	arrived.Add(2 * each)
+	const size, requestsEach, memoryLimitMB = 32 << 20, 20, 64
+	var reachedPause sync.WaitGroup
+	reachedPause.Add(2 * requestsEach)
 	part := strings.Repeat("x", 64<<10)
 	p := newPlatform(t, scripted.Backend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -63,19 +63,19 @@
 			}
 		}
 	}))
-	// It is about memory: within an aim of a second a busy machine is no match for what is moved here, and requests that wait
-	// for longer than that are refused, as they should be.
+	// The test is about memory, so aims and deadlines are long: a busy machine can't move this much data within an aim of
+	// 1 s, and requests that wait for longer are rightly refused.
 	for range 2 {
-		p.config = p.rewritten(`"AimMs":1000,"DeadlineMs":3000`, `"AimMs":60000,"DeadlineMs":60000`)
+		p.config = p.configWith(`"AimMs":1000,"DeadlineMs":3000`, `"AimMs":60000,"DeadlineMs":60000`)
 	}
-	agent := p.start(p.config).ready()
-	var all sync.WaitGroup
-	underWay := make(chan struct{})
-	for i := range 2 * each {
-		all.Go(func() {
+	agent := p.start(p.config).awaitReady()
+	var clients sync.WaitGroup
+	allUnderWay := make(chan struct{})
+	for i := range 2 * requestsEach {
+		clients.Go(func() {
 			method, path, body := http.MethodGet, "/read", io.Reader(nil)
 			if i%2 == 1 {
-				method, path, body = http.MethodPost, "/sub", &held{left: size, until: underWay, arrived: &arrived}
+				method, path, body = http.MethodPost, "/sub", &pausingBody{remaining: size, resume: allUnderWay, reachedPause: &reachedPause}
 			}
 			req, err := http.NewRequest(method, p.url+path, body)
 			if err != nil {
@@ -92,14 +92,14 @@
 			if err != nil {
 				t.Error(err)
 				if i%2 == 0 {
-					arrived.Done()
+					reachedPause.Done()
 				}
 				return
 			}
 			defer resp.Body.Close()
-			if i%2 == 0 { // holds the rest back until all are under way
-				arrived.Done()
-				<-underWay
+			if i%2 == 0 { // stops reading until all transfers have begun
+				reachedPause.Done()
+				<-allUnderWay
 			}
 			n, err := io.Copy(io.Discard, resp.Body)
 			if want := map[bool]int64{true: size, false: 5}[i%2 == 0]; err != nil || n != want || resp.StatusCode != http.StatusOK {
@@ -107,39 +107,39 @@
 			}
 		})
 	}
-	arrived.Wait()
-	close(underWay)
-	all.Wait()
-	peak := peakMB(t, agent.cmd.Process.Pid)
-	t.Logf("peak %d MB of %d", peak, told)
-	if peak > told {
-		t.Errorf("%d MB were resident, %d are told", peak, told)
+	reachedPause.Wait()
+	close(allUnderWay)
+	clients.Wait()
+	peak := peakResidentMB(t, agent.cmd.Process.Pid)
+	t.Logf("peak %d MB of %d", peak, memoryLimitMB)
+	if peak > memoryLimitMB {
+		t.Errorf("%d MB were resident, the limit is %d", peak, memoryLimitMB)
 	}
 }
 
-// held is a body that stops after its first 128 KiB until all others are as far.
-type held struct {
-	left    int
-	sent    int
-	until   chan struct{}
-	arrived *sync.WaitGroup
-	waited  bool
+// pausingBody is a request body that pauses after its first 128 KiB until resume is closed.
+type pausingBody struct {
+	remaining    int
+	sent         int
+	resume       chan struct{}
+	reachedPause *sync.WaitGroup
+	paused       bool
 }
 
-func (h *held) Read(p []byte) (int, error) {
-	if h.left == 0 {
+func (h *pausingBody) Read(p []byte) (int, error) {
+	if h.remaining == 0 {
 		return 0, io.EOF
 	}
-	if h.sent > 128<<10 && !h.waited {
-		h.waited = true
-		h.arrived.Done()
-		<-h.until
+	if h.sent > 128<<10 && !h.paused {
+		h.paused = true
+		h.reachedPause.Done()
+		<-h.resume
 	}
-	n := min(len(p), h.left)
+	n := min(len(p), h.remaining)
 	for i := range p[:n] {
 		p[i] = 'y'
 	}
-	h.left -= n
+	h.remaining -= n
 	h.sent += n
 	return n, nil
 }
--- a/cmd/lemonrail/configuration_test.go
+++ b/cmd/lemonrail/configuration_test.go
@@ -18,14 +18,15 @@
 	"lemonrail/internal/scripted"
 )
 
-// controlMachine sends the latest document of the fleet to all who watch, and notes what processes report.
+// controlMachine is a control machine for tests. It sends the fleet's latest document to all watchers and records the
+// reports of processes.
 type controlMachine struct {
 	addr   string
 	server *httptest.Server
 
 	mu      sync.Mutex
 	latest  configuration.Update
-	changed chan struct{} // closed with the next change
+	changed chan struct{} // closed and replaced on each change
 	reports []configuration.Report
 }
 
@@ -55,8 +56,8 @@
 	}
 	out := http.NewResponseController(w)
 	out.Flush()
-	beat := time.NewTicker(time.Second)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(time.Second)
+	defer heartbeat.Stop()
 	var sent uint64
 	for {
 		c.mu.Lock()
@@ -69,7 +70,7 @@
 		}
 		select {
 		case <-changed:
-		case <-beat.C:
+		case <-heartbeat.C:
 			io.WriteString(w, "\n")
 			out.Flush()
 		case <-r.Context().Done():
@@ -78,8 +79,8 @@
 	}
 }
 
-// change makes a document the latest one.
-func (c *controlMachine) change(t *testing.T, revision uint64, document string) {
+// publish makes a document the latest one and sends it to all watchers.
+func (c *controlMachine) publish(t *testing.T, revision uint64, document string) {
 	t.Helper()
 	d, err := configuration.ParseDocument([]byte(document))
 	if err != nil {
@@ -94,14 +95,14 @@
 	c.changed = make(chan struct{})
 }
 
-// left reports whether a process has said that the agent stops.
-func (c *controlMachine) left() bool {
+// receivedLeaving reports whether a process has reported that its agent stops.
+func (c *controlMachine) receivedLeaving() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.ContainsFunc(c.reports, func(r configuration.Report) bool { return r.Leaving })
 }
 
-// configState is what the test reads of GET /api/config.
+// configState holds the parts of the answer to GET /api/config that the tests check.
 type configState struct {
 	InForce map[configuration.Scope]configuration.Position `json:"in_force"`
 	Kept    bool                                           `json:"kept"`
@@ -111,13 +112,13 @@
 	} `json:"changed"`
 }
 
-// hasInForce waits until a process has a revision in force.
-func (i *instance) hasInForce(revision uint64) (s configState) {
+// awaitRevision waits until the process has the revision in force, and returns its state then.
+func (i *instance) awaitRevision(revision uint64) (s configState) {
 	i.p.t.Helper()
 	client := &http.Client{Timeout: scripted.Patience, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(scripted.Patience); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(scripted.Patience); ; time.Sleep(5 * time.Millisecond) {
 		s = configState{}
-		resp, err := client.Get(i.staff + "/api/config")
+		resp, err := client.Get(i.controlURL + "/api/config")
 		if err == nil {
 			err = json.NewDecoder(resp.Body).Decode(&s)
 			resp.Body.Close()
@@ -125,82 +126,84 @@
 		if err == nil && s.InForce[configuration.Fleet].Revision == revision {
 			return s
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			i.p.t.Fatalf("revision %d is not in force: %+v, %v", revision, s, err)
 		}
 	}
 }
 
+// configuration writes a file for the flag -configuration, and returns its path.
 func (p *platform) configuration(addr, folder string) string {
 	path := filepath.Join(p.t.TempDir(), "configuration.toml")
 	p.write(path, fmt.Sprintf("region = \"x\"\nservice = \"front\"\nfolder = %q\n[[machine]]\nname = \"x1\"\nregion = \"x\"\naddress = %q\n", folder, addr))
 	return path
 }
 
-// Under load one process replaces another while the fleet's document changes again and again: no request is lost, and the
-// successor has the last revision in force.
-func TestChangesDuringAnUpgrade(t *testing.T) {
+// One process replaces another under load while the fleet's document keeps changing: no request is lost, the successor
+// ends with the last revision in force, and only the last process to stop reports that the agent leaves.
+func TestDocumentChangesDuringUpgrade(t *testing.T) {
 	machine := newControlMachine(t)
 	p := newPlatform(t, scripted.Backend(t, scripted.Always(scripted.Hello)), scripted.Backend(t, scripted.Always(scripted.Hello)))
 	file := p.configuration(machine.addr, t.TempDir())
-	machine.change(t, 1, `{"format":1,"limits":{"attempts":2}}`)
-	old := p.start(p.config, "-configuration", file).ready()
-	old.hasInForce(1)
-	stop := p.load()
-	over, last := make(chan struct{}), make(chan uint64)
+	machine.publish(t, 1, `{"format":1,"limits":{"attempts":2}}`)
+	old := p.start(p.config, "-configuration", file).awaitReady()
+	old.awaitRevision(1)
+	stop := p.startLoad()
+	stopPublishing, lastRevision := make(chan struct{}), make(chan uint64)
 	go func() {
 		for n := uint64(2); ; n++ {
 			select {
-			case <-over:
-				last <- n - 1
+			case <-stopPublishing:
+				lastRevision <- n - 1
 				return
 			case <-time.After(20 * time.Millisecond):
-				machine.change(t, n, fmt.Sprintf(`{"format":1,"limits":{"attempts":%d},"classes":{"read":{"aim_ms":%d}}}`, n%4+1, 500+n))
+				machine.publish(t, n, fmt.Sprintf(`{"format":1,"limits":{"attempts":%d},"classes":{"read":{"aim_ms":%d}}}`, n%4+1, 500+n))
 			}
 		}
 	}()
-	next := p.start(p.config, "-configuration", file).ready()
+	next := p.start(p.config, "-configuration", file).awaitReady()
 	if err := old.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	old.ended()
-	close(over)
-	revision := <-last
-	next.hasInForce(revision)
+	old.awaitCleanExit()
+	close(stopPublishing)
+	revision := <-lastRevision
+	next.awaitRevision(revision)
 	defer func() {
 		if err := next.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
-		next.ended()
-		if !machine.left() {
-			t.Error("the last process hasn't told control that the agent stops")
+		next.awaitCleanExit()
+		if !machine.receivedLeaving() {
+			t.Error("the last process didn't report that the agent stops")
 		}
 	}()
-	if machine.left() {
-		t.Error("the process that was replaced has told control that the agent stops")
+	if machine.receivedLeaving() {
+		t.Error("the replaced process reported that the agent stops")
 	}
 	if n := stop(); n < 20 || revision < 3 {
 		t.Errorf("%d requests, %d revisions", n, revision)
 	}
 }
 
-// A process that is killed and started again by its old file, with control away, has what was in force before.
+// A process that is killed and started again while the control machine is down restores the settings that were in force
+// from its local copy.
 func TestKilledProcessKeepsItsSettings(t *testing.T) {
 	machine := newControlMachine(t)
 	p := newPlatform(t, scripted.Backend(t, scripted.Always(scripted.Hello)))
 	folder := t.TempDir()
 	file := p.configuration(machine.addr, folder)
-	machine.change(t, 9, `{"format":1,"limits":{"attempts":2}}`)
-	first := p.start(p.config, "-configuration", file).ready()
-	if s := first.hasInForce(9); s.Kept {
+	machine.publish(t, 9, `{"format":1,"limits":{"attempts":2}}`)
+	first := p.start(p.config, "-configuration", file).awaitReady()
+	if s := first.awaitRevision(9); s.Kept {
 		t.Errorf("first %+v", s)
 	}
-	for end := time.Now().Add(scripted.Patience); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(scripted.Patience); ; time.Sleep(5 * time.Millisecond) {
 		if kept, _ := filepath.Glob(filepath.Join(folder, "configuration-*")); len(kept) > 0 {
 			break
 		}
-		if time.Now().After(end) {
-			t.Fatal("nothing is kept")
+		if time.Now().After(deadline) {
+			t.Fatal("no local copy was written")
 		}
 	}
 	machine.stop()
@@ -208,11 +211,11 @@
 		t.Fatal(err)
 	}
 	<-first.done
-	second := p.start(p.config, "-configuration", file).ready()
-	if s := second.hasInForce(9); !s.Kept || len(s.Changed) != 1 || s.Changed[0].Setting != "limits.attempts" || s.Changed[0].Now != 2.0 {
+	second := p.start(p.config, "-configuration", file).awaitReady()
+	if s := second.awaitRevision(9); !s.Kept || len(s.Changed) != 1 || s.Changed[0].Setting != "limits.attempts" || s.Changed[0].Now != 2.0 {
 		t.Errorf("second %+v", s)
 	}
-	if err := p.ask(&http.Client{Timeout: scripted.Patience, Transport: &http.Transport{DisableKeepAlives: true}}); err != nil {
+	if err := p.sendRequest(&http.Client{Timeout: scripted.Patience, Transport: &http.Transport{DisableKeepAlives: true}}); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/lemonrail/deployed_test.go
+++ b/cmd/lemonrail/deployed_test.go
@@ -19,29 +19,30 @@
 	"time"
 )
 
-// built is the program, built once by the flags of the line that the platform builds it by.
-func built(t *testing.T) string {
+// builtProgram returns the path of the program, built once with the flags that the platform builds it with.
+func builtProgram(t *testing.T) string {
 	t.Helper()
-	building.Do(func() { program = build(t) })
-	if program == "" {
+	buildOnce.Do(func() { programPath = build(t) })
+	if programPath == "" {
 		t.Fatal("the program could not be built")
 	}
-	return program
+	return programPath
 }
 
 var (
-	building sync.Once
-	program  string
+	buildOnce   sync.Once
+	programPath string
 )
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if program != "" {
-		os.RemoveAll(filepath.Dir(program))
+	if programPath != "" {
+		os.RemoveAll(filepath.Dir(programPath))
 	}
 	os.Exit(code)
 }
 
+// build builds the program with the flags of the build line in deploy/balancer.toml, into a new folder.
 func build(t *testing.T) string {
 	t.Helper()
 	raw, err := os.ReadFile("../../deploy/balancer.toml")
@@ -50,7 +51,7 @@
 	}
 	line := regexp.MustCompile(`(?m)^build = ".*(CGO_ENABLED=1) go build (.*) -o bin/ `).FindSubmatch(raw)
 	if line == nil {
-		t.Fatal("the build line has no form that this test knows")
+		t.Fatal("the build line of deploy/balancer.toml doesn't have the expected form")
 	}
 	dir, err := os.MkdirTemp("", "lemonrail")
 	if err != nil {
@@ -66,13 +67,13 @@
 	return bin
 }
 
-// The platform's bench leads the program's calls through the C library, wants one process, and knows TCP and
-// UDP over IPv4 only. Nothing but the program's own variables is set there.
-func TestDeployedProgramKeepsToThePlatform(t *testing.T) {
+// The platform's bench intercepts the program's calls in the C library, allows one process, and supports only TCP and
+// UDP over IPv4. Its environment sets only the program's own variables.
+func TestDeployedProgramMeetsPlatformRules(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("reads /proc")
 	}
-	bin := built(t)
+	bin := builtProgram(t)
 	f, err := elf.Open(bin)
 	if err != nil {
 		t.Fatal(err)
@@ -103,7 +104,7 @@
 	}
 	defer func() {
 		cmd.Process.Signal(syscall.SIGTERM)
-		go func() { // its log has to be read for it to end
+		go func() { // the program can't end while writing its log blocks
 			for lines := bufio.NewScanner(log); lines.Scan(); {
 			}
 		}()
@@ -132,23 +133,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	mine := map[string]bool{}
+	ownSockets := map[string]bool{}
 	for _, fd := range fds {
 		to, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%s", pid, fd.Name()))
 		if inode, ok := strings.CutPrefix(to, "socket:["); ok {
-			mine[strings.TrimSuffix(inode, "]")] = true
+			ownSockets[strings.TrimSuffix(inode, "]")] = true
 		}
 	}
-	if len(mine) < 2 {
-		t.Errorf("%d sockets, want the listener's and the peers'", len(mine))
+	if len(ownSockets) < 2 {
+		t.Errorf("%d sockets, want the listener's and the peers'", len(ownSockets))
 	}
 	for _, kind := range []string{"unix", "tcp6", "udp6", "raw", "raw6", "packet", "netlink"} {
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/net/%s", pid, kind))
 		if err != nil {
-			continue // not on this kernel
+			continue // this kernel doesn't have the kind
 		}
 		for _, field := range bytes.Fields(raw) {
-			if mine[string(field)] {
+			if ownSockets[string(field)] {
 				t.Errorf("a socket of the kind %s is open", kind)
 			}
 		}
@@ -159,10 +160,10 @@
 	}
 	for _, task := range tasks {
 		if children, err := os.ReadFile(fmt.Sprintf("/proc/%d/task/%s/children", pid, task.Name())); err == nil && len(bytes.TrimSpace(children)) > 0 {
-			t.Errorf("it has started processes: %s", children)
+			t.Errorf("the program has started processes: %s", children)
 		}
 	}
 	if left, err := os.ReadDir(dir); err != nil || len(left) != 1 {
-		t.Errorf("it wrote to its folder: %v %v", left, err)
+		t.Errorf("the program wrote to its folder: %v %v", left, err)
 	}
 }
--- a/cmd/lemonrail/main.go
+++ b/cmd/lemonrail/main.go
@@ -1,5 +1,5 @@
-// Command lemonrail balances and retries the requests of the application beside it. It is
-// configured by the JSON file that LB_CONFIG names.
+// Command lemonrail is the agent: it balances and retries the requests of the application beside it. It is configured
+// by the JSON file that LB_CONFIG names; the flags name files for further features.
 package main
 
 import (
@@ -24,63 +24,63 @@
 )
 
 func main() {
-	hup := hangups()
-	var f files
-	flag.StringVar(&f.explained, "explain", "", "TOML `file` that says where reasons of refusals are written, such as deploy/explain.toml")
-	flag.StringVar(&f.diameter, "diameter", "", "TOML `file` by which the agent speaks Diameter too, such as deploy/diameter.toml")
-	flag.StringVar(&f.servers, "servers", "", "TOML `file` that lists the backends in place of discovery, such as deploy/servers.toml")
-	flag.StringVar(&f.members, "members", "", "TOML `file` by which the agent keeps a view of the fleet, such as deploy/members.toml")
-	flag.StringVar(&f.sites, "sites", "", "TOML `file` by which the agent watches whole sites, such as deploy/sites.toml")
-	flag.StringVar(&f.duties, "duties", "", "TOML `file` by which the agent holds duties that one agent may hold at a time, such as deploy/duties.toml")
-	flag.StringVar(&f.configuration, "configuration", "", "TOML `file` by which the agent takes settings that change while it runs, such as deploy/configuration.toml")
+	hup := notifyHangup()
+	var paths optionalFiles
+	flag.StringVar(&paths.explain, "explain", "", "TOML `file` that sets where the reasons of refusals are written, such as deploy/explain.toml")
+	flag.StringVar(&paths.diameter, "diameter", "", "TOML `file` that enables Diameter beside HTTP, such as deploy/diameter.toml")
+	flag.StringVar(&paths.servers, "servers", "", "TOML `file` that lists the backends in place of discovery, such as deploy/servers.toml")
+	flag.StringVar(&paths.members, "members", "", "TOML `file` that enables the agent's view of the fleet's members, such as deploy/members.toml")
+	flag.StringVar(&paths.sites, "sites", "", "TOML `file` that enables the detection of lost sites, such as deploy/sites.toml")
+	flag.StringVar(&paths.duties, "duties", "", "TOML `file` that enables duties, each held by one agent at a time, such as deploy/duties.toml")
+	flag.StringVar(&paths.configuration, "configuration", "", "TOML `file` that enables settings that change while the agent runs, such as deploy/configuration.toml")
 	flag.Parse()
-	if err := run(hup, os.Stderr, f); err != nil {
+	if err := run(hup, os.Stderr, paths); err != nil {
 		fmt.Fprintln(os.Stderr, "lemonrail:", err)
 		os.Exit(1)
 	}
 }
 
-// files set what is off by default; empty: off.
-type files struct{ explained, diameter, servers, members, sites, duties, configuration string }
+// optionalFiles holds the paths of the files that enable optional features. A feature without a path is off.
+type optionalFiles struct{ explain, diameter, servers, members, sites, duties, configuration string }
 
-// hangups catches SIGHUP, which would end the program otherwise.
-func hangups() <-chan os.Signal {
-	hup := make(chan os.Signal, 1) // one that waits says as much as several
+// notifyHangup returns a channel that receives SIGHUP, which would end the program otherwise.
+func notifyHangup() <-chan os.Signal {
+	hup := make(chan os.Signal, 1) // one pending signal has the same effect as several
 	signal.Notify(hup, syscall.SIGHUP)
 	return hup
 }
 
-func run(hup <-chan os.Signal, log io.Writer, f files) error {
+func run(hup <-chan os.Signal, log io.Writer, paths optionalFiles) error {
 	path := os.Getenv("LB_CONFIG")
 	if path == "" {
 		return errors.New("LB_CONFIG is not set")
 	}
 	read := agent.ReadConfig
-	if f.servers != "" {
-		read = func(path string) (*agent.Config, error) { return agent.ReadListedConfig(path, f.servers) }
+	if paths.servers != "" {
+		read = func(path string) (*agent.Config, error) { return agent.ReadListedConfig(path, paths.servers) }
 	}
 	cfg, err := read(path)
 	if err != nil {
 		return err
 	}
-	if control := os.Getenv("LB_CONTROL"); control != "" { // new with each process, so before the file
+	if control := os.Getenv("LB_CONTROL"); control != "" { // overrides the file, since each process has an address of its own
 		if cfg.Control, err = netip.ParseAddrPort(control); err != nil {
 			return fmt.Errorf("LB_CONTROL: %w", err)
 		}
 	}
-	if fd := os.Getenv("LB_FD"); fd != "" { // the platform holds the clients' listener and may start a successor
+	if fd := os.Getenv("LB_FD"); fd != "" { // the platform owns the clients' listener and may start a successor process on it
 		if cfg.ListenFD, err = strconv.Atoi(fd); err != nil || cfg.ListenFD < 3 {
-			return fmt.Errorf("LB_FD: %q is no descriptor of a listener", fd)
+			return fmt.Errorf("LB_FD: %q is not the descriptor of a listener: want a number from 3 up", fd)
 		}
 		cfg.SharedDir = os.TempDir()
 	}
-	if f.explained != "" {
-		if cfg.Explain, err = explain.ReadConfig(f.explained); err != nil {
+	if paths.explain != "" {
+		if cfg.Explain, err = explain.ReadConfig(paths.explain); err != nil {
 			return err
 		}
 	}
-	if f.diameter != "" {
-		rules, err := relay.ReadRules(f.diameter)
+	if paths.diameter != "" {
+		rules, err := relay.ReadRules(paths.diameter)
 		if err != nil {
 			return err
 		}
@@ -88,8 +88,8 @@
 			return err
 		}
 	}
-	if f.members != "" {
-		members, err := link.ReadSettings(f.members)
+	if paths.members != "" {
+		members, err := link.ReadSettings(paths.members)
 		if err != nil {
 			return err
 		}
@@ -97,17 +97,17 @@
 			return err
 		}
 	}
-	if f.sites != "" {
-		raw, err := os.ReadFile(f.sites)
+	if paths.sites != "" {
+		raw, err := os.ReadFile(paths.sites)
 		if err != nil {
 			return fmt.Errorf("sites: %w", err)
 		}
-		if err := cfg.WithSites(f.sites, raw); err != nil {
+		if err := cfg.WithSites(paths.sites, raw); err != nil {
 			return err
 		}
 	}
-	if f.duties != "" {
-		s, err := seat.ReadSettings(f.duties)
+	if paths.duties != "" {
+		s, err := seat.ReadSettings(paths.duties)
 		if err != nil {
 			return err
 		}
@@ -115,12 +115,12 @@
 			return err
 		}
 	}
-	if f.configuration != "" { // behind those that settings have to suit
-		raw, err := os.ReadFile(f.configuration)
+	if paths.configuration != "" { // after the other files, since the settings have to be compatible with them
+		raw, err := os.ReadFile(paths.configuration)
 		if err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
-		if err := cfg.WithConfiguration(f.configuration, raw); err != nil {
+		if err := cfg.WithConfiguration(paths.configuration, raw); err != nil {
 			return err
 		}
 	}
--- a/cmd/lemonrail/main_test.go
+++ b/cmd/lemonrail/main_test.go
@@ -15,17 +15,17 @@
 
 func TestBadEnvironment(t *testing.T) {
 	t.Setenv("LB_CONFIG", "")
-	if err := run(nil, io.Discard, files{}); err == nil || !strings.Contains(err.Error(), "LB_CONFIG") {
+	if err := run(nil, io.Discard, optionalFiles{}); err == nil || !strings.Contains(err.Error(), "LB_CONFIG") {
 		t.Errorf("got %v", err)
 	}
 	t.Setenv("LB_CONFIG", filepath.Join(t.TempDir(), "none.json"))
-	if err := run(nil, io.Discard, files{}); err == nil || !strings.Contains(err.Error(), "none.json") {
+	if err := run(nil, io.Discard, optionalFiles{}); err == nil || !strings.Contains(err.Error(), "none.json") {
 		t.Errorf("got %v", err)
 	}
 }
 
-// The program starts with discovery down, a SIGHUP makes it read its configuration again, and a
-// SIGTERM ends it without an error.
+// The program starts while discovery is down, reads its configuration again on SIGHUP, and ends without an error on
+// SIGTERM.
 func TestStartAndStop(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	const config = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
@@ -35,16 +35,16 @@
 		t.Fatal(err)
 	}
 	t.Setenv("LB_CONFIG", path)
-	hup := hangups()
+	hup := notifyHangup()
 	log, w := io.Pipe()
-	ended := make(chan error, 1)
+	exited := make(chan error, 1)
 	go func() {
-		ended <- run(hup, w, files{})
+		exited <- run(hup, w, optionalFiles{})
 		w.Close()
 	}()
 	addr, reread, stopping := make(chan string, 1), make(chan bool, 3), make(chan bool, 1)
 	go func() {
-		for lines := bufio.NewScanner(log); lines.Scan(); { // to the end: the program waits for its log
+		for lines := bufio.NewScanner(log); lines.Scan(); { // reads to the end, since the program blocks on writing its log
 			if _, rest, ok := strings.Cut(lines.Text(), "listen="); ok {
 				listen, _, _ := strings.Cut(rest, " ")
 				addr <- listen
@@ -57,7 +57,7 @@
 			}
 		}
 	}()
-	limit := time.After(20 * time.Second)
+	timeout := time.After(20 * time.Second)
 	select {
 	case a := <-addr:
 		for status := 0; status != http.StatusOK; time.Sleep(time.Millisecond) {
@@ -68,9 +68,9 @@
 			resp.Body.Close()
 			status = resp.StatusCode
 		}
-	case err := <-ended:
+	case err := <-exited:
 		t.Fatalf("ended with %v", err)
-	case <-limit:
+	case <-timeout:
 		t.Fatal("never serving")
 	}
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
@@ -78,33 +78,33 @@
 	}
 	select {
 	case <-reread:
-	case err := <-ended:
+	case err := <-exited:
 		t.Fatalf("ended with %v", err)
-	case <-limit:
-		t.Fatal("the configuration is not read again")
+	case <-timeout:
+		t.Fatal("the configuration was not read again")
 	}
-	again := make(chan os.Signal, 3) // a slow machine may end the program before the second signal has come
-	signal.Notify(again, syscall.SIGTERM, syscall.SIGHUP)
-	defer signal.Stop(again)
+	extraSignals := make(chan os.Signal, 3) // catches signals that arrive after run has ended, on a slow machine
+	signal.Notify(extraSignals, syscall.SIGTERM, syscall.SIGHUP)
+	defer signal.Stop(extraSignals)
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case <-stopping:
-	case <-limit:
-		t.Fatal("no stop begins")
+	case <-timeout:
+		t.Fatal("the stop never began")
 	}
-	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} { // they cross with the stop, and change nothing
+	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} { // signals during the stop change nothing
 		if err := syscall.Kill(os.Getpid(), s); err != nil {
 			t.Fatal(err)
 		}
 	}
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		if err != nil {
 			t.Error(err)
 		}
-	case <-limit:
-		t.Fatal("still there")
+	case <-timeout:
+		t.Fatal("the program didn't end")
 	}
 }
--- a/cmd/lemonrail/upgrade_cases_test.go
+++ b/cmd/lemonrail/upgrade_cases_test.go
@@ -18,23 +18,23 @@
 	"lemonrail/internal/scripted"
 )
 
-// bulletin is a discovery that says of every backend what a test says.
-type bulletin struct {
+// fakeDiscovery is a discovery service that sends watchers the backends with the health that a test sets.
+type fakeDiscovery struct {
 	addr string
 
 	mu      sync.Mutex
 	seq     int
-	hosts   []string // as JSON
+	hosts   []string // one JSON object per backend
 	changed chan struct{}
 }
 
-func newBulletin(t *testing.T, backends ...string) *bulletin {
-	b := &bulletin{seq: 10, changed: make(chan struct{})}
+func newFakeDiscovery(t *testing.T, backends ...string) *fakeDiscovery {
+	b := &fakeDiscovery{seq: 10, changed: make(chan struct{})}
 	for i, addr := range backends {
-		b.hosts = append(b.hosts, listed(i, addr, "ready"))
+		b.hosts = append(b.hosts, hostJSON(i, addr, "ready"))
 	}
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) })
+	testOver := make(chan struct{})
+	t.Cleanup(func() { close(testOver) })
 	b.addr = scripted.Backend(t, func(c net.Conn, r *bufio.Reader) {
 		if _, _, err := scripted.Receive(r); err != nil {
 			return
@@ -50,7 +50,7 @@
 			}
 			select {
 			case <-changed:
-			case <-over:
+			case <-testOver:
 				return
 			}
 		}
@@ -58,91 +58,93 @@
 	return b
 }
 
-func listed(i int, addr, health string) string {
+// hostJSON returns a backend as an entry of discovery's list.
+func hostJSON(i int, addr, health string) string {
 	return fmt.Sprintf(`{"host":"h%d","dial":%q,"site":"a","class":"m","health":%q,"share":1}`, i, addr, health)
 }
 
-// say tells all who watch.
-func (b *bulletin) say(i int, addr, health string) {
+// setHealth sets the health of backend i and sends the list to all watchers.
+func (b *fakeDiscovery) setHealth(i int, addr, health string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.seq++
-	b.hosts[i] = listed(i, addr, health)
+	b.hosts[i] = hostJSON(i, addr, health)
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// rewritten is the platform's configuration with one part replaced by another, in a file of its own.
-func (p *platform) rewritten(part, by string) string {
+// configWith writes a copy of the platform's configuration with the first occurrence of old replaced, and returns the
+// copy's path.
+func (p *platform) configWith(old, replacement string) string {
 	p.t.Helper()
 	raw, err := os.ReadFile(p.config)
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	if !strings.Contains(string(raw), part) {
-		p.t.Fatalf("no %s in the configuration", part)
+	if !strings.Contains(string(raw), old) {
+		p.t.Fatalf("no %s in the configuration", old)
 	}
 	path := filepath.Join(p.t.TempDir(), "config.json")
-	p.write(path, strings.Replace(string(raw), part, by, 1))
+	p.write(path, strings.Replace(string(raw), old, replacement, 1))
 	return path
 }
 
-// quietRow is how many requests in a row must miss a backend before it counts as left alone: of two that are
-// idle either is picked as often as the other.
-const quietRow = 60
+// quietRequests is how many consecutive requests must miss a backend before it counts as avoided. Of two idle backends
+// each is picked equally often, so fewer misses could be chance.
+const quietRequests = 60
 
-// A backend that drains when its agent's process is replaced gets nothing from the new one either, though the list
-// that the new one starts with says that it is ready.
+// A backend that is draining while the agent's process is replaced gets no requests from the successor either, although
+// the list in the successor's configuration says that the backend is ready.
 func TestUpgradeWhileABackendDrains(t *testing.T) {
 	t.Parallel()
-	leaving, _, hits, _ := scripted.Counting(t)
-	staying := scripted.Backend(t, scripted.Always(scripted.Hello))
-	p := newPlatform(t, leaving, staying)
-	news := newBulletin(t, leaving, staying)
-	p.config = p.rewritten(`"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, news.addr))
-	old := p.start(p.config).ready()
-	stop := p.load()
+	drainingAddr, _, hits, _ := scripted.Counting(t)
+	readyAddr := scripted.Backend(t, scripted.Always(scripted.Hello))
+	p := newPlatform(t, drainingAddr, readyAddr)
+	discovery := newFakeDiscovery(t, drainingAddr, readyAddr)
+	p.config = p.configWith(`"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, discovery.addr))
+	old := p.start(p.config).awaitReady()
+	stop := p.startLoad()
 	ask := func() {
 		t.Helper()
-		if err := p.ask(http.DefaultClient); err != nil {
+		if err := p.sendRequest(http.DefaultClient); err != nil {
 			t.Error(err)
 		}
 	}
 	for hits.Load() == 0 {
 		ask()
 	}
-	news.say(0, leaving, "draining")
+	discovery.setHealth(0, drainingAddr, "draining")
 	before := hits.Load()
-	for row, end := 0, time.Now().Add(scripted.Patience); row < quietRow; row++ {
+	for misses, deadline := 0, time.Now().Add(scripted.Patience); misses < quietRequests; misses++ {
 		ask()
 		if now := hits.Load(); now != before {
-			before, row = now, 0
+			before, misses = now, 0
 		}
-		if time.Now().After(end) {
-			t.Fatal("the backend that drains is never left alone")
+		if time.Now().After(deadline) {
+			t.Fatal("the draining backend still gets requests")
 		}
 	}
-	fresh := p.start(p.config).ready()
+	successor := p.start(p.config).awaitReady()
 	old.cmd.Process.Signal(syscall.SIGTERM)
-	old.ended()
-	for range quietRow {
+	old.awaitCleanExit()
+	for range quietRequests {
 		ask()
 	}
-	if n := stop(); n < quietRow {
+	if n := stop(); n < quietRequests {
 		t.Errorf("only %d requests", n)
 	}
 	if got := hits.Load(); got != before {
-		t.Errorf("%d requests at the backend that drains", got-before)
+		t.Errorf("%d requests at the draining backend", got-before)
 	}
-	fresh.cmd.Process.Signal(syscall.SIGTERM)
-	fresh.ended()
+	successor.cmd.Process.Signal(syscall.SIGTERM)
+	successor.awaitCleanExit()
 }
 
-// A new process that hangs before its yes takes no client and holds up no call to the old one; once it is ended
-// another may come.
-func TestNewProcessThatHangs(t *testing.T) {
+// A successor that hangs before it is ready takes no clients and doesn't delay control calls to the old process. Once
+// it is killed another successor can take over.
+func TestSuccessorHangsBeforeReady(t *testing.T) {
 	t.Parallel()
-	silent := scripted.Backend(t, func(_ net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }) // a discovery without a word
+	silentDiscovery := scripted.Backend(t, func(_ net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }) // a discovery service that never answers
 	for name, hang := range map[string]func(*testing.T, *platform) *instance{
 		"reading its configuration": func(t *testing.T, p *platform) *instance {
 			pipe := filepath.Join(p.dir, "config.pipe")
@@ -152,17 +154,17 @@
 			return p.start(pipe)
 		},
 		"after taking its place": func(t *testing.T, p *platform) *instance {
-			i := p.start(p.rewritten(`"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, silent)))
-			place := filepath.Join(p.dir, "lemonrail-n0.2.alive")
-			for end := time.Now().Add(scripted.Patience); ; {
-				if _, err := os.Stat(place); err == nil {
+			i := p.start(p.configWith(`"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, silentDiscovery)))
+			alivePath := filepath.Join(p.dir, "lemonrail-n0.2.alive")
+			for deadline := time.Now().Add(scripted.Patience); ; {
+				if _, err := os.Stat(alivePath); err == nil {
 					break
 				}
-				if time.Now().After(end) {
-					t.Fatal("it never took its place")
+				if time.Now().After(deadline) {
+					t.Fatal("the process never claimed its generation")
 				}
 			}
-			// With the lock in our hands it is surely not in the hands of a process that will not let go.
+			// Holding the state's lock ensures that the process isn't stopped while it holds the lock itself.
 			lock, err := os.OpenFile(filepath.Join(p.dir, "lemonrail-n0.lock"), os.O_RDWR, 0)
 			if err != nil {
 				t.Fatal(err)
@@ -187,79 +189,80 @@
 					io.WriteString(c, scripted.Hello)
 				}
 			}), scripted.Backend(t, scripted.Always(scripted.Hello)))
-			old := p.start(p.config).ready()
-			stop := p.load()
+			old := p.start(p.config).awaitReady()
+			stop := p.startLoad()
 			stuck := hang(t, p)
-			if status := old.call("PUT", "/api/exclude/h0"); status != http.StatusOK {
+			if status := old.controlStatus("PUT", "/api/exclude/h0"); status != http.StatusOK {
 				t.Errorf("exclude: %d", status)
 			}
 			before := hits.Load()
-			for range quietRow {
-				if err := p.ask(http.DefaultClient); err != nil {
+			for range quietRequests {
+				if err := p.sendRequest(http.DefaultClient); err != nil {
 					t.Error(err)
 				}
 			}
 			stuck.cmd.Process.Kill()
 			scripted.Await(t, stuck.done)
-			fresh := p.start(p.config).ready()
+			successor := p.start(p.config).awaitReady()
 			old.cmd.Process.Signal(syscall.SIGTERM)
-			old.ended()
-			if n := stop(); n < quietRow {
+			old.awaitCleanExit()
+			if n := stop(); n < quietRequests {
 				t.Errorf("only %d requests", n)
 			}
-			// One request a client may have been on its way when the call was answered.
+			// Each client may have had one request in flight when the call was answered.
 			if got := hits.Load() - before; got > 6 {
-				t.Errorf("%d requests at the backend that is out", got)
+				t.Errorf("%d requests at the excluded backend", got)
 			}
-			fresh.cmd.Process.Signal(syscall.SIGTERM)
-			fresh.ended()
+			successor.cmd.Process.Signal(syscall.SIGTERM)
+			successor.awaitCleanExit()
 		})
 	}
 }
 
-// Without discovery the backends come from a file, which a SIGHUP has read again: one that drains is left alone.
+// Without discovery the backends come from a file. It is read again on SIGHUP, and a backend that is draining in it then
+// gets no requests.
 func TestServersFromAFile(t *testing.T) {
 	t.Parallel()
-	one, _, first, _ := scripted.Counting(t)
-	two, _, second, _ := scripted.Counting(t)
-	p := newPlatform(t, one)
-	p.config = p.rewritten(`"discovery":"127.0.0.1:1",`, "")
+	firstAddr, _, firstHits, _ := scripted.Counting(t)
+	secondAddr, _, secondHits, _ := scripted.Counting(t)
+	p := newPlatform(t, firstAddr)
+	p.config = p.configWith(`"discovery":"127.0.0.1:1",`, "")
 	servers := filepath.Join(t.TempDir(), "servers.toml")
 	server := func(id, addr, state string) string {
 		return fmt.Sprintf("[[server]]\nhost = %q\naddress = %q\nstate = %q\n", id, addr, state)
 	}
-	p.write(servers, server("h0", one, "ready"))
-	bad := p.start(p.config) // neither discovery nor a file
-	scripted.Await(t, bad.done)
-	if bad.err == nil || !strings.Contains(bad.log.String(), "discovery: missing") {
-		t.Errorf("%v: %s", bad.err, bad.log.String())
+	p.write(servers, server("h0", firstAddr, "ready"))
+	withoutBackends := p.start(p.config) // neither discovery nor a file
+	scripted.Await(t, withoutBackends.done)
+	if withoutBackends.err == nil || !strings.Contains(withoutBackends.log.String(), "discovery: missing") {
+		t.Errorf("%v: %s", withoutBackends.err, withoutBackends.log.String())
 	}
-	i := p.start(p.config, "-servers", servers).ready()
+	i := p.start(p.config, "-servers", servers).awaitReady()
 	ask := func() {
 		t.Helper()
-		if err := p.ask(http.DefaultClient); err != nil {
+		if err := p.sendRequest(http.DefaultClient); err != nil {
 			t.Error(err)
 		}
 	}
 	for range 20 {
 		ask()
 	}
-	if n := first.Load(); n != 20 {
-		t.Errorf("%d requests at the one listed", n)
+	if n := firstHits.Load(); n != 20 {
+		t.Errorf("%d requests at the only listed backend, want 20", n)
 	}
-	p.write(servers, server("h0", one, "draining")+server("h1", two, "ready"))
+	p.write(servers, server("h0", firstAddr, "draining")+server("h1", secondAddr, "ready"))
 	i.cmd.Process.Signal(syscall.SIGHUP)
-	end := time.Now().Add(scripted.Patience)
-	for second.Load() == 0 && time.Now().Before(end) {
+	deadline := time.Now().Add(scripted.Patience)
+	for secondHits.Load() == 0 && time.Now().Before(deadline) {
 		ask()
 	}
-	before := first.Load()
-	for range quietRow {
+	before := firstHits.Load()
+	for range quietRequests {
 		ask()
 	}
-	if got := first.Load(); got != before || second.Load() < quietRow {
-		t.Errorf("%d requests at the one that drains, %d at the other", got-before, second.Load())
+	if got := firstHits.Load(); got != before || secondHits.Load() < quietRequests {
+		t.Errorf("%d requests at the draining backend, %d at the other", got-before, secondHits.Load())
 	}
 	i.cmd.Process.Signal(syscall.SIGTERM)
-	i.ended()
+	i.awaitCleanExit()
 }
--- a/cmd/lemonrail/upgrade_test.go
+++ b/cmd/lemonrail/upgrade_test.go
@@ -20,25 +20,25 @@
 	"lemonrail/internal/scripted"
 )
 
-// platform holds the clients' listener and starts processes of the built program on it.
+// platform owns the clients' listener and starts processes of the built program on it.
 type platform struct {
-	t      *testing.T
-	bin    string
-	dir    string // TMPDIR of all
-	config string
-	held   *os.File
-	url    string
+	t            *testing.T
+	bin          string
+	dir          string // TMPDIR of all processes
+	config       string
+	listenerFile *os.File
+	url          string
 }
 
 func newPlatform(t *testing.T, backends ...string) *platform {
 	t.Helper()
 	ln := scripted.Listen(t)
-	held, err := ln.(*net.TCPListener).File()
+	listenerFile, err := ln.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { held.Close() })
-	p := &platform{t: t, bin: built(t), dir: t.TempDir(), held: held, url: "http://" + ln.Addr().String()}
+	t.Cleanup(func() { listenerFile.Close() })
+	p := &platform{t: t, bin: builtProgram(t), dir: t.TempDir(), listenerFile: listenerFile, url: "http://" + ln.Addr().String()}
 	hosts := ""
 	for i, addr := range backends {
 		hosts += fmt.Sprintf(`,{"host":"h%d","dial":%q,"site":"a","class":"m","health":"ready","share":1}`, i, addr)
@@ -51,7 +51,7 @@
 	 "Profiles":[{"Name":"read","AimMs":1000,"DeadlineMs":3000,"Worth":1,"Semantics":"repeatable"},
 	  {"Name":"sub","AimMs":1000,"DeadlineMs":3000,"Worth":1,"Semantics":"by_key","Group":"all","WindowMs":1000}]}}`,
 		ln.Addr().String(), strings.TrimPrefix(hosts, ",")))
-	ln.Close() // held is what listens on
+	ln.Close() // listenerFile keeps the socket listening
 	return p
 }
 
@@ -62,25 +62,25 @@
 	}
 }
 
-// instance is one process.
+// instance is one process of the program.
 type instance struct {
-	p     *platform
-	cmd   *exec.Cmd
-	staff string
-	done  chan struct{}
-	err   error // of its end, once done
-	log   bytes.Buffer
+	p          *platform
+	cmd        *exec.Cmd
+	controlURL string
+	done       chan struct{}
+	err        error // the process's exit error, valid once done is closed
+	log        bytes.Buffer
 }
 
-// start starts a process with a configuration and a control address of its own.
+// start starts a process with a configuration file and a control address of its own. It is killed at the test's end.
 func (p *platform) start(config string, args ...string) *instance {
 	p.t.Helper()
-	desk := scripted.Listen(p.t)
-	i := &instance{p: p, cmd: exec.Command(p.bin, args...), staff: "http://" + desk.Addr().String(), done: make(chan struct{})}
-	i.cmd.Env = []string{"LB_CONFIG=" + config, "LB_CONTROL=" + desk.Addr().String(), "LB_FD=3", "TMPDIR=" + p.dir}
-	i.cmd.ExtraFiles = []*os.File{p.held}
+	controlListener := scripted.Listen(p.t)
+	i := &instance{p: p, cmd: exec.Command(p.bin, args...), controlURL: "http://" + controlListener.Addr().String(), done: make(chan struct{})}
+	i.cmd.Env = []string{"LB_CONFIG=" + config, "LB_CONTROL=" + controlListener.Addr().String(), "LB_FD=3", "TMPDIR=" + p.dir}
+	i.cmd.ExtraFiles = []*os.File{p.listenerFile}
 	i.cmd.Stderr = &i.log
-	desk.Close()
+	controlListener.Close()
 	if err := i.cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
@@ -88,18 +88,19 @@
 		i.err = i.cmd.Wait()
 		close(i.done)
 	}()
-	p.t.Cleanup(func() { // none is left behind
+	p.t.Cleanup(func() { // kills a process that the test left running
 		i.cmd.Process.Kill()
 		<-i.done
 		if p.t.Failed() {
-			p.t.Logf("a process said\n%s", i.log.String())
+			p.t.Logf("log of a process\n%s", i.log.String())
 		}
 	})
 	return i
 }
 
-func (i *instance) call(method, path string) int {
-	req, err := http.NewRequest(method, i.staff+path, nil)
+// controlStatus makes a control call and returns its HTTP status; 0 where there is no answer.
+func (i *instance) controlStatus(method, path string) int {
+	req, err := http.NewRequest(method, i.controlURL+path, nil)
 	if err != nil {
 		i.p.t.Fatal(err)
 	}
@@ -112,18 +113,19 @@
 	return resp.StatusCode
 }
 
-func (i *instance) ready() *instance {
+// awaitReady waits until the process reports that it is ready.
+func (i *instance) awaitReady() *instance {
 	i.p.t.Helper()
-	for end := time.Now().Add(scripted.Patience); i.call("GET", "/api/ready") != http.StatusOK; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(scripted.Patience); i.controlStatus("GET", "/api/ready") != http.StatusOK; time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			i.p.t.Fatal("never ready")
 		}
 	}
 	return i
 }
 
-// ended waits for a process's end, which has to be without an error.
-func (i *instance) ended() {
+// awaitCleanExit waits until the process has ended, and fails the test if it ended with an error.
+func (i *instance) awaitCleanExit() {
 	i.p.t.Helper()
 	scripted.Await(i.p.t, i.done)
 	if i.err != nil {
@@ -131,15 +133,15 @@
 	}
 }
 
-var requests atomic.Int64
+var requestCount atomic.Int64
 
-// ask sends one request by a client and reports what went wrong.
-func (p *platform) ask(client *http.Client) error {
+// sendRequest sends one request through client. It returns an error unless the answer is complete and has status 200.
+func (p *platform) sendRequest(client *http.Client) error {
 	req, err := http.NewRequest(http.MethodGet, p.url+"/read", nil)
 	if err != nil {
 		return err
 	}
-	req.Header.Set("X-Correlation-Id", fmt.Sprint("r", requests.Add(1)))
+	req.Header.Set("X-Correlation-Id", fmt.Sprint("r", requestCount.Add(1)))
 	req.Header.Set("X-Time-Left", "3000m")
 	resp, err := client.Do(req)
 	if err != nil {
@@ -152,23 +154,23 @@
 	return nil
 }
 
-// load asks from several sides, on kept and on new connections, until the returned function is called, which
-// tells how many requests there were.
-func (p *platform) load() (stop func() int64) {
+// startLoad sends requests from several clients, on kept and on new connections. The returned function stops them and
+// returns the number of requests.
+func (p *platform) startLoad() (stop func() int64) {
 	var wg sync.WaitGroup
 	var n atomic.Int64
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	for c := range 6 {
 		client := &http.Client{Timeout: scripted.Patience, Transport: &http.Transport{DisableKeepAlives: c%2 == 0}}
 		wg.Go(func() {
 			defer client.CloseIdleConnections()
 			for {
 				select {
-				case <-over:
+				case <-stopped:
 					return
 				default:
 				}
-				if err := p.ask(client); err != nil {
+				if err := p.sendRequest(client); err != nil {
 					p.t.Error(err)
 				}
 				n.Add(1)
@@ -176,14 +178,14 @@
 		})
 	}
 	return func() int64 {
-		close(over)
+		close(stopped)
 		wg.Wait()
 		return n.Load()
 	}
 }
 
-// Under load two upgrades in a row, with a backend taken out by a call to the one that is about to go, lose no
-// request, and the backend stays out.
+// Two upgrades in a row under load lose no request. A backend that is excluded by a call to the process that is about
+// to be replaced stays excluded.
 func TestUpgradesUnderLoad(t *testing.T) {
 	hits := new(atomic.Int64)
 	counted := scripted.Backend(t, func(c net.Conn, r *bufio.Reader) {
@@ -196,25 +198,25 @@
 		}
 	})
 	p := newPlatform(t, counted, scripted.Backend(t, scripted.Always(scripted.Hello)))
-	old := p.start(p.config).ready()
-	stop := p.load()
+	old := p.start(p.config).awaitReady()
+	stop := p.startLoad()
 	for round := range 2 {
-		fresh := p.start(p.config).ready()
+		successor := p.start(p.config).awaitReady()
 		if round == 0 {
-			if status := old.call("PUT", "/api/exclude/h0"); status != http.StatusOK {
+			if status := old.controlStatus("PUT", "/api/exclude/h0"); status != http.StatusOK {
 				t.Errorf("exclude: %d", status)
 			}
 		}
 		old.cmd.Process.Signal(syscall.SIGTERM)
-		old.ended()
+		old.awaitCleanExit()
 		if !strings.Contains(old.log.String(), "a successor serves") {
-			t.Error("the old process did not see the new one")
+			t.Error("the old process did not see its successor")
 		}
-		old = fresh
+		old = successor
 	}
 	before := hits.Load()
 	for range 50 {
-		if err := p.ask(http.DefaultClient); err != nil {
+		if err := p.sendRequest(http.DefaultClient); err != nil {
 			t.Error(err)
 		}
 	}
@@ -222,18 +224,18 @@
 		t.Errorf("only %d requests", n)
 	}
 	if got := hits.Load(); got != before {
-		t.Errorf("%d requests at the backend that is out", got-before)
+		t.Errorf("%d requests at the excluded backend", got-before)
 	}
-	if status := old.call("PUT", "/api/include/h0"); status != http.StatusOK {
+	if status := old.controlStatus("PUT", "/api/include/h0"); status != http.StatusOK {
 		t.Errorf("include: %d", status)
 	}
 }
 
-// A new process that can't start, or dies, leaves the old one as it was; at its own stop there is no successor.
+// A successor that can't start or dies has no effect on the old process, which sees no successor at its own stop.
 func TestFailedUpgrades(t *testing.T) {
 	p := newPlatform(t, scripted.Backend(t, scripted.Always(scripted.Hello)))
-	old := p.start(p.config).ready()
-	stop := p.load()
+	old := p.start(p.config).awaitReady()
+	stop := p.startLoad()
 
 	bad := filepath.Join(p.dir, "bad.json")
 	p.write(bad, `{"name":`)
@@ -243,67 +245,67 @@
 		t.Errorf("a broken configuration: %v", broken.err)
 	}
 
-	early := p.start(p.config) // dies before it says yes: nobody notices
-	early.cmd.Process.Kill()
-	scripted.Await(t, early.done)
+	diesEarly := p.start(p.config) // dies before it is ready, without any effect
+	diesEarly.cmd.Process.Kill()
+	scripted.Await(t, diesEarly.done)
 	if n := stop(); n == 0 {
 		t.Error("no requests")
 	}
-	late := p.start(p.config).ready() // and one after its yes: what it had taken is its clients' to repeat
-	late.cmd.Process.Kill()
-	scripted.Await(t, late.done)
+	diesReady := p.start(p.config).awaitReady() // dies once ready; the load has stopped, since the requests that it accepted would be lost
+	diesReady.cmd.Process.Kill()
+	scripted.Await(t, diesReady.done)
 	for range 20 {
-		if err := p.ask(http.DefaultClient); err != nil {
+		if err := p.sendRequest(http.DefaultClient); err != nil {
 			t.Error(err)
 		}
 	}
-	if old.call("GET", "/api/ready") != http.StatusOK {
+	if old.controlStatus("GET", "/api/ready") != http.StatusOK {
 		t.Error("the old process no longer serves")
 	}
 	old.cmd.Process.Signal(syscall.SIGTERM)
-	old.ended()
+	old.awaitCleanExit()
 	if strings.Contains(old.log.String(), "a successor serves") {
 		t.Error("the old process saw a successor that had died")
 	}
 }
 
-// The old process is told to stop before the new one has said yes, or is killed: the new one goes on, and no request
-// that comes behind is refused or reset.
-func TestOldProcessGoesFirst(t *testing.T) {
+// The old process is stopped or killed before its successor is ready. The successor continues, and no later request is
+// refused or reset.
+func TestOldProcessEndsBeforeSuccessorIsReady(t *testing.T) {
 	for _, how := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
 		t.Run(how.String(), func(t *testing.T) {
 			p := newPlatform(t, scripted.Backend(t, scripted.Always(scripted.Hello)))
-			old := p.start(p.config).ready()
-			fresh := p.start(p.config)
+			old := p.start(p.config).awaitReady()
+			successor := p.start(p.config)
 			old.cmd.Process.Signal(how)
 			scripted.Await(t, old.done)
 			if how == syscall.SIGTERM && old.err != nil {
 				t.Errorf("ended with %v", old.err)
 			}
 			for range 20 { // the first ones wait in the listener's queue until the new process serves
-				if err := p.ask(http.DefaultClient); err != nil {
+				if err := p.sendRequest(http.DefaultClient); err != nil {
 					t.Error(err)
 				}
 			}
-			fresh.ready()
-			fresh.cmd.Process.Signal(syscall.SIGTERM)
-			fresh.ended()
+			successor.awaitReady()
+			successor.cmd.Process.Signal(syscall.SIGTERM)
+			successor.awaitCleanExit()
 		})
 	}
 }
 
-// descriptors is how many a process holds; 0 where it has ended.
+// descriptors returns the number of descriptors that the process holds; 0 once it has ended.
 func (i *instance) descriptors() int {
 	open, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", i.cmd.Process.Pid))
 	return len(open)
 }
 
-// An upgrade in a crowd that connects and says nothing, with a backend out by hand meanwhile. Both processes together
-// hold no more descriptors than one may.
-func TestUpgradeInACrowd(t *testing.T) {
+// An upgrade while many clients hold connections without a complete request, and an operator excludes a backend. Both
+// processes together hold no more descriptors than one process may.
+func TestUpgradeWithManyIdleConnections(t *testing.T) {
 	p := newPlatform(t, scripted.Backend(t, scripted.Always(scripted.Hello)), scripted.Backend(t, scripted.Always(scripted.Hello)))
-	old := p.start(p.config).ready()
-	for i := range 700 { // more than two processes have places for
+	old := p.start(p.config).awaitReady()
+	for i := range 700 { // more connections than two processes accept
 		nc, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
@@ -313,38 +315,38 @@
 			io.WriteString(nc, "GET /re")
 		}
 	}
-	fresh := p.start(p.config).ready()
-	if status := fresh.call("PUT", "/api/exclude/h1"); status != http.StatusOK {
+	successor := p.start(p.config).awaitReady()
+	if status := successor.controlStatus("PUT", "/api/exclude/h1"); status != http.StatusOK {
 		t.Errorf("exclude: %d", status)
 	}
 	old.cmd.Process.Signal(syscall.SIGTERM)
-	most := 0
+	maxOpen := 0
 	for range 50 {
-		if err := p.ask(&http.Client{Timeout: scripted.Patience, Transport: &http.Transport{DisableKeepAlives: true}}); err != nil {
+		if err := p.sendRequest(&http.Client{Timeout: scripted.Patience, Transport: &http.Transport{DisableKeepAlives: true}}); err != nil {
 			t.Error(err)
 		}
-		most = max(most, old.descriptors()+fresh.descriptors())
+		maxOpen = max(maxOpen, old.descriptors()+successor.descriptors())
 	}
-	old.ended()
-	if most > 384 {
-		t.Errorf("%d descriptors at one time", most)
+	old.awaitCleanExit()
+	if maxOpen > 384 {
+		t.Errorf("%d descriptors at the same time, want at most 384", maxOpen)
 	}
 }
 
-// A long answer that is under way when the process is replaced comes whole.
+// A long answer that is in flight when the process is replaced arrives whole.
 func TestUpgradeDuringLongAnswer(t *testing.T) {
 	const size = 8 << 20
-	more := make(chan struct{})
+	sendRest := make(chan struct{})
 	p := newPlatform(t, scripted.Backend(t, func(c net.Conn, r *bufio.Reader) {
 		if _, _, err := scripted.Receive(r); err != nil {
 			return
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
 		io.WriteString(c, strings.Repeat("x", 1<<20))
-		<-more
+		<-sendRest
 		io.WriteString(c, strings.Repeat("x", size-1<<20))
 	}))
-	old := p.start(p.config).ready()
+	old := p.start(p.config).awaitReady()
 	req, _ := http.NewRequest(http.MethodGet, p.url+"/read", nil)
 	req.Header.Set("X-Correlation-Id", "long")
 	req.Header.Set("X-Time-Left", "3000m")
@@ -353,26 +355,27 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	p.start(p.config).ready()
+	p.start(p.config).awaitReady()
 	old.cmd.Process.Signal(syscall.SIGTERM)
-	for end := time.Now().Add(scripted.Patience); old.call("GET", "/api/ready") == http.StatusOK && time.Now().Before(end); {
+	for deadline := time.Now().Add(scripted.Patience); old.controlStatus("GET", "/api/ready") == http.StatusOK && time.Now().Before(deadline); {
 	}
-	close(more)
+	close(sendRest)
 	if got, err := io.Copy(io.Discard, resp.Body); err != nil || got != size {
 		t.Errorf("%d bytes of %d, %v", got, size, err)
 	}
-	old.ended()
+	old.awaitCleanExit()
 }
 
-// What is no listener at the told address ends the program, with a word that names it.
-func TestInheritedNonsense(t *testing.T) {
+// The program ends with an error that names LB_FD where the inherited descriptor isn't a listener on the configured
+// address.
+func TestInheritedDescriptorIsNoListener(t *testing.T) {
 	p := newPlatform(t)
 	null, err := os.Open(os.DevNull)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer null.Close()
-	p.held = null
+	p.listenerFile = null
 	i := p.start(p.config)
 	scripted.Await(t, i.done)
 	if i.err == nil || !strings.Contains(i.log.String(), "LB_FD") {
