--- a/internal/configuration/document_apply.go
+++ b/internal/configuration/document_apply.go
@@ -45,7 +45,7 @@
 		path := joinPath("classes", name)
 		i := slices.Index(names, name)
 		if i < 0 || i >= len(classes) {
-			return fieldError(path, "the agent was started without this class")
+			return fieldError(path, "the agent was started without such a class")
 		}
 		change, class := d.Classes[name], &classes[i]
 		setIfPresent(&class.Aim, toDuration(change.AimMs))
@@ -54,7 +54,7 @@
 		setIfPresent(&class.LateWorth, change.LateWorth)
 		if class.Deadline > limit {
 			return fieldError(joinPath(path, "deadline_ms"), class.Deadline.String()+" is over "+limit.String()+
-				", the longest deadline that the agent was started with, from which the times of a planned stop are derived")
+				", the longest deadline that the agent was started with: the times of its planned stop rest on that")
 		}
 		if class.Aim > class.Deadline {
 			return fieldError(joinPath(path, "aim_ms"), class.Aim.String()+" is over the deadline, "+class.Deadline.String())
@@ -75,7 +75,7 @@
 	for _, name := range slices.Sorted(maps.Keys(d.Tenants)) {
 		i := slices.Index(names, name)
 		if i < 0 || i >= len(tenants) {
-			return fieldError(joinPath("tenants", name), "the agent was started without this tenant")
+			return fieldError(joinPath("tenants", name), "the agent was started without such a tenant")
 		}
 		setIfPresent(&tenants[i].PerSecond, d.Tenants[name].PerSecond)
 		setIfPresent(&tenants[i].Portion, d.Tenants[name].Portion)
--- a/internal/configuration/document_check.go
+++ b/internal/configuration/document_check.go
@@ -20,7 +20,7 @@
 // a new Format.
 func (d *Document) Check() error {
 	if d.Format < 1 || d.Format > Format {
-		return fieldError("format", strconv.Itoa(d.Format)+" is not supported by this program")
+		return fieldError("format", strconv.Itoa(d.Format)+" is none that this program understands")
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
 		if err := d.Classes[name].check(name); err != nil {
@@ -90,7 +90,7 @@
 }
 
 func rangeError(path string, value, minimum, maximum float64) error {
-	return fieldError(path, formatNumber(value)+" is not between "+formatNumber(minimum)+" and "+formatNumber(maximum))
+	return fieldError(path, formatNumber(value)+" is not within "+formatNumber(minimum)+" and "+formatNumber(maximum))
 }
 
 func formatNumber(value float64) string { return strconv.FormatFloat(value, 'g', -1, 64) }
@@ -98,7 +98,7 @@
 // checkSettingName refuses names of classes and tenants that are empty, too long or not valid UTF-8.
 func checkSettingName(path, name string) error {
 	if name == "" || len(name) > MaxNameBytes || !utf8.ValidString(name) {
-		return fieldError(path, strconv.Quote(name)+" is not a UTF-8 name of 1 to "+strconv.Itoa(MaxNameBytes)+" bytes")
+		return fieldError(path, strconv.Quote(name)+" is no name of 1 to "+strconv.Itoa(MaxNameBytes)+" bytes")
 	}
 	return nil
 }
--- a/internal/configuration/document_parse.go
+++ b/internal/configuration/document_parse.go
@@ -39,7 +39,7 @@
 }
 
 func tooLongError(length int) error {
-	return fmt.Errorf("document: %d bytes, over the limit of %d", length, DocumentMost)
+	return fmt.Errorf("document: %d bytes, over %d", length, DocumentMost)
 }
 
 // checkFormat returns an error if the document has no Format or a later one. Of a later Format it reports
@@ -58,7 +58,7 @@
 	case d.Format == nil:
 		return errors.New("format: missing")
 	case *d.Format > Format:
-		return fmt.Errorf("format: %d is later than %d, the latest that this program supports", *d.Format, Format)
+		return fmt.Errorf("format: %d is later than %d, which this program understands", *d.Format, Format)
 	}
 	return nil
 }
@@ -72,7 +72,7 @@
 		return err
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("document: unexpected data after its end")
+		return errors.New("document: something follows its end")
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 		return fieldError(path, err.Error())
 	}
 	if token == nil {
-		return fieldError(path, "must not be null; omit a field to leave it unchanged")
+		return fieldError(path, "null; leave out what is not to change")
 	}
 	if target.Kind() == reflect.Pointer {
 		target.Set(reflect.New(target.Type().Elem()))
@@ -96,19 +96,19 @@
 	switch target.Kind() {
 	case reflect.Struct, reflect.Map:
 		if token != json.Delim('{') {
-			return fieldError(path, "must be an object")
+			return fieldError(path, "no object")
 		}
 		return d.object(path, target)
 	case reflect.Bool:
 		flag, ok := token.(bool)
 		if !ok {
-			return fieldError(path, "must be true or false")
+			return fieldError(path, "neither true nor false")
 		}
 		target.SetBool(flag)
 	default:
 		number, ok := token.(json.Number)
 		if !ok {
-			return fieldError(path, "must be a number")
+			return fieldError(path, "no number")
 		}
 		return setNumber(path, number.String(), target)
 	}
@@ -119,14 +119,14 @@
 	if target.Kind() == reflect.Int {
 		whole, err := strconv.ParseInt(text, 10, 32)
 		if err != nil {
-			return fieldError(path, text+" is not a valid integer of 32 bits")
+			return fieldError(path, text+" is no whole number that this can be")
 		}
 		target.SetInt(whole)
 		return nil
 	}
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		return fieldError(path, text+" is not a valid number")
+		return fieldError(path, text+" is no number that this can be")
 	}
 	target.SetFloat(number)
 	return nil
@@ -143,7 +143,7 @@
 		key := token.(string) // the decoder returns only strings as keys
 		memberPath := joinPath(path, key)
 		if seen[key] {
-			return fieldError(memberPath, "duplicate field")
+			return fieldError(memberPath, "twice")
 		}
 		seen[key] = true
 		if err := d.member(memberPath, key, target); err != nil {
--- a/internal/configuration/document_restart.go
+++ b/internal/configuration/document_restart.go
@@ -2,13 +2,13 @@
 
 // Reasons why changing a setting requires a restart.
 const (
-	restartIdentity  = "identity and location of the agent, by which the other agents know it"
-	restartPlatform  = "provided by the platform, which restarts its agents when it changes"
-	restartSafety    = "decides whether a request may be repeated, and attempts in flight were sent by it"
-	restartResources = "connections, buffers and threads are allocated by it at the start"
-	restartStop      = "the times of a planned stop are derived from it at the start"
-	restartOperator  = "objectives of the operators, on which the tuning is based"
-	restartDiscovery = "how the list of backends is requested, fixed when discovery is connected"
+	restartIdentity  = "who and where the agent is; the other agents know it by that"
+	restartPlatform  = "what the platform says of itself; it changes with the platform, which restarts its agents"
+	restartSafety    = "whether a request may be repeated: attempts that are out were sent by it"
+	restartResources = "connections, buffers and threads are laid out by it at the start"
+	restartStop      = "the times of a planned stop are worked out from it at the start"
+	restartOperator  = "what the operator weighs; the tuning rests on it"
+	restartDiscovery = "how the list of backends is asked for, settled when discovery is connected"
 )
 
 // RestartReasons maps each field of balance.Settings that no document can change to the reason why it
--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -147,7 +147,7 @@
 	f.evaluated, f.lastFailed = false, nil
 	state, applies := f.states[u.Scope]
 	if !applies {
-		return Result{ResultWrongScope, fmt.Sprintf("%v doesn't apply to this agent", u.Scope)}
+		return Result{ResultWrongScope, fmt.Sprintf("%v doesn't hold for this agent", u.Scope)}
 	}
 	if !f.skip.order && u.Revision <= state.received.Revision {
 		return state.alreadyKnown(u)
@@ -165,10 +165,10 @@
 func (s *followedScope) alreadyKnown(u Update) Result {
 	have := s.received
 	if u.Revision == have.Revision && u.Digest != have.digest {
-		return Result{ResultAlreadyKnown, fmt.Sprintf("%v: another document for revision %d (digest %s, was %s)",
+		return Result{ResultAlreadyKnown, fmt.Sprintf("%v: another document of revision %d (digest %s, was %s)",
 			u.Scope, u.Revision, u.Digest, have.digest)}
 	}
-	return Result{ResultAlreadyKnown, fmt.Sprintf("%v: revision %d was received before, got %d", u.Scope, have.Revision, u.Revision)}
+	return Result{ResultAlreadyKnown, fmt.Sprintf("%v: revision %d is here, %d has come", u.Scope, have.Revision, u.Revision)}
 }
 
 // textAfter returns the text of the scope's document after an update. The result is ResultAccepted if the
@@ -203,7 +203,7 @@
 // patchedText applies a patch to the text of the revision received last.
 func (f *Follower) patchedText(u Update, state *followedScope) ([]byte, Result) {
 	if have := state.received.Revision; !f.skip.from && u.From != have {
-		return nil, needsWholeResult(u, fmt.Sprintf("the patch is from revision %d, but the agent has %d", u.From, have))
+		return nil, needsWholeResult(u, fmt.Sprintf("a patch from revision %d, where %d is", u.From, have))
 	}
 	text, err := ApplyPatch(state.received.text, u.Patch)
 	if err != nil {
--- a/internal/configuration/follower_parts.go
+++ b/internal/configuration/follower_parts.go
@@ -17,7 +17,7 @@
 	parts := s.parts
 	if parts == nil || !parts.continues(u) {
 		s.parts = nil
-		return nil, needsWholeResult(u, fmt.Sprintf("part %d of %d doesn't follow the previous part", u.Part, u.Parts))
+		return nil, needsWholeResult(u, fmt.Sprintf("part %d of %d doesn't follow what came before", u.Part, u.Parts))
 	}
 	parts.text = append(parts.text, u.Text...)
 	parts.nextPart++
--- a/internal/configuration/follower_state.go
+++ b/internal/configuration/follower_state.go
@@ -37,7 +37,7 @@
 	}
 	body, err := json.Marshal(saved)
 	if err != nil {
-		return nil, fmt.Errorf("saved configuration: %w", err)
+		return nil, fmt.Errorf("kept configuration: %w", err)
 	}
 	return append([]byte(stateHeaderLine(body)), body...), nil
 }
@@ -54,17 +54,17 @@
 func (f *Follower) RestoreKept(text []byte) error {
 	state, err := parseState(text)
 	if err != nil {
-		return fmt.Errorf("saved configuration: %w", err)
+		return fmt.Errorf("kept configuration: %w", err)
 	}
 	if state.Place != f.place {
-		return fmt.Errorf("saved configuration: belongs to %+v, not to %+v", state.Place, f.place)
+		return fmt.Errorf("kept configuration: of %+v, not of %+v", state.Place, f.place)
 	}
 	if state.Format > Format {
-		return fmt.Errorf("saved configuration: format %d is later than %d", state.Format, Format)
+		return fmt.Errorf("kept configuration: format %d is later than %d", state.Format, Format)
 	}
 	for _, s := range state.Scopes {
 		if _, applies := f.states[s.Scope]; !applies {
-			return fmt.Errorf("saved configuration: %v doesn't apply to this agent", s.Scope)
+			return fmt.Errorf("kept configuration: %v doesn't hold for this agent", s.Scope)
 		}
 	}
 	for _, s := range state.Scopes {
@@ -78,10 +78,10 @@
 	var state savedState
 	header, body, ok := bytes.Cut(text, []byte("\n"))
 	if !ok {
-		return state, errors.New("the first line is incomplete")
+		return state, errors.New("no whole first line")
 	}
 	if string(header)+"\n" != stateHeaderLine(body) {
-		return state, errors.New("wrong checksum: the file is damaged or of another format")
+		return state, errors.New("the checksum isn't right: torn, or of another format")
 	}
 	return state, json.Unmarshal(body, &state)
 }
--- a/internal/configuration/follower_test.go
+++ b/internal/configuration/follower_test.go
@@ -141,11 +141,11 @@
 		u          Update
 		wantReason string
 	}{
-		{"patch from an earlier revision", alter(func(u *Update) { u.From = 4 }), "the patch is from revision 4, but the agent has 5"},
-		{"patch from a later revision", alter(func(u *Update) { u.From = 6 }), "the patch is from revision 6, but the agent has 5"},
+		{"patch from an earlier revision", alter(func(u *Update) { u.From = 4 }), "a patch from revision 4, where 5 is"},
+		{"patch from a later revision", alter(func(u *Update) { u.From = 6 }), "a patch from revision 6, where 5 is"},
 		{"wrong digest", alter(func(u *Update) { u.Digest = Digest([]byte(first)) }), "digest"},
 		{"no digest", alter(func(u *Update) { u.Digest = "" }), "digest"},
-		{"patch is not an object", alter(func(u *Update) { u.Patch = json.RawMessage(`[]`) }), "must be an object"},
+		{"patch is not an object", alter(func(u *Update) { u.Patch = json.RawMessage(`[]`) }), "no object"},
 		{"no patch", alter(func(u *Update) { u.Patch = nil }), "patch"},
 		{"no document", alter(func(u *Update) { u.From, u.Patch = 0, nil }), "digest"},
 		{"a part in the middle", alter(func(u *Update) { u.From, u.Patch, u.Text, u.Part, u.Parts = 0, nil, "x", 1, 3 }), "part 1 of 3"},
@@ -271,9 +271,9 @@
 	good := `{"format":1,"classes":{"scan":{"aim_ms":200}}}`
 	for _, c := range []struct{ bad, wantReason string }{
 		{`{"format":1,"classes":{"scan":{"aim_ms":5000}}}`, "classes.scan.aim_ms: 5s is over the deadline"},
-		{`{"format":1,"classes":{"nope":{"aim_ms":5}}}`, "classes.nope: the agent was started without this class"},
+		{`{"format":1,"classes":{"nope":{"aim_ms":5}}}`, "classes.nope: the agent was started without such a class"},
 		{`{"format":2,"novelty":true}`, "format: 2 is later than 1"},
-		{`{"format":1,"limits":{"attempts":0}}`, "limits.attempts: 0 is not between"},
+		{`{"format":1,"limits":{"attempts":0}}`, "limits.attempts: 0 is not within"},
 	} {
 		f := NewFollower(testPlace, checkAgainstStart)
 		takeUpdate(t, f, wholeUpdate(serviceScope, 1, good), ResultAccepted)
@@ -490,7 +490,7 @@
 	refuse := func(what string, place Place, bytes []byte) {
 		t.Helper()
 		g := NewFollower(place, checkAgainstStart)
-		if err := g.RestoreKept(bytes); err == nil || !strings.HasPrefix(err.Error(), "saved configuration: ") {
+		if err := g.RestoreKept(bytes); err == nil || !strings.HasPrefix(err.Error(), "kept configuration: ") {
 			t.Errorf("%s: error %v", what, err)
 		}
 		if _, ok := g.Pending(); ok || len(g.Have()) > 0 {
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -87,7 +87,7 @@
 	}
 	object, ok := value.(map[string]any)
 	if !ok {
-		return nil, errors.New("must be an object")
+		return nil, errors.New("no object")
 	}
 	return object, nil
 }
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("unexpected data after its end")
+		return nil, errors.New("something follows its end")
 	}
 	return value, nil
 }
--- a/internal/configuration/registry.go
+++ b/internal/configuration/registry.go
@@ -153,23 +153,23 @@
 // validateMetadata checks all fields of a change but the document.
 func (r *Registry) validateMetadata(c Change) *ErrorBody {
 	if c.ID == "" || len(c.ID) > MaxChangeIDBytes {
-		return invalidError("id: %d bytes, not between 1 and %d", len(c.ID), MaxChangeIDBytes)
+		return invalidError("id: %d bytes, not within 1 and %d", len(c.ID), MaxChangeIDBytes)
 	}
 	// A Scope that was not made by ParseScope may be invalid.
 	if scope, err := ParseScope(c.Scope.String()); err != nil {
 		return invalidError("%v", err)
 	} else if scope != c.Scope {
-		return invalidError("scope: %v has fields that its text doesn't show", c.Scope)
+		return invalidError("scope: %v is not written as it should be", c.Scope)
 	}
 	if c.Scope.Group() != r.group {
 		return &ErrorBody{Kind: ErrorNotHere,
 			Message: fmt.Sprintf("%v is written by the group %s, not by %s", c.Scope, c.Scope.Group(), r.group)}
 	}
 	if len(c.By) > MaxNameBytes {
-		return invalidError("by: %d bytes, over the limit of %d", len(c.By), MaxNameBytes)
+		return invalidError("by: %d bytes, over %d", len(c.By), MaxNameBytes)
 	}
 	if len(c.Why) > maxReasonBytes {
-		return invalidError("why: %d bytes, over the limit of %d", len(c.Why), maxReasonBytes)
+		return invalidError("why: %d bytes, over %d", len(c.Why), maxReasonBytes)
 	}
 	if _, err := time.Parse(time.RFC3339, c.At); c.At != "" && err != nil {
 		return invalidError("at: %v", err)
@@ -183,10 +183,10 @@
 	if state := r.scopes[scope]; state != nil {
 		before = len(state.latest.Document)
 	} else if len(r.scopes) >= MaxScopes {
-		return invalidError("%v would exceed the limit of %d scopes per group", scope, MaxScopes)
+		return invalidError("%v would be one scope more than the %d that a group may have", scope, MaxScopes)
 	}
 	if total := r.bytes - before + length; total > MaxGroupBytes {
-		return invalidError("the documents of the group %s would have %d bytes, over the limit of %d", r.group, total, MaxGroupBytes)
+		return invalidError("the documents of the group %s would have %d bytes, over %d", r.group, total, MaxGroupBytes)
 	}
 	return nil
 }
--- a/internal/configuration/registry_changes.go
+++ b/internal/configuration/registry_changes.go
@@ -32,7 +32,7 @@
 func (l *changeLog) find(c Change) (outcome, bool) {
 	first, ok := l.results[c.ID]
 	if ok && first.Content != contentDigest(c) {
-		return outcome{Refused: invalidError("id: %q was used by another change", c.ID)}, true
+		return outcome{Refused: invalidError("id: %q was another change's", c.ID)}, true
 	}
 	return first.Outcome, ok
 }
--- a/internal/configuration/registry_snapshot.go
+++ b/internal/configuration/registry_snapshot.go
@@ -40,7 +40,7 @@
 		return fmt.Errorf("snapshot: format %d, not %d", s.Format, snapshotFormat)
 	}
 	if s.Group != r.group {
-		return fmt.Errorf("snapshot: belongs to the group %q, not to %q", s.Group, r.group)
+		return fmt.Errorf("snapshot: of the group %q, not %q", s.Group, r.group)
 	}
 	restored := NewRegistry(r.group)
 	for _, scope := range s.Scopes {
@@ -63,7 +63,7 @@
 		return fmt.Errorf("written by the group %q", latest.Scope.Group())
 	}
 	if _, duplicate := r.scopes[latest.Scope]; duplicate {
-		return fmt.Errorf("duplicate scope")
+		return fmt.Errorf("twice")
 	}
 	if digest := Digest(latest.Document); digest != latest.Digest {
 		return fmt.Errorf("the document's digest is %s, not %s", digest, latest.Digest)
--- a/internal/configuration/registry_test.go
+++ b/internal/configuration/registry_test.go
@@ -78,8 +78,8 @@
 		{"invalid time", alter(func(c *Change) { c.At = "yesterday" }), ErrorInvalid, "at: "},
 		{"no document", alter(func(c *Change) { c.Document = nil }), ErrorInvalid, ""},
 		{"invalid document", alter(func(c *Change) { c.Document = json.RawMessage(`{"format":1,"limits":{"attempts":0}}`) }),
-			ErrorInvalid, "limits.attempts: 0 is not between"},
-		{"document too long", alter(func(c *Change) { c.Document = longDocument(400, 1).Canonical() }), ErrorInvalid, "over the limit of 16384"},
+			ErrorInvalid, "limits.attempts: 0 is not within"},
+		{"document too long", alter(func(c *Change) { c.Document = longDocument(400, 1).Canonical() }), ErrorInvalid, "over 16384"},
 	} {
 		r := NewRegistry(FleetGroup)
 		mustPut(t, r, 1, newChange("first", Fleet, 0, &Document{Format: 1}))
--- a/internal/configuration/scope.go
+++ b/internal/configuration/scope.go
@@ -64,18 +64,18 @@
 	case parts[0] == "agent" && len(parts) == 3:
 		return Scope{Level: LevelAgent, Region: parts[1], Name: parts[2]}, nil
 	}
-	return Scope{}, fmt.Errorf("scope %q: must be fleet, region/NAME, zone/REGION/NAME, service/NAME or agent/REGION/NAME", text)
+	return Scope{}, fmt.Errorf("scope %q: none of fleet, region/NAME, zone/REGION/NAME, service/NAME and agent/REGION/NAME", text)
 }
 
 // checkName refuses names that don't fit in paths and logs.
 func checkName(name string) error {
 	if name == "" || len(name) > MaxNameBytes {
-		return fmt.Errorf("name %q has %d bytes, not between 1 and %d", name, len(name), MaxNameBytes)
+		return fmt.Errorf("name %q has %d bytes, not within 1 and %d", name, len(name), MaxNameBytes)
 	}
 	for _, r := range name {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
 		if !letter && r != '-' && r != '_' && r != '.' {
-			return fmt.Errorf("name %q: %q is not a letter, a digit, '-', '_' or '.'", name, r)
+			return fmt.Errorf("name %q: %q is none of letters, digits, '-', '_' and '.'", name, r)
 		}
 	}
 	return nil
--- a/internal/configuration/server/agents.go
+++ b/internal/configuration/server/agents.go
@@ -95,7 +95,7 @@
 	}
 	revision, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || revision == 0 {
-		return configuration.Position{}, newError(configuration.ErrorInvalid, "revision %q is not a positive integer", text)
+		return configuration.Position{}, newError(configuration.ErrorInvalid, "revision %q is no number from 1 on", text)
 	}
 	if g := s.groups[scope.Group()]; g != nil {
 		if applied, ok := g.revision(scope); ok && applied.Revision == revision {
--- a/internal/configuration/server/answer.go
+++ b/internal/configuration/server/answer.go
@@ -66,7 +66,7 @@
 // checkGroup rejects a scope of a region that has no control machine.
 func (s *Server) checkGroup(scope configuration.Scope) error {
 	if len(s.settings.voters(scope.Group())) == 0 {
-		return newError(configuration.ErrorInvalid, "scope %s: no control machine is in region %s", scope, scope.Region)
+		return newError(configuration.ErrorInvalid, "scope %s: no control machine stands in region %s", scope, scope.Region)
 	}
 	return nil
 }
--- a/internal/configuration/server/history.go
+++ b/internal/configuration/server/history.go
@@ -25,7 +25,7 @@
 )
 
 var (
-	errHistoryUnavailable = errors.New("this machine has no open history file")
+	errHistoryUnavailable = errors.New("this machine keeps none now")
 	crcTable              = crc32.MakeTable(crc32.Castagnoli)
 )
 
--- a/internal/configuration/server/watch.go
+++ b/internal/configuration/server/watch.go
@@ -42,7 +42,7 @@
 	}
 	format, err := strconv.Atoi(values.Get("format"))
 	if err != nil || format < 1 {
-		return query, fmt.Errorf("format %q is not a positive integer", values.Get("format"))
+		return query, fmt.Errorf("format %q is no number from 1 on", values.Get("format"))
 	}
 	query.format = format
 	for _, text := range values["have"] {
--- a/internal/configuration/status.go
+++ b/internal/configuration/status.go
@@ -69,7 +69,7 @@
 	case agent.Format == 0:
 		return "not yet reported"
 	case !agent.Connected:
-		return fmt.Sprintf("not connected; it reported revision %d %v ago", has.Revision, age)
+		return fmt.Sprintf("away; it reported revision %d %v ago", has.Revision, age)
 	case has.Revision < at.Revision:
 		return fmt.Sprintf("not yet reported; it reported revision %d %v ago", has.Revision, age)
 	}
--- a/internal/configuration/tracker.go
+++ b/internal/configuration/tracker.go
@@ -104,22 +104,22 @@
 	}
 	for scope := range r.InForce {
 		if !scope.Holds(r.Place) {
-			return fmt.Errorf("in_force: %v doesn't apply to this agent", scope)
+			return fmt.Errorf("in_force: %v doesn't hold for this agent", scope)
 		}
 	}
 	if maxRefusals := len(r.Place.Scopes()); len(r.Refused) > maxRefusals {
-		return fmt.Errorf("refused: %d, over the limit of %d", len(r.Refused), maxRefusals)
+		return fmt.Errorf("refused: %d, over %d", len(r.Refused), maxRefusals)
 	}
 	for i, refusal := range r.Refused {
 		if !refusal.Scope.Holds(r.Place) {
-			return fmt.Errorf("refused[%d]: %v doesn't apply to this agent", i, refusal.Scope)
+			return fmt.Errorf("refused[%d]: %v doesn't hold for this agent", i, refusal.Scope)
 		}
 		if len(refusal.Why) > MaxRefusalBytes {
-			return fmt.Errorf("refused[%d].why: %d bytes, over the limit of %d", i, len(refusal.Why), MaxRefusalBytes)
+			return fmt.Errorf("refused[%d].why: %d bytes, over %d", i, len(refusal.Why), MaxRefusalBytes)
 		}
 	}
 	if len(r.Digest) > 2*digestBytes {
-		return fmt.Errorf("digest: %d bytes, over the limit of %d", len(r.Digest), 2*digestBytes)
+		return fmt.Errorf("digest: %d bytes, over %d", len(r.Digest), 2*digestBytes)
 	}
 	return nil
 }
@@ -156,7 +156,7 @@
 		}
 	}
 	if oldest == nil {
-		return fmt.Errorf("%d agents are connected to %s, the maximum", MaxAgents, t.machine)
+		return fmt.Errorf("%d agents are connected to %s, the most it can have", MaxAgents, t.machine)
 	}
 	delete(t.agents, *oldest)
 	return nil
--- a/internal/configuration/tracker_test.go
+++ b/internal/configuration/tracker_test.go
@@ -161,7 +161,7 @@
 		"refused-before": "not yet reported; it reported revision 3 10ms ago",
 		"fresh":          "not yet reported",
 		"behind":         "not yet reported; it reported revision 4 1.5s ago",
-		"away":           "not connected; it reported revision 5 3s ago",
+		"away":           "away; it reported revision 5 3s ago",
 		"elsewhere":      "not yet reported; it reported revision 1 10ms ago",
 	}
 	behind := map[string]string{}
--- a/internal/configuration/watch/stream.go
+++ b/internal/configuration/watch/stream.go
@@ -49,9 +49,9 @@
 }
 
 var (
-	errSilence     = errors.New("no update or heartbeat from the control machine in time")
-	errWatchEnded  = errors.New("the control machine ended the watch")
-	errLineTooLong = fmt.Errorf("line longer than %d bytes", MaxLineBytes)
+	errSilence     = errors.New("the machine has fallen silent")
+	errWatchEnded  = errors.New("the machine has ended the watch")
+	errLineTooLong = fmt.Errorf("a line of over %d bytes", MaxLineBytes)
 )
 
 // formatPosition formats a position as the watch's parameter have: SCOPE@REVISION.EPOCH.
@@ -121,7 +121,7 @@
 	in := bufio.NewReaderSize(limited, lineBufferBytes)
 	response, err := http.ReadResponse(in, &http.Request{Method: method})
 	if err != nil {
-		return nil, fmt.Errorf("response: %w", err)
+		return nil, fmt.Errorf("answer: %w", err)
 	}
 	if response.StatusCode/100 == 2 {
 		limited.N = 1<<63 - 1 // each line has its own limit
@@ -133,7 +133,7 @@
 	if err == nil && json.Unmarshal(raw, refusal) == nil && refusal.Kind != "" {
 		return nil, refusal
 	}
-	return nil, fmt.Errorf("response: %s", response.Status)
+	return nil, fmt.Errorf("answer: %s", response.Status)
 }
 
 // read delivers lines until the stream is closed or broken.
--- a/internal/configuration/watch/watch.go
+++ b/internal/configuration/watch/watch.go
@@ -345,7 +345,7 @@
 	}
 	result := w.follower.Take(*line.update)
 	if result.Kind == configuration.ResultAskWhole {
-		return fmt.Errorf("update of %s to revision %d: %s: the whole document is requested", line.update.Scope, line.update.Revision, result.Why)
+		return fmt.Errorf("update of %s to revision %d: %s: it is asked for whole", line.update.Scope, line.update.Revision, result.Why)
 	}
 	w.apply(ctx, false)
 	return nil
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -134,7 +134,7 @@
 	}
 	switch {
 	case h.stage == Holding && (a.Holder != h.cfg.Agent || a.Epoch != h.epoch):
-		h.endHolding("another agent holds the duty")
+		h.endHolding("another holds it")
 	case h.stage == Holding && a.Next != "" && a.Ready:
 		out = append(out, h.handOn())
 	case h.stage == Idle && h.wanted && a.Next == h.cfg.Agent && !a.Ready:
@@ -216,7 +216,7 @@
 		previous := h.stage
 		h.stage, h.leaseEnd, h.nextSendAt, h.failures = Idle, 0, 0, 0
 		if previous == Holding {
-			h.changes = append(h.changes, Change{Ended: true, Epoch: h.epoch, Reason: "the lease has expired"})
+			h.changes = append(h.changes, Change{Ended: true, Epoch: h.epoch, Reason: "its lease has run out"})
 		}
 		if h.wanted {
 			h.nextSendAt = h.now + h.claimDelay(1)
@@ -297,7 +297,7 @@
 func (h *Holder) loseDuty(a *Answer) {
 	switch h.stage {
 	case Holding:
-		h.endHolding("refused by the voters: " + a.Why.String())
+		h.endHolding("the seats say so: " + a.Why.String())
 	case Asking, HandingOn, Releasing:
 		h.stage, h.leaseEnd, h.nextSendAt, h.failures, h.renewing = Idle, 0, 0, 0, false
 	}
--- a/internal/duty/seat/client_control.go
+++ b/internal/duty/seat/client_control.go
@@ -28,7 +28,7 @@
 }
 
 // ErrStopped reports that the agent is stopping.
-var ErrStopped = fmt.Errorf("duties have stopped")
+var ErrStopped = fmt.Errorf("duties have ended")
 
 // HandOn names the agent that is to take a duty over. The holder hands it on once that agent is ready.
 func (c *Client) HandOn(ctx context.Context, name, to string) error {
--- a/internal/duty/seat/seat.go
+++ b/internal/duty/seat/seat.go
@@ -211,7 +211,7 @@
 	select {
 	case s.inbox <- func() { r = s.report(); close(done) }:
 	case <-ctx.Done():
-		return nil, fmt.Errorf("the voter is busy: %w", ctx.Err())
+		return nil, fmt.Errorf("the seat is busy: %w", ctx.Err())
 	case <-s.done:
 		return nil, ErrStopped
 	}
@@ -219,7 +219,7 @@
 	case <-done:
 		return r, nil
 	case <-ctx.Done():
-		return nil, fmt.Errorf("the voter is busy: %w", ctx.Err())
+		return nil, fmt.Errorf("the seat is busy: %w", ctx.Err())
 	case <-s.done:
 		return nil, ErrStopped
 	}
--- a/internal/duty/startup.go
+++ b/internal/duty/startup.go
@@ -93,11 +93,11 @@
 	for _, name := range s.cfg.Seats {
 		c, ok := s.replies[name]
 		if ok && (c.Promised.Voted > s.cfg.Has.Term || c.Promised.Voted != 0 && c.Promised.Voted == s.cfg.Has.Term && s.cfg.Vote != c.ID) {
-			return Decision{Start: Forget, Why: fmt.Sprintf("voter %s received its vote in term %d; the disk holds term %d and a vote for %x",
+			return Decision{Start: Forget, Why: fmt.Sprintf("seat %s had its vote in term %d; the disk holds term %d, and a vote for %x",
 				name, c.Promised.Voted, s.cfg.Has.Term, s.cfg.Vote)}
 		}
 		if ok && c.Promised.exceeds(s.cfg.Has) {
-			return Decision{Start: Forget, Why: fmt.Sprintf("voter %s was promised term %d, entry %d; the disk holds term %d, entry %d",
+			return Decision{Start: Forget, Why: fmt.Sprintf("seat %s was promised term %d, entry %d; the disk holds term %d, entry %d",
 				name, c.Promised.Term, c.Promised.Index, s.cfg.Has.Term, s.cfg.Has.Index)}
 		}
 	}
@@ -124,7 +124,7 @@
 	size := s.cfg.Voters
 	if len(seats) > 0 {
 		if size = len(seats); seats[s.cfg.ID] == "" {
-			return Decision{Start: Join, Why: "it is no longer a member of the quorum"}
+			return Decision{Start: Join, Why: "it no longer sits"}
 		}
 	}
 	replies := 1
@@ -134,12 +134,12 @@
 		}
 	}
 	if 2*replies <= size {
-		return Decision{Start: Wait, Why: fmt.Sprintf("%d of %d voters have answered, itself included", replies, size)}
+		return Decision{Start: Wait, Why: fmt.Sprintf("%d of %d seats were heard, itself among them", replies, size)}
 	}
 	if replies < size && now-s.since < waitForAll {
-		return Decision{Start: Wait, Why: fmt.Sprintf("%d of %d voters have answered; waiting up to %v for the others", replies, size, waitForAll)}
+		return Decision{Start: Wait, Why: fmt.Sprintf("%d of %d seats were heard; for the rest it waits %v", replies, size, waitForAll)}
 	}
-	return Decision{Start: Resume, Why: fmt.Sprintf("%d of %d voters know of no lost promise", replies, size)}
+	return Decision{Start: Resume, Why: fmt.Sprintf("%d of %d seats know of nothing that is missing", replies, size)}
 }
 
 // bootstrapDecision handles a voter with an empty store: it starts for the first time, or its folder was lost.
@@ -150,9 +150,9 @@
 		case !ok || c.Empty && !c.Sits:
 		// The others have just formed the initial quorum with this voter.
 		case c.Initial[s.cfg.ID] != "" && c.Seats[s.cfg.ID] != "":
-			return Decision{Start: Begin, Why: "voter " + name + " has formed the initial quorum with it", Initial: c.Initial}
+			return Decision{Start: Begin, Why: "seat " + name + " has begun with it", Initial: c.Initial}
 		default:
-			return Decision{Start: Join, Why: "voter " + name + " belongs to a quorum of which this one is no member"}
+			return Decision{Start: Join, Why: "seat " + name + " holds an agreement in which this one has no part"}
 		}
 	}
 	initial := map[uint64]string{}
@@ -164,17 +164,17 @@
 		}
 		c, ok := s.replies[name]
 		if !ok {
-			return Decision{Start: Wait, Why: "voter " + name + " has not answered, and the first start needs all initial voters"}
+			return Decision{Start: Wait, Why: "seat " + name + " was not heard, and all that begin have to be there the first time"}
 		}
 		initial[c.ID] = name
 	}
 	switch {
 	case !slices.Contains(first, s.cfg.Name):
-		return Decision{Start: Wait, Why: "it is a spare, and the initial quorum has not formed yet"}
+		return Decision{Start: Wait, Why: "it is a spare seat, and nobody has begun"}
 	case len(initial) != len(first):
-		return Decision{Start: Wait, Why: "two voters have the same identity"}
+		return Decision{Start: Wait, Why: "two seats have one identity"}
 	}
-	return Decision{Start: Begin, Why: "all initial voters are empty", Initial: initial}
+	return Decision{Start: Begin, Why: "all seats are empty", Initial: initial}
 }
 
 // Replace returns which member of the quorum, if any, the leader should replace and by which candidate: one at
--- a/internal/duty/store/store.go
+++ b/internal/duty/store/store.go
@@ -55,7 +55,7 @@
 )
 
 // ErrCorrupt reports that the stored data can't be trusted: the voter must not vote based on it.
-var ErrCorrupt = errors.New("the stored data is corrupt")
+var ErrCorrupt = errors.New("what was kept is spoilt")
 
 // ErrDiskFailed reports that a write or a sync failed: nothing after it is known to be stored, and the voter
 // must not continue with this store.
@@ -126,7 +126,7 @@
 			continue
 		}
 		if incomplete != nil {
-			err = &CorruptError{segments[i], 0, "its first records are incomplete, and it is the only segment"}
+			err = &CorruptError{segments[i], 0, "its head is not whole, and it is the only one"}
 		}
 		if err != nil {
 			return nil, false, err
@@ -164,61 +164,61 @@
 		}
 		n := int64(binary.BigEndian.Uint32(rest))
 		if n > maxRecordBytes {
-			return corrupt("a record of %d bytes is over the limit", n)
+			return corrupt("a record of %d bytes", n)
 		}
 		if int64(len(rest)) < headerBytes+n {
 			break
 		}
 		sequence := binary.BigEndian.Uint64(rest[8:])
 		if sum := crc32.Checksum(rest[8:headerBytes+n], crcTable) ^ uint32(n); sum != binary.BigEndian.Uint32(rest[4:]) {
-			return corrupt("the checksum is %08x, and %08x is stored", sum, binary.BigEndian.Uint32(rest[4:]))
+			return corrupt("its checksum is %08x, not %08x", sum, binary.BigEndian.Uint32(rest[4:]))
 		}
 		if offset > 0 && sequence != s.nextSequence {
-			return corrupt("the record's sequence number is %d, expected %d", sequence, s.nextSequence)
+			return corrupt("it is record %d, and %d follows", sequence, s.nextSequence)
 		}
 		s.nextSequence = sequence + 1
 		content := rest[headerBytes : headerBytes+n]
 		switch k := kind(rest[16]); k {
 		case kindIdentity:
 			if len(content) != 8 || headRecords != 0 {
-				return corrupt("an invalid or misplaced identity record")
+				return corrupt("an identity that makes no sense")
 			}
 			s.id = binary.BigEndian.Uint64(content)
 			headRecords = 1
 		case kindSnapshot:
 			snap = &pb.Snapshot{}
 			if err := proto.Unmarshal(content, snap); err != nil || headRecords == 0 {
-				return corrupt("an invalid or misplaced snapshot record: %v", err)
+				return corrupt("a snapshot that can't be read: %v", err)
 			}
 			if snap.GetMetadata().GetIndex() > 0 {
 				if err := s.ApplySnapshot(snap); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
-					return corrupt("a snapshot that can't be applied: %v", err)
+					return corrupt("a snapshot that doesn't fit: %v", err)
 				}
 			}
 			headRecords = max(headRecords, 2)
 		case kindHardState:
 			h := &pb.HardState{}
 			if err := proto.Unmarshal(content, h); err != nil || headRecords < 2 {
-				return corrupt("an invalid or misplaced hard state record: %v", err)
+				return corrupt("a hard state that can't be read: %v", err)
 			}
 			if h.GetTerm() < s.hard.GetTerm() {
-				return corrupt("term %d follows the higher term %d", h.GetTerm(), s.hard.GetTerm())
+				return corrupt("term %d after %d", h.GetTerm(), s.hard.GetTerm())
 			}
 			s.hard = h
 			headRecords = 3
 		case kindEntry:
 			e := &pb.Entry{}
 			if err := proto.Unmarshal(content, e); err != nil || headRecords < 3 {
-				return corrupt("an invalid or misplaced entry record: %v", err)
+				return corrupt("an entry that can't be read: %v", err)
 			}
 			if end, _ := s.LastIndex(); e.GetIndex() > end+1 {
-				return corrupt("entry %d follows entry %d", e.GetIndex(), end)
+				return corrupt("entry %d follows %d", e.GetIndex(), end)
 			}
 			if err := s.MemoryStorage.Append([]*pb.Entry{e}); err != nil {
-				return corrupt("an entry that can't be appended: %v", err)
+				return corrupt("an entry that doesn't fit: %v", err)
 			}
 		default:
-			return corrupt("unknown record kind %d", k)
+			return corrupt("a record of kind %d", k)
 		}
 		offset += headerBytes + n
 	}
@@ -226,10 +226,10 @@
 		if last {
 			return &incompleteSegmentError{name}
 		}
-		return &CorruptError{name, offset, "its first records are incomplete, and it is the only segment"}
+		return &CorruptError{name, offset, "its head is not whole, and it is the only one"}
 	}
 	if end, _ := s.LastIndex(); s.hard.GetCommit() > end {
-		return &CorruptError{name, offset, fmt.Sprintf("entries up to %d were committed, but the last one stored is %d", s.hard.GetCommit(), end)}
+		return &CorruptError{name, offset, fmt.Sprintf("entries up to %d were agreed on, and there are %d", s.hard.GetCommit(), end)}
 	}
 	if err := s.SetHardState(s.hard); err != nil {
 		return err
@@ -341,7 +341,7 @@
 // SetID changes the identity of an empty store.
 func (s *Store) SetID(id uint64) error {
 	if !s.Empty() {
-		return errors.New("store: the identity can't be changed: the store is not empty")
+		return errors.New("store: one that holds promises keeps its identity")
 	}
 	s.id = id
 	return s.startSegment(nil)
--- a/internal/duty/wire.go
+++ b/internal/duty/wire.go
@@ -18,7 +18,7 @@
 func (c *Command) Bytes() ([]byte, error) {
 	raw, err := json.Marshal(c)
 	if err == nil && len(raw) > MaxCommandBytes {
-		err = fmt.Errorf("a command of %d bytes is over the limit", len(raw))
+		err = fmt.Errorf("a command of %d bytes", len(raw))
 	}
 	return raw, err
 }
@@ -26,10 +26,10 @@
 // ParseCommand decodes a command from the replicated log. It refuses unknown fields and kinds.
 func ParseCommand(raw []byte) (c Command, err error) {
 	if len(raw) > MaxCommandBytes {
-		return c, fmt.Errorf("a command of %d bytes is over the limit", len(raw))
+		return c, fmt.Errorf("a command of %d bytes", len(raw))
 	}
 	if err = decodeStrict(raw, &c); err == nil && c.Kind >= kindCount {
-		err = fmt.Errorf("unknown command kind %d", c.Kind)
+		err = fmt.Errorf("a command of kind %d", c.Kind)
 	}
 	return c, err
 }
@@ -42,7 +42,7 @@
 		return err
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("unexpected data after the JSON value")
+		return errors.New("more behind it")
 	}
 	return nil
 }
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -22,14 +22,14 @@
 
 // Errors after which the command was not proposed and never will be.
 var (
-	ErrNoQuorum = errors.New("no majority of the group confirmed this leader")
-	ErrBusy     = errors.New("too many requests are pending at this member")
-	ErrTooLong  = fmt.Errorf("the command is longer than %d bytes", CommandLimit)
+	ErrNoQuorum = errors.New("no majority of the group was confirmed")
+	ErrBusy     = errors.New("too many requests wait at this member")
+	ErrTooLong  = fmt.Errorf("a command of more than %d bytes", CommandLimit)
 	ErrStopped  = errors.New("this member has stopped")
 )
 
 // ErrOutcomeUnknown reports that a command was proposed and may or may not be executed, possibly later.
-var ErrOutcomeUnknown = errors.New("it is unknown whether the command was or will be executed")
+var ErrOutcomeUnknown = errors.New("it is unknown whether the command was or will be carried out")
 
 // NotLeaderError reports that the request must go to another member. The command was not proposed and never will be.
 type NotLeaderError struct {
@@ -38,9 +38,9 @@
 
 func (e *NotLeaderError) Error() string {
 	if e.Leader == "" {
-		return "this member is not the leader, and knows no leader"
+		return "this member doesn't lead, and no leader is known"
 	}
-	return fmt.Sprintf("this member is not the leader, but %q is", e.Leader)
+	return fmt.Sprintf("this member doesn't lead: %q does", e.Leader)
 }
 
 // stage is the progress of a request. It changes once, from waiting, by compare-and-swap: a request is either proposed by
@@ -300,7 +300,7 @@
 
 const entryHeaderBytes = 16
 
-var errEntryHeader = errors.New("the entry is shorter than its header")
+var errEntryHeader = errors.New("an entry without its head")
 
 func encodeEntry(id entryID, command []byte) []byte {
 	raw := make([]byte, 0, entryHeaderBytes+len(command))
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -40,7 +40,7 @@
 	select {
 	case r.inbox <- func() { defer close(done); f() }:
 	case <-ctx.Done():
-		return fmt.Errorf("replica: the inspection was not queued: %w", context.Cause(ctx))
+		return fmt.Errorf("replica: busy: %w", context.Cause(ctx))
 	case <-r.stopped:
 		return ErrStopped
 	}
@@ -48,7 +48,7 @@
 	case <-done:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("replica: the inspection has not run: %w", context.Cause(ctx))
+		return fmt.Errorf("replica: busy: %w", context.Cause(ctx))
 	case <-r.stopped:
 		return ErrStopped
 	}
--- a/internal/replica/voter/membership.go
+++ b/internal/replica/voter/membership.go
@@ -46,7 +46,7 @@
 	state, hard := opened.State(), opened.Hard()
 	v.checkIn = duty.NewSeating(duty.SeatingConfig{Name: v.options.Name, Seats: v.options.Candidates, Voters: v.options.Voters, ID: opened.ID(), Empty: opened.Empty(),
 		Has: duty.Promise{Term: state.Term, Index: state.Index, Voted: hard.GetTerm()}, Vote: hard.GetVote()}, now)
-	v.decision = duty.Decision{Start: duty.Wait, Why: "no other member has answered yet"}
+	v.decision = duty.Decision{Start: duty.Wait, Why: "no other member was heard yet"}
 	v.log.Info("store opened", "identity", IdentityText(opened.ID()), "new", empty, "term", state.Term, "entry", state.Index)
 }
 
@@ -89,7 +89,7 @@
 	reason := v.decision.Why
 	v.Close()
 	if err := v.renameStoreFiles(); err != nil {
-		v.fail(fmt.Errorf("the distrusted store can't be quarantined: %w", err))
+		v.fail(fmt.Errorf("what the disk holds can't be put aside: %w", err))
 		return
 	}
 	v.log.Warn("the store is distrusted and quarantined", "why", reason)
@@ -211,7 +211,7 @@
 		return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 	}
 	if details.Name == "" {
-		return fmt.Errorf("entry %d: %w", e.GetIndex(), errors.New("the change of members has no member name"))
+		return fmt.Errorf("entry %d: %w", e.GetIndex(), errors.New("a change of members without a name"))
 	}
 	delete(v.membership.Members, details.Out)
 	v.membership.Members[details.In] = details.Name
