--- a/cmd/lemonctl/config.go
+++ b/cmd/lemonctl/config.go
@@ -20,22 +20,23 @@
 	"lemonrail/internal/strict"
 )
 
+// configCmd groups the commands on the settings that control machines distribute to the agents.
 type configCmd struct {
-	Check    configCheckCmd    `cmd:"" help:"Read a document of settings and tell whether it makes sense. Asks nobody."`
+	Check    configCheckCmd    `cmd:"" help:"Check that a document of settings is valid, without contacting a control machine."`
 	Put      configPutCmd      `cmd:"" help:"Make a document the next revision of a scope."`
 	Show     configShowCmd     `cmd:"" help:"Print a scope's document."`
-	Status   configStatusCmd   `cmd:"" help:"Tell whether a revision is in force everywhere, and who is behind and why."`
-	History  configHistoryCmd  `cmd:"" help:"Print the revisions of a scope that a control machine has recorded, the latest first."`
-	Machines configMachinesCmd `cmd:"" help:"Tell how each control machine stands in its groups."`
+	Status   configStatusCmd   `cmd:"" help:"Report whether a revision is in force at all agents, and which agents are behind and why."`
+	History  configHistoryCmd  `cmd:"" help:"Print the recorded revisions of a scope, the latest first."`
+	Machines configMachinesCmd `cmd:"" help:"Print the state of each control machine in its groups."`
 }
 
-// controlFlags name the control machines.
+// controlFlags are the flags of commands that call control machines.
 type controlFlags struct {
-	Machines []string `name:"machine" short:"m" required:"" env:"LEMONRAIL_CONTROL" placeholder:"HOST:PORT" help:"HTTP address of a control machine; repeated: asked one after another."`
+	Machines []string `name:"machine" short:"m" required:"" env:"LEMONRAIL_CONTROL" placeholder:"HOST:PORT" help:"HTTP address of a control machine; may be repeated, the machines are then tried in order."`
 	JSON     bool     `name:"json" help:"Print JSON."`
 }
 
-// Validate refuses what is no address.
+// Validate returns an error if an address is not of the form HOST:PORT. Kong calls it after parsing.
 func (f *controlFlags) Validate() error {
 	for _, address := range f.Machines {
 		if _, _, err := net.SplitHostPort(address); err != nil {
@@ -45,12 +46,13 @@
 	return nil
 }
 
+// configCheckCmd validates a document locally.
 type configCheckCmd struct {
 	File string `arg:"" help:"Document as TOML."`
 	JSON bool   `name:"json" help:"Print the document as JSON."`
 }
 
-// Run reads a document.
+// Run parses the document and prints its size and digest, or its canonical JSON.
 func (c *configCheckCmd) Run(s streams) error {
 	document, err := readDocument(c.File)
 	if err != nil {
@@ -66,17 +68,18 @@
 	return err
 }
 
+// configPutCmd writes a document as the next revision of a scope.
 type configPutCmd struct {
 	controlFlags
 	Scope   configuration.Scope `arg:"" help:"fleet, region/NAME, zone/REGION/NAME, service/NAME or agent/REGION/NAME."`
 	File    string              `arg:"" help:"Document as TOML."`
-	Base    *uint64             `placeholder:"N" help:"Revision that the change is made to; another one in force is a conflict. Default: what show says."`
-	Why     string              `required:"" help:"Reason, for those who read the history."`
-	By      string              `env:"USER" default:"unknown" help:"Who makes the change."`
-	Timeout time.Duration       `default:"20s" help:"For which an unknown outcome is asked after."`
+	Base    *uint64             `placeholder:"N" help:"Revision that the change is based on; the change is refused as a conflict if another one is current. Default: the current revision."`
+	Why     string              `required:"" help:"Reason for the change, recorded in the history."`
+	By      string              `env:"USER" default:"unknown" help:"Author of the change."`
+	Timeout time.Duration       `default:"20s" help:"Time limit for the change, including retries while its outcome is unknown."`
 }
 
-// Run makes a change.
+// Run proposes the change and prints the accepted revision. Retries carry the same change ID.
 func (c *configPutCmd) Run(ctx context.Context, s streams) error {
 	document, err := readDocument(c.File)
 	if err != nil {
@@ -89,7 +92,7 @@
 	defer machines.Close()
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	base, err := c.base(ctx, machines)
+	base, err := c.baseRevision(ctx, machines)
 	if err != nil {
 		return err
 	}
@@ -102,7 +105,7 @@
 		Why:      c.Why,
 	})
 	if err != nil {
-		return fmt.Errorf("%s: %w", c.Scope, explained(err))
+		return fmt.Errorf("%s: %w", c.Scope, withConflictHint(err))
 	}
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(accepted)
@@ -111,8 +114,9 @@
 	return err
 }
 
-// base is the revision that the change is made to.
-func (c *configPutCmd) base(ctx context.Context, machines *client.Client) (uint64, error) {
+// baseRevision returns the revision that the change is based on: --base, or else the current revision of the scope,
+// which is 0 if the scope has no document yet.
+func (c *configPutCmd) baseRevision(ctx context.Context, machines *client.Client) (uint64, error) {
 	if c.Base != nil {
 		return *c.Base, nil
 	}
@@ -122,38 +126,39 @@
 		return 0, nil
 	}
 	if err != nil {
-		return 0, fmt.Errorf("%s: the revision to change isn't known, nothing was written: %w", c.Scope, err)
+		return 0, fmt.Errorf("%s: cannot determine the current revision, nothing was written: %w", c.Scope, err)
 	}
 	return revision.Revision, nil
 }
 
-// explained adds to a refusal what to do about it.
-func explained(err error) error {
+// withConflictHint adds to a conflict the current revision and the next step; it returns other errors unchanged.
+func withConflictHint(err error) error {
 	var body *configuration.ErrorBody
 	if errors.As(err, &body) && body.Kind == configuration.ErrorConflict {
-		return fmt.Errorf("%w (it is at revision %d: look at it with show, and put again)", err, body.Revision)
+		return fmt.Errorf("%w (the scope is at revision %d: review it with show, then put again)", err, body.Revision)
 	}
 	return err
 }
 
+// configShowCmd prints the document of a scope.
 type configShowCmd struct {
 	controlFlags
 	Scope   configuration.Scope `arg:"" help:"As for put."`
-	Applied bool                `help:"What the machine has applied, without asking a majority: it may not be the latest."`
+	Applied bool                `help:"Print the revision that the machine has applied, without confirmation by a majority; it may be out of date."`
 }
 
-// Run prints a revision.
+// Run prints the current revision, or with --applied the one that the machine has applied.
 func (c *configShowCmd) Run(ctx context.Context, s streams) error {
 	machines, err := client.New(c.Machines...)
 	if err != nil {
 		return err
 	}
 	defer machines.Close()
-	ask := machines.Show
+	fetch := machines.Show
 	if c.Applied {
-		ask = machines.ShowApplied
+		fetch = machines.ShowApplied
 	}
-	revision, err := ask(ctx, c.Scope)
+	revision, err := fetch(ctx, c.Scope)
 	if err != nil {
 		return err
 	}
@@ -163,27 +168,28 @@
 	return printRevision(s.out, revision)
 }
 
-// printRevision prints a document as TOML, below who made it.
+// printRevision prints a comment line with the revision's author, time and reason, then the document as TOML.
 func printRevision(w io.Writer, revision configuration.Revision) error {
 	var document map[string]any
 	if err := json.Unmarshal(revision.Document, &document); err != nil {
 		return fmt.Errorf("%s: document: %w", revision.Scope, err)
 	}
-	text, err := toml.Marshal(wholeNumbers(document))
+	text, err := toml.Marshal(floatsToIntegers(document))
 	if err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(w, "# %s revision %d (epoch %d), by %s at %s: %s\n%s", revision.Scope, revision.Revision, revision.Epoch, revision.By,
-		revision.At, oneLine(revision.Why), text)
+		revision.At, singleLine(revision.Why), text)
 	return err
 }
 
-// wholeNumbers makes integers of the numbers that are whole, as people write them.
-func wholeNumbers(value any) any {
+// floatsToIntegers converts the whole numbers within a decoded JSON value to integers, so that TOML shows 3 and not
+// 3.0. It changes maps in place.
+func floatsToIntegers(value any) any {
 	switch v := value.(type) {
 	case map[string]any:
 		for key, inner := range v {
-			v[key] = wholeNumbers(inner)
+			v[key] = floatsToIntegers(inner)
 		}
 	case float64:
 		if whole := int64(v); float64(whole) == v {
@@ -193,28 +199,29 @@
 	return value
 }
 
-// oneLine keeps a text within a comment.
-func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
+// singleLine replaces each run of white space by one space, so that a text fits in a comment or a table cell.
+func singleLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
+// configStatusCmd reports at which agents of a scope a revision is in force.
 type configStatusCmd struct {
 	controlFlags
 	Scope    configuration.Scope `arg:"" help:"As for put."`
 	Revision uint64              `placeholder:"N" help:"Default: the latest."`
-	Wait     bool                `help:"Ask until it is in force everywhere."`
-	Timeout  time.Duration       `default:"30s" help:"For which --wait asks."`
+	Wait     bool                `help:"Wait until the revision is in force at all agents."`
+	Timeout  time.Duration       `default:"30s" help:"Time limit of --wait."`
 }
 
-// errNotInForce is the status command's answer that isn't yes.
+// errNotInForce is returned by the status command while some agent has not applied the revision.
 var errNotInForce = errors.New("not in force everywhere")
 
-// Run asks for a status; an answer that it isn't in force everywhere is an error.
+// Run prints the status, and returns errNotInForce unless the revision is in force at all agents.
 func (c *configStatusCmd) Run(ctx context.Context, s streams) error {
 	machines, err := client.New(c.Machines...)
 	if err != nil {
 		return err
 	}
 	defer machines.Close()
-	status, err := c.ask(ctx, machines)
+	status, err := c.fetchStatus(ctx, machines)
 	if err != nil {
 		return err
 	}
@@ -229,7 +236,7 @@
 	return err
 }
 
-func (c *configStatusCmd) ask(ctx context.Context, machines *client.Client) (configuration.Status, error) {
+func (c *configStatusCmd) fetchStatus(ctx context.Context, machines *client.Client) (configuration.Status, error) {
 	if !c.Wait {
 		return machines.Status(ctx, c.Scope, c.Revision)
 	}
@@ -252,17 +259,18 @@
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "behind\tregion\tzone\tservice\thas\twhy")
 	for _, agent := range status.Behind {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\n", agent.Agent, agent.Region, agent.Zone, agent.Service, agent.Revision, oneLine(agent.Why))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\n", agent.Agent, agent.Region, agent.Zone, agent.Service, agent.Revision, singleLine(agent.Why))
 	}
 	return table.Flush()
 }
 
+// configHistoryCmd prints the recorded revisions of a scope.
 type configHistoryCmd struct {
 	controlFlags
 	Scope configuration.Scope `arg:"" help:"As for put."`
 }
 
-// Run prints the revisions of a scope.
+// Run prints one line for each revision, the latest first.
 func (c *configHistoryCmd) Run(ctx context.Context, s streams) error {
 	machines, err := client.New(c.Machines...)
 	if err != nil {
@@ -279,69 +287,70 @@
 	table := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "revision\tepoch\tat\tby\tdigest\twhy")
 	for _, revision := range revisions {
-		fmt.Fprintf(table, "%d\t%d\t%s\t%s\t%s\t%s\n", revision.Revision, revision.Epoch, revision.At, revision.By, revision.Digest, oneLine(revision.Why))
+		fmt.Fprintf(table, "%d\t%d\t%s\t%s\t%s\t%s\n", revision.Revision, revision.Epoch, revision.At, revision.By, revision.Digest, singleLine(revision.Why))
 	}
 	return table.Flush()
 }
 
+// configMachinesCmd prints the state of each control machine.
 type configMachinesCmd struct {
 	controlFlags
 }
 
-// machineAnswer is what a control machine says of itself, or why it doesn't.
-type machineAnswer struct {
+// machineResult is the status of a control machine, or the error of the call for it.
+type machineResult struct {
 	Address string                       `json:"address"`
 	Status  *configuration.MachineStatus `json:"status,omitempty"`
 	Error   string                       `json:"error,omitempty"`
 }
 
-// Run asks each machine how it stands.
+// Run calls each machine and prints its status; it returns an error if any machine failed to answer.
 func (c *configMachinesCmd) Run(ctx context.Context, s streams) error {
-	var answers []machineAnswer
-	silent := 0
+	var results []machineResult
+	unanswered := 0
 	for _, address := range c.Machines {
-		answer := askMachine(ctx, address)
-		if answer.Status == nil {
-			silent++
+		result := fetchMachineStatus(ctx, address)
+		if result.Status == nil {
+			unanswered++
 		}
-		answers = append(answers, answer)
+		results = append(results, result)
 	}
 	var err error
 	if c.JSON {
-		err = json.NewEncoder(s.out).Encode(answers)
+		err = json.NewEncoder(s.out).Encode(results)
 	} else {
-		err = printMachines(s.out, answers)
+		err = printMachines(s.out, results)
 	}
-	if err == nil && silent > 0 {
-		err = fmt.Errorf("%d of %d control machines didn't answer", silent, len(answers))
+	if err == nil && unanswered > 0 {
+		err = fmt.Errorf("%d of %d control machines did not answer", unanswered, len(results))
 	}
 	return err
 }
 
-func askMachine(ctx context.Context, address string) machineAnswer {
+func fetchMachineStatus(ctx context.Context, address string) machineResult {
 	machine, err := client.New(address)
 	if err != nil {
-		return machineAnswer{Address: address, Error: err.Error()}
+		return machineResult{Address: address, Error: err.Error()}
 	}
 	defer machine.Close()
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	status, err := machine.Machine(ctx)
 	if err != nil {
-		return machineAnswer{Address: address, Error: err.Error()}
+		return machineResult{Address: address, Error: err.Error()}
 	}
-	return machineAnswer{Address: address, Status: &status}
+	return machineResult{Address: address, Status: &status}
 }
 
-func printMachines(w io.Writer, answers []machineAnswer) error {
+func printMachines(w io.Writer, results []machineResult) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "machine\tregion\twatches\tgroup\tvotes\tleader\tterm\tapplied\tscopes\twhy not")
-	for _, answer := range answers {
-		if answer.Status == nil {
-			fmt.Fprintf(table, "%s\t\t\t\t\t\t\t\t\t%s\n", answer.Address, answer.Error)
+	for _, result := range results {
+		if result.Status == nil {
+			fmt.Fprintf(table, "%s\t\t\t\t\t\t\t\t\t%s\n", result.Address, result.Error)
 			continue
 		}
-		m := answer.Status
+		m := result.Status
 		for _, g := range m.Groups {
 			leader := g.Leader
 			if leader == "" {
@@ -349,7 +358,7 @@
 			}
 			why := ""
 			if !g.Votes {
-				why = oneLine(g.Why)
+				why = singleLine(g.Why)
 			}
 			fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%t\t%s\t%d\t%d\t%d\t%s\n", m.Name, m.Region, m.Watches, g.Group, g.Votes, leader, g.Term, g.Applied,
 				len(g.Scopes), why)
@@ -358,7 +367,7 @@
 	return table.Flush()
 }
 
-// readDocument reads a document from a TOML file. Errors name the file, the line and the field.
+// readDocument reads a document from a TOML file. Errors name the file and, where known, the line and the field.
 func readDocument(file string) (*configuration.Document, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -367,8 +376,8 @@
 	return parseDocument(file, raw)
 }
 
-// parseDocument reads a document's TOML text; errors call it file. The keys are those of the JSON form; format may be
-// left out.
+// parseDocument parses a document in TOML. The keys are those of the JSON form; format may be omitted. Errors name
+// file as the source.
 func parseDocument(file string, raw []byte) (*configuration.Document, error) {
 	fields := map[string]any{}
 	if err := strict.Decode(file, raw, &fields); err != nil {
@@ -383,7 +392,7 @@
 	}
 	document, err := configuration.ParseDocument(text)
 	if err != nil {
-		if line := lineOf(keyLines(raw), err.Error()); line > 0 {
+		if line := errorLine(keyLines(raw), err.Error()); line > 0 {
 			return nil, fmt.Errorf("%s: line %d: %w", file, line, err)
 		}
 		return nil, fmt.Errorf("%s: %w", file, err)
@@ -391,8 +400,8 @@
 	return document, nil
 }
 
-// lineOf is the line of the longest key that an error's text names; 0: none.
-func lineOf(lines map[string]int, text string) int {
+// errorLine returns the line of the longest key that occurs in an error's text, or 0 if no key does.
+func errorLine(lines map[string]int, text string) int {
 	longest, line := "", 0
 	for path, at := range lines {
 		if len(path) > len(longest) && strings.Contains(text, path) {
@@ -402,7 +411,7 @@
 	return line
 }
 
-// keyLines are the lines on which the keys and tables of a TOML text stand, by their dotted path.
+// keyLines maps the dotted paths of the keys and tables in a TOML text to their line numbers.
 func keyLines(raw []byte) map[string]int {
 	lines := map[string]int{}
 	var parser unstable.Parser
@@ -410,7 +419,7 @@
 	var table []string
 	for parser.NextExpression() {
 		expression := parser.Expression()
-		keys, line := keysOf(&parser, expression)
+		keys, line := keyPath(&parser, expression)
 		switch expression.Kind {
 		case unstable.Table, unstable.ArrayTable:
 			table = keys
@@ -424,8 +433,8 @@
 	return lines
 }
 
-// keysOf are the parts of an expression's key, and its line.
-func keysOf(parser *unstable.Parser, expression *unstable.Node) (keys []string, line int) {
+// keyPath returns the parts of an expression's dotted key, and the line of its first part.
+func keyPath(parser *unstable.Parser, expression *unstable.Node) (keys []string, line int) {
 	for key := expression.Key(); key.Next(); {
 		if line == 0 {
 			line = parser.Shape(key.Node().Raw).Start.Line
--- a/cmd/lemonctl/config_test.go
+++ b/cmd/lemonctl/config_test.go
@@ -13,9 +13,11 @@
 	"lemonrail/internal/configuration"
 )
 
-// stubControl is a control machine with an answer for each path.
+// stubControl is a control machine that sends a fixed answer for each path and records the changes put to it.
 type stubControl struct {
-	answers map[string]any // by path; an *ErrorBody is a refusal
+	// answers has the answer for each path. An *ErrorBody is sent as a refusal; of a []any each call gets the next
+	// element, and further calls get the last one.
+	answers map[string]any
 	changes []configuration.Change
 }
 
@@ -41,8 +43,8 @@
 	json.NewEncoder(w).Encode(answer)
 }
 
-// runConfig runs lemonctl config with a stub as the only control machine.
-func runConfig(t *testing.T, control *stubControl, args ...string) (code int, out, complaints string) {
+// runConfig runs lemonctl config with control as the only control machine.
+func runConfig(t *testing.T, control *stubControl, args ...string) (code int, out, errOut string) {
 	t.Helper()
 	web := httptest.NewServer(control)
 	defer web.Close()
@@ -61,50 +63,50 @@
 	return path
 }
 
-const goodDocument = "[limits]\nattempts = 3\n\n[classes.point-read]\naim_ms = 250.5\n"
+const validDocument = "[limits]\nattempts = 3\n\n[classes.point-read]\naim_ms = 250.5\n"
 
 func TestConfigCheckNamesFileLineAndField(t *testing.T) {
 	for _, tt := range []struct{ name, text, want string }{
 		{"an unknown field", "[limits]\nattempts = 3\n\n[classes.point-read]\naim_sm = 250\n", "line 5: classes.point-read.aim_sm"},
 		{"a wrong type", "[limits]\nattempts = 'many'\n", "line 2: limits.attempts"},
-		{"a value that can't be", "[limits]\nsecond_copies = true\nattempts = -1\n", "line 3: limits.attempts"},
+		{"an invalid value", "[limits]\nsecond_copies = true\nattempts = -1\n", "line 3: limits.attempts"},
 		{"an inline table", "limits = {attempts = -1}\n", "line 1: limits.attempts"},
 		{"a later format", "format = 99\n", "line 1: format"},
 		{"no TOML", "[limits\n", "line 1"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			path := writeDocument(t, tt.text)
-			code, _, complaints := runConfig(t, &stubControl{}, "check", path)
-			if code != 1 || !strings.Contains(complaints, path+": "+tt.want) {
-				t.Errorf("code %d: %s, want %s", code, complaints, tt.want)
+			code, _, errOut := runConfig(t, &stubControl{}, "check", path)
+			if code != 1 || !strings.Contains(errOut, path+": "+tt.want) {
+				t.Errorf("code %d: %s, want %s", code, errOut, tt.want)
 			}
 		})
 	}
-	if code, out, complaints := runConfig(t, &stubControl{}, "check", writeDocument(t, goodDocument)); code != 0 || !strings.Contains(out, "makes sense") {
-		t.Errorf("a good document: code %d: %s%s", code, out, complaints)
+	if code, out, errOut := runConfig(t, &stubControl{}, "check", writeDocument(t, validDocument)); code != 0 || !strings.Contains(out, "makes sense") {
+		t.Errorf("a good document: code %d: %s%s", code, out, errOut)
 	}
 }
 
-func TestConfigPutUsesWhatShowSaysAndOneIdentity(t *testing.T) {
+func TestConfigPutUsesShownBaseAndOneChangeID(t *testing.T) {
 	unknown := &configuration.ErrorBody{Kind: configuration.ErrorUnknown, Message: "the leader has gone"}
 	accepted := configuration.Accepted{Scope: configuration.Fleet, Position: configuration.Position{Revision: 8, Epoch: 3}}
 	control := &stubControl{answers: map[string]any{
 		configuration.ShowPath: configuration.Revision{Scope: configuration.Fleet, Position: configuration.Position{Revision: 7, Epoch: 2}},
 		configuration.PutPath:  []any{unknown, unknown, accepted},
 	}}
-	code, out, complaints := runConfig(t, control, "put", "fleet", writeDocument(t, goodDocument), "--why", "slow reads")
+	code, out, errOut := runConfig(t, control, "put", "fleet", writeDocument(t, validDocument), "--why", "slow reads")
 	if code != 0 || !strings.Contains(out, "revision 8") {
-		t.Fatalf("code %d: %s%s", code, out, complaints)
+		t.Fatalf("code %d: %s%s", code, out, errOut)
 	}
 	if len(control.changes) != 3 {
-		t.Fatalf("it was tried %d times", len(control.changes))
+		t.Fatalf("%d attempts, want 3", len(control.changes))
 	}
 	for _, change := range control.changes {
 		if change.ID == "" || change.ID != control.changes[0].ID {
-			t.Errorf("the tries have the identities %q and %q", control.changes[0].ID, change.ID)
+			t.Errorf("attempts with the change IDs %q and %q", control.changes[0].ID, change.ID)
 		}
 		if change.Base != 7 || change.Why != "slow reads" || change.Scope != configuration.Fleet {
-			t.Errorf("it sent %+v", change)
+			t.Errorf("sent %+v", change)
 		}
 		if _, err := configuration.ParseDocument(change.Document); err != nil {
 			t.Errorf("document %s: %v", change.Document, err)
@@ -112,31 +114,31 @@
 	}
 }
 
-func TestConfigPutTellsAConflict(t *testing.T) {
+func TestConfigPutReportsConflict(t *testing.T) {
 	control := &stubControl{answers: map[string]any{
 		configuration.PutPath: &configuration.ErrorBody{Kind: configuration.ErrorConflict, Message: "at another revision",
 			Position: configuration.Position{Revision: 9}},
 	}}
-	code, _, complaints := runConfig(t, control, "put", "fleet", writeDocument(t, goodDocument), "--why", "slow reads", "--base", "7")
-	if code != 1 || !strings.Contains(complaints, "revision 9") || len(control.changes) != 1 {
-		t.Errorf("code %d after %d tries: %s", code, len(control.changes), complaints)
+	code, _, errOut := runConfig(t, control, "put", "fleet", writeDocument(t, validDocument), "--why", "slow reads", "--base", "7")
+	if code != 1 || !strings.Contains(errOut, "revision 9") || len(control.changes) != 1 {
+		t.Errorf("code %d after %d attempts: %s", code, len(control.changes), errOut)
 	}
 }
 
-func TestConfigShowPrintsADocumentThatCanBePutAgain(t *testing.T) {
-	document, err := parseDocument("good", []byte(goodDocument))
+func TestConfigShowPrintsValidDocument(t *testing.T) {
+	document, err := parseDocument("good", []byte(validDocument))
 	if err != nil {
 		t.Fatal(err)
 	}
 	control := &stubControl{answers: map[string]any{configuration.ShowPath: configuration.Revision{Scope: configuration.Fleet,
 		Position: configuration.Position{Revision: 7, Epoch: 2}, Document: document.Canonical(), By: "someone", Why: "two\nlines"}}}
-	code, out, complaints := runConfig(t, control, "show", "fleet")
+	code, out, errOut := runConfig(t, control, "show", "fleet")
 	if code != 0 || !strings.HasPrefix(out, "# fleet revision 7 (epoch 2), by someone") {
-		t.Fatalf("code %d: %s%s", code, out, complaints)
+		t.Fatalf("code %d: %s%s", code, out, errOut)
 	}
 	again, err := parseDocument("shown", []byte(out))
 	if err != nil || !bytes.Equal(again.Canonical(), document.Canonical()) {
-		t.Errorf("what it shows reads as %+v, %v", again, err)
+		t.Errorf("the printed document parses as %+v, %v", again, err)
 	}
 }
 
@@ -154,18 +156,18 @@
 	}{
 		{"in force", []any{there}, []string{"status", "fleet"}, 0, "in force at 2 of 2 agents"},
 		{"behind", []any{behind}, []string{"status", "fleet"}, 1, "refused: no such class"},
-		{"a machine that doesn't answer is named", []any{behind}, []string{"status", "fleet"}, 1, "no answer from b1"},
+		{"an unreachable machine is named", []any{behind}, []string{"status", "fleet"}, 1, "no answer from b1"},
 		{"waited for", []any{behind, behind, there}, []string{"status", "fleet", "--wait"}, 0, "in force at 2 of 2 agents"},
-		{"waited for in vain", []any{behind}, []string{"status", "fleet", "--wait", "--timeout", "300ms"}, 1, "in force at 1 of 2 agents"},
+		{"waited for until the timeout", []any{behind}, []string{"status", "fleet", "--wait", "--timeout", "300ms"}, 1, "in force at 1 of 2 agents"},
 		{"as JSON", []any{there}, []string{"status", "fleet", "--json"}, 0, `"everywhere":true`},
-		{"a scope that isn't one", nil, []string{"status", "continent/a"}, 2, ""},
-		{"an address that isn't one", nil, []string{"status", "fleet", "--machine", "nowhere"}, 2, ""},
+		{"an invalid scope", nil, []string{"status", "continent/a"}, 2, ""},
+		{"an invalid address", nil, []string{"status", "fleet", "--machine", "nowhere"}, 2, ""},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			control := &stubControl{answers: map[string]any{configuration.StatusPath: tt.answers}}
-			code, out, complaints := runConfig(t, control, tt.args...)
+			code, out, errOut := runConfig(t, control, tt.args...)
 			if code != tt.code || !strings.Contains(out, tt.out) {
-				t.Errorf("code %d, want %d: %s%s", code, tt.code, out, complaints)
+				t.Errorf("code %d, want %d: %s%s", code, tt.code, out, errOut)
 			}
 		})
 	}
--- a/cmd/lemonctl/control.go
+++ b/cmd/lemonctl/control.go
@@ -13,97 +13,100 @@
 	"time"
 )
 
-// askAll asks many agents at a time for something that is told as JSON: what each told, and why others didn't. without
-// says what an agent lacks that has no such call.
-func askAll[T any](ctx context.Context, agents []string, path, without string) (told map[string]*T, silent map[string]string) {
-	told, silent = map[string]*T{}, map[string]string{}
-	client := &http.Client{Timeout: askLimit, Transport: &http.Transport{DisableKeepAlives: true}}
+// fetchAll gets path from the control addresses of all agents concurrently. It returns the decoded answers and the
+// error texts of failed calls, both by address. notFoundText is the error text of an agent that answers 404.
+func fetchAll[T any](ctx context.Context, agents []string, path, notFoundText string) (answers map[string]*T, failures map[string]string) {
+	answers, failures = map[string]*T{}, map[string]string{}
+	client := &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	for _, d := range agents {
-		all.Go(func() {
-			r := new(T)
-			err := askAgent(ctx, client, d, path, without, r)
+	var workers sync.WaitGroup
+	for _, address := range agents {
+		workers.Go(func() {
+			answer := new(T)
+			err := fetchAgent(ctx, client, address, path, notFoundText, answer)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				silent[d] = err.Error()
+				failures[address] = err.Error()
 			} else {
-				told[d] = r
+				answers[address] = answer
 			}
 		})
 	}
-	all.Wait()
-	return told, silent
+	workers.Wait()
+	return answers, failures
 }
 
-const looksMost = 3600 // that are kept; the earliest go
+const maxSnapshots = 3600 // kept for the HTML page; the earliest are dropped
 
-// watchFlags are those of a command that asks agents again and again.
+// watchFlags are the flags of commands that poll agents.
 type watchFlags struct {
 	Agents []string      `arg:"" name:"agents" help:"Control addresses of agents, HOST:PORT."`
-	Watch  time.Duration `placeholder:"TIME" help:"Ask again each TIME."`
-	For    time.Duration `placeholder:"TIME" help:"End after so long."`
-	JSON   bool          `name:"json" help:"Print JSON: one object each time."`
-	HTML   string        `name:"html" placeholder:"FILE" help:"Write what was seen over time as one page, at the end."`
+	Watch  time.Duration `placeholder:"TIME" help:"Poll the agents at this interval."`
+	For    time.Duration `placeholder:"TIME" help:"Stop after this time."`
+	JSON   bool          `name:"json" help:"Print JSON, one object for each poll."`
+	HTML   string        `name:"html" placeholder:"FILE" help:"Write all snapshots as one HTML page at the end."`
 }
 
-// watched is what a command does with what agents answered each time.
-type watched[T any] struct {
-	ask   func(ctx context.Context, agents []string) T
-	show  func(T) error                    // as text
-	page  func(w io.Writer, all []T) error // as HTML, at the end
-	empty func(T) bool                     // nobody answered
+// poller polls agents on behalf of a command. T is the snapshot of one poll.
+type poller[T any] struct {
+	fetch     func(ctx context.Context, agents []string) T
+	printText func(T) error                          // prints a snapshot as text; run replaces it for --json
+	writePage func(w io.Writer, snapshots []T) error // writes all snapshots as an HTML page
+	noAnswers func(T) bool                           // reports whether no agent answered
 }
 
-// run asks, shows, writes the page where one is wanted, and fails where nobody answered the last time.
-func (c watched[T]) run(ctx context.Context, f *watchFlags, s streams) error {
-	if f.JSON {
-		c.show = func(seen T) error { return json.NewEncoder(s.out).Encode(seen) }
+// run polls the agents, prints each snapshot and writes the HTML page if requested. It returns an error if no agent
+// answered the last poll.
+func (c poller[T]) run(ctx context.Context, flags *watchFlags, s streams) error {
+	if flags.JSON {
+		c.printText = func(snapshot T) error { return json.NewEncoder(s.out).Encode(snapshot) }
 	}
-	all, err := c.repeat(ctx, f)
+	snapshots, err := c.poll(ctx, flags)
 	if err != nil {
 		return err
 	}
-	if f.HTML != "" {
-		if err := writeFile(f.HTML, func(w io.Writer) error { return c.page(w, all) }); err != nil {
+	if flags.HTML != "" {
+		if err := writeFile(flags.HTML, func(w io.Writer) error { return c.writePage(w, snapshots) }); err != nil {
 			return err
 		}
 	}
-	if c.empty(all[len(all)-1]) {
+	if c.noAnswers(snapshots[len(snapshots)-1]) {
 		return errors.New("no agent answered")
 	}
 	return nil
 }
 
-// repeat asks and shows, again each Watch (0: once) until For (0: no bound) or ctx is over, and returns what was seen.
-func (c watched[T]) repeat(ctx context.Context, f *watchFlags) (all []T, err error) {
-	if f.For > 0 {
+// poll fetches and prints snapshots at intervals of flags.Watch (0: once), until flags.For has passed (0: no limit)
+// or ctx is done. It returns the last maxSnapshots snapshots.
+func (c poller[T]) poll(ctx context.Context, flags *watchFlags) (snapshots []T, err error) {
+	if flags.For > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, f.For)
+		ctx, cancel = context.WithTimeout(ctx, flags.For)
 		defer cancel()
 	}
 	for {
-		seen := c.ask(ctx, f.Agents)
-		if ctx.Err() != nil && len(all) > 0 {
-			return all, nil
+		snapshot := c.fetch(ctx, flags.Agents)
+		if ctx.Err() != nil && len(snapshots) > 0 {
+			return snapshots, nil
 		}
-		if all = append(all, seen); len(all) > looksMost {
-			all = slices.Delete(all, 0, 1)
+		if snapshots = append(snapshots, snapshot); len(snapshots) > maxSnapshots {
+			snapshots = slices.Delete(snapshots, 0, 1)
 		}
-		if err := c.show(seen); err != nil || f.Watch <= 0 {
-			return all, err
+		if err := c.printText(snapshot); err != nil || flags.Watch <= 0 {
+			return snapshots, err
 		}
 		select {
-		case <-time.After(f.Watch):
+		case <-time.After(flags.Watch):
 		case <-ctx.Done():
-			return all, nil
+			return snapshots, nil
 		}
 	}
 }
 
-// askAgent asks an agent's control address for something that is told as JSON; without is what an agent lacks that doesn't tell.
-func askAgent(ctx context.Context, client *http.Client, address, path, without string, into any) error {
+// fetchAgent gets path from an agent's control address and decodes the JSON answer into into. notFoundText is the
+// error of a 404 answer, which an agent sends that runs without the feature.
+func fetchAgent(ctx context.Context, client *http.Client, address, path, notFoundText string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return err
@@ -118,7 +121,7 @@
 	case err != nil:
 		return err
 	case resp.StatusCode == http.StatusNotFound:
-		return errors.New(without)
+		return errors.New(notFoundText)
 	case resp.StatusCode != http.StatusOK:
 		return fmt.Errorf("%s: %s", resp.Status, strings.TrimSpace(string(raw)))
 	}
--- a/cmd/lemonctl/control_test.go
+++ b/cmd/lemonctl/control_test.go
@@ -14,8 +14,9 @@
 	"lemonrail/internal/site/driver"
 )
 
-// tells answers a path as an agent's control listener does; changes are noted.
-func tells(t *testing.T, path string, v any, put *string) string {
+// newAgentStub starts an agent's control listener that answers GET on path with v, and returns its address. It stores
+// the path of a PUT in *put unless put is nil.
+func newAgentStub(t *testing.T, path string, v any, put *string) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		switch {
@@ -37,14 +38,14 @@
 		return &driver.Report{Own: "a", Basis: "planned", Sites: []driver.Row{{Site: "a", State: "well", Since: time.Now(), Remain: 1, Attempts: 7},
 			{Site: "b", State: state, Cause: cause, Since: time.Now(), FailShare: 1}}}
 	}
-	x, y := tells(t, "/api/sites", report("lost", ""), nil), tells(t, "/api/sites", report("cut", "mine"), nil)
-	without := tells(t, "", nil, nil)
+	x, y := newAgentStub(t, "/api/sites", report("lost", ""), nil), newAgentStub(t, "/api/sites", report("cut", "mine"), nil)
+	withoutSites := newAgentStub(t, "", nil, nil)
 	page := filepath.Join(t.TempDir(), "load.html")
-	code, out, complaints := call(t, "", "sites", "show", x, y, without, "--watch", "50ms", "--for", "250ms", "--html", page)
+	code, out, errOut := call(t, "", "sites", "show", x, y, withoutSites, "--watch", "50ms", "--for", "250ms", "--html", page)
 	if code != 0 {
-		t.Fatalf("exit %d: %s", code, complaints)
+		t.Fatalf("exit %d: %s", code, errOut)
 	}
-	for _, want := range []string{"lost", "cut", "mine", "2: ", without + ": it watches no sites"} {
+	for _, want := range []string{"lost", "cut", "mine", "2: ", withoutSites + ": it watches no sites"} {
 		if !strings.Contains(out, want) {
 			t.Errorf("no %q in\n%s", want, out)
 		}
@@ -52,8 +53,8 @@
 	if raw, err := os.ReadFile(page); err != nil || !strings.Contains(string(raw), "<svg") {
 		t.Errorf("%v, %d bytes", err, len(raw))
 	}
-	if code, _, _ := call(t, "", "sites", "show", without, "--json"); code != 1 {
-		t.Errorf("exit %d though nobody answered", code)
+	if code, _, _ := call(t, "", "sites", "show", withoutSites, "--json"); code != 1 {
+		t.Errorf("exit %d although no agent answered", code)
 	}
 }
 
@@ -61,32 +62,32 @@
 	row := func(mine string) []seat.Row {
 		return []seat.Row{{Duty: "pace", Holder: "n1", Epoch: 4, LeaseMs: 3000, Mine: mine, State: `{"b":0.5}`}}
 	}
-	asked := ""
-	x := tells(t, "/api/duties", &seat.Report{Agent: "n0", Duties: row("idle"), Seat: &seat.SeatReport{Name: "n0", Start: "distrusted", Why: "0001.log, byte 7: spoilt"}}, nil)
-	y := tells(t, "/api/duties", &seat.Report{Agent: "n1", Duties: row("holding")}, &asked)
-	code, out, complaints := call(t, "", "duties", "show", x, y)
+	putPath := ""
+	x := newAgentStub(t, "/api/duties", &seat.Report{Agent: "n0", Duties: row("idle"), Seat: &seat.SeatReport{Name: "n0", Start: "distrusted", Why: "0001.log, byte 7: spoilt"}}, nil)
+	y := newAgentStub(t, "/api/duties", &seat.Report{Agent: "n1", Duties: row("holding")}, &putPath)
+	code, out, errOut := call(t, "", "duties", "show", x, y)
 	if code != 0 {
-		t.Fatal(complaints)
+		t.Fatal(errOut)
 	}
 	for _, want := range []string{"pace", "n1", "3.0 s", "n1 holding", "distrusted", "byte 7"} {
 		if !strings.Contains(out, want) {
 			t.Errorf("no %q in\n%s", want, out)
 		}
 	}
-	if code, _, complaints := call(t, "", "duties", "release", "pace", x, y); code != 0 || asked != "/api/duties/pace/release" {
-		t.Errorf("exit %d, %s: %s", code, asked, complaints)
+	if code, _, errOut := call(t, "", "duties", "release", "pace", x, y); code != 0 || putPath != "/api/duties/pace/release" {
+		t.Errorf("exit %d, %s: %s", code, putPath, errOut)
 	}
-	if code, _, complaints := call(t, "", "duties", "hand-on", y, "pace", "n2"); code != 0 || asked != "/api/duties/pace/hand-on/n2" {
-		t.Errorf("exit %d, %s: %s", code, asked, complaints)
+	if code, _, errOut := call(t, "", "duties", "hand-on", y, "pace", "n2"); code != 0 || putPath != "/api/duties/pace/hand-on/n2" {
+		t.Errorf("exit %d, %s: %s", code, putPath, errOut)
 	}
-	notes := tells(t, "/api/duties", &seat.Report{Agent: "n2", Duties: []seat.Row{{Duty: "notes", Holder: "n2", Epoch: 3, State: `{"alive":4,"odd":[{"name":"n7","state":"dead"}]}`}}}, nil)
-	if code, out, complaints := call(t, "", "members", "--from-keeper", x, notes); code != 0 || !strings.Contains(out, "n7") || !strings.Contains(out, `"holder": "n2"`) {
-		t.Errorf("exit %d: %s %s", code, out, complaints)
+	notes := newAgentStub(t, "/api/duties", &seat.Report{Agent: "n2", Duties: []seat.Row{{Duty: "notes", Holder: "n2", Epoch: 3, State: `{"alive":4,"odd":[{"name":"n7","state":"dead"}]}`}}}, nil)
+	if code, out, errOut := call(t, "", "members", "--from-keeper", x, notes); code != 0 || !strings.Contains(out, "n7") || !strings.Contains(out, `"holder": "n2"`) {
+		t.Errorf("exit %d: %s %s", code, out, errOut)
 	}
-	if code, _, complaints := call(t, "", "members", "--from-keeper", x); code != 1 || !strings.Contains(complaints, "nobody has kept notes") {
-		t.Errorf("exit %d: %s", code, complaints)
+	if code, _, errOut := call(t, "", "members", "--from-keeper", x); code != 1 || !strings.Contains(errOut, "no notes have been recorded") {
+		t.Errorf("exit %d: %s", code, errOut)
 	}
-	if code, _, complaints := call(t, "", "duties", "release", "pace", x); code != 1 || !strings.Contains(complaints, "none of these agents holds pace") {
-		t.Errorf("exit %d: %s", code, complaints)
+	if code, _, errOut := call(t, "", "duties", "release", "pace", x); code != 1 || !strings.Contains(errOut, "none of these agents holds pace") {
+		t.Errorf("exit %d: %s", code, errOut)
 	}
 }
--- a/cmd/lemonctl/diameter.go
+++ b/cmd/lemonctl/diameter.go
@@ -9,19 +9,21 @@
 	"lemonrail/internal/diameter"
 )
 
+// diameterDecodeCmd prints captured Diameter messages as trees.
 type diameterDecodeCmd struct {
-	File       string   `arg:"" help:"Raw messages, one behind the other, as on a connection; - for standard input."`
+	File       string   `arg:"" help:"File of raw messages, concatenated as on a connection; - for standard input."`
 	Dictionary []string `placeholder:"FILE" help:"TOML files that add commands and attributes."`
-	JSON       bool     `name:"json" help:"Print one JSON object a message."`
+	JSON       bool     `name:"json" help:"Print one JSON object for each message."`
 }
 
-// decoded is a message, with what the dictionary finds wrong with it.
-type decoded struct {
-	At int64 `json:"at"` // bytes into the file
+// decodedMessage is a message as a tree, with the error of its check against the dictionary.
+type decodedMessage struct {
+	Offset int64 `json:"at"` // of the first byte, from the start of the file
 	diameter.Tree
-	Wrong string `json:"wrong,omitempty"`
+	Invalid string `json:"wrong,omitempty"`
 }
 
+// Run decodes the messages in order and stops at the first one that cannot be decoded.
 func (c *diameterDecodeCmd) Run(s streams) error {
 	dict, err := diameter.NewDictionary(c.Dictionary...)
 	if err != nil {
@@ -38,32 +40,32 @@
 	}
 	limits := diameter.DefaultLimits()
 	messages := diameter.NewReader(in, limits)
-	for at := int64(0); ; {
+	for offset := int64(0); ; {
 		raw, err := messages.Next()
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("%s: at byte %d: %w", c.File, at, err)
+			return fmt.Errorf("%s: at byte %d: %w", c.File, offset, err)
 		}
 		m, err := diameter.Decode(raw, limits)
 		if err != nil {
-			return fmt.Errorf("%s: at byte %d: %w", c.File, at, err)
+			return fmt.Errorf("%s: at byte %d: %w", c.File, offset, err)
 		}
-		d := decoded{At: at, Tree: dict.Tree(m, limits)}
+		d := decodedMessage{Offset: offset, Tree: dict.Tree(m, limits)}
 		if err := dict.Check(m, limits); err != nil {
-			d.Wrong = err.Error()
+			d.Invalid = err.Error()
 		}
-		at += int64(len(raw))
+		offset += int64(len(raw))
 		if c.JSON {
 			if err := printJSON(s.out, d); err != nil {
 				return err
 			}
 			continue
 		}
-		fmt.Fprintf(s.out, "at byte %d: %s", d.At, d.Tree)
-		if d.Wrong != "" {
-			fmt.Fprintf(s.out, "  wrong: %s\n", d.Wrong)
+		fmt.Fprintf(s.out, "at byte %d: %s", d.Offset, d.Tree)
+		if d.Invalid != "" {
+			fmt.Fprintf(s.out, "  wrong: %s\n", d.Invalid)
 		}
 	}
 }
--- a/cmd/lemonctl/diameter_test.go
+++ b/cmd/lemonctl/diameter_test.go
@@ -24,28 +24,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	code, out, complaints := call(t, string(two), "diameter", "decode", "-")
+	code, out, errOut := call(t, string(two), "diameter", "decode", "-")
 	if code != 0 || strings.Count(out, "Device-Watchdog-Request") != 2 || !strings.Contains(out, "a.example.net") || strings.Count(out, "wrong: ") != 1 {
-		t.Errorf("%d: %s%s", code, out, complaints)
+		t.Errorf("%d: %s%s", code, out, errOut)
 	}
 	file := filepath.Join(t.TempDir(), "capture")
 	if err := os.WriteFile(file, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	code, out, complaints = call(t, "", "diameter", "decode", "--json", file)
+	code, out, errOut = call(t, "", "diameter", "decode", "--json", file)
 	var got struct {
 		Command string
 		AVPs    []struct{ Name string }
 	}
 	if err := json.Unmarshal([]byte(out), &got); code != 0 || err != nil || got.Command != "Device-Watchdog-Request" || len(got.AVPs) != 2 {
-		t.Errorf("%d %v: %s%s", code, err, out, complaints)
+		t.Errorf("%d %v: %s%s", code, err, out, errOut)
 	}
-	if code, _, complaints := call(t, string(two[:len(two)-3]), "diameter", "decode", "-"); code != 1 || !strings.Contains(complaints, "at byte") {
-		t.Errorf("cut off: %d %s", code, complaints)
+	if code, _, errOut := call(t, string(two[:len(two)-3]), "diameter", "decode", "-"); code != 1 || !strings.Contains(errOut, "at byte") {
+		t.Errorf("cut off: %d %s", code, errOut)
 	}
 }
 
-// Clients against a server that answers each request, one in some busily and one in some twice.
+// TestDiameterSend runs clients against a server that answers every fifth request with TooBusy, and against one that
+// answers each request twice, which must be reported as an error.
 func TestDiameterSend(t *testing.T) {
 	var n atomic.Int64
 	node, err := standin.NewDiameterNode("s0.example.net", func(c *standin.DiameterConn, m *diameter.Message) {
@@ -59,17 +60,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(node.Stop)
-	code, out, complaints := call(t, "", "diameter", "send", "--target", node.Addr(), "--clients", "4", "--each", "25", "--json")
+	code, out, errOut := call(t, "", "diameter", "send", "--target", node.Addr(), "--clients", "4", "--each", "25", "--json")
 	var got struct {
 		Requests, Answered, Twice int
 		Results                   map[string]int
 	}
 	if err := json.Unmarshal([]byte(out), &got); code != 0 || err != nil || got.Answered != 100 || got.Results["2001"] != 80 || got.Results["3004"] != 20 {
-		t.Errorf("%d %v: %s%s", code, err, out, complaints)
+		t.Errorf("%d %v: %s%s", code, err, out, errOut)
 	}
-	code, out, complaints = call(t, "", "diameter", "send", "--target", node.Addr(), "--each", "10")
+	code, out, errOut = call(t, "", "diameter", "send", "--target", node.Addr(), "--each", "10")
 	if code != 0 || !strings.Contains(out, "10 requests of 1 clients") || !strings.Contains(out, "Result-Code 2001: 8") {
-		t.Errorf("%d: %s%s", code, out, complaints)
+		t.Errorf("%d: %s%s", code, out, errOut)
 	}
 	twice, err := standin.NewDiameterNode("s1.example.net", func(c *standin.DiameterConn, m *diameter.Message) {
 		c.Answer(m, diameter.Success)
@@ -79,26 +80,26 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(twice.Stop)
-	if code, _, complaints := call(t, "", "diameter", "send", "--target", twice.Addr(), "--each", "10", "--out", "1"); code != 1 || !strings.Contains(complaints, "answered once more") {
-		t.Errorf("answered twice: %d %s", code, complaints)
+	if code, _, errOut := call(t, "", "diameter", "send", "--target", twice.Addr(), "--each", "10", "--out", "1"); code != 1 || !strings.Contains(errOut, "extra answers to requests already answered") {
+		t.Errorf("answered twice: %d %s", code, errOut)
 	}
 }
 
 func TestDiameterServe(t *testing.T) {
-	code, out, complaints := call(t, "", "diameter", "serve", "--listen", "127.0.0.1:0", "--for", "10ms", "--json")
-	if code != 0 || !strings.Contains(out, `"requests": 0`) || !strings.Contains(complaints, "serves Diameter at 127.0.0.1:") {
-		t.Errorf("%d: %s%s", code, out, complaints)
+	code, out, errOut := call(t, "", "diameter", "serve", "--listen", "127.0.0.1:0", "--for", "10ms", "--json")
+	if code != 0 || !strings.Contains(out, `"requests": 0`) || !strings.Contains(errOut, "serves Diameter at 127.0.0.1:") {
+		t.Errorf("%d: %s%s", code, out, errOut)
 	}
 	for want, args := range map[string][]string{
 		"--busy":   {"--busy", "1.5"},
 		"more":     {"--busy", "0.6", "--silent", "0.6"},
 		"loopback": {"--listen", "192.0.2.1:3868"},
 	} {
-		if code, _, complaints := call(t, "", append([]string{"diameter", "serve"}, args...)...); code != 1 || !strings.Contains(complaints, want) {
-			t.Errorf("%v: %d %s", args, code, complaints)
+		if code, _, errOut := call(t, "", append([]string{"diameter", "serve"}, args...)...); code != 1 || !strings.Contains(errOut, want) {
+			t.Errorf("%v: %d %s", args, code, errOut)
 		}
 	}
-	if code, _, complaints := call(t, "", "diameter", "send", "--target", "192.0.2.1:3868"); code != 1 || !strings.Contains(complaints, "loopback") {
-		t.Errorf("%d %s", code, complaints)
+	if code, _, errOut := call(t, "", "diameter", "send", "--target", "192.0.2.1:3868"); code != 1 || !strings.Contains(errOut, "loopback") {
+		t.Errorf("%d %s", code, errOut)
 	}
 }
--- a/cmd/lemonctl/diameterpeers.go
+++ b/cmd/lemonctl/diameterpeers.go
@@ -16,31 +16,33 @@
 	"lemonrail/internal/standin"
 )
 
+// diameterSendCmd sends Diameter requests from several clients and reports the answers.
 type diameterSendCmd struct {
 	Target      netip.AddrPort `required:"" placeholder:"ADDR" help:"Loopback address and port of a relay or a server."`
-	Identity    string         `default:"client%d.example.net" help:"Of the clients; %%d is each one's number."`
+	Identity    string         `default:"client%d.example.net" help:"Origin-Host of the clients; %%d stands for the client's number."`
 	Realm       string         `default:"example.net" help:"Destination-Realm."`
-	Host        string         `help:"Destination-Host: the server that alone is to answer."`
-	Application uint32         `default:"4" help:"Of the requests: 4 is credit control."`
-	Command     uint32         `default:"272" help:"Of the requests: 272 is Credit-Control."`
+	Host        string         `help:"Destination-Host, the only server that may answer; any server if omitted."`
+	Application uint32         `default:"4" help:"Application id of the requests; 4 is credit control."`
+	Command     uint32         `default:"272" help:"Command code of the requests; 272 is Credit-Control."`
 	Type        uint32         `default:"4" help:"CC-Request-Type; 0 leaves it out."`
 	Action      int64          `default:"2" help:"Requested-Action; -1 leaves it out."`
-	Clients     int            `default:"1" help:"Connections."`
-	Each        int            `default:"1" help:"Requests of each client."`
-	Out         int            `default:"8" help:"Of these, at a time."`
-	Patience    time.Duration  `default:"5s" help:"For an answer, before a request is sent again or given up."`
-	Resends     int            `default:"0" help:"Of a request that has no answer, under the T flag."`
-	Heed        bool           `help:"Announce that reports of overload are taken."`
+	Clients     int            `default:"1" help:"Number of clients, one connection each."`
+	Each        int            `default:"1" help:"Number of requests that each client sends."`
+	Out         int            `default:"8" help:"Maximum number of outstanding requests of each client."`
+	Patience    time.Duration  `default:"5s" help:"Time to wait for an answer before a request is retransmitted or given up."`
+	Resends     int            `default:"0" help:"Maximum number of retransmissions of an unanswered request, sent with the T flag."`
+	Heed        bool           `help:"Announce support for overload reports (RFC 7683); they are counted, not acted on."`
 	JSON        bool           `name:"json" help:"Print one JSON object."`
 }
 
+// Run sends the requests and prints a report. It returns an error if the relay broke a rule.
 func (c *diameterSendCmd) Run(ctx context.Context, s streams) error {
 	if !c.Target.Addr().IsLoopback() {
 		return fmt.Errorf("target %v: requests go to loopback addresses only", c.Target)
 	}
 	r, err := exercise.Run(ctx, exercise.Config{Target: c.Target.String(), Identity: c.Identity, Realm: c.Realm, Host: c.Host,
 		Application: c.Application, Command: c.Command, Type: c.Type, Action: c.Action, Clients: c.Clients, Each: c.Each, Out: c.Out,
-		Patience: c.Patience, Resends: c.Resends, Heed: c.Heed}, func(ended, all int) { fmt.Fprintf(s.err, "%d of %d requests have ended\n", ended, all) })
+		Patience: c.Patience, Resends: c.Resends, Heed: c.Heed}, func(done, all int) { fmt.Fprintf(s.err, "%d of %d requests done\n", done, all) })
 	if r == nil {
 		return err
 	}
@@ -48,7 +50,7 @@
 		if err := printJSON(s.out, r); err != nil {
 			return err
 		}
-		return broken(r)
+		return checkAnswers(r)
 	}
 	fmt.Fprintf(s.out, "%d requests of %d clients in %.2f s: %d answered, %d not; %d sent again\n", r.Requests, c.Clients, r.Seconds, r.Answered, r.Unanswered, r.Resent)
 	codes := make([]uint32, 0, len(r.Results))
@@ -63,47 +65,50 @@
 	if r.Overload > 0 {
 		fmt.Fprintf(s.out, "%d answers came with a report of overload\n", r.Overload)
 	}
-	return broken(r)
+	return checkAnswers(r)
 }
 
-// broken says what no relay may do.
-func broken(r *exercise.Report) error {
+// checkAnswers returns an error if the clients received answers that no correct relay sends: a second answer to a
+// request, or an answer to a request that was not sent.
+func checkAnswers(r *exercise.Report) error {
 	if r.Twice > 0 || r.Strangers > 0 {
-		return fmt.Errorf("%d requests were answered once more, %d answers were to none: %w", r.Twice, r.Strangers, errBroken)
+		return fmt.Errorf("%d extra answers to requests already answered, %d answers to no request: %w", r.Twice, r.Strangers, errRuleViolated)
 	}
 	return nil
 }
 
+// diameterServeCmd runs a Diameter server that injects faults.
 type diameterServeCmd struct {
 	Listen   netip.AddrPort `default:"127.0.0.1:3869" help:"Loopback address and port."`
 	Identity string         `default:"server1.example.net" help:"Origin-Host."`
 	Result   uint32         `default:"2001" help:"Result-Code of the answers."`
-	Delay    time.Duration  `help:"Before each answer."`
-	Busy     float64        `help:"Share of requests that are answered 3004 (too busy)."`
-	Silent   float64        `help:"Share of requests that are not answered."`
-	Broken   float64        `help:"Share of requests at which the connection ends."`
-	Seed     uint64         `default:"1" help:"Of what becomes of which request."`
-	For      time.Duration  `placeholder:"TIME" help:"End after so long; else at SIGINT."`
+	Delay    time.Duration  `help:"Delay before each answer."`
+	Busy     float64        `help:"Share of requests that are answered with 3004 (too busy)."`
+	Silent   float64        `help:"Share of requests that get no answer."`
+	Broken   float64        `help:"Share of requests on which the server closes the connection."`
+	Seed     uint64         `default:"1" help:"Random seed for the choice of the requests that get a fault."`
+	For      time.Duration  `placeholder:"TIME" help:"Stop after this time; at SIGINT if omitted."`
 	JSON     bool           `name:"json" help:"Print one JSON object at the end."`
 }
 
-// served is what a server has seen.
-type served struct {
+// serveCounts counts the requests that a server received, by what it did with them.
+type serveCounts struct {
 	Requests      int64 `json:"requests"`
-	Retransmitted int64 `json:"retransmitted"` // under the T flag
+	Retransmitted int64 `json:"retransmitted"` // received with the T flag
 	Busy          int64 `json:"busy"`
 	Silent        int64 `json:"silent"`
 	Broken        int64 `json:"broken"`
 }
 
+// Run serves until ctx is done or --for has passed, then prints the counts.
 func (c *diameterServeCmd) Run(ctx context.Context, s streams) error {
 	for name, v := range map[string]float64{"busy": c.Busy, "silent": c.Silent, "broken": c.Broken} {
 		if v < 0 || v > 1 {
-			return fmt.Errorf("--%s: %v is no share", name, v)
+			return fmt.Errorf("--%s: %v is not within 0 and 1", name, v)
 		}
 	}
 	if c.Busy+c.Silent+c.Broken > 1 {
-		return fmt.Errorf("--busy, --silent and --broken: %v is more than all", c.Busy+c.Silent+c.Broken)
+		return fmt.Errorf("--busy, --silent and --broken: their sum %v is more than 1", c.Busy+c.Silent+c.Broken)
 	}
 	if !c.Listen.Addr().IsLoopback() {
 		return fmt.Errorf("listen %v: loopback addresses only", c.Listen)
@@ -112,27 +117,27 @@
 	if err != nil {
 		return err
 	}
-	var seen struct{ requests, again, busy, silent, broken atomic.Int64 }
+	var counters struct{ requests, retransmitted, busy, silent, broken atomic.Int64 }
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(c.Seed, 0))
 	node := standin.NewDiameterNodeOn(ln, c.Identity, func(conn *standin.DiameterConn, m *diameter.Message) {
-		seen.requests.Add(1)
+		counters.requests.Add(1)
 		if m.Flags&diameter.FlagRetransmitted != 0 {
-			seen.again.Add(1)
+			counters.retransmitted.Add(1)
 		}
 		mu.Lock()
-		at := rng.Float64()
+		draw := rng.Float64()
 		mu.Unlock()
 		switch {
-		case at < c.Busy:
-			seen.busy.Add(1)
+		case draw < c.Busy:
+			counters.busy.Add(1)
 			conn.Answer(m, diameter.TooBusy)
-		case at < c.Busy+c.Silent:
-			seen.silent.Add(1)
-		case at < c.Busy+c.Silent+c.Broken:
-			seen.broken.Add(1)
+		case draw < c.Busy+c.Silent:
+			counters.silent.Add(1)
+		case draw < c.Busy+c.Silent+c.Broken:
+			counters.broken.Add(1)
 			conn.Close()
-		case c.Delay > 0: // others are not held up
+		case c.Delay > 0: // delays only this answer: the handler returns at once
 			time.AfterFunc(c.Delay, func() { conn.Answer(m, c.Result) })
 		default:
 			conn.Answer(m, c.Result)
@@ -140,13 +145,13 @@
 	})
 	fmt.Fprintf(s.err, "%s serves Diameter at %s\n", c.Identity, node.Addr())
 	if c.For > 0 {
-		var end context.CancelFunc
-		ctx, end = context.WithTimeout(ctx, c.For)
-		defer end()
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, c.For)
+		defer cancel()
 	}
 	<-ctx.Done()
 	node.Stop()
-	r := served{seen.requests.Load(), seen.again.Load(), seen.busy.Load(), seen.silent.Load(), seen.broken.Load()}
+	r := serveCounts{counters.requests.Load(), counters.retransmitted.Load(), counters.busy.Load(), counters.silent.Load(), counters.broken.Load()}
 	if c.JSON {
 		return printJSON(s.out, r)
 	}
--- a/cmd/lemonctl/duties.go
+++ b/cmd/lemonctl/duties.go
@@ -16,31 +16,33 @@
 	"lemonrail/internal/duty/seat"
 )
 
+// dutiesShowCmd prints the holders of the duties and the state of the voters.
 type dutiesShowCmd struct {
 	Agents []string `arg:"" name:"agents" help:"Control addresses of agents, HOST:PORT."`
 	JSON   bool     `name:"json" help:"Print one JSON object."`
 }
 
-// dutiesLook is what all agents said.
-type dutiesLook struct {
+// dutiesSnapshot holds the reports of all agents on the duties.
+type dutiesSnapshot struct {
 	At     time.Time               `json:"at"`
-	Agents map[string]*seat.Report `json:"agents"` // by control address
-	Silent map[string]string       `json:"silent,omitempty"`
+	Agents map[string]*seat.Report `json:"agents"`           // by control address
+	Silent map[string]string       `json:"silent,omitempty"` // errors of failed calls, by control address
 }
 
-func lookAtDuties(ctx context.Context, agents []string) *dutiesLook {
-	l := &dutiesLook{At: time.Now()}
-	l.Agents, l.Silent = askAll[seat.Report](ctx, agents, "/api/duties", "it holds no duties (started without -duties)")
+func fetchDuties(ctx context.Context, agents []string) *dutiesSnapshot {
+	l := &dutiesSnapshot{At: time.Now()}
+	l.Agents, l.Silent = fetchAll[seat.Report](ctx, agents, "/api/duties", "it holds no duties (started without -duties)")
 	return l
 }
 
+// Run prints the reports and returns an error if no agent answered.
 func (c *dutiesShowCmd) Run(ctx context.Context, s streams) error {
-	l := lookAtDuties(ctx, c.Agents)
+	l := fetchDuties(ctx, c.Agents)
 	if c.JSON {
 		if err := printJSON(s.out, l); err != nil {
 			return err
 		}
-	} else if err := l.text(s.out); err != nil {
+	} else if err := l.printText(s.out); err != nil {
 		return err
 	}
 	if len(l.Agents) == 0 {
@@ -49,17 +51,18 @@
 	return nil
 }
 
-func (l *dutiesLook) text(w io.Writer) error {
+func (l *dutiesSnapshot) printText(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	// What most agents hold: who knows the highest epoch knows best.
-	latest, claims := map[string]seat.Row{}, map[string][]string{}
-	for _, d := range slices.Sorted(maps.Keys(l.Agents)) {
-		for _, row := range l.Agents[d].Duties {
-			if was, known := latest[row.Duty]; !known || row.Epoch > was.Epoch || row.Epoch == was.Epoch && row.Acts > was.Acts {
+	// Agents may lag behind: of each duty, the row with the highest epoch is shown, and within an epoch the one with
+	// the most acts.
+	latest, agentStages := map[string]seat.Row{}, map[string][]string{}
+	for _, address := range slices.Sorted(maps.Keys(l.Agents)) {
+		for _, row := range l.Agents[address].Duties {
+			if previous, known := latest[row.Duty]; !known || row.Epoch > previous.Epoch || row.Epoch == previous.Epoch && row.Acts > previous.Acts {
 				latest[row.Duty] = row
 			}
 			if row.Mine != "idle" {
-				claims[row.Duty] = append(claims[row.Duty], fmt.Sprintf("%s %s", l.Agents[d].Agent, row.Mine))
+				agentStages[row.Duty] = append(agentStages[row.Duty], fmt.Sprintf("%s %s", l.Agents[address].Agent, row.Mine))
 			}
 		}
 	}
@@ -77,59 +80,64 @@
 		if len(state) > 60 {
 			state = state[:60] + "..."
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.1f s\t%s\t%s\t%s\n", name, holder, row.Epoch, row.Acts, float64(row.LeaseMs)/1000, next, strings.Join(claims[name], ", "), state)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.1f s\t%s\t%s\t%s\n", name, holder, row.Epoch, row.Acts, float64(row.LeaseMs)/1000, next, strings.Join(agentStages[name], ", "), state)
 	}
 	fmt.Fprintln(t, "\nseat\tvotes\tleads\tbegan by\twhy\tidentity\tbytes written\tgarbled frames")
-	for _, d := range slices.Sorted(maps.Keys(l.Agents)) {
-		if x := l.Agents[d].Seat; x != nil {
-			fmt.Fprintf(t, "%s\t%v\t%v\t%s\t%s\t%s\t%d\t%d\n", x.Name, x.Votes, x.Leads, x.Start, x.Why, x.Identity, x.Written, x.Garbled)
+	for _, address := range slices.Sorted(maps.Keys(l.Agents)) {
+		if voter := l.Agents[address].Seat; voter != nil {
+			fmt.Fprintf(t, "%s\t%v\t%v\t%s\t%s\t%s\t%d\t%d\n", voter.Name, voter.Votes, voter.Leads, voter.Start, voter.Why, voter.Identity, voter.Written, voter.Garbled)
 		}
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, d := range slices.Sorted(maps.Keys(l.Silent)) {
-		if _, err := fmt.Fprintf(w, "%s: %s\n", d, l.Silent[d]); err != nil {
+	for _, address := range slices.Sorted(maps.Keys(l.Silent)) {
+		if _, err := fmt.Fprintf(w, "%s: %s\n", address, l.Silent[address]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// dutiesHandOnCmd names the agent that takes a duty over.
 type dutiesHandOnCmd struct {
 	Agent string `arg:"" help:"Any agent's control address, HOST:PORT."`
 	Duty  string `arg:""`
-	To    string `arg:"" help:"Agent that is to take it over."`
+	To    string `arg:"" help:"Name of the agent that takes the duty over."`
 }
 
+// Run sends the request to the given agent, which need not be the holder.
 func (c *dutiesHandOnCmd) Run(ctx context.Context, s streams) error {
 	return putAgent(ctx, s, c.Agent, "/api/duties/"+c.Duty+"/hand-on/"+c.To)
 }
 
+// dutiesReleaseCmd makes the holder of a duty release it.
 type dutiesReleaseCmd struct {
 	Duty   string   `arg:""`
-	Agents []string `arg:"" name:"agents" help:"Control addresses of agents, HOST:PORT, among which is its holder's."`
+	Agents []string `arg:"" name:"agents" help:"Control addresses of agents, HOST:PORT; the holder of the duty must be one of them."`
 }
 
+// Run finds the holder among the agents and sends the request to it.
 func (c *dutiesReleaseCmd) Run(ctx context.Context, s streams) error {
-	l := lookAtDuties(ctx, c.Agents)
-	for d, r := range l.Agents {
+	l := fetchDuties(ctx, c.Agents)
+	for address, r := range l.Agents {
 		for _, row := range r.Duties {
 			if row.Duty == c.Duty && row.Mine == "holding" {
-				return putAgent(ctx, s, d, "/api/duties/"+c.Duty+"/release")
+				return putAgent(ctx, s, address, "/api/duties/"+c.Duty+"/release")
 			}
 		}
 	}
 	return fmt.Errorf("none of these agents holds %s", c.Duty)
 }
 
-// putAgent makes a call that changes something.
+// putAgent sends a PUT without a body to an agent's control address and prints the answer. A status other than 2xx
+// is an error.
 func putAgent(ctx context.Context, s streams, address, path string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+address+path, nil)
 	if err != nil {
 		return err
 	}
-	client := &http.Client{Timeout: askLimit, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(req)
 	if err != nil {
 		return err
@@ -146,13 +154,14 @@
 	return err
 }
 
-// keeperNotes prints what the holder of the duty notes has written down.
-func keeperNotes(ctx context.Context, s streams, agents []string) error {
-	l := lookAtDuties(ctx, agents)
+// printFleetNotes prints the state of the duty "notes" as recorded by its holder, in the newest version that any of
+// the agents knows.
+func printFleetNotes(ctx context.Context, s streams, agents []string) error {
+	l := fetchDuties(ctx, agents)
 	var best *seat.Row
-	for _, d := range slices.Sorted(maps.Keys(l.Agents)) {
-		for i := range l.Agents[d].Duties {
-			row := &l.Agents[d].Duties[i]
+	for _, address := range slices.Sorted(maps.Keys(l.Agents)) {
+		for i := range l.Agents[address].Duties {
+			row := &l.Agents[address].Duties[i]
 			if row.Duty == seat.NotesDuty && (best == nil || row.Epoch > best.Epoch || row.Epoch == best.Epoch && row.Acts > best.Acts) {
 				best = row
 			}
@@ -162,11 +171,11 @@
 	case len(l.Agents) == 0:
 		return errors.New("no agent answered")
 	case best == nil || best.State == "":
-		return errors.New("nobody has kept notes yet")
+		return errors.New("no notes have been recorded yet")
 	}
 	var notes any
 	if err := json.Unmarshal([]byte(best.State), &notes); err != nil {
-		return fmt.Errorf("the notes can't be read: %w", err)
+		return fmt.Errorf("decoding the notes: %w", err)
 	}
 	return printJSON(s.out, map[string]any{"holder": best.Holder, "epoch": best.Epoch, "notes": notes})
 }
--- a/cmd/lemonctl/fleet.go
+++ b/cmd/lemonctl/fleet.go
@@ -9,13 +9,15 @@
 	"lemonrail/internal/explain"
 )
 
+// fleetLogCmd aggregates the notes and logs of all agents of a fleet.
 type fleetLogCmd struct {
-	Paths []string `arg:"" name:"path" help:"Directories with agents' logs (*.log) or files of notes (lemonrail -explain); - for standard input."`
+	Paths []string `arg:"" name:"path" help:"Directories with the agents' logs (*.log), or files of notes (lemonrail -explain); - for standard input."`
 	noteFlags
 }
 
+// Run reads all files, with progress on standard error if there are many, and prints the report.
 func (c *fleetLogCmd) Run(s streams) error {
-	if err := c.check(); err != nil {
+	if err := c.checkWindow(); err != nil {
 		return err
 	}
 	var files []string
@@ -23,7 +25,7 @@
 		if info, err := os.Stat(path); path != "-" && err == nil && info.IsDir() {
 			found, err := filepath.Glob(filepath.Join(path, "*.log"))
 			if err != nil || len(found) == 0 {
-				return fmt.Errorf("%s: no *.log in it", path)
+				return fmt.Errorf("%s: contains no *.log files", path)
 			}
 			files = append(files, found...)
 			continue
@@ -32,7 +34,7 @@
 	}
 	fleet := explain.NewFleet(c.Window)
 	for i, name := range files {
-		if err := readInto(fleet.Read, name, s.in); err != nil {
+		if err := readFile(fleet.Read, name, s.in); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 		if len(files) > 20 && (i+1)%20 == 0 {
@@ -43,8 +45,8 @@
 	return c.print(s, r, "The fleet", r.Agents, r.Others)
 }
 
-// readInto has a file read, or standard input for -.
-func readInto(read func(io.Reader) error, name string, in io.Reader) error {
+// readFile passes the named file to read, or in if name is "-".
+func readFile(read func(io.Reader) error, name string, in io.Reader) error {
 	if name == "-" {
 		return read(in)
 	}
--- a/cmd/lemonctl/limits_test.go
+++ b/cmd/lemonctl/limits_test.go
@@ -9,22 +9,22 @@
 	"testing"
 )
 
-const someNotes = `time=2026-07-14T04:30:00Z level=INFO msg=serving
+const sampleNotes = `time=2026-07-14T04:30:00Z level=INFO msg=serving
 {"agent":"n0","at_ms":1000,"note":"state","part":10,"in_flight":10,"up":8,"used":8,"capacity":8,"delay":0.5,"aimed":0.4}
 {"agent":"n0","at_ms":1500,"note":"refused","why":"too-late","class":"point-read","waited_ms":40,"left_ms":200}
 {"agent":"n0","at_ms":2500,"note":"cut"}
 `
 
-func TestLimitsTellsWhatNotesSay(t *testing.T) {
+func TestLimitsReportsRefusalsFromNotes(t *testing.T) {
 	page := filepath.Join(t.TempDir(), "page.html")
-	code, out, complaints := call(t, someNotes, "limits", "--html", page, "-")
+	code, out, errOut := call(t, sampleNotes, "limits", "--html", page, "-")
 	if code != 0 || !strings.Contains(out, "100 % of what was refused: the limit") || !strings.Contains(out, "1 lines were no notes") {
-		t.Errorf("%d: %s%s", code, out, complaints)
+		t.Errorf("%d: %s%s", code, out, errOut)
 	}
 	if raw, err := os.ReadFile(page); err != nil || !strings.Contains(string(raw), "<svg") || strings.Contains(string(raw), "http://") {
 		t.Errorf("the page: %v", err)
 	}
-	code, out, complaints = call(t, someNotes, "limits", "--json", "-")
+	code, out, errOut = call(t, sampleNotes, "limits", "--json", "-")
 	var got struct {
 		Agents []struct {
 			Groups  []struct{ Count int }
@@ -32,17 +32,17 @@
 		}
 	}
 	if err := json.Unmarshal([]byte(out), &got); code != 0 || err != nil || len(got.Agents) != 1 || got.Agents[0].Groups[0].Count != 1 || got.Agents[0].Windows[1].Cuts != 1 {
-		t.Errorf("%d %v: %s%s", code, err, out, complaints)
+		t.Errorf("%d %v: %s%s", code, err, out, errOut)
 	}
 }
 
 func TestTrialListNamesDays(t *testing.T) {
-	if code, out, complaints := call(t, "", "trial", "list"); code != 0 || !strings.Contains(out, "third-gone") {
-		t.Errorf("%d: %s%s", code, out, complaints)
+	if code, out, errOut := call(t, "", "trial", "list"); code != 0 || !strings.Contains(out, "third-gone") {
+		t.Errorf("%d: %s%s", code, out, errOut)
 	}
 }
 
-// The three ways are measured against each other with processes that are gone afterwards.
+// TestOverheadComparesThreeWays measures direct requests, the bare proxy and the agent with real processes.
 func TestOverheadComparesThreeWays(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"lemonrail", "lemonctl"} {
--- a/cmd/lemonctl/load.go
+++ b/cmd/lemonctl/load.go
@@ -13,19 +13,19 @@
 	"lemonrail/internal/load"
 )
 
-// sourceFlags say what is read and how.
+// sourceFlags are the flags that select the recordings to read and their format.
 type sourceFlags struct {
-	Files   []string          `arg:"" name:"file" help:"HAR files and access logs, plain or compressed by gzip or zstd; - for standard input. Several are merged by time."`
-	Format  string            `enum:"auto,har,json,common,combined,vhost_combined,custom" default:"auto" help:"What the files hold (${enum}); auto tells by their first bytes."`
+	Files   []string          `arg:"" name:"file" help:"HAR files and access logs, plain or compressed with gzip or zstd; - for standard input. Several files are merged by time."`
+	Format  string            `enum:"auto,har,json,common,combined,vhost_combined,custom" default:"auto" help:"Format of the files (${enum}); auto detects it from their first bytes."`
 	Nginx   []string          `sep:"none" placeholder:"FORMAT" help:"An nginx log_format string or directive, tried first."`
 	Apache  []string          `sep:"none" placeholder:"FORMAT" help:"An Apache LogFormat string or directive, tried first."`
-	Member  map[string]string `placeholder:"WHAT=NAME" help:"Which member of a JSON line holds what: time, client, method, target, query, host, status, request or body."`
-	Map     string            `placeholder:"FILE" help:"TOML rules by which entries become requests; see load rules."`
-	Reorder time.Duration     `default:"5s" help:"How much too late entries may stand in a file."`
-	MaxGap  time.Duration     `placeholder:"TIME" help:"Shorten longer silences to this."`
+	Member  map[string]string `placeholder:"WHAT=NAME" help:"Name of the member of a JSON line that holds the time, client, method, target, query, host, status, request or body."`
+	Map     string            `placeholder:"FILE" help:"TOML file with the rules that map entries to requests; see load rules."`
+	Reorder time.Duration     `default:"5s" help:"Maximum time by which an entry may be out of order in a file."`
+	MaxGap  time.Duration     `placeholder:"TIME" help:"Shorten gaps between requests that are longer than this."`
 }
 
-// plan opens the files.
+// plan opens the files as one sequence of requests. The caller closes it.
 func (f *sourceFlags) plan(s streams) (*load.Plan, error) {
 	mapping := load.DefaultMapping()
 	if f.Map != "" {
@@ -44,25 +44,27 @@
 		load.OrderOptions{Window: f.Reorder, MaxGap: f.MaxGap}, mapping)
 }
 
+// inspectCmd summarises recordings without playing them.
 type inspectCmd struct {
 	sourceFlags
 	Window float64 `default:"10" help:"Length of a window in seconds."`
 	JSON   bool    `name:"json" help:"Print one JSON object."`
 }
 
+// Run reads the recordings, with progress on standard error if this takes longer than 2 s, and prints the summary.
 func (c *inspectCmd) Run(ctx context.Context, s streams) error {
 	if !(c.Window >= 0.001) || c.Window > 1e6 {
-		return fmt.Errorf("--window: %v makes no sense", c.Window)
+		return fmt.Errorf("--window: %v seconds is not within 0.001 and 1000000", c.Window)
 	}
 	p, err := c.plan(s)
 	if err != nil {
 		return err
 	}
 	defer p.Close()
-	begun := time.Now()
+	start := time.Now()
 	in, err := load.Inspect(p, time.Duration(c.Window*float64(time.Second)), func(n int64) error {
-		if time.Since(begun) > 2*time.Second {
-			fmt.Fprintf(s.err, "\r%d requests, %.0f a second ", n, float64(n)/time.Since(begun).Seconds())
+		if time.Since(start) > 2*time.Second {
+			fmt.Fprintf(s.err, "\r%d requests, %.0f a second ", n, float64(n)/time.Since(start).Seconds())
 		}
 		return ctx.Err()
 	})
@@ -75,33 +77,36 @@
 	return in.Text(s.out)
 }
 
+// playCmd plays recordings against agents.
 type playCmd struct {
 	sourceFlags
-	Target   []string      `required:"" placeholder:"ADDR" help:"Loopback address and port of an agent; several share the load."`
-	Speed    float64       `default:"1" help:"How many times faster than recorded."`
-	Loop     int           `default:"1" help:"Play so many times over."`
-	Limit    int64         `placeholder:"N" help:"Play no more requests than this."`
-	For      time.Duration `placeholder:"TIME" help:"End after so long."`
-	InFlight int           `default:"4096" help:"Requests at a time at the most; what is beyond counts as unsent."`
-	Seed     uint64        `default:"1" help:"Of the correlation ids."`
+	Target   []string      `required:"" placeholder:"ADDR" help:"Loopback address and port of an agent; several agents share the load."`
+	Speed    float64       `default:"1" help:"Playback speed as a multiple of the recorded speed."`
+	Loop     int           `default:"1" help:"Number of times that the recording is played."`
+	Limit    int64         `placeholder:"N" help:"Maximum number of requests to play."`
+	For      time.Duration `placeholder:"TIME" help:"Stop after this time."`
+	InFlight int           `default:"4096" help:"Maximum number of requests in flight; requests above it count as unsent."`
+	Seed     uint64        `default:"1" help:"Random seed of the correlation ids."`
 	Marks    bool          `help:"Mark repeats with X-Repeat: 1."`
 	reportFlags
 }
 
-// reportFlags say what becomes of a report.
+// reportFlags are the flags that select the format of a load report.
 type reportFlags struct {
 	Window float64 `default:"10" help:"Length of the report's windows in seconds."`
 	JSON   bool    `name:"json" help:"Print one JSON object."`
-	HTML   string  `name:"html" placeholder:"FILE" help:"Write the report as one page with plots."`
+	HTML   string  `name:"html" placeholder:"FILE" help:"Write the report as one HTML page with plots."`
 }
 
+// window returns the length of the report's windows, or an error if it is out of range.
 func (f *reportFlags) window() (time.Duration, error) {
 	if !(f.Window >= 0.01) || f.Window > 1e6 {
-		return 0, fmt.Errorf("--window: %v makes no sense", f.Window)
+		return 0, fmt.Errorf("--window: %v seconds is not within 0.01 and 1000000", f.Window)
 	}
 	return time.Duration(f.Window * float64(time.Second)), nil
 }
 
+// write writes the report in the formats that the flags select.
 func (f *reportFlags) write(s streams, r *load.Report, title string) error {
 	if f.HTML != "" {
 		if err := writeFile(f.HTML, func(w io.Writer) error { return r.HTML(w, title) }); err != nil {
@@ -114,8 +119,10 @@
 	return r.Text(s.out)
 }
 
-// looped yields a plan's requests so many times over, each round behind the one before.
-func looped(times int, open func() (*load.Plan, error)) (next func() (*load.Request, error), closing func() error, last func() *load.Plan) {
+// loopPlans plays a plan several times: next returns the requests of one round after the other, with their times
+// shifted behind the previous round. It opens the plan anew for each round. closePlan closes the open plan, and
+// currentPlan returns it (nil: none).
+func loopPlans(rounds int, open func() (*load.Plan, error)) (next func() (*load.Request, error), closePlan func() error, currentPlan func() *load.Plan) {
 	var p *load.Plan
 	var shift, end time.Duration
 	round, n := 0, 0
@@ -128,9 +135,9 @@
 					}
 				}
 				q, err := p.Next()
-				if errors.Is(err, io.EOF) && round+1 < times && n > 0 {
+				if errors.Is(err, io.EOF) && round+1 < rounds && n > 0 {
 					round++
-					// The gap between two rounds is the mean one.
+					// The gap between two rounds is the mean gap between the requests of a round.
 					shift, n = end+(end-shift)/time.Duration(max(n-1, 1)), 0
 					if err := p.Close(); err != nil {
 						return nil, err
@@ -154,7 +161,7 @@
 		}, func() *load.Plan { return p }
 }
 
-// sourceReport tells what reading came to.
+// sourceReport returns the counts of the entries that p has read from files; nil if p is nil.
 func sourceReport(files []string, p *load.Plan) *load.SourceReport {
 	if p == nil {
 		return nil
@@ -162,6 +169,7 @@
 	return &load.SourceReport{Files: files, Read: p.Counts.Read, Unmatched: p.Mapper.Unmatched, Skipped: p.Counts.Skipped, Notes: p.Counts.Notes, Examples: p.Counts.First}
 }
 
+// Run plays the recordings and prints a report, also of a run that was interrupted.
 func (c *playCmd) Run(ctx context.Context, s streams) error {
 	window, err := c.window()
 	if err != nil {
@@ -176,44 +184,44 @@
 		o.Targets = append(o.Targets, a)
 	}
 	if c.Loop < 1 || c.Loop > 1 && len(c.Files) == 1 && c.Files[0] == "-" {
-		return errors.New("--loop: at least 1, and standard input can be played once only")
+		return errors.New("--loop: must be at least 1, and exactly 1 for standard input")
 	}
-	next, closing, last := looped(c.Loop, func() (*load.Plan, error) { return c.plan(s) })
+	next, closePlan, currentPlan := loopPlans(c.Loop, func() (*load.Plan, error) { return c.plan(s) })
 	rec := load.NewRecorder(window)
-	show := newProgress(s.err)
+	progress := newProgress(s.err)
 	o.Done = func(x *load.Sample) {
 		rec.Add(x)
-		show.add(x)
+		progress.add(x)
 	}
 	tot, err := load.Play(ctx, next, o)
-	show.end()
+	progress.end()
 	r := rec.Report(tot)
-	r.Source = sourceReport(c.Files, last())
-	return errors.Join(err, closing(), c.write(s, r, "Load played"))
+	r.Source = sourceReport(c.Files, currentPlan())
+	return errors.Join(err, closePlan(), c.write(s, r, "Load played"))
 }
 
-// progress says once a second how a play goes on.
+// progress prints a line about a running play once a second.
 type progress struct {
-	w           io.Writer
-	begun, said time.Time
-	n, bad      int64
-	printed     bool
+	w                    io.Writer
+	startedAt, printedAt time.Time
+	requests, notServed  int64
+	printed              bool
 }
 
 func newProgress(w io.Writer) *progress {
 	now := time.Now()
-	return &progress{w: w, begun: now, said: now}
+	return &progress{w: w, startedAt: now, printedAt: now}
 }
 
 func (p *progress) add(s *load.Sample) {
-	p.n++
+	p.requests++
 	if s.Outcome != load.Served {
-		p.bad++
+		p.notServed++
 	}
-	if time.Since(p.said) >= time.Second {
-		p.said = time.Now()
+	if time.Since(p.printedAt) >= time.Second {
+		p.printedAt = time.Now()
 		p.printed = true
-		fmt.Fprintf(p.w, "\r%6.0f s  %d requests, %d not served ", time.Since(p.begun).Seconds(), p.n, p.bad)
+		fmt.Fprintf(p.w, "\r%6.0f s  %d requests, %d not served ", time.Since(p.startedAt).Seconds(), p.requests, p.notServed)
 	}
 }
 
@@ -223,36 +231,40 @@
 	}
 }
 
+// generateCmd writes a generated log.
 type generateCmd struct {
-	Shape   string  `enum:"steady,bursty,monsoon" default:"steady" help:"How the rate goes (${enum})."`
-	Format  string  `enum:"combined,json,har" default:"combined" help:"What is written (${enum})."`
+	Shape   string  `enum:"steady,bursty,monsoon" default:"steady" help:"Shape of the request rate over time (${enum})."`
+	Format  string  `enum:"combined,json,har" default:"combined" help:"Format of the log (${enum})."`
 	Rate    float64 `default:"50" help:"Requests a second."`
-	Seconds float64 `default:"60" help:"How long it lasts."`
-	Repeats float64 `default:"0.03" help:"Share of requests that are sent once more."`
+	Seconds float64 `default:"60" help:"Length of the log in seconds."`
+	Repeats float64 `default:"0.03" help:"Share of requests that clients repeat."`
 	Seed    uint64  `default:"1" help:"The same seed gives the same log."`
-	Out     string  `short:"o" placeholder:"FILE" help:"Where it goes; standard output if left out."`
+	Out     string  `short:"o" placeholder:"FILE" help:"Output file; standard output if omitted."`
 }
 
+// Run writes the log, and its totals to standard error.
 func (c *generateCmd) Run(s streams) error {
-	w, closing := s.out, func() error { return nil }
+	w, closeOutput := s.out, func() error { return nil }
 	if c.Out != "" {
 		f, err := os.Create(c.Out)
 		if err != nil {
 			return err
 		}
-		w, closing = f, f.Close
+		w, closeOutput = f, f.Close
 	}
 	buf := bufio.NewWriter(w)
 	g, err := load.Generate(buf, load.GenerateOptions{Shape: c.Shape, Format: c.Format, Rate: c.Rate, Seconds: c.Seconds, Repeats: c.Repeats, Seed: c.Seed})
-	if err := errors.Join(err, buf.Flush(), closing()); err != nil {
+	if err := errors.Join(err, buf.Flush(), closeOutput()); err != nil {
 		return err
 	}
 	fmt.Fprintf(s.err, "%d requests, %d of them repeats\n", g.Requests, g.Repeats)
 	return nil
 }
 
+// rulesCmd prints the default mapping rules.
 type rulesCmd struct{}
 
+// Run prints the rules as TOML.
 func (rulesCmd) Run(s streams) error {
 	_, err := io.WriteString(s.out, load.DefaultMappingText())
 	return err
--- a/cmd/lemonctl/main_test.go
+++ b/cmd/lemonctl/main_test.go
@@ -17,18 +17,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// call runs a command line.
-func call(t *testing.T, in string, args ...string) (code int, out, complaints string) {
+// call runs a command line with in as standard input, and returns the exit code, standard output and standard error.
+func call(t *testing.T, in string, args ...string) (code int, out, errOut string) {
 	t.Helper()
-	var o, e bytes.Buffer
-	code = run(context.Background(), args, streams{strings.NewReader(in), &o, &e})
-	return code, o.String(), e.String()
+	var stdout, stderr bytes.Buffer
+	code = run(context.Background(), args, streams{strings.NewReader(in), &stdout, &stderr})
+	return code, stdout.String(), stderr.String()
 }
 
 func TestInspect(t *testing.T) {
-	code, out, complaints := call(t, string(sampleLog)+"not a line\n10.0.0.1 - - [14/Jul/2026:04:30:07 +0000] \"GET /favicon.ico HTTP/1.1\" 404 0 \"-\" \"-\"\n", "load", "inspect", "--json", "--window", "5", "-")
+	code, out, errOut := call(t, string(sampleLog)+"not a line\n10.0.0.1 - - [14/Jul/2026:04:30:07 +0000] \"GET /favicon.ico HTTP/1.1\" 404 0 \"-\" \"-\"\n", "load", "inspect", "--json", "--window", "5", "-")
 	if code != 0 {
-		t.Fatal(complaints)
+		t.Fatal(errOut)
 	}
 	var got map[string]any
 	if err := json.Unmarshal([]byte(out), &got); err != nil {
@@ -70,9 +70,9 @@
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.Write([]byte("ok")) }))
 	defer s.Close()
 	page := filepath.Join(t.TempDir(), "page.html")
-	code, out, complaints := call(t, string(sampleLog), "load", "play", "--json", "--html", page, "--speed", "100", "--limit", "200", "--target", strings.TrimPrefix(s.URL, "http://"), "-")
+	code, out, errOut := call(t, string(sampleLog), "load", "play", "--json", "--html", page, "--speed", "100", "--limit", "200", "--target", strings.TrimPrefix(s.URL, "http://"), "-")
 	if code != 0 {
-		t.Fatal(complaints)
+		t.Fatal(errOut)
 	}
 	var got struct {
 		Requests int64
@@ -93,35 +93,35 @@
 		t.Fatal(err)
 	}
 	lines := int64(bytes.Count(sampleLog, []byte("\n")))
-	code, out, complaints = call(t, "", "load", "play", "--json", "--speed", "200", "--loop", "2", "--target", strings.TrimPrefix(s.URL, "http://"), file)
+	code, out, errOut = call(t, "", "load", "play", "--json", "--speed", "200", "--loop", "2", "--target", strings.TrimPrefix(s.URL, "http://"), file)
 	if err := json.Unmarshal([]byte(out), &got); code != 0 || err != nil || got.Requests != 2*lines {
-		t.Errorf("twice: %d requests of %d lines, %v %s", got.Requests, lines, err, complaints)
+		t.Errorf("twice: %d requests of %d lines, %v %s", got.Requests, lines, err, errOut)
 	}
 }
 
 func TestGenerate(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x.har")
-	if code, _, complaints := call(t, "", "load", "generate", "--format", "har", "--shape", "monsoon", "--rate", "20", "--seconds", "5", "-o", file); code != 0 {
-		t.Fatal(complaints)
+	if code, _, errOut := call(t, "", "load", "generate", "--format", "har", "--shape", "monsoon", "--rate", "20", "--seconds", "5", "-o", file); code != 0 {
+		t.Fatal(errOut)
 	}
-	if code, out, complaints := call(t, "", "load", "inspect", "--json", file); code != 0 || !strings.Contains(out, `"unmatched": 0`) {
-		t.Errorf("%s %s", out, complaints)
+	if code, out, errOut := call(t, "", "load", "inspect", "--json", file); code != 0 || !strings.Contains(out, `"unmatched": 0`) {
+		t.Errorf("%s %s", out, errOut)
 	}
 	_, rules, _ := call(t, "", "load", "rules")
 	own := filepath.Join(t.TempDir(), "rules.toml")
 	if err := os.WriteFile(own, []byte(rules), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, _, complaints := call(t, "", "load", "inspect", "--map", own, file); code != 0 {
-		t.Error(complaints)
+	if code, _, errOut := call(t, "", "load", "inspect", "--map", own, file); code != 0 {
+		t.Error(errOut)
 	}
 }
 
 func TestTry(t *testing.T) {
 	page := filepath.Join(t.TempDir(), "page.html")
-	code, out, complaints := call(t, "", "try", "--speed", "2", "--for", "4s", "--window", "2", "--html", page)
+	code, out, errOut := call(t, "", "try", "--speed", "2", "--for", "4s", "--window", "2", "--html", page)
 	if code != 0 || !strings.Contains(out, "rules held over") || !strings.Contains(out, "point-read") || !strings.Contains(out, "drain [gn-slow-1]") {
-		t.Errorf("ended with %d: %s%s", code, out, complaints)
+		t.Errorf("ended with %d: %s%s", code, out, errOut)
 	}
 	if raw, err := os.ReadFile(page); err != nil || !bytes.Contains(raw, []byte("rules held over")) {
 		t.Errorf("the page: %v", err)
@@ -130,9 +130,9 @@
 
 func TestSiteUp(t *testing.T) {
 	dir := t.TempDir()
-	code, out, complaints := call(t, "", "site", "up", "--dir", dir, "--for", "300ms")
+	code, out, errOut := call(t, "", "site", "up", "--dir", dir, "--for", "300ms")
 	if code != 0 || !strings.Contains(out, "LB_CONFIG="+filepath.Join(dir, "n1.json")) {
-		t.Errorf("ended with %d: %s%s", code, out, complaints)
+		t.Errorf("ended with %d: %s%s", code, out, errOut)
 	}
 	raw, err := os.ReadFile(filepath.Join(dir, "n0.json"))
 	if err != nil || !bytes.Contains(raw, []byte(`"listen": "127.0.0.1:9100"`)) {
@@ -140,17 +140,17 @@
 	}
 }
 
-func TestNamedMembers(t *testing.T) {
+func TestJSONMemberNames(t *testing.T) {
 	const line = `{"when":1784003400250,"who":"192.0.2.1","what":"GET /point-read?key=a HTTP/1.1"}` + "\n"
-	if code, out, complaints := call(t, line, "load", "inspect", "--json", "--member", "time=when", "--member", "client=who", "--member", "request=what", "-"); code != 0 || !strings.Contains(out, `"point-read": 1`) {
-		t.Errorf("%s %s", out, complaints)
+	if code, out, errOut := call(t, line, "load", "inspect", "--json", "--member", "time=when", "--member", "client=who", "--member", "request=what", "-"); code != 0 || !strings.Contains(out, `"point-read": 1`) {
+		t.Errorf("%s %s", out, errOut)
 	}
-	if code, _, complaints := call(t, line, "load", "inspect", "--member", "colour=red", "-"); code != 1 || !strings.Contains(complaints, "--member: colour=red") {
-		t.Errorf("ended with %d: %s", code, complaints)
+	if code, _, errOut := call(t, line, "load", "inspect", "--member", "colour=red", "-"); code != 1 || !strings.Contains(errOut, "--member: colour=red") {
+		t.Errorf("ended with %d: %s", code, errOut)
 	}
 }
 
-func TestWrongCalls(t *testing.T) {
+func TestInvalidCommandLines(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("[[rule]]\nclas = 'x'\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -179,9 +179,9 @@
 		{1, "a rate of", []string{"overhead", "--rates", "0"}},
 		{1, "loopback", []string{"bare-proxy", "127.0.0.1:0", "192.0.2.1:80"}},
 	} {
-		code, _, complaints := call(t, "", tt.args...)
-		if code != tt.code || !strings.Contains(complaints, tt.want) {
-			t.Errorf("%v: ended with %d: %s", tt.args, code, complaints)
+		code, _, errOut := call(t, "", tt.args...)
+		if code != tt.code || !strings.Contains(errOut, tt.want) {
+			t.Errorf("%v: ended with %d: %s", tt.args, code, errOut)
 		}
 	}
 	if code, out, _ := call(t, "", "--help"); code != 0 || !strings.Contains(out, "load") {
--- a/cmd/lemonctl/members.go
+++ b/cmd/lemonctl/members.go
@@ -14,103 +14,106 @@
 	"lemonrail/internal/member/link"
 )
 
-// askLimit is how long an agent may take: it answers within a second.
-const askLimit = 2 * time.Second
+// requestTimeout limits a call to a control address; an agent answers within a second.
+const requestTimeout = 2 * time.Second
 
-type membersCmd struct {
+// membersShowCmd prints the agents' views of the fleet and their differences.
+type membersShowCmd struct {
 	watchFlags
-	Keeper bool `name:"from-keeper" help:"Print the notes of the one that keeps them for the fleet (duty notes), by the first agent that knows."`
+	Keeper bool `name:"from-keeper" help:"Print the fleet notes recorded by the holder of the duty notes."`
 }
 
-// fleetLook is what all agents said at a time.
-type fleetLook struct {
-	At       time.Time               `json:"at"`
-	Views    map[string]*link.Report `json:"views"`              // by control address
-	Silent   map[string]string       `json:"silent,omitempty"`   // those that gave none, and why
-	Camps    [][]string              `json:"camps"`              // agents of one view each, the most first
-	Disagree []string                `json:"disagree,omitempty"` // who holds what for what
+// membersSnapshot holds the membership views of all agents from one poll.
+type membersSnapshot struct {
+	At            time.Time               `json:"at"`
+	Views         map[string]*link.Report `json:"views"`              // by control address
+	Silent        map[string]string       `json:"silent,omitempty"`   // errors of failed calls, by control address
+	ViewGroups    [][]string              `json:"camps"`              // agents with equal views, the largest group first
+	Disagreements []string                `json:"disagree,omitempty"` // a line per member held in different states
 }
 
-func (c *membersCmd) Run(ctx context.Context, s streams) error {
+// Run polls the agents and prints a snapshot whenever its text has changed. With --from-keeper it prints the fleet
+// notes once instead.
+func (c *membersShowCmd) Run(ctx context.Context, s streams) error {
 	if c.Keeper {
-		return keeperNotes(ctx, s, c.Agents)
+		return printFleetNotes(ctx, s, c.Agents)
 	}
 	last := ""
-	showChanges := func(look *fleetLook) error {
-		text := look.text()
+	showChanges := func(snapshot *membersSnapshot) error {
+		text := snapshot.text()
 		if text == last {
 			return nil
 		}
 		last = text
 		if c.Watch > 0 {
-			fmt.Fprintln(s.out, look.At.Format("15:04:05.0"))
+			fmt.Fprintln(s.out, snapshot.At.Format("15:04:05.0"))
 		}
 		_, err := fmt.Fprint(s.out, text)
 		return err
 	}
-	return watched[*fleetLook]{
-		ask:   lookAt,
-		show:  showChanges,
-		page:  viewsPage,
-		empty: func(l *fleetLook) bool { return len(l.Views) == 0 },
+	return poller[*membersSnapshot]{
+		fetch:     fetchMembers,
+		printText: showChanges,
+		writePage: viewsPage,
+		noAnswers: func(l *membersSnapshot) bool { return len(l.Views) == 0 },
 	}.run(ctx, &c.watchFlags, s)
 }
 
-// lookAt asks all agents at once.
-func lookAt(ctx context.Context, agents []string) *fleetLook {
-	l := &fleetLook{At: time.Now()}
-	l.Views, l.Silent = askAll[link.Report](ctx, agents, "/api/members", "it keeps no view of the fleet (started without -members)")
+// fetchMembers queries all agents concurrently and compares their views.
+func fetchMembers(ctx context.Context, agents []string) *membersSnapshot {
+	l := &membersSnapshot{At: time.Now()}
+	l.Views, l.Silent = fetchAll[link.Report](ctx, agents, "/api/members", "it keeps no view of the fleet (started without -members)")
 	l.compare()
 	return l
 }
 
-// compare finds who holds the same view, and about whom others differ.
-func (l *fleetLook) compare() {
-	camps := map[string][]string{}
-	held := map[string]map[string][]string{} // by member, by state: the agents that hold it so
+// compare groups the agents by equal views and lists the members on whose state they disagree.
+func (l *membersSnapshot) compare() {
+	agentsByDigest := map[string][]string{}
+	observers := map[string]map[string][]string{} // agents by member name and the state in which they hold the member
 	for _, r := range l.Views {
-		camps[r.Digest] = append(camps[r.Digest], r.Name)
+		agentsByDigest[r.Digest] = append(agentsByDigest[r.Digest], r.Name)
 		for _, m := range r.Members {
-			if held[m.Name] == nil {
-				held[m.Name] = map[string][]string{}
+			if observers[m.Name] == nil {
+				observers[m.Name] = map[string][]string{}
 			}
-			held[m.Name][m.State] = append(held[m.Name][m.State], r.Name)
+			observers[m.Name][m.State] = append(observers[m.Name][m.State], r.Name)
 		}
 	}
-	for _, names := range camps {
+	for _, names := range agentsByDigest {
 		slices.Sort(names)
-		l.Camps = append(l.Camps, names)
+		l.ViewGroups = append(l.ViewGroups, names)
 	}
-	slices.SortFunc(l.Camps, func(a, b []string) int {
+	slices.SortFunc(l.ViewGroups, func(a, b []string) int {
 		if len(a) != len(b) {
 			return len(b) - len(a)
 		}
 		return strings.Compare(a[0], b[0])
 	})
-	for name, states := range held {
+	for name, states := range observers {
 		if len(states) < 2 {
 			continue
 		}
-		var says []string
-		for state, by := range states {
-			slices.Sort(by)
-			says = append(says, state+" by "+short(by))
+		var opinions []string
+		for state, agents := range states {
+			slices.Sort(agents)
+			opinions = append(opinions, state+" by "+abbreviate(agents))
 		}
-		slices.Sort(says)
-		l.Disagree = append(l.Disagree, name+": "+strings.Join(says, "; "))
+		slices.Sort(opinions)
+		l.Disagreements = append(l.Disagreements, name+": "+strings.Join(opinions, "; "))
 	}
-	slices.Sort(l.Disagree)
+	slices.Sort(l.Disagreements)
 }
 
-// short is a list of names that fits on a line.
-func short(names []string) string {
+// abbreviate joins names, and replaces those after the first 8 by their number.
+func abbreviate(names []string) string {
 	if len(names) > 8 {
 		return fmt.Sprintf("%s and %d more", strings.Join(names[:8], " "), len(names)-8)
 	}
 	return strings.Join(names, " ")
 }
 
-func (l *fleetLook) text() string {
+func (l *membersSnapshot) text() string {
 	var b strings.Builder
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "agent\tzone\tsees itself in\talive\treckons with\tchanges\tnot alive, or not reached")
@@ -120,19 +123,19 @@
 	}
 	slices.SortFunc(rows, func(a, b *link.Report) int { return strings.Compare(a.Name, b.Name) })
 	for _, r := range rows {
-		var odd []string
+		var exceptions []string
 		for _, m := range r.Members {
 			switch {
 			case m.State != "alive":
-				odd = append(odd, m.Name+" "+m.State)
+				exceptions = append(exceptions, m.Name+" "+m.State)
 			case len(m.UnreachableFrom) > 0:
-				odd = append(odd, fmt.Sprintf("%s not from %s", m.Name, short(m.UnreachableFrom)))
+				exceptions = append(exceptions, fmt.Sprintf("%s not from %s", m.Name, abbreviate(m.UnreachableFrom)))
 			}
 		}
-		if len(odd) > 6 {
-			odd = append(odd[:6], fmt.Sprintf("and %d more", len(odd)-6))
+		if len(exceptions) > 6 {
+			exceptions = append(exceptions[:6], fmt.Sprintf("and %d more", len(exceptions)-6))
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d of %d\t%d to %d\t%d\t%s\n", r.Name, r.Zone, r.Standing, r.Alive, r.Expected, r.Living, r.Possible, r.Moved, strings.Join(odd, ", "))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d of %d\t%d to %d\t%d\t%s\n", r.Name, r.Zone, r.Standing, r.Alive, r.Expected, r.Living, r.Possible, r.Moved, strings.Join(exceptions, ", "))
 	}
 	t.Flush()
 	var silent []string
@@ -141,13 +144,13 @@
 	}
 	slices.Sort(silent)
 	b.WriteString(strings.Join(silent, ""))
-	if len(l.Camps) > 1 {
-		fmt.Fprintf(&b, "%d views:\n", len(l.Camps))
-		for _, c := range l.Camps {
-			fmt.Fprintf(&b, "  %s\n", short(c))
+	if len(l.ViewGroups) > 1 {
+		fmt.Fprintf(&b, "%d views:\n", len(l.ViewGroups))
+		for _, c := range l.ViewGroups {
+			fmt.Fprintf(&b, "  %s\n", abbreviate(c))
 		}
 	}
-	for _, d := range l.Disagree {
+	for _, d := range l.Disagreements {
 		fmt.Fprintf(&b, "they differ about %s\n", d)
 	}
 	return b.String()
@@ -160,29 +163,34 @@
 {{range .Agents}}<h3>{{.Name}}</h3><svg width="{{.Width}}" height="{{.Height}}">{{range .Rows}}<text x="0" y="{{.Text}}">{{.Name}}</text>{{range .Cells}}<rect class="{{.State}}" x="{{.X}}" y="{{.Y}}" width="{{.W}}" height="9"><title>{{.Title}}</title></rect>{{end}}{{end}}</svg>
 {{end}}`))
 
+// viewCell is a run of snapshots in which an agent held a member in the same state. The template uses the field names
+// of viewCell, viewRow and viewBlock.
 type viewCell struct {
 	State, Title string
 	X, Y, W      int
 }
 
+// viewRow is the history of one member in the view of an agent. Text is the y coordinate of its label.
 type viewRow struct {
 	Name  string
 	Text  int
 	Cells []viewCell
 }
 
+// viewBlock is the plot of one agent's view; sizes are in pixels.
 type viewBlock struct {
 	Name          string
 	Width, Height int
 	Rows          []viewRow
 }
 
-// viewsPage draws looks. Looks of the same state in a row are one cell.
-func viewsPage(w io.Writer, looks []*fleetLook) error {
-	const left, step, line = 60, 6, 11
+// viewsPage writes an HTML page with one plot for each agent. Consecutive snapshots with the same state of a member
+// are merged into one cell.
+func viewsPage(w io.Writer, snapshots []*membersSnapshot) error {
+	const labelWidth, cellWidth, rowHeight = 60, 6, 11
 	var agents []string
 	names := map[string]string{}
-	for _, l := range looks {
+	for _, l := range snapshots {
 		for d, r := range l.Views {
 			if names[d] == "" {
 				agents = append(agents, d)
@@ -193,42 +201,44 @@
 	slices.SortFunc(agents, func(a, b string) int { return strings.Compare(names[a], names[b]) })
 	var blocks []viewBlock
 	for _, d := range agents {
-		at := map[string]int{}
-		b := viewBlock{Name: names[d], Width: left + step*len(looks)}
-		for i, l := range looks {
+		rowIndex := map[string]int{}
+		b := viewBlock{Name: names[d], Width: labelWidth + cellWidth*len(snapshots)}
+		for i, l := range snapshots {
 			if l.Views[d] == nil {
 				continue
 			}
 			for _, m := range l.Views[d].Members {
-				row, known := at[m.Name]
+				row, known := rowIndex[m.Name]
 				if !known {
 					row = len(b.Rows)
-					at[m.Name] = row
-					b.Rows = append(b.Rows, viewRow{Name: m.Name, Text: line*row + 9})
+					rowIndex[m.Name] = row
+					b.Rows = append(b.Rows, viewRow{Name: m.Name, Text: rowHeight*row + 9})
 				}
 				cells := &b.Rows[row].Cells
-				if n := len(*cells); n > 0 && (*cells)[n-1].State == m.State && (*cells)[n-1].X+(*cells)[n-1].W == left+step*i {
-					(*cells)[n-1].W += step
+				if n := len(*cells); n > 0 && (*cells)[n-1].State == m.State && (*cells)[n-1].X+(*cells)[n-1].W == labelWidth+cellWidth*i {
+					(*cells)[n-1].W += cellWidth
 					continue
 				}
-				*cells = append(*cells, viewCell{m.State, fmt.Sprintf("%s %s from %s", m.Name, m.State, l.At.Format("15:04:05.0")), left + step*i, line * row, step})
+				*cells = append(*cells, viewCell{m.State, fmt.Sprintf("%s %s from %s", m.Name, m.State, l.At.Format("15:04:05.0")), labelWidth + cellWidth*i, rowHeight * row, cellWidth})
 			}
 		}
-		b.Height = line * len(b.Rows)
+		b.Height = rowHeight * len(b.Rows)
 		blocks = append(blocks, b)
 	}
-	return viewsTemplate.Execute(w, map[string]any{"From": looks[0].At.Format(time.DateTime), "To": looks[len(looks)-1].At.Format(time.DateTime), "N": len(looks), "Agents": blocks})
+	return viewsTemplate.Execute(w, map[string]any{"From": snapshots[0].At.Format(time.DateTime), "To": snapshots[len(snapshots)-1].At.Format(time.DateTime), "N": len(snapshots), "Agents": blocks})
 }
 
+// membersCompareCmd compares membership protocols in simulated time.
 type membersCompareCmd struct {
-	Sizes []int   `default:"7,50,300" help:"Fleets' sizes, in members."`
-	Hours float64 `default:"20" help:"Member-hours that each case of loss and stops is played for, in simulated time."`
-	Only  string  `placeholder:"NAME" help:"Play this protocol alone."`
-	Case  string  `placeholder:"TEXT" help:"Play only cases whose names hold this."`
-	Seed  uint64  `default:"1" help:"Of the runs."`
+	Sizes []int   `default:"7,50,300" help:"Fleet sizes, in members."`
+	Hours float64 `default:"20" help:"Simulated time of each case of packet loss and stopped members, in member-hours."`
+	Only  string  `placeholder:"NAME" help:"Run only the protocol of this name."`
+	Case  string  `placeholder:"TEXT" help:"Run only cases whose names contain this text."`
+	Seed  uint64  `default:"1" help:"Random seed of the runs."`
 	JSON  bool    `name:"json" help:"Print one JSON object."`
 }
 
+// Run simulates the selected cases with the selected protocols and prints a table of their errors.
 func (c *membersCompareCmd) Run(ctx context.Context, s streams) error {
 	for _, n := range c.Sizes {
 		if n < 3 || n > 4000 {
@@ -236,7 +246,7 @@
 		}
 	}
 	if !(c.Hours >= 0 && c.Hours <= 1e6) {
-		return fmt.Errorf("--hours: %v is not within 0 and a million", c.Hours)
+		return fmt.Errorf("--hours: %v is not within 0 and 1000000", c.Hours)
 	}
 	protocols := arena.Protocols()
 	if c.Only != "" {
@@ -247,7 +257,7 @@
 	}
 	cases := slices.DeleteFunc(arena.Cases(c.Sizes, c.Hours), func(k arena.Case) bool { return !strings.Contains(k.Name, c.Case) })
 	if len(cases) == 0 {
-		return fmt.Errorf("--case: no case's name holds %q", c.Case)
+		return fmt.Errorf("--case: no case's name contains %q", c.Case)
 	}
 	rows, err := arena.Compare(ctx, cases, protocols, c.Seed, s.err)
 	if err != nil {
--- a/cmd/lemonctl/members_test.go
+++ b/cmd/lemonctl/members_test.go
@@ -13,8 +13,9 @@
 	"lemonrail/internal/member/link"
 )
 
-// controlOf answers as an agent's does.
-func controlOf(t *testing.T, r *link.Report) string {
+// newMembersStub starts an agent's control listener that serves r as the membership report, or none if r is nil, and
+// returns its address.
+func newMembersStub(t *testing.T, r *link.Report) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if r == nil || q.URL.Path != "/api/members" {
@@ -38,18 +39,18 @@
 	return r
 }
 
-func TestMembersTellsWhoDisagrees(t *testing.T) {
+func TestMembersShowsDisagreements(t *testing.T) {
 	all := map[string]string{"n0": "alive", "n1": "alive", "n2": "dead"}
-	a := controlOf(t, report("n0", "x", "majority", all))
-	b := controlOf(t, report("n1", "x", "majority", all))
-	c := controlOf(t, report("n2", "y", "alone", map[string]string{"n0": "suspect", "n1": "suspect", "n2": "alive"}))
-	without := controlOf(t, nil)
+	a := newMembersStub(t, report("n0", "x", "majority", all))
+	b := newMembersStub(t, report("n1", "x", "majority", all))
+	c := newMembersStub(t, report("n2", "y", "alone", map[string]string{"n0": "suspect", "n1": "suspect", "n2": "alive"}))
+	withoutMembers := newMembersStub(t, nil)
 	page := filepath.Join(t.TempDir(), "views.html")
-	code, out, complaints := call(t, "", "members", a, b, c, without, "--html", page)
+	code, out, errOut := call(t, "", "members", a, b, c, withoutMembers, "--html", page)
 	if code != 0 {
-		t.Fatalf("exit %d: %s", code, complaints)
+		t.Fatalf("exit %d: %s", code, errOut)
 	}
-	for _, want := range []string{"2 views:", "  n0 n1", "they differ about n2: alive by n2; dead by n0 n1", "alone", without + ": it keeps no view", "n2 dead"} {
+	for _, want := range []string{"2 views:", "  n0 n1", "they differ about n2: alive by n2; dead by n0 n1", "alone", withoutMembers + ": it keeps no view", "n2 dead"} {
 		if !strings.Contains(out, want) {
 			t.Errorf("no %q in\n%s", want, out)
 		}
@@ -58,24 +59,24 @@
 	if err != nil || !bytes.Contains(raw, []byte(`class="dead"`)) || !bytes.Contains(raw, []byte("<svg")) {
 		t.Errorf("the page: %v, %d bytes", err, len(raw))
 	}
-	if code, out, complaints = call(t, "", "members", "--json", a, c); code != 0 {
-		t.Fatalf("exit %d: %s", code, complaints)
+	if code, out, errOut = call(t, "", "members", "--json", a, c); code != 0 {
+		t.Fatalf("exit %d: %s", code, errOut)
 	}
-	var look fleetLook
-	if err := json.Unmarshal([]byte(out), &look); err != nil || len(look.Views) != 2 || len(look.Camps) != 2 {
+	var look membersSnapshot
+	if err := json.Unmarshal([]byte(out), &look); err != nil || len(look.Views) != 2 || len(look.ViewGroups) != 2 {
 		t.Errorf("%v: %s", err, out)
 	}
-	if code, _, _ := call(t, "", "members", without); code != 1 {
+	if code, _, _ := call(t, "", "members", withoutMembers); code != 1 {
 		t.Errorf("exit %d where no agent answers", code)
 	}
 }
 
-func TestMembersCompareIsTheSameEachTime(t *testing.T) {
+func TestMembersCompareIsDeterministic(t *testing.T) {
 	var first string
 	for range 2 {
-		code, out, complaints := call(t, "", "members", "compare", "--sizes", "7", "--hours", "0.2", "--case", "stopped", "--json")
+		code, out, errOut := call(t, "", "members", "compare", "--sizes", "7", "--hours", "0.2", "--case", "stopped", "--json")
 		if code != 0 {
-			t.Fatalf("exit %d: %s", code, complaints)
+			t.Fatalf("exit %d: %s", code, errOut)
 		}
 		var all struct {
 			Rows []map[string]any `json:"rows"`
--- a/cmd/lemonctl/overhead.go
+++ b/cmd/lemonctl/overhead.go
@@ -9,18 +9,20 @@
 	"lemonrail/internal/overhead"
 )
 
+// overheadCmd measures the cost of the agent in comparison with a bare proxy and with direct requests.
 type overheadCmd struct {
-	Agent   string    `default:"bin/lemonrail" help:"The agent's program."`
-	Nodes   int       `default:"4" help:"Nodes, which answer at once."`
-	Bytes   int       `default:"512" help:"Of an answer."`
-	Clients int       `default:"32" help:"Clients of the closed loop."`
-	Seconds float64   `default:"3" help:"Length of each loop."`
-	Rates   []float64 `default:"500,1000" help:"Requests a second at which latency is measured."`
-	Changes float64   `default:"0" help:"Changes of the list of nodes a second."`
-	Rounds  int       `default:"3" help:"Rounds, of which the medians count."`
+	Agent   string    `default:"bin/lemonrail" help:"Path of the agent's binary."`
+	Nodes   int       `default:"4" help:"Number of nodes; they answer without delay."`
+	Bytes   int       `default:"512" help:"Size of an answer in bytes."`
+	Clients int       `default:"32" help:"Number of clients of the closed loop."`
+	Seconds float64   `default:"3" help:"Length of each loop in seconds."`
+	Rates   []float64 `default:"500,1000" help:"Request rates per second at which latency is measured."`
+	Changes float64   `default:"0" help:"Changes of the node list per second."`
+	Rounds  int       `default:"3" help:"Number of rounds; the medians are reported."`
 	JSON    bool      `name:"json" help:"Print one JSON object."`
 }
 
+// Run starts the agent and, from its own binary, the bare proxy, measures them and prints a report.
 func (c *overheadCmd) Run(ctx context.Context, s streams) (err error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -42,12 +44,13 @@
 	return r.Text(s.out)
 }
 
-// bareProxyCmd is the proxy that overhead starts to compare with.
+// bareProxyCmd runs the plain proxy that overheadCmd starts as a process of its own.
 type bareProxyCmd struct {
-	Listen string   `arg:"" help:"Address and port."`
+	Listen string   `arg:"" help:"Address and port to listen on."`
 	Nodes  []string `arg:"" help:"Loopback addresses and ports of the nodes."`
 }
 
+// Run serves until ctx is done.
 func (c *bareProxyCmd) Run(ctx context.Context) error {
 	return overhead.ServeProxy(ctx, c.Listen, c.Nodes)
 }
--- a/cmd/lemonctl/scale.go
+++ b/cmd/lemonctl/scale.go
@@ -16,23 +16,23 @@
 	"lemonrail/internal/scale/calltree"
 )
 
-// shippedMembers is deploy/members.toml's protocol with a folder of each agent's own.
+// deployedMembers has the protocol settings of deploy/members.toml, but a separate state folder for each agent.
 //
 //go:embed files/scale-members.toml
-var shippedMembers string
+var deployedMembers string
 
-// scaleOutput is what all subcommands of scale share.
+// scaleOutput has the flags that all subcommands of scale share.
 type scaleOutput struct {
-	Seed  uint64        `default:"1" help:"Of what is left to chance."`
-	Limit time.Duration `default:"20m" help:"Time that the run may take; it may also use half of the machine's memory and 200 processes."`
+	Seed  uint64        `default:"1" help:"Random seed."`
+	Limit time.Duration `default:"20m" help:"Time limit of the run; it is also limited to half of the machine's memory and 200 processes."`
 	JSON  bool          `name:"json" help:"Print one JSON object."`
-	HTML  string        `name:"html" placeholder:"FILE" help:"Write a page with plots as well."`
+	HTML  string        `name:"html" placeholder:"FILE" help:"Also write an HTML page with plots."`
 }
 
-// experiment is one of the runs of a subcommand.
-type experiment func(ctx context.Context, say func(format string, args ...any)) ([]*scale.Series, error)
+// experiment is one measurement of a subcommand; it reports its progress to logf.
+type experiment func(ctx context.Context, logf func(format string, args ...any)) ([]*scale.Series, error)
 
-// run carries out experiments one after the other within the bounds, and prints what they measured.
+// run executes experiments sequentially within the limits on time, memory and processes, and prints a report.
 func (o *scaleOutput) run(ctx context.Context, s streams, all ...experiment) error {
 	bounds, err := scale.DefaultBounds(o.Limit)
 	if err != nil {
@@ -40,16 +40,16 @@
 	}
 	ctx, release := bounds.Apply(ctx)
 	defer release()
-	say := func(format string, args ...any) { fmt.Fprintf(s.err, format+"\n", args...) }
+	logf := func(format string, args ...any) { fmt.Fprintf(s.err, format+"\n", args...) }
 	var series []*scale.Series
-	for _, one := range all {
-		more, err := one(ctx, say)
+	for _, experiment := range all {
+		measured, err := experiment(ctx, logf)
 		if err != nil {
 			return err
 		}
-		series = append(series, more...)
+		series = append(series, measured...)
 	}
-	report := scale.NewReport("lemonctl "+strings.Join(os.Args[min(1, len(os.Args)):], " "), builtFrom(), o.Seed)
+	report := scale.NewReport("lemonctl "+strings.Join(os.Args[min(1, len(os.Args)):], " "), buildCommit(), o.Seed)
 	report.Series = series
 	if o.HTML != "" {
 		if err := writeFile(o.HTML, func(w io.Writer) error { return report.Page(w) }); err != nil {
@@ -62,8 +62,9 @@
 	return report.Text(s.out)
 }
 
-// builtFrom is the commit that this program was built from; empty where the build doesn't tell.
-func builtFrom() string {
+// buildCommit returns the abbreviated commit that this binary was built from and whether the source had local
+// changes; empty if the build has no such information.
+func buildCommit() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return ""
@@ -80,18 +81,18 @@
 	return commit + changed
 }
 
-// sizes refuses those that make no sense.
-func sizes(flag string, all []int, most int) error {
-	for _, n := range all {
-		if n < 1 || n > most {
-			return fmt.Errorf("%s: %d is not within 1 and %d", flag, n, most)
+// checkSizes returns an error that names flag if a value is not within 1 and maxSize.
+func checkSizes(flag string, values []int, maxSize int) error {
+	for _, n := range values {
+		if n < 1 || n > maxSize {
+			return fmt.Errorf("%s: %d is not within 1 and %d", flag, n, maxSize)
 		}
 	}
 	return nil
 }
 
-// inFolder runs an experiment that needs a folder of its own, and removes the folder.
-func inFolder(run func(dir string) ([]*scale.Series, error)) (series []*scale.Series, err error) {
+// withTempDir passes a new temporary directory to run and removes the directory afterwards.
+func withTempDir(run func(dir string) ([]*scale.Series, error)) (series []*scale.Series, err error) {
 	dir, err := os.MkdirTemp("", "lemonctl-scale-")
 	if err != nil {
 		return nil, err
@@ -100,49 +101,53 @@
 	return run(dir)
 }
 
+// scaleProcessesCmd measures fleets of agent processes.
 type scaleProcessesCmd struct {
 	scaleOutput
-	Agent      string        `default:"bin/lemonrail" help:"The agent's program."`
-	Agents     []int         `default:"1,15,30,60" help:"Fleets' sizes, with the longest list."`
-	Listed     []int         `default:"8,100,225,450" help:"Lists' lengths, in backends."`
-	ListAgents int           `default:"8" help:"Agents that the lists' lengths are measured with."`
-	Rest       time.Duration `default:"15s" help:"Time that is measured without changes, and again with them."`
-	Gap        time.Duration `default:"100ms" help:"Between two changes."`
+	Agent      string        `default:"bin/lemonrail" help:"Path of the agent's binary."`
+	Agents     []int         `default:"1,15,30,60" help:"Fleet sizes, measured with the longest list."`
+	Listed     []int         `default:"8,100,225,450" help:"List lengths, in backends."`
+	ListAgents int           `default:"8" help:"Number of agents with which the list lengths are measured."`
+	Rest       time.Duration `default:"15s" help:"Length of the measurement without changes, and of the one with changes."`
+	Gap        time.Duration `default:"100ms" help:"Time between two changes."`
 }
 
-func (c *scaleProcessesCmd) experiment(ctx context.Context, say func(string, ...any)) ([]*scale.Series, error) {
-	if err := errors.Join(sizes("--agents", c.Agents, cluster.Most), sizes("--list-agents", []int{c.ListAgents}, cluster.Most), sizes("--listed", c.Listed, 10000)); err != nil {
+func (c *scaleProcessesCmd) experiment(ctx context.Context, logf func(string, ...any)) ([]*scale.Series, error) {
+	if err := errors.Join(checkSizes("--agents", c.Agents, cluster.Most), checkSizes("--list-agents", []int{c.ListAgents}, cluster.Most), checkSizes("--listed", c.Listed, 10000)); err != nil {
 		return nil, err
 	}
-	return inFolder(func(dir string) ([]*scale.Series, error) {
-		return scale.ProcessRun{Program: c.Agent, Dir: dir, Members: shippedMembers, Agents: c.Agents, Listed: c.Listed, ListAgents: c.ListAgents,
-			Rest: c.Rest, Gap: c.Gap, Say: say}.Run(ctx)
+	return withTempDir(func(dir string) ([]*scale.Series, error) {
+		return scale.ProcessRun{Program: c.Agent, Dir: dir, Members: deployedMembers, Agents: c.Agents, Listed: c.Listed, ListAgents: c.ListAgents,
+			Rest: c.Rest, Gap: c.Gap, Say: logf}.Run(ctx)
 	})
 }
 
+// Run runs the experiment and prints its report.
 func (c *scaleProcessesCmd) Run(ctx context.Context, s streams) error {
 	return c.run(ctx, s, c.experiment)
 }
 
+// scaleHollowCmd measures the control clients of many agents within this process, without the agents themselves.
 type scaleHollowCmd struct {
 	scaleOutput
-	Only    []string      `default:"lists,list-bytes,members,duties" enum:"lists,list-bytes,members,duties" help:"Which control clients are run."`
-	Agents  []int         `default:"100,225,450,2000" help:"Fleets' sizes."`
+	Only    []string      `default:"lists,list-bytes,members,duties" enum:"lists,list-bytes,members,duties" help:"Control clients to run."`
+	Agents  []int         `default:"100,225,450,2000" help:"Fleet sizes."`
 	Listed  int           `default:"450" help:"Backends in the list."`
-	Lengths []int         `default:"8,100,225,450" help:"Lists' lengths for list-bytes."`
-	Rate    float64       `default:"6000" help:"Bytes a second from discovery for list-bytes."`
-	Rest    time.Duration `default:"10s" help:"Time that is measured without changes."`
-	Changes int           `default:"20" help:"Changes of the list, one after the other."`
+	Lengths []int         `default:"8,100,225,450" help:"List lengths for list-bytes."`
+	Rate    float64       `default:"6000" help:"Bytes per second from discovery for list-bytes."`
+	Rest    time.Duration `default:"10s" help:"Length of the measurement without changes."`
+	Changes int           `default:"20" help:"Number of sequential changes of the list."`
 }
 
-const mostHollow = 2500 // agents: each takes up to six descriptors
+const maxHollowAgents = 2500 // each takes up to six file descriptors of this process
 
+// experiments returns the experiments that --only selects, after a check of the flags.
 func (c *scaleHollowCmd) experiments() (all []experiment, err error) {
-	if err := errors.Join(sizes("--agents", c.Agents, mostHollow), sizes("--listed", []int{c.Listed}, 10000), sizes("--lengths", c.Lengths, 10000)); err != nil {
+	if err := errors.Join(checkSizes("--agents", c.Agents, maxHollowAgents), checkSizes("--listed", []int{c.Listed}, 10000), checkSizes("--lengths", c.Lengths, 10000)); err != nil {
 		return nil, err
 	}
 	if !(c.Rate >= 100) {
-		return nil, fmt.Errorf("--rate: %v is under 100", c.Rate)
+		return nil, fmt.Errorf("--rate: %v is below the minimum of 100", c.Rate)
 	}
 	for _, name := range c.Only {
 		all = append(all, map[string]experiment{"lists": c.lists, "list-bytes": c.listBytes, "members": c.members, "duties": c.duties}[name])
@@ -150,24 +155,25 @@
 	return all, nil
 }
 
-func (c *scaleHollowCmd) lists(ctx context.Context, say func(string, ...any)) ([]*scale.Series, error) {
-	return scale.HollowLists{Agents: c.Agents, Listed: c.Listed, Rest: c.Rest, Changes: c.Changes, Gap: 100 * time.Millisecond, Outage: 3 * time.Second, Say: say}.Run(ctx)
+func (c *scaleHollowCmd) lists(ctx context.Context, logf func(string, ...any)) ([]*scale.Series, error) {
+	return scale.HollowLists{Agents: c.Agents, Listed: c.Listed, Rest: c.Rest, Changes: c.Changes, Gap: 100 * time.Millisecond, Outage: 3 * time.Second, Say: logf}.Run(ctx)
 }
 
-func (c *scaleHollowCmd) listBytes(ctx context.Context, say func(string, ...any)) ([]*scale.Series, error) {
-	return scale.WholeList{Listed: c.Lengths, Rate: c.Rate, Patience: 30 * time.Second, Say: say}.Run(ctx)
+func (c *scaleHollowCmd) listBytes(ctx context.Context, logf func(string, ...any)) ([]*scale.Series, error) {
+	return scale.WholeList{Listed: c.Lengths, Rate: c.Rate, Patience: 30 * time.Second, Say: logf}.Run(ctx)
 }
 
-func (c *scaleHollowCmd) members(ctx context.Context, say func(string, ...any)) ([]*scale.Series, error) {
-	return scale.HollowMembers{Agents: c.Agents, Rest: c.Rest, Leaves: 5, Seed: c.Seed, Say: say}.Run(ctx)
+func (c *scaleHollowCmd) members(ctx context.Context, logf func(string, ...any)) ([]*scale.Series, error) {
+	return scale.HollowMembers{Agents: c.Agents, Rest: c.Rest, Leaves: 5, Seed: c.Seed, Say: logf}.Run(ctx)
 }
 
-func (c *scaleHollowCmd) duties(ctx context.Context, say func(string, ...any)) ([]*scale.Series, error) {
-	return inFolder(func(dir string) ([]*scale.Series, error) {
-		return scale.HollowDuties{Agents: c.Agents, Rest: c.Rest, Releases: 3, Dir: dir, Seed: c.Seed, Say: say}.Run(ctx)
+func (c *scaleHollowCmd) duties(ctx context.Context, logf func(string, ...any)) ([]*scale.Series, error) {
+	return withTempDir(func(dir string) ([]*scale.Series, error) {
+		return scale.HollowDuties{Agents: c.Agents, Rest: c.Rest, Releases: 3, Dir: dir, Seed: c.Seed, Say: logf}.Run(ctx)
 	})
 }
 
+// Run runs the selected experiments and prints their report.
 func (c *scaleHollowCmd) Run(ctx context.Context, s streams) error {
 	all, err := c.experiments()
 	if err != nil {
@@ -176,82 +182,89 @@
 	return c.run(ctx, s, all...)
 }
 
+// scaleConfigurationCmd measures configuration watches against control processes.
 type scaleConfigurationCmd struct {
 	scaleOutput
-	Control string        `default:"bin/lemoncontrol" help:"The control process's program."`
-	Agents  []int         `default:"100,225,450,2000" help:"Fleets' sizes."`
-	Rest    time.Duration `default:"10s" help:"Time that is measured without changes."`
-	Changes int           `default:"20" help:"Changes, one after the other."`
-	Burst   int           `default:"50" help:"Changes, one each 100 ms; 0: none."`
-	Faults  bool          `default:"true" negatable:"" help:"Also a mass restart, lost connections, a lost machine, regions apart."`
+	Control string        `default:"bin/lemoncontrol" help:"Path of the control process's binary."`
+	Agents  []int         `default:"100,225,450,2000" help:"Fleet sizes."`
+	Rest    time.Duration `default:"10s" help:"Length of the measurement without changes."`
+	Changes int           `default:"20" help:"Number of sequential changes."`
+	Burst   int           `default:"50" help:"Number of changes at intervals of 100 ms; 0 for none."`
+	Faults  bool          `default:"true" negatable:"" help:"Also measure a mass restart, lost connections, a lost control machine and partitioned regions."`
 }
 
-func (c *scaleConfigurationCmd) experiment(ctx context.Context, say func(string, ...any)) ([]*scale.Series, error) {
-	if err := sizes("--agents", c.Agents, mostHollow); err != nil {
+func (c *scaleConfigurationCmd) experiment(ctx context.Context, logf func(string, ...any)) ([]*scale.Series, error) {
+	if err := checkSizes("--agents", c.Agents, maxHollowAgents); err != nil {
 		return nil, err
 	}
-	return inFolder(func(dir string) ([]*scale.Series, error) {
+	return withTempDir(func(dir string) ([]*scale.Series, error) {
 		return scale.HollowConfiguration{Program: c.Control, Agents: c.Agents, Rest: c.Rest, Changes: c.Changes, Burst: c.Burst, Faults: c.Faults,
-			Dir: dir, Seed: c.Seed, Say: say}.Run(ctx)
+			Dir: dir, Seed: c.Seed, Say: logf}.Run(ctx)
 	})
 }
 
+// Run runs the experiment and prints its report.
 func (c *scaleConfigurationCmd) Run(ctx context.Context, s streams) error {
 	return c.run(ctx, s, c.experiment)
 }
 
+// scaleMembersCmd measures the membership protocol in simulated time.
 type scaleMembersCmd struct {
 	scaleOutput
-	Sizes []int         `default:"100,225,450,2000" help:"Fleets' sizes, in members."`
-	Lossy time.Duration `default:"30s" help:"Simulated time without loss, and with 30 % lost."`
-	Apart time.Duration `default:"3m" help:"Simulated time for which two regions can't reach each other."`
+	Sizes []int         `default:"100,225,450,2000" help:"Fleet sizes, in members."`
+	Lossy time.Duration `default:"30s" help:"Simulated time without packet loss, and with 30 % loss."`
+	Apart time.Duration `default:"3m" help:"Simulated time for which two regions cannot reach each other."`
 }
 
-func (c *scaleMembersCmd) experiment(ctx context.Context, say func(string, ...any)) ([]*scale.Series, error) {
-	if err := sizes("--sizes", c.Sizes, 10000); err != nil {
+func (c *scaleMembersCmd) experiment(ctx context.Context, logf func(string, ...any)) ([]*scale.Series, error) {
+	if err := checkSizes("--sizes", c.Sizes, 10000); err != nil {
 		return nil, err
 	}
-	return scale.SimulatedMembers{Sizes: c.Sizes, Lossy: c.Lossy, Apart: c.Apart, Seed: c.Seed, Say: say}.Run(ctx)
+	return scale.SimulatedMembers{Sizes: c.Sizes, Lossy: c.Lossy, Apart: c.Apart, Seed: c.Seed, Say: logf}.Run(ctx)
 }
 
+// Run runs the experiment and prints its report.
 func (c *scaleMembersCmd) Run(ctx context.Context, s streams) error {
 	return c.run(ctx, s, c.experiment)
 }
 
+// scaleDecisionsCmd measures the cost of balancing decisions alone.
 type scaleDecisionsCmd struct {
 	scaleOutput
-	Listed []int `default:"8,100,225,450,2000,10000" help:"Lists' lengths, in backends."`
-	Calls  int   `default:"20000" help:"Calls at each length."`
+	Listed []int `default:"8,100,225,450,2000,10000" help:"List lengths, in backends."`
+	Calls  int   `default:"20000" help:"Number of calls at each length."`
 }
 
-func (c *scaleDecisionsCmd) experiment(ctx context.Context, say func(string, ...any)) ([]*scale.Series, error) {
-	if err := errors.Join(sizes("--listed", c.Listed, 100000), sizes("--calls", []int{c.Calls}, 10000000)); err != nil {
+func (c *scaleDecisionsCmd) experiment(ctx context.Context, logf func(string, ...any)) ([]*scale.Series, error) {
+	if err := errors.Join(checkSizes("--listed", c.Listed, 100000), checkSizes("--calls", []int{c.Calls}, 10000000)); err != nil {
 		return nil, err
 	}
-	return scale.Decisions{Listed: c.Listed, Calls: c.Calls, Seed: c.Seed, Say: say}.Run(ctx)
+	return scale.Decisions{Listed: c.Listed, Calls: c.Calls, Seed: c.Seed, Say: logf}.Run(ctx)
 }
 
+// Run runs the experiment and prints its report.
 func (c *scaleDecisionsCmd) Run(ctx context.Context, s streams) error {
 	return c.run(ctx, s, c.experiment)
 }
 
+// scaleCallsCmd simulates call trees and measures the load that retries add.
 type scaleCallsCmd struct {
 	scaleOutput
-	Depth   int           `default:"17" help:"Layers of services, and the depth of the deepest call."`
-	Shares  []float64     `default:"0.01,0.05,0.17,0.4" help:"Of attempts at leaves that fail."`
-	Measure time.Duration `default:"2s" help:"Simulated time that is counted."`
-	Small   bool          `help:"60 backends and 4,000 calls a second in place of 450 and 76,000."`
+	Depth   int           `default:"17" help:"Number of layers of services, which is the depth of the deepest call."`
+	Shares  []float64     `default:"0.01,0.05,0.17,0.4" help:"Shares of attempts at leaf services that fail."`
+	Measure time.Duration `default:"2s" help:"Simulated time that is measured."`
+	Small   bool          `help:"Use 60 backends and 4,000 calls per second instead of 450 and 76,000."`
 }
 
-const deepestCall = 34 // layers: more have fewer than two services each
+const maxCallDepth = 34 // layers of services; with more, a layer has fewer than two services
 
-func (c *scaleCallsCmd) experiment(ctx context.Context, say func(string, ...any)) ([]*scale.Series, error) {
-	if err := sizes("--depth", []int{c.Depth}, deepestCall); err != nil {
+func (c *scaleCallsCmd) experiment(ctx context.Context, logf func(string, ...any)) ([]*scale.Series, error) {
+	if err := checkSizes("--depth", []int{c.Depth}, maxCallDepth); err != nil {
 		return nil, err
 	}
 	for _, share := range c.Shares {
 		if !(share > 0 && share <= 1) {
-			return nil, fmt.Errorf("--shares: %v is no share", share)
+			return nil, fmt.Errorf("--shares: %v is not above 0 and at most 1", share)
 		}
 	}
 	config := calltree.DefaultConfig()
@@ -259,19 +272,22 @@
 	if c.Small {
 		config.Services, config.Backends, config.Gateways, config.Rate, config.Warm = 2*c.Depth, 60, 3, 4000, time.Second
 	}
-	return scale.Calls{Config: config, Shares: c.Shares, Say: say}.Run(ctx)
+	return scale.Calls{Config: config, Shares: c.Shares, Say: logf}.Run(ctx)
 }
 
+// Run runs the experiment and prints its report.
 func (c *scaleCallsCmd) Run(ctx context.Context, s streams) error {
 	return c.run(ctx, s, c.experiment)
 }
 
+// scaleAllCmd runs the experiments of the other subcommands except scaleConfigurationCmd, with fixed sizes.
 type scaleAllCmd struct {
 	scaleOutput
-	Agent string `default:"bin/lemonrail" help:"The agent's program."`
-	Small bool   `help:"Small sizes: a minute or two."`
+	Agent string `default:"bin/lemonrail" help:"Path of the agent's binary."`
+	Small bool   `help:"Use small sizes, which take a minute or two."`
 }
 
+// Run runs the experiments and prints one report.
 func (c *scaleAllCmd) Run(ctx context.Context, s streams) error {
 	processes := &scaleProcessesCmd{Agent: c.Agent, Agents: []int{1, 15, 30, 60}, Listed: []int{8, 100, 225, 450}, ListAgents: 8, Rest: 15 * time.Second, Gap: 100 * time.Millisecond}
 	hollow := &scaleHollowCmd{Only: []string{"lists", "list-bytes", "members", "duties"}, Agents: []int{100, 225, 450, 2000}, Listed: 450, Lengths: []int{8, 100, 225, 450},
@@ -287,9 +303,9 @@
 		calls.Depth, calls.Measure, calls.Small = 9, time.Second, true
 	}
 	hollow.Seed, members.Seed, decisions.Seed, calls.Seed = c.Seed, c.Seed, c.Seed, c.Seed
-	inHollow, err := hollow.experiments()
+	hollowExperiments, err := hollow.experiments()
 	if err != nil {
 		return err
 	}
-	return c.run(ctx, s, append(append([]experiment{processes.experiment}, inHollow...), members.experiment, decisions.experiment, calls.experiment)...)
+	return c.run(ctx, s, append(append([]experiment{processes.experiment}, hollowExperiments...), members.experiment, decisions.experiment, calls.experiment)...)
 }
--- a/cmd/lemonctl/site.go
+++ b/cmd/lemonctl/site.go
@@ -16,7 +16,7 @@
 	"lemonrail/internal/trial"
 )
 
-// The site and the log that try uses where none is named.
+// Scenario and log that are used if none is given.
 var (
 	//go:embed files/site.toml
 	sampleSite []byte
@@ -24,28 +24,32 @@
 	sampleLog []byte
 )
 
-func scenario(path string) (*standin.Scenario, error) {
+// loadScenario reads a scenario from a file, or returns the sample if path is empty.
+func loadScenario(path string) (*standin.Scenario, error) {
 	if path == "" {
 		return standin.ParseScenario("the sample site", sampleSite)
 	}
 	return standin.ReadScenario(path)
 }
 
+// siteUpCmd runs a stand-in site for agents that are started separately.
 type siteUpCmd struct {
-	Scenario string        `arg:"" optional:"" help:"The site and its faults (TOML); a sample if left out."`
-	Dir      string        `default:"." help:"Where the agents' configurations are written, as NAME.json."`
-	Listen   string        `default:"127.0.0.1" help:"Address on which the agents will listen."`
-	Port     int           `default:"9100" help:"Port of the first agent; the next ones follow."`
-	For      time.Duration `placeholder:"TIME" help:"End after so long; else the scenario's seconds, or at SIGINT."`
+	Scenario string        `arg:"" optional:"" help:"Scenario with the site and its faults (TOML file); a sample if omitted."`
+	Dir      string        `default:"." help:"Directory to which the agents' configurations are written as NAME.json."`
+	Listen   string        `default:"127.0.0.1" help:"Address on which the agents listen."`
+	Port     int           `default:"9100" help:"Port of the first agent; the other agents use the following ports."`
+	For      time.Duration `placeholder:"TIME" help:"Stop after this time; after the scenario's seconds if omitted, or at SIGINT."`
 }
 
+// Run writes the agents' configurations, runs the site and prints its events. It rewrites an agent's configuration
+// when the agent's discovery server has moved.
 func (c *siteUpCmd) Run(ctx context.Context, s streams) error {
-	sc, err := scenario(c.Scenario)
+	sc, err := loadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
 	l := ledger.New(standin.RulesOf(sc))
-	site, err := standin.Open(sc, quietly{l})
+	site, err := standin.Open(sc, collapseLedger{l})
 	if err != nil {
 		return err
 	}
@@ -76,7 +80,7 @@
 	defer end.Stop()
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
-	for said := 0; ; {
+	for printed := 0; ; {
 		select {
 		case <-ctx.Done():
 			return site.Close()
@@ -90,21 +94,21 @@
 			}
 			fmt.Fprintf(s.out, "discovery has moved: send SIGHUP to agent %s\n", name)
 		case <-tick.C:
-			for log := site.Log(); said < len(log); said++ {
-				fmt.Fprintf(s.out, "%6.2f s  %s\n", log[said].At.Seconds(), log[said].Text)
+			for log := site.Log(); printed < len(log); printed++ {
+				fmt.Fprintf(s.out, "%6.2f s  %s\n", log[printed].At.Seconds(), log[printed].Text)
 			}
 		}
 	}
 }
 
-// quietly keeps a ledger of nodes that fall over, and of nothing else: no client tells it of its
-// requests.
-type quietly struct{ *ledger.Ledger }
+// collapseLedger is a ledger that ignores attempts. It only determines which nodes collapse under load, since no
+// client reports its requests to the ledger.
+type collapseLedger struct{ *ledger.Ledger }
 
-func (quietly) Began(ledger.Attempt) func(ledger.Ending) { return func(ledger.Ending) {} }
+func (collapseLedger) Began(ledger.Attempt) func(ledger.Ending) { return func(ledger.Ending) {} }
 
-// agentLog opens the file that agents' logs go to; an empty name drops them.
-func agentLog(name string) (w io.Writer, closing func() error, err error) {
+// agentLog creates the file for the agents' logs; with an empty name the logs are discarded.
+func agentLog(name string) (w io.Writer, closeFile func() error, err error) {
 	if name == "" {
 		return io.Discard, func() error { return nil }, nil
 	}
@@ -115,23 +119,26 @@
 	return f, f.Close, nil
 }
 
+// tryCmd plays a log against agents on a stand-in site.
 type tryCmd struct {
-	Log      string        `placeholder:"FILE" help:"A log or HAR file to play; a sample if left out."`
-	Scenario string        `placeholder:"FILE" help:"The site and its faults (TOML); a sample if left out."`
-	Map      string        `placeholder:"FILE" help:"TOML rules by which entries become requests."`
-	Agent    string        `placeholder:"PROGRAM" help:"The agent's program, such as bin/lemonrail; else agents run within this process."`
-	Speed    float64       `default:"1" help:"How many times faster than recorded."`
-	For      time.Duration `placeholder:"TIME" help:"End after so long."`
-	AgentLog string        `placeholder:"FILE" help:"Where the agents' logs go."`
+	Log      string        `placeholder:"FILE" help:"Log or HAR file to play; a sample if omitted."`
+	Scenario string        `placeholder:"FILE" help:"Scenario with the site and its faults (TOML file); a sample if omitted."`
+	Map      string        `placeholder:"FILE" help:"TOML file with the rules that map entries to requests."`
+	Agent    string        `placeholder:"PROGRAM" help:"Path of the agent's binary, such as bin/lemonrail; agents run within this process if omitted."`
+	Speed    float64       `default:"1" help:"Playback speed as a multiple of the recorded speed."`
+	For      time.Duration `placeholder:"TIME" help:"Stop after this time."`
+	AgentLog string        `placeholder:"FILE" help:"File to which the agents' logs are written."`
 	reportFlags
 }
 
+// Run starts the site and the agents, plays the log and prints a report. It returns errRuleViolated if the ledger
+// found a violation.
 func (c *tryCmd) Run(ctx context.Context, s streams) (err error) {
 	window, err := c.window()
 	if err != nil {
 		return err
 	}
-	sc, err := scenario(c.Scenario)
+	sc, err := loadScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
@@ -158,11 +165,11 @@
 		return err
 	}
 	defer closeLogs()
-	fmt.Fprintf(s.err, "%d agents and the site's nodes start\n", sc.Agents)
-	show := newProgress(s.err)
+	fmt.Fprintf(s.err, "starting %d agents and the site's nodes\n", sc.Agents)
+	progress := newProgress(s.err)
 	r, err := trial.Run(ctx, trial.Options{Scenario: sc, Dir: dir, Program: c.Agent, Log: logs, Next: p.Next, Window: window,
-		Play: load.PlayOptions{Speed: c.Speed, For: c.For, Seed: sc.Seed}, Each: show.add})
-	show.end()
+		Play: load.PlayOptions{Speed: c.Speed, For: c.For, Seed: sc.Seed}, Each: progress.add})
+	progress.end()
 	if r == nil {
 		return err
 	}
@@ -171,7 +178,7 @@
 		return err
 	}
 	if v, ok := r.Verdict.(*ledger.Verdict); ok && !v.Held() {
-		return errBroken
+		return errRuleViolated
 	}
 	return nil
 }
--- a/cmd/lemonctl/siteloss.go
+++ b/cmd/lemonctl/siteloss.go
@@ -13,68 +13,71 @@
 	"lemonrail/internal/cluster"
 )
 
+// clusterLoseCmd measures what clients are served when a site is lost, under several strategies.
 type clusterLoseCmd struct {
-	Agent   string   `required:"" placeholder:"PROGRAM" help:"The agent's program, such as bin/lemonrail."`
-	Seeds   []uint64 `default:"1" help:"Each chooses how a site is lost, what else is wrong, and the load."`
-	Ways    []string `default:"today,proportional,plan" help:"today: agents without a file on sites; proportional: they spill in proportion; plan; plan-alone: without membership."`
-	What    string   `placeholder:"HOW" help:"Lose it this way instead: silent, resets, refuses, errors, cut, zone-cut, half, one-by-one, flaps."`
-	Also    string   `placeholder:"WHAT" help:"With this beside it: stale, release, restart, down; none."`
-	Share   float64  `help:"Ask for this share of all capacity."`
-	Agents  int      `default:"20" help:"How many."`
-	Abreast int      `default:"1" help:"Runs at a time."`
-	Windows bool     `help:"Print what was served in each half second, over the best."`
+	Agent   string   `required:"" placeholder:"PROGRAM" help:"Path of the agent's binary, such as bin/lemonrail."`
+	Seeds   []uint64 `default:"1" help:"Random seeds, one run each; a seed determines how the site is lost, the additional fault and the load."`
+	Ways    []string `default:"today,proportional,plan" help:"Strategies to run. today: agents have no settings on sites; proportional: load spills in proportion to capacity; plan: load follows a plan; plan-alone: the same without membership."`
+	What    string   `placeholder:"HOW" help:"Way in which the site is lost, in place of the seed's choice: silent, resets, refuses, errors, cut, zone-cut, half, one-by-one, flaps."`
+	Also    string   `placeholder:"WHAT" help:"Additional fault, in place of the seed's choice: stale, release, restart, down, none."`
+	Share   float64  `help:"Offered load as a share of all capacity, in place of the seed's choice."`
+	Agents  int      `default:"20" help:"Number of agents."`
+	Abreast int      `default:"1" help:"Number of concurrent runs."`
+	Windows bool     `help:"Also print the served share of the best possible in each half second."`
 	JSON    bool     `name:"json" help:"Print one JSON object."`
 }
 
-// lossRow is one run.
+// lossRow is the result of one run: the loss of a site under one strategy.
 type lossRow struct {
 	Way    string              `json:"way"`
 	Result *cluster.LossResult `json:"result"`
 }
 
+// Run carries out a run for each seed and strategy, up to --abreast at a time, and prints a table. It returns
+// errRuleViolated if a run violated a rule.
 func (c *clusterLoseCmd) Run(ctx context.Context, s streams) error {
 	type job struct {
-		l   cluster.Loss
-		way string
+		loss cluster.Loss
+		way  string
 	}
 	var jobs []job
 	for _, seed := range c.Seeds {
-		l := cluster.RandomLoss(seed)
+		loss := cluster.RandomLoss(seed)
 		if c.What != "" {
-			if l.What = c.What; cluster.Losses[c.What] == "" {
-				return fmt.Errorf("--what: %q is no way to lose a site", c.What)
+			if loss.What = c.What; cluster.Losses[c.What] == "" {
+				return fmt.Errorf("--what: unknown way to lose a site: %q", c.What)
 			}
 		}
 		if c.Also != "" {
-			if l.Also = strings.TrimPrefix(c.Also, "none"); cluster.Besides[l.Also] == "" {
-				return fmt.Errorf("--also: %q is nothing that goes wrong", c.Also)
+			if loss.Also = strings.TrimPrefix(c.Also, "none"); cluster.Besides[loss.Also] == "" {
+				return fmt.Errorf("--also: unknown fault: %q", c.Also)
 			}
 		}
 		if c.Share > 0 {
-			l.Share = c.Share
+			loss.Share = c.Share
 		}
 		for _, way := range c.Ways {
-			jobs = append(jobs, job{l, way})
+			jobs = append(jobs, job{loss, way})
 		}
 	}
 	rows := make([]lossRow, len(jobs))
 	errs := make([]error, len(jobs))
-	turns := make(chan int)
-	var all sync.WaitGroup
+	jobIndexes := make(chan int)
+	var workers sync.WaitGroup
 	for range max(1, c.Abreast) {
-		all.Go(func() {
-			for i := range turns {
-				fmt.Fprintf(s.err, "%d of %d: seed %d, %s\n", i+1, len(jobs), jobs[i].l.Seed, jobs[i].way)
+		workers.Go(func() {
+			for i := range jobIndexes {
+				fmt.Fprintf(s.err, "%d of %d: seed %d, %s\n", i+1, len(jobs), jobs[i].loss.Seed, jobs[i].way)
 				rows[i].Way = jobs[i].way
-				rows[i].Result, errs[i] = c.play(ctx, jobs[i].l, jobs[i].way)
+				rows[i].Result, errs[i] = c.runLoss(ctx, jobs[i].loss, jobs[i].way)
 			}
 		})
 	}
 	for i := range jobs {
-		turns <- i
+		jobIndexes <- i
 	}
-	close(turns)
-	all.Wait()
+	close(jobIndexes)
+	workers.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
@@ -82,51 +85,51 @@
 		if err := printJSON(s.out, map[string]any{"runs": rows}); err != nil {
 			return err
 		}
-	} else if err := c.text(s, rows); err != nil {
+	} else if err := c.printTable(s, rows); err != nil {
 		return err
 	}
 	for _, r := range rows {
 		if !r.Result.Held {
-			return errBroken
+			return errRuleViolated
 		}
 	}
 	return nil
 }
 
-func (c *clusterLoseCmd) play(ctx context.Context, l cluster.Loss, way string) (out *cluster.LossResult, err error) {
+func (c *clusterLoseCmd) runLoss(ctx context.Context, loss cluster.Loss, way string) (out *cluster.LossResult, err error) {
 	dir, err := os.MkdirTemp("", "lemonctl-lose-")
 	if err != nil {
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
-	r := cluster.LossRun{Loss: l, Program: c.Agent, Dir: dir, Agents: c.Agents}
+	r := cluster.LossRun{Loss: loss, Program: c.Agent, Dir: dir, Agents: c.Agents}
 	switch way {
 	case "today":
 	case "proportional":
-		r.Members, r.Sites = clusterMembers, l.LossFile("proportional")
+		r.Members, r.Sites = clusterMembers, loss.LossFile("proportional")
 	case "plan":
-		r.Members, r.Sites = clusterMembers, l.LossFile("best")
+		r.Members, r.Sites = clusterMembers, loss.LossFile("best")
 	case "plan-alone":
-		r.Sites = l.LossFile("best")
+		r.Sites = loss.LossFile("best")
 	default:
-		return nil, fmt.Errorf("--ways: %q is none of today, proportional, plan, plan-alone", way)
+		return nil, fmt.Errorf("--ways: unknown strategy %q (use today, proportional, plan or plan-alone)", way)
 	}
 	return r.Run(ctx)
 }
 
-func (c *clusterLoseCmd) text(s streams, rows []lossRow) error {
+func (c *clusterLoseCmd) printTable(s streams, rows []lossRow) error {
 	t := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "seed\tlost\tbeside\tload\tway\tof the best\t3 to 5 s after\t95 % after\tof the return\twave\trefused read\tsub\trules")
 	for _, r := range rows {
-		o, held := r.Result, "held"
-		if !o.Held {
-			held = "BROKEN " + o.Verdict
+		result, verdict := r.Result, "held"
+		if !result.Held {
+			verdict = "BROKEN " + result.Verdict
 		}
 		pct := func(class string) string {
-			return fmt.Sprintf("%.1f %%", 100*float64(o.Refused[class])/float64(max(1, o.Asked[class])))
+			return fmt.Sprintf("%.1f %%", 100*float64(result.Refused[class])/float64(max(1, result.Asked[class])))
 		}
-		fmt.Fprintf(t, "%d\t%s\t%s\t%.2f\t%s\t%.3f\t%.3f\t%.1f s\t%.1f s\t%.2f\t%s\t%s\t%s\n", o.Loss.Seed, o.Loss.What, o.Loss.Also, o.Loss.Share, r.Way, o.Served,
-			o.Soon, o.After, o.Return, o.Wave, pct("read"), pct("sub"), held)
+		fmt.Fprintf(t, "%d\t%s\t%s\t%.2f\t%s\t%.3f\t%.3f\t%.1f s\t%.1f s\t%.2f\t%s\t%s\t%s\n", result.Loss.Seed, result.Loss.What, result.Loss.Also, result.Loss.Share, r.Way, result.Served,
+			result.Soon, result.After, result.Return, result.Wave, pct("read"), pct("sub"), verdict)
 	}
 	if err := t.Flush(); err != nil || !c.Windows {
 		return err
@@ -144,20 +147,22 @@
 	return nil
 }
 
+// clusterDutiesCmd measures the cost of duties in a fleet without load.
 type clusterDutiesCmd struct {
-	Agent   string        `required:"" placeholder:"PROGRAM" help:"The agent's program, such as bin/lemonrail."`
-	Agents  int           `default:"20" help:"How many."`
-	Seats   []int         `default:"0,3,5,7" help:"Seats that sit, one run each; 0: no duties."`
-	LeaseMs int           `default:"3000" help:"Of the one duty that is held."`
-	For     time.Duration `default:"20s" help:"How long each is measured."`
+	Agent   string        `required:"" placeholder:"PROGRAM" help:"Path of the agent's binary, such as bin/lemonrail."`
+	Agents  int           `default:"20" help:"Number of agents."`
+	Seats   []int         `default:"0,3,5,7" help:"Numbers of voters, one run each; 0 runs without duties."`
+	LeaseMs int           `default:"3000" help:"Lease of the one duty that is held, in milliseconds."`
+	For     time.Duration `default:"20s" help:"Length of each measurement."`
 	JSON    bool          `name:"json" help:"Print one JSON object."`
 }
 
+// Run measures one fleet for each number of voters and prints a table.
 func (c *clusterDutiesCmd) Run(ctx context.Context, s streams) error {
 	var rows []*cluster.RestResult
 	for _, seats := range c.Seats {
 		if seats < 0 || seats > 7 || seats > c.Agents || seats > 0 && seats%2 == 0 {
-			return fmt.Errorf("--seats: %d; 0, 1, 3, 5 or 7 make sense", seats)
+			return fmt.Errorf("--seats: %d is invalid: use 0, 1, 3, 5 or 7, and no more than --agents", seats)
 		}
 		fmt.Fprintf(s.err, "%d agents, %d seats\n", c.Agents, seats)
 		dir, err := os.MkdirTemp("", "lemonctl-duties-")
--- a/cmd/lemonctl/sites.go
+++ b/cmd/lemonctl/sites.go
@@ -10,22 +10,25 @@
 	"lemonrail/internal/site"
 )
 
+// sitesPlanCmd computes plans for the loss of sites.
 type sitesPlanCmd struct {
-	File string   `arg:"" help:"Sites, classes and what is asked for (TOML); files/sites.toml beside this command's source is a sample."`
-	Lost []string `placeholder:"SITE" help:"Sites that are lost; each alone if left out."`
-	Half []string `placeholder:"SITE" help:"Sites of which half is left."`
+	File string   `arg:"" help:"Sites, classes and demand (TOML file); files/sites.toml beside this command's source is a sample."`
+	Lost []string `placeholder:"SITE" help:"Sites that are lost; if omitted, one plan is made for the loss of each site."`
+	Half []string `placeholder:"SITE" help:"Sites that have lost half of their capacity."`
 	JSON bool     `name:"json" help:"Print one JSON object."`
 }
 
-// sitePlan is what the ways make of one loss.
+// sitePlan is the outcome of one loss under each strategy.
 type sitePlan struct {
-	Remain  []float64             `json:"remain"`
-	What    string                `json:"what"`
-	Ways    map[string]*site.Plan `json:"ways"`
-	Load    []float64             `json:"load"` // of each site, by the plan
-	Seconds float64               `json:"solved_in_s"`
+	Remain      []float64             `json:"remain"`
+	Description string                `json:"what"`
+	Ways        map[string]*site.Plan `json:"ways"`
+	Load        []float64             `json:"load"` // of each site under the plan, in requests of mean work per second
+	Seconds     float64               `json:"solved_in_s"`
 }
 
+// Run prints the plans for the given loss. Without one it prints those for the undisturbed state and for the loss of
+// each single site.
 func (c *sitesPlanCmd) Run(s streams) error {
 	raw, err := os.ReadFile(c.File)
 	if err != nil {
@@ -35,22 +38,22 @@
 	if err != nil {
 		return err
 	}
-	at := map[string]int{}
+	siteIndex := map[string]int{}
 	var names []string
 	for i, x := range f.Sites {
-		at[x.Name] = i
+		siteIndex[x.Name] = i
 		names = append(names, x.Name)
 	}
-	remain := func(lost, half []string) ([]float64, error) {
+	remainingShares := func(lost, half []string) ([]float64, error) {
 		r := make([]float64, len(names))
 		for i := range r {
 			r[i] = 1
 		}
 		for share, list := range map[float64][]string{0: lost, 0.5: half} {
 			for _, name := range list {
-				i, ok := at[name]
+				i, ok := siteIndex[name]
 				if !ok {
-					return nil, fmt.Errorf("%s names no site %q; there are %s", c.File, name, strings.Join(names, ", "))
+					return nil, fmt.Errorf("%s has no site %q; its sites are %s", c.File, name, strings.Join(names, ", "))
 				}
 				r[i] = share
 			}
@@ -67,25 +70,25 @@
 	var plans []*sitePlan
 	for _, x := range cases {
 		q := p
-		if q.Remain, err = remain(x[0], x[1]); err != nil {
+		if q.Remain, err = remainingShares(x[0], x[1]); err != nil {
 			return err
 		}
-		what := "all is well"
+		description := "all is well"
 		if len(x[0])+len(x[1]) > 0 {
-			what = "lost: " + strings.Join(x[0], " ")
+			description = "lost: " + strings.Join(x[0], " ")
 			if len(x[1]) > 0 {
-				what += "; half of: " + strings.Join(x[1], " ")
+				description += "; half of: " + strings.Join(x[1], " ")
 			}
 		}
-		out := &sitePlan{Remain: q.Remain, What: what, Ways: map[string]*site.Plan{}}
-		begun := time.Now()
-		for _, way := range siteWays(&q) {
-			plan, err := way.work()
+		out := &sitePlan{Remain: q.Remain, Description: description, Ways: map[string]*site.Plan{}}
+		start := time.Now()
+		for _, strategy := range strategies(&q) {
+			plan, err := strategy.solve()
 			if err != nil {
-				return fmt.Errorf("%s, %s: %w", what, way.name, err)
+				return fmt.Errorf("%s, %s: %w", description, strategy.name, err)
 			}
-			if out.Ways[way.name] = plan; way.name == "plan" {
-				out.Seconds = time.Since(begun).Seconds()
+			if out.Ways[strategy.name] = plan; strategy.name == "plan" {
+				out.Seconds = time.Since(start).Seconds()
 				out.Load = q.Load(plan)
 			}
 		}
@@ -94,24 +97,26 @@
 	if c.JSON {
 		return printJSON(s.out, map[string]any{"sites": names, "plans": plans})
 	}
-	return c.text(s, names, f, plans)
+	return c.printPlans(s, names, f, plans)
 }
 
-type siteWay struct {
-	name string
-	work func() (*site.Plan, error)
+// strategy is a named way to distribute the load among the remaining sites.
+type strategy struct {
+	name  string
+	solve func() (*site.Plan, error)
 }
 
-func siteWays(q *site.Problem) []siteWay {
-	return []siteWay{{"plan", q.Solve}, {"nearest first", q.Nearest}, {"in proportion", q.Spill}}
+// strategies returns the plan and the two simple strategies that it is compared with.
+func strategies(q *site.Problem) []strategy {
+	return []strategy{{"plan", q.Solve}, {"nearest first", q.Nearest}, {"in proportion", q.Spill}}
 }
 
-func (c *sitesPlanCmd) text(s streams, names []string, f *site.File, plans []*sitePlan) error {
+func (c *sitesPlanCmd) printPlans(s streams, names []string, f *site.File, plans []*sitePlan) error {
 	t := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	for _, p := range plans {
-		fmt.Fprintf(t, "%s\n", p.What)
-		for _, way := range siteWays(&site.Problem{}) {
-			fmt.Fprintf(t, "  worth a second, %s:\t%.1f\n", way.name, p.Ways[way.name].Worth)
+		fmt.Fprintf(t, "%s\n", p.Description)
+		for _, strategy := range strategies(&site.Problem{}) {
+			fmt.Fprintf(t, "  worth a second, %s:\t%.1f\n", strategy.name, p.Ways[strategy.name].Worth)
 		}
 		plan := p.Ways["plan"]
 		for o, name := range names {
--- a/cmd/lemonctl/sites_test.go
+++ b/cmd/lemonctl/sites_test.go
@@ -7,27 +7,27 @@
 )
 
 func TestSitesPlan(t *testing.T) {
-	code, out, complaints := call(t, "", "sites", "plan", "files/sites.toml")
+	code, out, errOut := call(t, "", "sites", "plan", "files/sites.toml")
 	if code != 0 {
-		t.Fatal(complaints)
+		t.Fatal(errOut)
 	}
 	for _, want := range []string{"all is well", "lost: anand", "clients of surat", "taken in: point-read", "in proportion"} {
 		if !strings.Contains(out, want) {
 			t.Errorf("no %q in\n%s", want, out)
 		}
 	}
-	code, out, complaints = call(t, "", "sites", "plan", "files/sites.toml", "--lost", "anand", "--half", "surat", "--json")
+	code, out, errOut = call(t, "", "sites", "plan", "files/sites.toml", "--lost", "anand", "--half", "surat", "--json")
 	var got struct {
 		Plans []sitePlan `json:"plans"`
 	}
 	if err := json.Unmarshal([]byte(out), &got); code != 0 || err != nil || len(got.Plans) != 1 {
-		t.Fatalf("exit %d, %v: %s", code, err, complaints)
+		t.Fatalf("exit %d, %v: %s", code, err, errOut)
 	}
 	p := got.Plans[0]
 	if best := p.Ways["plan"].Worth; best < p.Ways["nearest first"].Worth-1e-6 || best < p.Ways["in proportion"].Worth-1e-6 || p.Load[0] != 0 {
 		t.Errorf("%+v", p)
 	}
-	if code, _, complaints := call(t, "", "sites", "plan", "files/sites.toml", "--lost", "nowhere"); code != 1 || !strings.Contains(complaints, "anand, surat, bhuj") {
-		t.Errorf("exit %d: %s", code, complaints)
+	if code, _, errOut := call(t, "", "sites", "plan", "files/sites.toml", "--lost", "nowhere"); code != 1 || !strings.Contains(errOut, "anand, surat, bhuj") {
+		t.Errorf("exit %d: %s", code, errOut)
 	}
 }
--- a/cmd/lemonctl/sitesshow.go
+++ b/cmd/lemonctl/sitesshow.go
@@ -15,32 +15,34 @@
 	"lemonrail/internal/site/driver"
 )
 
+// sitesShowCmd prints the agents' views of the sites.
 type sitesShowCmd struct{ watchFlags }
 
-// sitesLook is what all agents said at a time.
-type sitesLook struct {
+// sitesSnapshot holds the reports of all agents on the sites from one poll.
+type sitesSnapshot struct {
 	At     time.Time                 `json:"at"`
-	Agents map[string]*driver.Report `json:"agents"` // by control address
-	Silent map[string]string         `json:"silent,omitempty"`
+	Agents map[string]*driver.Report `json:"agents"`           // by control address
+	Silent map[string]string         `json:"silent,omitempty"` // errors of failed calls, by control address
 }
 
+// Run polls the agents and prints each snapshot.
 func (c *sitesShowCmd) Run(ctx context.Context, s streams) error {
-	return watched[*sitesLook]{
-		ask:   lookAtSites,
-		show:  func(l *sitesLook) error { return l.text(s.out) },
-		page:  sitesPage,
-		empty: func(l *sitesLook) bool { return len(l.Agents) == 0 },
+	return poller[*sitesSnapshot]{
+		fetch:     fetchSites,
+		printText: func(l *sitesSnapshot) error { return l.printText(s.out) },
+		writePage: sitesPage,
+		noAnswers: func(l *sitesSnapshot) bool { return len(l.Agents) == 0 },
 	}.run(ctx, &c.watchFlags, s)
 }
 
-func lookAtSites(ctx context.Context, agents []string) *sitesLook {
-	l := &sitesLook{At: time.Now()}
-	l.Agents, l.Silent = askAll[driver.Report](ctx, agents, "/api/sites", "it watches no sites (started without -sites)")
+func fetchSites(ctx context.Context, agents []string) *sitesSnapshot {
+	l := &sitesSnapshot{At: time.Now()}
+	l.Agents, l.Silent = fetchAll[driver.Report](ctx, agents, "/api/sites", "it watches no sites (started without -sites)")
 	return l
 }
 
-// text prints a line for each site and state that agents hold it for.
-func (l *sitesLook) text(w io.Writer) error {
+// printText prints a line for each site and state that agents hold it for.
+func (l *sitesSnapshot) printText(w io.Writer) error {
 	type group struct {
 		agents []string
 		row    driver.Row
@@ -65,7 +67,7 @@
 		if r.ByHand {
 			why = "by hand"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d: %s\t%s\t%s\t%.0f %%\t%.0f %%\t%.0f %%\t%.0f s\t%s\n", r.Site, r.State, len(g.agents), short(g.agents), r.Since.Format("15:04:05"), why,
+		fmt.Fprintf(t, "%s\t%s\t%d: %s\t%s\t%s\t%.0f %%\t%.0f %%\t%.0f %%\t%.0f s\t%s\n", r.Site, r.State, len(g.agents), abbreviate(g.agents), r.Since.Format("15:04:05"), why,
 			100*r.FailShare, 100*r.Elsewhere, 100*r.Remain, r.FullIn, g.basis)
 	}
 	if err := t.Flush(); err != nil {
@@ -79,10 +81,11 @@
 	return nil
 }
 
-// sitesPage draws attempts a second at each site, all agents together, and for how many agents it is in use.
-func sitesPage(w io.Writer, looks []*sitesLook) error {
+// sitesPage writes an HTML page that plots, for each site, the attempts per second of all agents together and the
+// number of agents that hold the site for lost or cut.
+func sitesPage(w io.Writer, snapshots []*sitesSnapshot) error {
 	var names []string
-	for _, l := range looks {
+	for _, l := range snapshots {
 		for _, r := range l.Agents {
 			for _, row := range r.Sites {
 				if !slices.Contains(names, row.Site) {
@@ -93,21 +96,21 @@
 	}
 	slices.Sort(names)
 	step := 1.0
-	if len(looks) > 1 {
-		step = looks[len(looks)-1].At.Sub(looks[0].At).Seconds() / float64(len(looks)-1)
+	if len(snapshots) > 1 {
+		step = snapshots[len(snapshots)-1].At.Sub(snapshots[0].At).Seconds() / float64(len(snapshots)-1)
 	}
-	var load, away []chart.Line
+	var load, avoiding []chart.Line
 	for i, name := range names {
 		a := chart.Line{Name: name, Colour: chart.Colours[i%len(chart.Colours)]}
 		b := a
-		for k := 1; k < len(looks); k++ {
-			span, rate, off := looks[k].At.Sub(looks[k-1].At).Seconds(), 0.0, 0.0
-			for d, r := range looks[k].Agents {
-				now, before := siteRow(r, name), siteRow(looks[k-1].Agents[d], name)
+		for k := 1; k < len(snapshots); k++ {
+			span, rate, off := snapshots[k].At.Sub(snapshots[k-1].At).Seconds(), 0.0, 0.0
+			for d, r := range snapshots[k].Agents {
+				now, before := findSite(r, name), findSite(snapshots[k-1].Agents[d], name)
 				if now == nil {
 					continue
 				}
-				if before != nil && now.Attempts >= before.Attempts && span > 0 { // else it has been started anew
+				if before != nil && now.Attempts >= before.Attempts && span > 0 { // otherwise the agent has restarted
 					rate += float64(now.Attempts-before.Attempts) / span
 				}
 				if now.State == "lost" || now.State == "cut" {
@@ -116,18 +119,19 @@
 			}
 			a.Y, b.Y = append(a.Y, rate), append(b.Y, off)
 		}
-		load, away = append(load, a), append(away, b)
+		load, avoiding = append(load, a), append(avoiding, b)
 	}
 	var text strings.Builder
-	if err := looks[len(looks)-1].text(&text); err != nil {
+	if err := snapshots[len(snapshots)-1].printText(&text); err != nil {
 		return err
 	}
-	return chart.Page(w, chart.Document{Title: "Load by site, from " + looks[0].At.Format(time.DateTime), Text: text.String(), Plots: []template.HTML{
+	return chart.Page(w, chart.Document{Title: "Load by site, from " + snapshots[0].At.Format(time.DateTime), Text: text.String(), Plots: []template.HTML{
 		chart.Plot("Attempts that ended", "/s", step, load),
-		chart.Plot("Agents that hold a site for lost or cut", "", step, away)}})
+		chart.Plot("Agents that hold a site for lost or cut", "", step, avoiding)}})
 }
 
-func siteRow(r *driver.Report, name string) *driver.Row {
+// findSite returns the row of a site in a report; nil if r is nil or has no such row.
+func findSite(r *driver.Report, name string) *driver.Row {
 	if r == nil {
 		return nil
 	}
--- a/cmd/lemonctl/trial.go
+++ b/cmd/lemonctl/trial.go
@@ -13,8 +13,10 @@
 	"lemonrail/internal/trial"
 )
 
+// trialListCmd lists the built-in stand-in days.
 type trialListCmd struct{}
 
+// Run prints the name and description of each day.
 func (trialListCmd) Run(s streams) error {
 	for _, name := range trial.DayNames() {
 		d, err := trial.ReadDay(name)
@@ -26,15 +28,17 @@
 	return nil
 }
 
+// trialRunCmd plays stand-in days against agents.
 type trialRunCmd struct {
-	Days     []string `arg:"" optional:"" help:"Names of days, or TOML files of your own; all days if left out."`
-	Seeds    []uint64 `placeholder:"N" help:"Seeds to play each day with; its own if left out."`
-	Agent    string   `placeholder:"PROGRAM" help:"The agent's program, such as bin/lemonrail; else agents run within this process."`
-	AgentLog string   `placeholder:"FILE" help:"Where the agents' logs go."`
+	Days     []string `arg:"" optional:"" help:"Names of days, or TOML files; all built-in days if omitted."`
+	Seeds    []uint64 `placeholder:"N" help:"Random seeds to play each day with; the day's own seed if omitted."`
+	Agent    string   `placeholder:"PROGRAM" help:"Path of the agent's binary, such as bin/lemonrail; agents run within this process if omitted."`
+	AgentLog string   `placeholder:"FILE" help:"File to which the agents' logs are written."`
 	JSON     bool     `name:"json" help:"Print one JSON object."`
-	HTML     string   `name:"html" placeholder:"FILE" help:"Write the outcomes as one page with plots."`
+	HTML     string   `name:"html" placeholder:"FILE" help:"Write the outcomes as one HTML page with plots."`
 }
 
+// Run plays each day with each seed and prints the outcomes. It returns errRuleViolated if one violated a rule.
 func (c *trialRunCmd) Run(ctx context.Context, s streams) (err error) {
 	if len(c.Days) == 0 {
 		c.Days = trial.DayNames()
@@ -48,50 +52,50 @@
 	}
 	defer closeLogs()
 	var days []*trial.Day
-	for _, name := range c.Days { // what makes no sense is found before anything is played
+	for _, name := range c.Days { // all days are validated before the first one is played
 		d, err := trial.ReadDay(name)
 		if err != nil {
 			return err
 		}
 		days = append(days, d)
 	}
-	var outs []*trial.Outcome
-	broken := false
+	var outcomes []*trial.Outcome
+	violated := false
 	for _, d := range days {
 		for _, seed := range c.Seeds {
-			out, err := c.play(ctx, s, d, seed, logs)
+			out, err := c.playDay(ctx, s, d, seed, logs)
 			if err != nil {
 				return fmt.Errorf("%s: %w", d.Name, err)
 			}
-			outs = append(outs, out)
-			broken = broken || !out.RulesHeld
+			outcomes = append(outcomes, out)
+			violated = violated || !out.RulesHeld
 			if ctx.Err() != nil {
 				break
 			}
 		}
 	}
 	if c.HTML != "" {
-		if err := writeFile(c.HTML, func(w io.Writer) error { return outcomePage(w, outs) }); err != nil {
+		if err := writeFile(c.HTML, func(w io.Writer) error { return writeOutcomePage(w, outcomes) }); err != nil {
 			return err
 		}
 	}
 	if c.JSON {
-		err = printJSON(s.out, map[string]any{"days": outs})
+		err = printJSON(s.out, map[string]any{"days": outcomes})
 	} else {
-		err = trial.Text(s.out, outs)
+		err = trial.Text(s.out, outcomes)
 	}
-	if broken {
-		for _, o := range outs {
+	if violated {
+		for _, o := range outcomes {
 			if !o.RulesHeld {
 				fmt.Fprintf(s.err, "%s: %s\n", o.Day, o.Verdict)
 			}
 		}
-		err = errors.Join(err, errBroken)
+		err = errors.Join(err, errRuleViolated)
 	}
 	return err
 }
 
-func (c *trialRunCmd) play(ctx context.Context, s streams, d *trial.Day, seed uint64, logs io.Writer) (out *trial.Outcome, err error) {
+func (c *trialRunCmd) playDay(ctx context.Context, s streams, d *trial.Day, seed uint64, logs io.Writer) (out *trial.Outcome, err error) {
 	dir, err := os.MkdirTemp("", "lemonctl-trial-")
 	if err != nil {
 		return nil, err
@@ -101,9 +105,10 @@
 	return trial.PlayDay(ctx, d, trial.DayOptions{Dir: dir, Program: c.Agent, Log: logs, Seed: seed})
 }
 
-func outcomePage(w io.Writer, outs []*trial.Outcome) error {
+// writeOutcomePage writes an HTML page with a plot of requests per second for each outcome.
+func writeOutcomePage(w io.Writer, outcomes []*trial.Outcome) error {
 	var plots []template.HTML
-	for _, o := range outs {
+	for _, o := range outcomes {
 		col := func(f func(*trial.Part) int64) (y []float64) {
 			for _, p := range o.Windows {
 				y = append(y, float64(f(p))/o.WindowS)
@@ -119,7 +124,7 @@
 			{Name: "failed", Colour: c[4], Y: col(func(p *trial.Part) int64 { return p.Failed + p.Lost })}}))
 	}
 	var text strings.Builder
-	if err := trial.Text(&text, outs); err != nil {
+	if err := trial.Text(&text, outcomes); err != nil {
 		return err
 	}
 	return chart.Page(w, chart.Document{Title: "Stand-in days", Plots: plots, Text: text.String()})
