--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads TOML files that people write: unknown keys and what makes no sense are
-// refused, with file, line and key.
+// Package strict decodes TOML files that people write. Unknown keys and values of the wrong type are errors
+// that name the file, the line and the key.
 package strict
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode reads raw into a value; file is what errors call it.
+// Decode decodes raw into a value; file is its name in errors.
 func Decode(file string, raw []byte, into any) error {
 	dec := toml.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// DecodeFile reads a file.
+// DecodeFile reads and decodes a file.
 func DecodeFile(path string, into any) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return Decode(path, raw, into)
 }
 
-// Table is the line on which the table [[name]] begins for the time n, counted from 0; 0: it doesn't.
+// Table returns the line number of the nth table [[name]], with n counted from 0; 0 if there is none.
 func Table(raw []byte, name string, n int) int {
 	for i, line := range strings.Split(string(raw), "\n") {
 		if head, _, _ := strings.Cut(strings.TrimSpace(line), "#"); strings.TrimSpace(head) == "[["+name+"]]" {
@@ -58,7 +58,7 @@
 	return 0
 }
 
-// Key is the line on which a key of the top is set, before any table; 0: it isn't.
+// Key returns the line number on which a top-level key is set, before any table; 0 if it isn't set.
 func Key(raw []byte, key string) int {
 	for i, line := range strings.Split(string(raw), "\n") {
 		line = strings.TrimSpace(line)
--- a/internal/strict/strict_test.go
+++ b/internal/strict/strict_test.go
@@ -12,7 +12,7 @@
 	for _, tt := range []struct{ name, text, want string }{
 		{"an unknown key", "name = 'x'\n[part]\nsise = 1\n", "f.toml: line 3: unknown key part.sise"},
 		{"a wrong type", "name = 'x'\n[part]\nsize = 'big'\n", "f.toml: line 3: part.size"},
-		{"no TOML", "name = \n", "f.toml: line 1"},
+		{"invalid TOML", "name = \n", "f.toml: line 1"},
 		{"a key twice", "name = 'x'\nname = 'y'\n", "f.toml: "},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
