--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,6 +1,6 @@
-// Package chart draws what a command measured as one self-contained HTML page: curves over time as
-// SVG, with no script and nothing loaded from elsewhere. Hand-written, since the plotting libraries
-// seen draw pictures for files or need scripts in the page.
+// Package chart renders measurements as one self-contained HTML page: curves over time as SVG, without scripts
+// and external resources. It is written by hand because the plotting libraries that were considered draw image
+// files or need scripts in the page.
 package chart
 
 import (
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// Line is one curve of a plot; its points stand at even steps.
+// Line is one curve of a plot; its points are evenly spaced.
 type Line struct {
 	Name   string
 	Colour string
@@ -19,37 +19,36 @@
 	Y      []float64
 }
 
-// Colours are those of curves, in the order in which they are given out.
+// Colours are the colours of curves, in order of use.
 var Colours = []string{"#1b6ca8", "#c4572e", "#3a7d44", "#7b4fa3", "#a67c00", "#50656e"}
 
-// Plot draws curves over time as SVG, with axes that tell the figures; step is the time between two
-// points in seconds.
+// Plot draws curves over time as SVG, with labelled axes. step is the time between two points in seconds.
 func Plot(title, unit string, step float64, lines []Line) template.HTML {
 	const w, h, left, right, top, bottom = 860.0, 260.0, 64.0, 16.0, 30.0, 34.0
-	n, most := 0, 0.0
+	n, maxY := 0, 0.0
 	for _, l := range lines {
 		n = max(n, len(l.Y))
 		for _, y := range l.Y {
-			most = max(most, y)
+			maxY = max(maxY, y)
 		}
 	}
 	if n == 0 {
 		return ""
 	}
-	most = nice(most)
+	maxY = roundUpForAxis(maxY)
 	x := func(i int) float64 { return left + (w-left-right)*float64(i)/float64(max(n-1, 1)) }
-	y := func(v float64) float64 { return h - bottom - (h-top-bottom)*v/most }
+	y := func(v float64) float64 { return h - bottom - (h-top-bottom)*v/maxY }
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `<svg viewBox="0 0 %.0f %.0f" role="img" aria-label="%s">`, w, h, template.HTMLEscapeString(title))
 	fmt.Fprintf(&b, `<text class="t" x="%.0f" y="18">%s</text>`, left, template.HTMLEscapeString(title))
 	for i := range 5 {
-		v := most * float64(i) / 4
+		v := maxY * float64(i) / 4
 		fmt.Fprintf(&b, `<line class="g" x1="%.0f" x2="%.0f" y1="%.1f" y2="%.1f"/><text class="a" text-anchor="end" x="%.0f" y="%.1f">%g %s</text>`,
-			left, w-right, y(v), y(v), left-6, y(v)+4, round(v), unit)
+			left, w-right, y(v), y(v), left-6, y(v)+4, roundTo4Digits(v), unit)
 	}
 	for i := range 6 {
 		k := (n - 1) * i / 5
-		fmt.Fprintf(&b, `<text class="a" text-anchor="middle" x="%.1f" y="%.0f">%g s</text>`, x(k), h-bottom+18, round(float64(k)*step))
+		fmt.Fprintf(&b, `<text class="a" text-anchor="middle" x="%.1f" y="%.0f">%g s</text>`, x(k), h-bottom+18, roundTo4Digits(float64(k)*step))
 	}
 	for i, l := range lines {
 		var pts []string
@@ -67,8 +66,8 @@
 	return template.HTML(b.String())
 }
 
-// nice is the next round number for the end of an axis.
-func nice(v float64) float64 {
+// roundUpForAxis returns the next round number that is at least v, for the end of an axis.
+func roundUpForAxis(v float64) float64 {
 	if !(v > 0) {
 		return 1
 	}
@@ -87,7 +86,7 @@
 	return 10 * unit
 }
 
-func round(v float64) float64 {
+func roundTo4Digits(v float64) float64 {
 	var r float64
 	fmt.Sscanf(fmt.Sprintf("%.4g", v), "%g", &r)
 	return r
@@ -111,11 +110,11 @@
 </html>
 `))
 
-// Document is what a page shows.
+// Document is the content of a page.
 type Document struct {
 	Title   string
-	Verdict string // one line, shown as good or bad; empty: none
-	Held    bool   // whether it is good
+	Verdict string // one line, shown as good or bad; empty for none
+	Held    bool   // whether the verdict is good
 	Plots   []template.HTML
 	Text    string // the report as text, below the plots
 }
