--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -1,13 +1,13 @@
-// Package overhead measures what an agent costs beside a bare reverse proxy and no proxy at all, in one
-// run on one machine: requests a second and CPU a request in a closed loop, latency at fixed rates,
-// memory. The three take turns within each round, so that a machine whose speed drifts is the same for
-// all of them; figures are medians over the rounds.
+// Package overhead compares what an agent costs with a bare reverse proxy and with no proxy at all, in one run on
+// one machine. It measures requests per second and CPU time per request in a closed loop, latency at fixed rates,
+// and memory. The three variants alternate within each round, so that changes of the machine's speed affect all of
+// them equally; results are medians over the rounds.
 //
-// Agent and bare proxy are processes of their own, each on one core (sched_setaffinity(2)); the nodes
-// and the clients are goroutines of the measuring process, on the others. Processor times come from
-// proc(5): ticks of 10 ms, so that a closed loop of a second and more is told to one in a hundred.
+// Agent and bare proxy are separate processes, each on one core (sched_setaffinity(2)). The nodes and the clients
+// are goroutines of the measuring process, on the other cores. CPU times come from proc(5) in ticks of 10 ms, so a
+// closed loop of at least one second is accurate to 1 %.
 //
-// Everything ends by itself: loops are bounded in time, the children are killed by their ids.
+// All loops are bounded in time, and child processes are killed by their ids.
 package overhead
 
 import (
@@ -38,43 +38,43 @@
 	"lemonrail/internal/load"
 )
 
-// Options say what is measured.
+// Options define what is measured.
 type Options struct {
-	Agent   string   // the agent's program
-	Proxy   []string // command line of the bare proxy: its addresses follow; see ServeProxy
-	Nodes   int
-	Bytes   int // of an answer
-	Clients int // of the closed loop
-	Seconds float64
-	Rates   []float64 // a second
-	Rounds  int
-	Dir     string
-	Changes float64                          // of the list of nodes a second; 0: it never changes
-	Say     func(format string, args ...any) // progress
+	Agent   string                           // path of the agent's program
+	Proxy   []string                         // command line of the bare proxy, to which its addresses are appended; see ServeProxy
+	Nodes   int                              // number of nodes
+	Bytes   int                              // size of an answer's body
+	Clients int                              // number of clients in the closed loop
+	Seconds float64                          // duration of each loop
+	Rates   []float64                        // fixed rates, in requests per second
+	Rounds  int                              // number of rounds
+	Dir     string                           // directory for the agent's configuration
+	Changes float64                          // changes per second of the list of nodes; 0 for none
+	Say     func(format string, args ...any) // reports progress; may be nil
 }
 
-// mostNodes is how many nodes may be listed: each listens on a port of its own.
-const mostNodes = 512
+// maxNodes is the maximum number of nodes; each listens on its own port.
+const maxNodes = 512
 
-// Row is what one way came to, as medians over the rounds.
+// Row is the result of one variant; figures are medians over the rounds unless noted.
 type Row struct {
-	Way      string        `json:"way"`       // direct, bare proxy, agent
-	PerS     float64       `json:"per_s"`     // closed loop: requests a second
-	CPUUs    float64       `json:"cpu_us"`    // and CPU of the proxy for one, microseconds; 0: none between
-	Answered int64         `json:"answered"`  // 200, in all closed loops
-	Other    int64         `json:"other"`     // any other outcome, in all loops
-	MemoryMB float64       `json:"memory_mb"` // the most that was resident
-	Rates    []RateLatency `json:"rates"`
+	Variant      string        `json:"way"`       // direct, bare proxy, agent
+	RequestsPerS float64       `json:"per_s"`     // closed loop: served requests per second
+	CPUUs        float64       `json:"cpu_us"`    // closed loop: CPU time of the proxy per request, in microseconds; 0 without a proxy
+	Answered     int64         `json:"answered"`  // requests answered with 200 in all closed loops
+	NotServed    int64         `json:"other"`     // requests with any other outcome, in all loops
+	PeakMemoryMB float64       `json:"memory_mb"` // peak resident memory over the whole run
+	Rates        []RateLatency `json:"rates"`
 }
 
-// RateLatency is the latency at a fixed rate, from when requests were written.
+// RateLatency is the latency at a fixed rate, from when a request was written to the end of its answer.
 type RateLatency struct {
 	PerS  float64 `json:"per_s"`
 	P50Us float64 `json:"p50_us"`
 	P99Us float64 `json:"p99_us"`
 }
 
-// Report is what all ways came to.
+// Report holds the results of all variants.
 type Report struct {
 	Cores   int    `json:"cores"`
 	Go      string `json:"go"`
@@ -84,53 +84,53 @@
 	Rows    []*Row `json:"rows"`
 }
 
-// way is one of those that are compared, while it runs.
-type way struct {
-	name string
-	addr netip.AddrPort
-	pid  int // 0: nothing between
-	row  Row
-	perS []float64
-	cpu  []float64
-	p50  [][]float64 // by rate
-	p99  [][]float64
+// variant is one of the compared set-ups and its measurements so far.
+type variant struct {
+	name         string
+	addr         netip.AddrPort
+	pid          int // of the proxy; 0 without a proxy
+	row          Row
+	requestsPerS []float64
+	cpuUs        []float64
+	p50          [][]float64 // in microseconds, by rate and round
+	p99          [][]float64
 }
 
-// Measure runs it all.
+// Measure runs all rounds and returns the results.
 func Measure(ctx context.Context, o Options) (r *Report, err error) {
-	if o.Nodes < 1 || o.Nodes > mostNodes || o.Clients < 1 || o.Clients > 1024 || !(o.Seconds > 0) || o.Seconds > 600 || o.Rounds < 1 || o.Rounds > 100 || o.Bytes < 0 || o.Bytes > 1<<20 {
-		return nil, errors.New("nodes, clients, seconds, rounds or bytes make no sense")
+	if o.Nodes < 1 || o.Nodes > maxNodes || o.Clients < 1 || o.Clients > 1024 || !(o.Seconds > 0) || o.Seconds > 600 || o.Rounds < 1 || o.Rounds > 100 || o.Bytes < 0 || o.Bytes > 1<<20 {
+		return nil, errors.New("nodes must be within 1 and 512, clients 1 and 1024, seconds above 0 and at most 600, rounds 1 and 100, bytes 0 and 1048576")
 	}
 	if !(o.Changes >= 0) || o.Changes > 1000 {
-		return nil, fmt.Errorf("%v changes a second make no sense", o.Changes)
+		return nil, fmt.Errorf("%v changes a second are not within 0 and 1000", o.Changes)
 	}
 	for _, rate := range o.Rates {
 		if !(rate > 0) || rate > 1e5 {
-			return nil, fmt.Errorf("a rate of %v makes no sense", rate)
+			return nil, fmt.Errorf("a rate of %v is not above 0 and at most 100000", rate)
 		}
 	}
 	if o.Say == nil {
 		o.Say = func(string, ...any) {}
 	}
-	nodes, closeNodes, err := openNodes(o.Nodes, o.Bytes)
+	nodes, closeNodes, err := startNodes(o.Nodes, o.Bytes)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, closeNodes()) }()
-	disc, closeDisc, err := openDiscovery(nodes, o.Changes)
+	disc, closeDisc, err := startDiscovery(nodes, o.Changes)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, closeDisc()) }()
 
-	ways := []*way{{name: "direct", addr: nodes[0]}}
-	var kids []*kid
+	variants := []*variant{{name: "direct", addr: nodes[0]}}
+	var children []*childProcess
 	defer func() {
-		for _, k := range kids {
+		for _, k := range children {
 			k.stop()
 		}
 	}()
-	start := func(name string, core int, env []string, argv ...string) (*way, error) {
+	start := func(name string, core int, env []string, argv ...string) (*variant, error) {
 		addr, err := freeAddr()
 		if err != nil {
 			return nil, err
@@ -144,14 +144,14 @@
 			}
 			env = []string{"LB_CONFIG=" + env[0]}
 		}
-		k, err := startOn(core, env, argv...)
+		k, err := startOnCore(core, env, argv...)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		kids = append(kids, k)
-		w := &way{name: name, addr: addr, pid: k.cmd.Process.Pid}
-		ways = append(ways, w)
-		return w, untilUp(ctx, addr)
+		children = append(children, k)
+		w := &variant{name: name, addr: addr, pid: k.cmd.Process.Pid}
+		variants = append(variants, w)
+		return w, waitUntilUp(ctx, addr)
 	}
 	proxy := append(slices.Clone(o.Proxy), "LISTEN")
 	for _, n := range nodes {
@@ -163,34 +163,34 @@
 	if _, err := start("agent", min(1, runtime.NumCPU()-1), []string{filepath.Join(o.Dir, "agent.json")}, o.Agent); err != nil {
 		return nil, err
 	}
-	back, err := leaveCores(2)
+	restore, err := avoidCores(2)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { err = errors.Join(err, back()) }()
-	for _, w := range ways {
+	defer func() { err = errors.Join(err, restore()) }()
+	for _, w := range variants {
 		w.p50, w.p99 = make([][]float64, len(o.Rates)), make([][]float64, len(o.Rates))
 	}
 	for round := range o.Rounds {
-		for _, w := range ways {
+		for _, w := range variants {
 			o.Say("round %d of %d: %s", round+1, o.Rounds, w.name)
-			if err := w.closed(ctx, o, uint64(round)); err != nil {
+			if err := w.measureClosedLoop(ctx, o, uint64(round)); err != nil {
 				return nil, err
 			}
 		}
 		for i, rate := range o.Rates {
-			for _, w := range ways {
-				if err := w.fixed(ctx, o, i, rate, uint64(round)); err != nil {
+			for _, w := range variants {
+				if err := w.measureFixedRate(ctx, o, i, rate, uint64(round)); err != nil {
 					return nil, err
 				}
 			}
 		}
 	}
 	r = &Report{Cores: runtime.NumCPU(), Go: runtime.Version(), Clients: o.Clients, Nodes: o.Nodes, Rounds: o.Rounds}
-	for _, w := range ways {
-		w.row.Way, w.row.PerS, w.row.CPUUs = w.name, median(w.perS), median(w.cpu)
+	for _, w := range variants {
+		w.row.Variant, w.row.RequestsPerS, w.row.CPUUs = w.name, median(w.requestsPerS), median(w.cpuUs)
 		if w.pid > 0 {
-			if w.row.MemoryMB, err = peakMemory(w.pid); err != nil {
+			if w.row.PeakMemoryMB, err = peakMemory(w.pid); err != nil {
 				return nil, err
 			}
 		}
@@ -209,7 +209,7 @@
 	return slices.Sorted(slices.Values(list))[len(list)/2]
 }
 
-// requests yields the same request for ever; every of them at an even step.
+// requests returns a generator of equal requests, at even intervals if rate is above 0.
 func requests(rate float64) func() (*load.Request, error) {
 	n := int64(0)
 	return func() (*load.Request, error) {
@@ -222,17 +222,17 @@
 	}
 }
 
-// closed measures the closed loop once.
-func (w *way) closed(ctx context.Context, o Options, seed uint64) error {
-	var ok, other atomic.Int64
+// measureClosedLoop runs the closed loop once.
+func (w *variant) measureClosedLoop(ctx context.Context, o Options, seed uint64) error {
+	var served, notServed atomic.Int64
 	opt := load.PlayOptions{Targets: []netip.AddrPort{w.addr}, Seed: seed<<8 | 1, For: time.Duration(o.Seconds * float64(time.Second)), Done: func(s *load.Sample) {
 		if s.Outcome == load.Served {
-			ok.Add(1)
+			served.Add(1)
 		} else {
-			other.Add(1)
+			notServed.Add(1)
 		}
 	}}
-	before, err := cpu(w.pid)
+	before, err := cpuTime(w.pid)
 	if err != nil {
 		return err
 	}
@@ -240,40 +240,40 @@
 	if err != nil {
 		return err
 	}
-	after, err := cpu(w.pid)
+	after, err := cpuTime(w.pid)
 	if err != nil {
 		return err
 	}
-	w.perS = append(w.perS, float64(ok.Load())/tot.Finished.Sub(tot.Begun).Seconds())
-	w.cpu = append(w.cpu, float64((after-before).Microseconds())/float64(max(1, ok.Load())))
-	w.row.Answered += ok.Load()
-	w.row.Other += other.Load()
+	w.requestsPerS = append(w.requestsPerS, float64(served.Load())/tot.Finished.Sub(tot.Begun).Seconds())
+	w.cpuUs = append(w.cpuUs, float64((after-before).Microseconds())/float64(max(1, served.Load())))
+	w.row.Answered += served.Load()
+	w.row.NotServed += notServed.Load()
 	return ctx.Err()
 }
 
-// fixed measures a rate once.
-func (w *way) fixed(ctx context.Context, o Options, i int, rate float64, seed uint64) error {
-	var took []float64
+// measureFixedRate measures the latency at one rate once.
+func (w *variant) measureFixedRate(ctx context.Context, o Options, i int, rate float64, seed uint64) error {
+	var latencies []float64
 	opt := load.PlayOptions{Targets: []netip.AddrPort{w.addr}, Seed: seed<<8 | uint64(2+i), For: time.Duration(o.Seconds * float64(time.Second)), InFlight: 256, Done: func(s *load.Sample) {
 		if s.Outcome == load.Served {
-			took = append(took, float64(s.Ended.Sub(s.Sent).Nanoseconds())/1000)
+			latencies = append(latencies, float64(s.Ended.Sub(s.Sent).Nanoseconds())/1000)
 		} else {
-			w.row.Other++
+			w.row.NotServed++
 		}
 	}}
 	if _, err := load.Play(ctx, requests(rate), opt); err != nil {
 		return err
 	}
-	if len(took) > 0 {
-		slices.Sort(took)
-		w.p50[i] = append(w.p50[i], took[len(took)/2])
-		w.p99[i] = append(w.p99[i], took[len(took)*99/100])
+	if len(latencies) > 0 {
+		slices.Sort(latencies)
+		w.p50[i] = append(w.p50[i], latencies[len(latencies)/2])
+		w.p99[i] = append(w.p99[i], latencies[len(latencies)*99/100])
 	}
 	return ctx.Err()
 }
 
-// openNodes starts nodes that answer at once.
-func openNodes(n, size int) (addrs []netip.AddrPort, closing func() error, err error) {
+// startNodes starts nodes that answer every request at once.
+func startNodes(n, size int) (addrs []netip.AddrPort, closing func() error, err error) {
 	body := strings.Repeat("x", size)
 	var servers []*http.Server
 	var serving sync.WaitGroup
@@ -298,38 +298,39 @@
 	return addrs, closing, nil
 }
 
-// host is a node in discovery's form.
-func host(i int, n netip.AddrPort, share float64) map[string]any {
+// hostEntry returns a node in discovery's format.
+func hostEntry(i int, n netip.AddrPort, share float64) map[string]any {
 	return map[string]any{"host": fmt.Sprint("h", i), "dial": n.String(), "site": "a", "class": "k", "block": 0, "health": "ready", "share": share, "born_ms": 0}
 }
 
-// changed is the line of the nth change of the list.
-func changed(nodes []netip.AddrPort, n int) []byte {
+// changeLine returns discovery's line for the nth change of the list: another share for one node.
+func changeLine(nodes []netip.AddrPort, n int) []byte {
 	i := n % len(nodes)
 	share := 1 + 0.01*float64((n/len(nodes)+1)%2)
-	line, err := json.Marshal(map[string]any{"seq": n + 2, "whole": false, "hosts": []any{host(i, nodes[i], share)}})
+	line, err := json.Marshal(map[string]any{"seq": n + 2, "whole": false, "hosts": []any{hostEntry(i, nodes[i], share)}})
 	if err != nil {
-		panic(err) // of values that this function made
+		panic(err) // the values above can always be encoded
 	}
 	return append(line, '\n')
 }
 
-// hosts is the list of nodes in discovery's form.
-func hosts(nodes []netip.AddrPort) map[string]any {
+// hostList returns the list of nodes in discovery's format.
+func hostList(nodes []netip.AddrPort) map[string]any {
 	var list []any
 	for i, n := range nodes {
-		list = append(list, host(i, n, 1))
+		list = append(list, hostEntry(i, n, 1))
 	}
 	return map[string]any{"seq": 1, "whole": true, "hosts": list}
 }
 
-// openDiscovery answers with the list, and gives one node after the other another share, so many times a second.
-func openDiscovery(nodes []netip.AddrPort, changes float64) (addr string, closing func() error, err error) {
+// startDiscovery starts a server that answers with the list, and then changes the share of one node after
+// another, changes times a second.
+func startDiscovery(nodes []netip.AddrPort, changes float64) (addr string, closing func() error, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
 	}
-	list, err := json.Marshal(hosts(nodes))
+	list, err := json.Marshal(hostList(nodes))
 	if err != nil {
 		return "", nil, errors.Join(err, ln.Close())
 	}
@@ -349,7 +350,7 @@
 			case <-time.After(wait):
 			}
 			if changes > 0 {
-				w.Write(changed(nodes, n))
+				w.Write(changeLine(nodes, n))
 			} else {
 				io.WriteString(w, "\n")
 			}
@@ -364,11 +365,11 @@
 	}, nil
 }
 
-// writeConfig writes the agent's configuration.
+// writeConfig writes the agent's configuration file.
 func writeConfig(path string, listen netip.AddrPort, disc string, nodes []netip.AddrPort) error {
 	raw, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": listen.String(), "discovery": disc, "seed": "1",
-		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": hosts(nodes),
+		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": hostList(nodes),
 		"settings": map[string]any{"Balancers": 1, "Me": 0, "Zone": 0, "Dcs": []string{"a"}, "Kinds": []string{"k"}, "MembershipMode": "automatic", "TickMs": 0,
 			"Profiles":     []any{map[string]any{"Name": "point-read", "AimMs": 300, "DeadlineMs": 600, "Worth": 2, "LateValue": 0.25, "Semantics": "repeatable", "Group": "all", "WindowMs": 0}},
 			"Report":       map[string]any{"Source": "off"},
@@ -380,7 +381,7 @@
 	return os.WriteFile(path, raw, 0o600)
 }
 
-// freeAddr is an address that nothing listens on.
+// freeAddr returns a loopback address on which nothing listens.
 func freeAddr() (netip.AddrPort, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -390,19 +391,19 @@
 	return netip.ParseAddrPort(ln.Addr().String())
 }
 
-// kid is a process that was started here.
-type kid struct{ cmd *exec.Cmd }
+// childProcess is a process started by this package.
+type childProcess struct{ cmd *exec.Cmd }
 
-// startOn starts a program on one core. The affinity is the starting thread's, which its child takes
-// over; it has its own back afterwards.
-func startOn(core int, env []string, argv ...string) (*kid, error) {
+// startOnCore starts a program on one core. A child inherits the affinity of the thread that starts it, so the
+// thread's affinity is changed and restored afterwards.
+func startOnCore(core int, env []string, argv ...string) (*childProcess, error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	var all, one unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &all); err != nil {
 		return nil, fmt.Errorf("sched_getaffinity: %w", err)
 	}
-	for cpu, seen := 0, 0; cpu < 1024; cpu++ { // the nth of those that this process may use
+	for cpu, seen := 0, 0; cpu < 1024; cpu++ { // finds the nth core that this process may use
 		if all.IsSet(cpu) {
 			if seen == core {
 				one.Set(cpu)
@@ -419,18 +420,18 @@
 	cmd := exec.Command(argv[0], argv[1:]...)
 	cmd.Env = append(append(os.Environ(), "GOMAXPROCS=1"), env...)
 	err := cmd.Start()
-	if back := unix.SchedSetaffinity(0, &all); err == nil && back != nil {
-		err = fmt.Errorf("sched_setaffinity: %w", back)
+	if restoreErr := unix.SchedSetaffinity(0, &all); err == nil && restoreErr != nil {
+		err = fmt.Errorf("sched_setaffinity: %w", restoreErr)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return &kid{cmd}, nil
+	return &childProcess{cmd}, nil
 }
 
-// leaveCores takes this process off the first cores, where the proxies run, if as many others are left;
-// back undoes that. Threads that are made later take over the affinity of the one that makes them.
-func leaveCores(first int) (back func() error, err error) {
+// avoidCores moves this process off the first cores, on which the proxies run, if at least as many others are
+// left; restore undoes that. New threads inherit the affinity of the thread that creates them.
+func avoidCores(first int) (restore func() error, err error) {
 	var all, rest unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &all); err != nil {
 		return nil, fmt.Errorf("sched_getaffinity: %w", err)
@@ -469,13 +470,13 @@
 	}, set(&rest)
 }
 
-func (k *kid) stop() {
+func (k *childProcess) stop() {
 	k.cmd.Process.Kill()
 	k.cmd.Wait()
 }
 
-// untilUp waits until GET /up is answered with 200.
-func untilUp(ctx context.Context, addr netip.AddrPort) error {
+// waitUntilUp waits until GET /up is answered with 200.
+func waitUntilUp(ctx context.Context, addr netip.AddrPort) error {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -494,14 +495,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%v never came up: %w", addr, err)
+			return fmt.Errorf("%v did not answer GET /up in time: %w", addr, err)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 }
 
-// cpu is the processor time that a process has used; 0 for none.
-func cpu(pid int) (time.Duration, error) {
+// cpuTime returns the CPU time that a process has used; 0 for pid 0.
+func cpuTime(pid int) (time.Duration, error) {
 	if pid == 0 {
 		return 0, nil
 	}
@@ -509,7 +510,7 @@
 	if err != nil {
 		return 0, err
 	}
-	// The name in parentheses may hold anything; utime and stime are the 14th and 15th fields.
+	// The command name in parentheses may contain anything; utime and stime are the 14th and 15th fields.
 	_, rest, _ := strings.Cut(string(raw[strings.LastIndexByte(string(raw), ')'):]), " ")
 	f := strings.Fields(rest)
 	if len(f) < 13 {
@@ -521,7 +522,7 @@
 	return time.Duration(user+system) * tick, errors.Join(err1, err2)
 }
 
-// peakMemory is the most that a process had resident, in MB.
+// peakMemory returns the peak resident memory of a process in MB.
 func peakMemory(pid int) (float64, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -536,7 +537,7 @@
 	return 0, fmt.Errorf("/proc/%d/status: no VmHWM", pid)
 }
 
-// ServeProxy is the bare proxy: net/http/httputil's ReverseProxy to the nodes in turn, until ctx ends.
+// ServeProxy runs the bare proxy, httputil.ReverseProxy with the nodes in rotation, until ctx ends.
 func ServeProxy(ctx context.Context, listen string, nodes []string) error {
 	if len(nodes) == 0 {
 		return errors.New("no nodes")
@@ -545,7 +546,7 @@
 	for _, n := range nodes {
 		addr, err := netip.ParseAddrPort(n)
 		if err != nil || !addr.Addr().IsLoopback() {
-			return fmt.Errorf("%q is no loopback address and port", n)
+			return fmt.Errorf("%q is not a loopback address with a port", n)
 		}
 		urls = append(urls, &url.URL{Scheme: "http", Host: n})
 	}
@@ -553,10 +554,10 @@
 	if err != nil {
 		return err
 	}
-	var turn atomic.Uint64
+	var next atomic.Uint64
 	tr := &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}
 	proxy := &httputil.ReverseProxy{Transport: tr, Rewrite: func(r *httputil.ProxyRequest) {
-		r.SetURL(urls[turn.Add(1)%uint64(len(urls))])
+		r.SetURL(urls[next.Add(1)%uint64(len(urls))])
 	}}
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/up" {
--- a/internal/overhead/text.go
+++ b/internal/overhead/text.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// Text writes the report for people.
+// Text writes the report as a table for people.
 func (r *Report) Text(w io.Writer) error {
 	fmt.Fprintf(w, "%d cores, %s; %d nodes, %d clients in the closed loop, medians of %d rounds; each proxy on one core\n", r.Cores, r.Go, r.Nodes, r.Clients, r.Rounds)
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -18,7 +18,7 @@
 	}
 	fmt.Fprintln(tab)
 	for _, row := range r.Rows {
-		fmt.Fprintf(tab, "%s\t%.0f\t%.1f\t%.1f\t%d\t", row.Way, row.PerS, row.CPUUs, row.MemoryMB, row.Other)
+		fmt.Fprintf(tab, "%s\t%.0f\t%.1f\t%.1f\t%d\t", row.Variant, row.RequestsPerS, row.CPUUs, row.PeakMemoryMB, row.NotServed)
 		for _, x := range row.Rates {
 			fmt.Fprintf(tab, "%.0f\t%.0f\t", x.P50Us, x.P99Us)
 		}
