--- a/internal/load/accesslog.go
+++ b/internal/load/accesslog.go
@@ -9,22 +9,23 @@
 	"strings"
 )
 
-// logSource reads access logs line by line. Each line is tried in the formats in turn, the one
-// that fitted last first, so that files in which formats are mixed are read as well.
+// logSource reads access logs line by line. It tries the formats on each line, starting with the format that
+// matched the previous line, so files may mix formats.
 type logSource struct {
-	file    string
-	lines   *lines
-	closer  io.Closer
-	formats []*Format
-	json    *jsonLines // nil: lines of JSON are not looked for
-	counts  *Counts
-	queue   []*Entry // of a line that was taken apart
-	end     error    // to be said next
+	file       string
+	lines      *lineReader
+	closer     io.Closer
+	formats    []*Format
+	json       *jsonLines // nil if JSON lines are not accepted
+	counts     *Counts
+	pending    []*Entry // entries already parsed from the last line, returned by the next calls
+	pendingErr error    // error that every later call of Next returns
 }
 
-// NewLogSource reads an access log in any of the formats, and JSON lines where names is not nil.
+// NewLogSource returns a Source for an access log in any of the formats. JSON lines are accepted if names is
+// not nil.
 func NewLogSource(file string, r io.Reader, formats []*Format, names *JSONNames, counts *Counts) Source {
-	s := &logSource{file: file, lines: newLines(r), formats: append([]*Format(nil), formats...), counts: counts}
+	s := &logSource{file: file, lines: newLineReader(r), formats: append([]*Format(nil), formats...), counts: counts}
 	if c, ok := r.(io.Closer); ok {
 		s.closer = c
 	}
@@ -42,13 +43,13 @@
 }
 
 func (s *logSource) Next() (*Entry, error) {
-	if len(s.queue) > 0 {
-		e := s.queue[0]
-		s.queue = s.queue[1:]
+	if len(s.pending) > 0 {
+		e := s.pending[0]
+		s.pending = s.pending[1:]
 		return e, nil
 	}
-	if s.end != nil {
-		return nil, s.end
+	if s.pendingErr != nil {
+		return nil, s.pendingErr
 	}
 	for {
 		line, err := s.lines.next()
@@ -57,28 +58,30 @@
 			return nil, s.skip(ReasonLong, "")
 		case errors.Is(err, io.EOF):
 			return nil, io.EOF
-		case err != nil: // a compressed stream that ends early, or can't be read on
-			s.end = io.EOF
-			return nil, s.skip(ReasonGzip, err.Error())
+		case err != nil: // a compressed stream that is truncated or corrupt
+			s.pendingErr = io.EOF
+			return nil, s.skip(ReasonStreamCut, err.Error())
 		}
 		line = bytes.TrimPrefix(line, []byte("\ufeff"))
 		if len(bytes.TrimSpace(line)) == 0 {
 			continue
 		}
-		return s.line(line)
+		return s.parseLine(line)
 	}
 }
 
 func (s *logSource) skip(reason, detail string) *Skip {
-	return &Skip{Reason: reason, File: s.file, Line: s.lines.n, Detail: detail}
+	return &Skip{Reason: reason, File: s.file, Line: s.lines.lineNumber, Detail: detail}
 }
 
-func (s *logSource) entry() *Entry { return &Entry{File: s.file, Line: s.lines.n, BodySize: -1} }
+func (s *logSource) newEntry() *Entry {
+	return &Entry{File: s.file, Line: s.lines.lineNumber, BodySize: -1}
+}
 
-// line reads one line, which may hold more than one record.
-func (s *logSource) line(line []byte) (*Entry, error) {
+// parseLine parses one line, which may hold two records that were run together.
+func (s *logSource) parseLine(line []byte) (*Entry, error) {
 	if line[0] == '{' && s.json != nil {
-		e := s.entry()
+		e := s.newEntry()
 		if err := s.json.parse(line, e); err != nil {
 			reason := ReasonFormat
 			if errors.Is(err, io.ErrUnexpectedEOF) {
@@ -89,38 +92,38 @@
 		return e, nil
 	}
 	for i, f := range s.formats {
-		e := s.entry()
+		e := s.newEntry()
 		rest, ok := f.parse(line, e)
 		if ok && len(rest) == 0 {
-			s.first(i)
+			s.moveToFront(i)
 			return e, nil
 		}
-		if ok { // another one may follow at once
-			for k, g := range s.formats {
-				e2 := s.entry()
+		if ok { // a second record may follow on the same line
+			for j, g := range s.formats {
+				e2 := s.newEntry()
 				if more, ok := g.parse(rest, e2); ok && len(more) == 0 {
-					s.first(k)
-					s.counts.Note(NoteRunTogether)
-					s.queue = append(s.queue[:0], e2)
+					s.moveToFront(j)
+					s.counts.AddRepair(RepairRunTogether)
+					s.pending = append(s.pending[:0], e2)
 					return e, nil
 				}
 			}
 		}
 	}
 	for i, f := range s.formats {
-		e := s.entry()
-		if f.suffix(line, e) {
-			s.first(i)
-			s.counts.Note(NoteRunTogether)
-			s.queue = append(s.queue[:0], e)
+		e := s.newEntry()
+		if f.parseLastRecord(line, e) {
+			s.moveToFront(i)
+			s.counts.AddRepair(RepairRunTogether)
+			s.pending = append(s.pending[:0], e)
 			return nil, s.skip(ReasonCut, excerpt(line))
 		}
 	}
 	return nil, s.skip(ReasonFormat, excerpt(line))
 }
 
-// first makes the format at place i the one to be tried first.
-func (s *logSource) first(i int) {
+// moveToFront moves the format at index i to the front, so that it is tried first on the next line.
+func (s *logSource) moveToFront(i int) {
 	if i > 0 {
 		f := s.formats[i]
 		copy(s.formats[1:i+1], s.formats[:i])
@@ -130,13 +133,13 @@
 
 func excerpt(line []byte) string { return fmt.Sprintf("%.60q", line) }
 
-// JSONNames tells which members of a JSON line hold what: several names are tried in turn. A
-// member within another is named with points between.
+// JSONNames lists the member names under which each value of a JSON line may stand. They are tried in order. A
+// dot in a name separates the levels of nested objects.
 type JSONNames struct {
 	Time, Client, Method, Target, Query, Host, Status, Request, Body []string
 }
 
-// DefaultJSONNames are the names that common servers and proxies use.
+// DefaultJSONNames returns the member names that common servers and proxies use.
 func DefaultJSONNames() JSONNames {
 	return JSONNames{
 		Time:    []string{"time", "timestamp", "ts", "@timestamp", "time_iso8601", "time_local", "msec", "start_time", "date", "StartUTC"},
@@ -151,19 +154,19 @@
 	}
 }
 
-// Set makes a member the one that holds something: time, client, method, target, query, host, status,
+// Set makes member the only name for a value. kind is time, client, method, target, query, host, status,
 // request or body.
-func (n *JSONNames) Set(what, member string) error {
-	to := map[string]*[]string{"time": &n.Time, "client": &n.Client, "method": &n.Method, "target": &n.Target, "query": &n.Query,
-		"host": &n.Host, "status": &n.Status, "request": &n.Request, "body": &n.Body}[what]
-	if to == nil || member == "" {
-		return fmt.Errorf("%s=%s: there are time, client, method, target, query, host, status, request and body", what, member)
+func (n *JSONNames) Set(kind, member string) error {
+	names := map[string]*[]string{"time": &n.Time, "client": &n.Client, "method": &n.Method, "target": &n.Target, "query": &n.Query,
+		"host": &n.Host, "status": &n.Status, "request": &n.Request, "body": &n.Body}[kind]
+	if names == nil || member == "" {
+		return fmt.Errorf("%s=%s: needs a member name, for one of time, client, method, target, query, host, status, request and body", kind, member)
 	}
-	*to = []string{member}
+	*names = []string{member}
 	return nil
 }
 
-// jsonLines reads objects with named members.
+// jsonLines parses log lines that are JSON objects.
 type jsonLines struct{ names JSONNames }
 
 func (j *jsonLines) parse(line []byte, e *Entry) error {
@@ -178,8 +181,8 @@
 	}
 	get := func(names []string) (string, bool) {
 		for _, name := range names {
-			if v, ok := member(object, name); ok {
-				if text, ok := scalar(v); ok && text != "" && text != "-" {
+			if v, ok := lookupMember(object, name); ok {
+				if text, ok := scalarText(v); ok && text != "" && text != "-" {
 					return text, true
 				}
 			}
@@ -197,7 +200,7 @@
 	if e.Target == "" {
 		if text, ok := get(j.names.Request); ok {
 			method := e.Method
-			requestLine(e, text)
+			setRequestLine(e, text)
 			if method != "" {
 				e.Method = method
 			}
@@ -208,7 +211,7 @@
 	}
 	e.Host, _ = get(j.names.Host)
 	if text, ok := get(j.names.Status); ok {
-		if n, ok := digits(text); ok && n <= 999 {
+		if n, ok := parseDigits(text); ok && n <= 999 {
 			e.Status = n
 		}
 	}
@@ -222,8 +225,8 @@
 	return nil
 }
 
-// member finds a value by a name with points between the levels.
-func member(object map[string]any, name string) (any, bool) {
+// lookupMember returns the value of a member by its name, in which dots separate the levels of nested objects.
+func lookupMember(object map[string]any, name string) (any, bool) {
 	if v, ok := object[name]; ok {
 		return v, true
 	}
@@ -235,10 +238,10 @@
 	if !ok {
 		return nil, false
 	}
-	return member(inner, rest)
+	return lookupMember(inner, rest)
 }
 
-func scalar(v any) (string, bool) {
+func scalarText(v any) (string, bool) {
 	switch v := v.(type) {
 	case string:
 		return v, true
@@ -246,9 +249,9 @@
 		return v.String(), true
 	case bool:
 		return fmt.Sprint(v), true
-	case []any: // headers are often lists of one
+	case []any: // headers are often lists with one element
 		if len(v) > 0 {
-			return scalar(v[0])
+			return scalarText(v[0])
 		}
 	}
 	return "", false
@@ -259,9 +262,9 @@
 	maxDepth  = 3
 )
 
-// flatten lists an object's members by lower-case names, sorted where Go's map has no order; what
-// stands under "headers" is named as headers are elsewhere.
-func flatten(to Fields, prefix string, object map[string]any, depth int) Fields {
+// flatten appends an object's members to fields under lower-case names, in sorted order because Go maps have
+// none. Members of a headers object are named "header.NAME", as in the other formats.
+func flatten(fields Fields, prefix string, object map[string]any, depth int) Fields {
 	for _, name := range sortedKeys(object) {
 		v := object[name]
 		full := strings.ToLower(prefix + name)
@@ -270,15 +273,15 @@
 			if l := strings.ToLower(name); l == "headers" || l == "header" || l == "request_headers" {
 				next = "header."
 			}
-			to = flatten(to, next, inner, depth+1)
+			fields = flatten(fields, next, inner, depth+1)
 			continue
 		}
-		if text, ok := scalar(v); ok && len(to) < maxFields {
-			to = append(to, Field{full, text})
+		if text, ok := scalarText(v); ok && len(fields) < maxFields {
+			fields = append(fields, Field{full, text})
 			if h, ok := strings.CutPrefix(full, "http_"); ok {
-				to = append(to, Field{"header." + strings.ReplaceAll(h, "_", "-"), text})
+				fields = append(fields, Field{"header." + strings.ReplaceAll(h, "_", "-"), text})
 			}
 		}
 	}
-	return to
+	return fields
 }
--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// made is a log of about 10 MB.
-func made(b *testing.B, format string) []byte {
+// generatedLog returns a synthetic log of about 10 MB.
+func generatedLog(b *testing.B, format string) []byte {
 	b.Helper()
 	var text bytes.Buffer
 	if _, err := Generate(&text, GenerateOptions{Format: format, Rate: 1000, Seconds: 90, Repeats: 0.03, Seed: 1}); err != nil {
@@ -20,12 +20,12 @@
 	return text.Bytes()
 }
 
-// BenchmarkSources reads logs to requests, in full: the line of figures per source in
-// docs/measurements/load.md.
+// BenchmarkSources measures reading logs up to requests. docs/measurements/load.md lists its result for each
+// format.
 func BenchmarkSources(b *testing.B) {
 	for _, format := range []string{"combined", "json", "har"} {
 		b.Run(format, func(b *testing.B) {
-			raw := made(b, format)
+			raw := generatedLog(b, format)
 			b.SetBytes(int64(len(raw)))
 			for b.Loop() {
 				p, err := NewPlan([]string{"-"}, Options{Stdin: bytes.NewReader(raw)}, OrderOptions{}, nil)
@@ -40,11 +40,11 @@
 	}
 }
 
-// BenchmarkReading is the sources alone: entries, neither put in order nor mapped.
+// BenchmarkReading measures the sources alone: entries are neither sorted nor mapped.
 func BenchmarkReading(b *testing.B) {
 	for _, format := range []string{"combined", "json", "har"} {
 		b.Run(format, func(b *testing.B) {
-			raw := made(b, format)
+			raw := generatedLog(b, format)
 			b.SetBytes(int64(len(raw)))
 			for b.Loop() {
 				src, err := Open("-", Options{Stdin: bytes.NewReader(raw)}, NewCounts())
@@ -63,14 +63,14 @@
 	}
 }
 
-// BenchmarkBare is what the same lines cost without any of it: their ends counted, one regular
-// expression a line, encoding/json into a struct.
+// BenchmarkBare measures a baseline on the same logs: splitting into lines, one regular expression per line, and
+// decoding each line into a struct with encoding/json.
 func BenchmarkBare(b *testing.B) {
 	b.Run("lines", func(b *testing.B) {
-		raw := made(b, "combined")
+		raw := generatedLog(b, "combined")
 		b.SetBytes(int64(len(raw)))
 		for b.Loop() {
-			l := newLines(bytes.NewReader(raw))
+			l := newLineReader(bytes.NewReader(raw))
 			for {
 				if _, err := l.next(); err == io.EOF {
 					break
@@ -80,7 +80,7 @@
 	})
 	b.Run("regexp", func(b *testing.B) {
 		re := regexp.MustCompile(`^(\S+) \S+ \S+ \[([^\]]+)\] "(\S+) (\S+) [^"]*" (\d+) \S+ "([^"]*)" "([^"]*)"$`)
-		raw := made(b, "combined")
+		raw := generatedLog(b, "combined")
 		b.SetBytes(int64(len(raw)))
 		for b.Loop() {
 			s := bufio.NewScanner(bytes.NewReader(raw))
@@ -92,7 +92,7 @@
 		}
 	})
 	b.Run("json", func(b *testing.B) {
-		raw := made(b, "json")
+		raw := generatedLog(b, "json")
 		b.SetBytes(int64(len(raw)))
 		for b.Loop() {
 			s := bufio.NewScanner(bytes.NewReader(raw))
--- a/internal/load/format.go
+++ b/internal/load/format.go
@@ -11,27 +11,27 @@
 	"unicode/utf8"
 )
 
-// Format is an access log's line format, compiled. It is used by one goroutine at a time.
+// Format is the compiled line format of an access log. It is not safe for concurrent use.
 type Format struct {
-	Name   string
-	pieces []piece
-	json   bool // values are escaped as in JSON
-	times  commonTimes
+	Name        string
+	pieces      []piece
+	jsonEscapes bool // values are escaped as JSON strings
+	times       commonTimeCache
 }
 
-// piece is a literal text, or a field that ends where the next literal begins.
+// piece is a literal text, or a field that extends to the next literal.
 type piece struct {
-	lit   string
-	field field
-	name  string // with fieldOther and fieldHeader
-	quote bool   // stands between quotes, with escapes
+	literal string
+	field   field
+	name    string // name of the entry's field, for fieldOther and fieldHeader
+	quoted  bool   // the value stands between double quotes and may contain escapes
 }
 
 type field uint8
 
 const (
 	fieldNone   field = iota // a literal
-	fieldIgnore              // of no use here
+	fieldIgnore              // parsed, but not used
 	fieldClient
 	fieldRequest // method, target and version
 	fieldMethod
@@ -51,7 +51,7 @@
 	fieldOther
 )
 
-// The formats that are known by name.
+// Formats known by name, as Apache LogFormat strings.
 const (
 	Common        = `%h %l %u %t "%r" %>s %b`
 	Combined      = Common + ` "%{Referer}i" "%{User-Agent}i"`
@@ -65,7 +65,7 @@
 	"host": fieldHost, "http_host": fieldHost, "server_name": fieldHost, "request_body": fieldBody,
 }
 
-// CompileNginx compiles the format of an nginx log_format directive: the string itself, or the
+// CompileNginx compiles the format of an nginx log_format directive. text is the format string alone or the
 // whole directive with its name, quotes and escape parameter.
 func CompileNginx(name, text string) (*Format, error) {
 	f := &Format{Name: name}
@@ -76,10 +76,10 @@
 			return nil, fmt.Errorf("log_format: %w", err)
 		}
 	}
-	lit := ""
+	literal := ""
 	for len(text) > 0 {
 		if text[0] != '$' {
-			lit += text[:1]
+			literal += text[:1]
 			text = text[1:]
 			continue
 		}
@@ -87,7 +87,7 @@
 		if strings.HasPrefix(text, "${") {
 			end := strings.IndexByte(text, '}')
 			if end < 0 {
-				return nil, fmt.Errorf("log_format: %q has no end", text)
+				return nil, fmt.Errorf("log_format: %q has no closing brace", text)
 			}
 			v, text = text[2:end], text[end+1:]
 		} else {
@@ -109,13 +109,13 @@
 				p.name = "query." + a
 			}
 		}
-		f.add(&lit, p)
+		f.add(&literal, p)
 	}
-	return f.finish(lit)
+	return f.finish(literal)
 }
 
-// joinDirective takes a log_format directive apart: its name, escape=, and quoted strings that
-// are joined.
+// joinDirective parses the arguments of a log_format directive: it sets the format's name and escape mode, and
+// returns its quoted strings joined together.
 func joinDirective(rest string, f *Format) (string, error) {
 	rest = strings.TrimSuffix(strings.TrimSpace(rest), ";")
 	joined, first := "", true
@@ -129,7 +129,7 @@
 				b.WriteByte(rest[i])
 			}
 			if i >= len(rest) {
-				return "", fmt.Errorf("a string has no end")
+				return "", fmt.Errorf("unterminated string")
 			}
 			joined += b.String()
 			rest = rest[i+1:]
@@ -138,7 +138,7 @@
 		word, after, _ := strings.Cut(rest, " ")
 		switch {
 		case strings.HasPrefix(word, "escape="):
-			f.json = word == "escape=json"
+			f.jsonEscapes = word == "escape=json"
 		case first:
 			f.Name = word
 		default:
@@ -153,7 +153,7 @@
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
 }
 
-// CompileApache compiles the format of an Apache LogFormat directive: the string itself, or the
+// CompileApache compiles the format of an Apache LogFormat directive. text is the format string alone or the
 // whole directive with its quotes and nickname.
 func CompileApache(name, text string) (*Format, error) {
 	f := &Format{Name: name}
@@ -172,7 +172,7 @@
 			b.WriteByte(rest[i])
 		}
 		if i >= len(rest) {
-			return nil, fmt.Errorf("LogFormat: the format has no end")
+			return nil, fmt.Errorf("LogFormat: unterminated format string")
 		}
 		if nick := strings.TrimSpace(rest[i+1:]); nick != "" {
 			f.Name = nick
@@ -181,15 +181,15 @@
 	} else {
 		text = strings.ReplaceAll(text, `\"`, `"`)
 	}
-	lit := ""
+	literal := ""
 	for len(text) > 0 {
 		if text[0] != '%' {
-			lit += text[:1]
+			literal += text[:1]
 			text = text[1:]
 			continue
 		}
 		if strings.HasPrefix(text, "%%") {
-			lit += "%"
+			literal += "%"
 			text = text[2:]
 			continue
 		}
@@ -201,7 +201,7 @@
 		if i < len(text) && text[i] == '{' {
 			end := strings.IndexByte(text[i:], '}')
 			if end < 0 {
-				return nil, fmt.Errorf("LogFormat: %q has no end", text)
+				return nil, fmt.Errorf("LogFormat: %q has no closing brace", text)
 			}
 			arg = text[i+1 : i+end]
 			i += end + 1
@@ -213,19 +213,19 @@
 			return nil, fmt.Errorf("LogFormat: %q has no directive", text)
 		}
 		p, bracket := apacheField(text[i], arg)
-		if bracket { // %t brings its own
-			lit += "["
-			f.add(&lit, p)
-			lit = "]"
+		if bracket { // Apache writes %t in brackets
+			literal += "["
+			f.add(&literal, p)
+			literal = "]"
 		} else {
-			f.add(&lit, p)
+			f.add(&literal, p)
 		}
 		text = text[i+1:]
 	}
-	return f.finish(lit)
+	return f.finish(literal)
 }
 
-// apacheField tells what a directive stands for, and whether it is written in brackets.
+// apacheField returns the piece for a format directive, and whether its value is written in brackets.
 func apacheField(d byte, arg string) (p piece, bracket bool) {
 	switch d {
 	case 'h', 'a':
@@ -268,18 +268,19 @@
 	return piece{field: fieldOther, name: strings.ToLower(strings.TrimSpace(string(d) + "." + arg))}, false
 }
 
-func (f *Format) add(lit *string, p piece) {
-	if *lit != "" {
-		f.pieces = append(f.pieces, piece{lit: *lit})
+func (f *Format) add(literal *string, p piece) {
+	if *literal != "" {
+		f.pieces = append(f.pieces, piece{literal: *literal})
 	}
-	*lit = ""
+	*literal = ""
 	f.pieces = append(f.pieces, p)
 }
 
-// finish checks a format: two fields with nothing between them can't be told apart.
-func (f *Format) finish(lit string) (*Format, error) {
-	if lit != "" {
-		f.pieces = append(f.pieces, piece{lit: lit})
+// finish appends the last literal and checks the format: it must record the request, and two adjacent fields
+// need a literal between them because their values cannot be separated otherwise.
+func (f *Format) finish(literal string) (*Format, error) {
+	if literal != "" {
+		f.pieces = append(f.pieces, piece{literal: literal})
 	}
 	request := false
 	for i := range f.pieces {
@@ -288,44 +289,44 @@
 			continue
 		}
 		request = request || p.field == fieldRequest || p.field == fieldTarget || p.field == fieldPath
-		if i > 0 && i+1 < len(f.pieces) && strings.HasSuffix(f.pieces[i-1].lit, `"`) && strings.HasPrefix(f.pieces[i+1].lit, `"`) {
-			p.quote = true
+		if i > 0 && i+1 < len(f.pieces) && strings.HasSuffix(f.pieces[i-1].literal, `"`) && strings.HasPrefix(f.pieces[i+1].literal, `"`) {
+			p.quoted = true
 		}
 		if i+1 < len(f.pieces) && f.pieces[i+1].field != fieldNone {
-			if p.field == fieldPath && f.pieces[i+1].field == fieldQuery { // %U%q: the question mark parts them
+			if p.field == fieldPath && f.pieces[i+1].field == fieldQuery { // %U%q: the query begins with a question mark
 				continue
 			}
-			return nil, fmt.Errorf("format %s: nothing stands between two fields", f.Name)
+			return nil, fmt.Errorf("format %s: two fields without a literal between them", f.Name)
 		}
 	}
 	if !request {
-		return nil, fmt.Errorf("format %s: it records no request", f.Name)
+		return nil, fmt.Errorf("format %s: no field records the request", f.Name)
 	}
 	return f, nil
 }
 
-// parse reads a line into e. It returns what stands behind the format's end.
+// parse parses a line into e and returns the rest of the line after the end of the format.
 func (f *Format) parse(line []byte, e *Entry) (rest []byte, ok bool) {
-	at := line
+	remaining := line
 	var path, query string
 	for i := range f.pieces {
 		p := &f.pieces[i]
 		if p.field == fieldNone {
-			if len(at) < len(p.lit) || string(at[:len(p.lit)]) != p.lit {
+			if len(remaining) < len(p.literal) || string(remaining[:len(p.literal)]) != p.literal {
 				return nil, false
 			}
-			at = at[len(p.lit):]
+			remaining = remaining[len(p.literal):]
 			continue
 		}
-		value, after, ok := f.value(at, i)
+		value, after, ok := f.fieldValue(remaining, i)
 		if !ok {
 			return nil, false
 		}
-		at = after
+		remaining = after
 		if p.field == fieldIgnore || len(value) == 1 && value[0] == '-' || len(value) == 0 && p.field != fieldRequest {
 			continue
 		}
-		if !f.take(e, p, value, &path, &query) {
+		if !f.setField(e, p, value, &path, &query) {
 			return nil, false
 		}
 	}
@@ -334,14 +335,14 @@
 			e.Target += "?" + strings.TrimPrefix(query, "?")
 		}
 	}
-	return at, true
+	return remaining, true
 }
 
-// value finds where the field at place i ends.
-func (f *Format) value(at []byte, i int) (value, rest []byte, ok bool) {
+// fieldValue returns the value of the field at index i, and the rest of the line after it.
+func (f *Format) fieldValue(at []byte, i int) (value, rest []byte, ok bool) {
 	p := &f.pieces[i]
 	switch {
-	case p.quote:
+	case p.quoted:
 		for n := 0; n < len(at); n++ {
 			if at[n] == '\\' {
 				n++
@@ -350,7 +351,7 @@
 			}
 		}
 		return nil, nil, false
-	case i+1 == len(f.pieces): // to the end; a number ends by itself, so that what is run together shows
+	case i+1 == len(f.pieces): // up to the end of the line; a number ends at the first other byte, which reveals a second record
 		n := 0
 		if p.field == fieldIgnore || p.field == fieldStatus {
 			for n < len(at) && at[n] != ' ' && (at[n] >= '0' && at[n] <= '9' || n == 0) {
@@ -360,17 +361,17 @@
 			n = len(at)
 		}
 		return at[:n], at[n:], n > 0
-	case f.pieces[i+1].field != fieldNone: // a path before its query
+	case f.pieces[i+1].field != fieldNone: // a path directly followed by its query
 		n := bytes.IndexAny(at, "? \"")
 		if n < 0 {
 			n = len(at)
 		}
 		return at[:n], at[n:], true
 	}
-	lit := f.pieces[i+1].lit
-	n := bytes.Index(at, []byte(lit))
-	if lit[0] == ' ' && p.field != fieldCommonTime && p.field != fieldISOTime && p.field != fieldAnyTime && p.field != fieldRequest {
-		n = bytes.IndexByte(at, ' ') // a value without quotes holds no blank
+	literal := f.pieces[i+1].literal
+	n := bytes.Index(at, []byte(literal))
+	if literal[0] == ' ' && p.field != fieldCommonTime && p.field != fieldISOTime && p.field != fieldAnyTime && p.field != fieldRequest {
+		n = bytes.IndexByte(at, ' ') // a value without quotes contains no space
 	}
 	if n < 0 {
 		return nil, nil, false
@@ -378,24 +379,25 @@
 	return at[:n], at[n:], true
 }
 
-// take puts one value in its place.
-func (f *Format) take(e *Entry, p *piece, value []byte, path, query *string) bool {
+// setField stores the value of a piece in e, or in path or query. It returns false if the value does not fit
+// the field.
+func (f *Format) setField(e *Entry, p *piece, value []byte, path, query *string) bool {
 	var err error
 	switch p.field {
 	case fieldClient:
 		e.Client = string(value)
 	case fieldRequest:
-		return requestLine(e, f.text(p, value))
+		return setRequestLine(e, f.unescape(p, value))
 	case fieldMethod:
-		e.Method = f.text(p, value)
+		e.Method = f.unescape(p, value)
 	case fieldTarget:
-		e.Target = f.text(p, value)
+		e.Target = f.unescape(p, value)
 	case fieldPath:
-		*path = f.text(p, value)
+		*path = f.unescape(p, value)
 	case fieldQuery:
-		*query = f.text(p, value)
+		*query = f.unescape(p, value)
 	case fieldStatus:
-		n, ok := digits(string(value))
+		n, ok := parseDigits(string(value))
 		if !ok || n > 999 {
 			return false
 		}
@@ -418,17 +420,17 @@
 	case fieldAnyTime:
 		e.Time, e.Coarse, err = parseAnyTime(strings.Trim(string(value), "[]"))
 	case fieldHost:
-		e.Host = f.text(p, value)
+		e.Host = f.unescape(p, value)
 	case fieldBody:
-		e.Body = []byte(f.text(p, value))
+		e.Body = []byte(f.unescape(p, value))
 		e.BodySize = int64(len(e.Body))
 	case fieldHeader, fieldOther:
 		if e.Fields == nil {
 			e.Fields = make(Fields, 0, 4)
 		}
-		e.Fields = append(e.Fields, Field{p.name, f.text(p, value)})
+		e.Fields = append(e.Fields, Field{p.name, f.unescape(p, value)})
 	}
-	// A time that can't be read is a time that is missing: the request was sent all the same.
+	// An invalid time is treated as missing: the request was sent nonetheless.
 	if err != nil {
 		e.Time, e.Coarse = time.Time{}, false
 		return p.field == fieldCommonTime && looksLikeTime(value) || p.field != fieldCommonTime
@@ -436,13 +438,13 @@
 	return true
 }
 
-// looksLikeTime tells a time that makes no sense from another field in its place.
+// looksLikeTime reports whether b may be an invalid time, as opposed to another field in its place.
 func looksLikeTime(b []byte) bool { return len(b) <= 40 && !bytes.ContainsAny(b, `"[`) }
 
-// requestLine reads METHOD TARGET VERSION; HTTP/0.9 has no version.
-func requestLine(e *Entry, text string) bool {
+// setRequestLine splits "METHOD TARGET VERSION" into the method and target of e; HTTP/0.9 has no version.
+func setRequestLine(e *Entry, text string) bool {
 	method, rest, ok := strings.Cut(text, " ")
-	if !ok { // noise that was logged for a request
+	if !ok { // arbitrary bytes that were logged as a request
 		e.Method, e.Target = text, ""
 		return true
 	}
@@ -453,12 +455,12 @@
 	return true
 }
 
-// text undoes the escapes of a value.
-func (f *Format) text(p *piece, value []byte) string {
+// unescape returns a value with its escape sequences replaced.
+func (f *Format) unescape(p *piece, value []byte) string {
 	if bytes.IndexByte(value, '\\') < 0 {
 		return string(value)
 	}
-	if f.json {
+	if f.jsonEscapes {
 		if s, err := strconv.Unquote(`"` + strings.ReplaceAll(string(value), `\/`, "/") + `"`); err == nil {
 			return s
 		}
@@ -494,20 +496,20 @@
 	return string(out)
 }
 
-// bracketed finds what begins the time of a record in the Common Log Format.
-var bracketed = regexp.MustCompile(`\[\d{2}/[A-Z][a-z]{2}/\d{4}:`)
+// recordTime matches the start of a time in the Common Log Format.
+var recordTime = regexp.MustCompile(`\[\d{2}/[A-Z][a-z]{2}/\d{4}:`)
 
-// suffix finds in a line that doesn't parse the last record that does: rotation and crashes run the
-// head of one line and a whole one together. The client's address is taken from the right, as
-// long as it is one.
-func (f *Format) suffix(line []byte, e *Entry) bool {
-	found := bracketed.FindAllIndex(line, 8)
+// parseLastRecord parses the last complete record of a line that doesn't parse as a whole: log rotation and
+// crashes can leave the head of one record followed by a complete one. The record's start is not marked, so
+// the longest plausible client address in front of the time is taken.
+func (f *Format) parseLastRecord(line []byte, e *Entry) bool {
+	found := recordTime.FindAllIndex(line, 8)
 	for k := len(found) - 1; k >= 0; k-- {
 		for s := max(0, clientStart(line, found[k][0])); s < found[k][0]; s++ {
-			try := *e
-			try.Fields = nil
-			if rest, ok := f.parse(line[s:], &try); ok && len(rest) == 0 && plausibleClient(try.Client) {
-				*e = try
+			candidate := *e
+			candidate.Fields = nil
+			if rest, ok := f.parse(line[s:], &candidate); ok && len(rest) == 0 && plausibleClient(candidate.Client) {
+				*e = candidate
 				return true
 			}
 		}
@@ -515,19 +517,19 @@
 	return false
 }
 
-// clientStart is where the token begins that stands two tokens before the time.
-func clientStart(line []byte, at int) int {
+// clientStart returns the index at which the token begins that stands two tokens before the time.
+func clientStart(line []byte, timeStart int) int {
 	for range 3 {
-		if at == 0 {
+		if timeStart == 0 {
 			return 0
 		}
-		i := bytes.LastIndexByte(line[:at-1], ' ')
+		i := bytes.LastIndexByte(line[:timeStart-1], ' ')
 		if i < 0 {
 			return 0
 		}
-		at = i + 1
+		timeStart = i + 1
 	}
-	return at
+	return timeStart
 }
 
 func plausibleClient(s string) bool {
--- a/internal/load/fuzz_test.go
+++ b/internal/load/fuzz_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// consume reads a plan to its end: whatever the bytes are, it must end, and account for what it read.
-func consume(t *testing.T, text string, o Options) {
+// readPlan reads a plan to its end. Any input must end, give safe requests, and be accounted for.
+func readPlan(t *testing.T, text string, o Options) {
 	o.Stdin = strings.NewReader(text)
 	p, err := NewPlan([]string{"-"}, o, OrderOptions{}, nil)
 	if err != nil {
@@ -45,15 +45,15 @@
 		`{"time":1,"uri":"/point-read"}`, `{"time":"x","request":{"uri":"/alert-sub"}}`} {
 		f.Add(s)
 	}
-	f.Fuzz(func(t *testing.T, text string) { consume(t, text, Options{}) })
+	f.Fuzz(func(t *testing.T, text string) { readPlan(t, text, Options{}) })
 }
 
 func FuzzHAR(f *testing.F) {
-	one := harOne("2026-07-14T04:30:00Z", "POST", "/alert-sub?key=1", `,"bodySize":9,"postData":{"text":"aGVs","encoding":"base64"}`)
+	one := harEntryText("2026-07-14T04:30:00Z", "POST", "/alert-sub?key=1", `,"bodySize":9,"postData":{"text":"aGVs","encoding":"base64"}`)
 	for _, s := range []string{harHead + one + "]}}", harHead + one[:80], harHead, `{"log":{"entries":[1,null,{}]}}`, `{"log":[]}`, "\ufeff{}"} {
 		f.Add(s)
 	}
-	f.Fuzz(func(t *testing.T, text string) { consume(t, text, Options{Format: "har"}) })
+	f.Fuzz(func(t *testing.T, text string) { readPlan(t, text, Options{Format: "har"}) })
 }
 
 func FuzzFormats(f *testing.F) {
@@ -62,8 +62,8 @@
 	f.Add(`log_format x escape=json '$request_uri';`, `\u0041`)
 	f.Add(`LogFormat "%U%q" x`, `/point-read?key=1`)
 	f.Fuzz(func(t *testing.T, format, line string) {
-		consume(t, line, Options{Format: "custom", Nginx: []string{format}})
-		consume(t, line, Options{Format: "custom", Apache: []string{format}})
+		readPlan(t, line, Options{Format: "custom", Nginx: []string{format}})
+		readPlan(t, line, Options{Format: "custom", Apache: []string{format}})
 	})
 }
 
--- a/internal/load/har.go
+++ b/internal/load/har.go
@@ -10,45 +10,45 @@
 	"strings"
 )
 
-// MaxEntry is the most bytes of a HAR file that one entry may take.
+// MaxEntry is the maximum size of one entry of a HAR file, in bytes.
 const MaxEntry = 32 << 20
 
-// harSource reads the entries of a HAR file (HTTP Archive 1.1 and 1.2) one by one.
+// harSource reads the entries of a HAR file (HTTP Archive 1.1 and 1.2) one at a time.
 type harSource struct {
-	file   string
-	closer io.Closer
-	limit  *budget
-	dec    *json.Decoder
-	n      int64
-	begun  bool
-	done   bool
+	file        string
+	closer      io.Closer
+	limit       *entryLimit
+	dec         *json.Decoder
+	entryNumber int64
+	started     bool
+	done        bool
 }
 
-// budget fails a reader that takes more than is left: a bound on what one entry may hold.
-type budget struct {
-	r    io.Reader
-	left int64
-	over bool
+// entryLimit is a reader that fails after remaining bytes. It bounds the memory that one entry takes.
+type entryLimit struct {
+	r         io.Reader
+	remaining int64
+	exceeded  bool
 }
 
-var errBudget = errors.New("entry too large")
+var errEntryTooLarge = errors.New("entry too large")
 
-func (b *budget) Read(p []byte) (int, error) {
-	if b.left <= 0 {
-		b.over = true
-		return 0, errBudget
+func (b *entryLimit) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
+		b.exceeded = true
+		return 0, errEntryTooLarge
 	}
-	if int64(len(p)) > b.left {
-		p = p[:b.left]
+	if int64(len(p)) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.r.Read(p)
-	b.left -= int64(n)
+	b.remaining -= int64(n)
 	return n, err
 }
 
-// NewHARSource reads a HAR file. A byte order mark is passed over by Open.
+// NewHARSource returns a Source for a HAR file. Open has already removed a byte order mark.
 func NewHARSource(file string, r io.Reader) Source {
-	s := &harSource{file: file, limit: &budget{r: r, left: MaxEntry}}
+	s := &harSource{file: file, limit: &entryLimit{r: r, remaining: MaxEntry}}
 	s.dec = json.NewDecoder(s.limit)
 	if c, ok := r.(io.Closer); ok {
 		s.closer = c
@@ -63,7 +63,7 @@
 	return s.closer.Close()
 }
 
-// harEntry is what is used of an entry.
+// harEntry holds the members of a HAR entry that are used.
 type harEntry struct {
 	StartedDateTime string      `json:"startedDateTime"`
 	Connection      string      `json:"connection"`
@@ -102,53 +102,53 @@
 }
 
 func (s *harSource) skip(reason, detail string) *Skip {
-	return &Skip{Reason: reason, File: s.file, Line: s.n, Detail: detail}
+	return &Skip{Reason: reason, File: s.file, Line: s.entryNumber, Detail: detail}
 }
 
 func (s *harSource) Next() (*Entry, error) {
 	if s.done {
 		return nil, io.EOF
 	}
-	if !s.begun {
-		s.begun = true
-		if err := s.seek(); err != nil {
+	if !s.started {
+		s.started = true
+		if err := s.seekFirstEntry(); err != nil {
 			s.done = true
 			if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 				return nil, s.skip(ReasonFileCut, "before the first entry")
 			}
-			return nil, s.skip(ReasonEntry, err.Error())
+			return nil, s.skip(ReasonInvalidEntry, err.Error())
 		}
 	}
-	s.limit.left = MaxEntry
+	s.limit.remaining = MaxEntry
 	if !s.dec.More() {
 		s.done = true
 		if t, err := s.dec.Token(); err != nil || t != json.Delim(']') {
-			s.n++
+			s.entryNumber++
 			return nil, s.skip(ReasonFileCut, "the list of entries has no end")
 		}
 		return nil, io.EOF
 	}
-	s.n++
+	s.entryNumber++
 	var raw json.RawMessage
 	if err := s.dec.Decode(&raw); err != nil {
-		s.done = true // what follows can't be found
+		s.done = true // the start of the next entry cannot be found
 		switch {
-		case s.limit.over:
+		case s.limit.exceeded:
 			return nil, s.skip(ReasonTooLarge, fmt.Sprintf("an entry of over %d bytes; what follows is lost", MaxEntry))
 		case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
 			return nil, s.skip(ReasonFileCut, "")
 		}
-		return nil, s.skip(ReasonEntry, err.Error()+"; what follows is lost")
+		return nil, s.skip(ReasonInvalidEntry, err.Error()+"; what follows is lost")
 	}
 	var h harEntry
 	if err := json.Unmarshal(raw, &h); err != nil {
-		return nil, s.skip(ReasonEntry, err.Error())
+		return nil, s.skip(ReasonInvalidEntry, err.Error())
 	}
 	return s.entry(&h)
 }
 
-// seek goes to the first entry of log.entries.
-func (s *harSource) seek() error {
+// seekFirstEntry advances the decoder to the first entry of log.entries.
+func (s *harSource) seekFirstEntry() error {
 	for _, want := range []string{"log", "entries"} {
 		if t, err := s.dec.Token(); err != nil {
 			return err
@@ -169,7 +169,7 @@
 			if key == want {
 				break
 			}
-			if err := s.passOver(); err != nil {
+			if err := s.skipValue(); err != nil {
 				return err
 			}
 		}
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// passOver reads a value without keeping it.
-func (s *harSource) passOver() error {
+// skipValue reads one value and discards it.
+func (s *harSource) skipValue() error {
 	for depth := 0; ; {
 		t, err := s.dec.Token()
 		if err != nil {
@@ -195,18 +195,18 @@
 		case json.Delim('}'), json.Delim(']'):
 			depth--
 		}
-		s.limit.left = MaxEntry
+		s.limit.remaining = MaxEntry
 		if depth == 0 {
 			return nil
 		}
 	}
 }
 
-// entry checks what was recorded and takes what is of use.
+// entry converts a HAR entry, or returns a *Skip if it holds no request that can be sent.
 func (s *harSource) entry(h *harEntry) (*Entry, error) {
 	r := h.Request
 	if r == nil || r.URL == "" {
-		return nil, s.skip(ReasonEntry, "no request")
+		return nil, s.skip(ReasonInvalidEntry, "no request")
 	}
 	scheme, _, _ := strings.Cut(strings.ToLower(r.URL), ":")
 	status := 0
@@ -223,7 +223,7 @@
 	case status == 0 && !h.wasSent():
 		return nil, s.skip(ReasonAborted, "")
 	}
-	e := &Entry{File: s.file, Line: s.n, Method: r.Method, Target: r.URL, Status: status, BodySize: -1}
+	e := &Entry{File: s.file, Line: s.entryNumber, Method: r.Method, Target: r.URL, Status: status, BodySize: -1}
 	if t, err := parseISOTime(h.StartedDateTime); err == nil {
 		e.Time, e.Coarse = t, !strings.ContainsAny(h.StartedDateTime, ".,")
 	}
@@ -234,40 +234,40 @@
 		}
 		e.Fields = append(e.Fields, Field{"header." + name, p.Value})
 	}
-	// One browser wrote the file, unless a proxy did, which says for whom.
+	// Without X-Forwarded-For, which a recording proxy adds, the whole file comes from one browser.
 	if e.Client = e.Fields.Get("header.x-forwarded-for"); e.Client == "" {
 		e.Client = s.file
 	}
-	s.body(r, e)
+	s.setBody(r, e)
 	return e, nil
 }
 
-// wasSent reports whether a request without a status had gone out: the recorder then knows the
-// server, or for how long it waited.
+// wasSent reports whether a request without a status had been sent: the recorder then knows the server's
+// address, or how long it waited for the answer.
 func (h *harEntry) wasSent() bool {
 	return h.Timings != nil && h.Timings.Send >= 0 && h.Timings.Wait > 0 || h.Connection != "" && h.ServerIP != ""
 }
 
-// body takes what was recorded of the request's body, and notes whether that is all of it.
-func (s *harSource) body(r *harRequest, e *Entry) {
-	told := int64(-1)
+// setBody copies the recorded body of a request to e, and sets BodyCut if the body is incomplete.
+func (s *harSource) setBody(r *harRequest, e *Entry) {
+	recordedSize := int64(-1)
 	if r.BodySize != nil && *r.BodySize >= 0 {
-		told = *r.BodySize
+		recordedSize = *r.BodySize
 	}
-	e.BodySize = told
+	e.BodySize = recordedSize
 	p := r.PostData
 	if p == nil {
-		e.BodyCut = told > 0
+		e.BodyCut = recordedSize > 0
 		return
 	}
-	if p.Size != nil && *p.Size > told {
-		told = *p.Size
+	if p.Size != nil && *p.Size > recordedSize {
+		recordedSize = *p.Size
 	}
 	switch {
 	case p.Text != nil && strings.EqualFold(p.Encoding+p.Encoded, "base64"):
 		raw, err := base64.StdEncoding.DecodeString(*p.Text)
 		if err != nil {
-			e.BodyCut = true // what could be read up to the fault stays
+			e.BodyCut = true // the bytes before the invalid one are kept
 		}
 		e.Body = raw
 	case p.Text != nil:
@@ -279,14 +279,14 @@
 		}
 		e.Body = []byte(strings.Join(parts, "&"))
 	}
-	if told < 0 {
-		told = int64(len(e.Body))
+	if recordedSize < 0 {
+		recordedSize = int64(len(e.Body))
 	}
-	e.BodySize = max(told, int64(len(e.Body)))
-	e.BodyCut = e.BodyCut || int64(len(e.Body)) < told
+	e.BodySize = max(recordedSize, int64(len(e.Body)))
+	e.BodyCut = e.BodyCut || int64(len(e.Body)) < recordedSize
 }
 
-// sortedKeys are a map's keys in order.
+// sortedKeys returns the keys of a map in sorted order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,20 +1,19 @@
-// Package load turns what was recorded of real traffic into load: HAR files and access logs are
-// read as a stream of entries, mapped to requests of the application's classes, laid out in time,
-// and played against agents on loopback addresses.
+// Package load replays recorded traffic: it reads HAR files and access logs as a stream of entries, maps them
+// to requests of the application's classes, schedules these in time, and sends them to agents on loopback
+// addresses.
 //
-// The parts are usable alone and join like a pipe:
+// The parts can be used alone and form a pipeline:
 //
-//	Open ─▶ Source ─▶ Merge ─▶ Order ─▶ Mapper ─▶ Repeats ─▶ Schedule ─▶ Player ─▶ Report
-//	files   entries   by time   times    requests  retries   offsets     sockets   figures
+//	Open ─▶ Source ─▶ Order ─▶ Merge ─▶ Mapper ─▶ Repeats ─▶ Play ─▶ Recorder ─▶ Report
+//	files   entries   sorted   by time  requests  repeats    sends   samples     results
 //
-// Every part but the Player is plain computation: no clock, no randomness but from a seed, so that
-// the same files give the same schedule. Memory doesn't grow with the files: a Source holds one
-// line or entry (MaxLine, MaxEntry), Order what falls within its window (MaxPending), Repeats a
-// bounded number of requests (MaxRemembered).
+// Every part but Play is deterministic: it reads no clock and uses no randomness except from a seed, so the
+// same files give the same schedule. Memory doesn't grow with the size of the files: a Source holds one line or
+// entry (MaxLine, MaxEntry), Order the entries within its window (MaxPending), Repeats a bounded number of
+// requests (MaxRemembered).
 //
-// Nothing is dropped in silence. What can't be used is a *Skip with its reason and place, which
-// Counts adds up; what was repaired (a time that was missing, a body that was cut off) is used
-// and counted as well.
+// Nothing is dropped silently. What can't be used is reported as a *Skip with its reason and place, which
+// Counts adds up. What was repaired (a missing time, a truncated body) is used and counted as well.
 package load
 
 import (
@@ -23,27 +22,27 @@
 	"time"
 )
 
-// Entry is one request as it was recorded.
+// Entry is one recorded request.
 type Entry struct {
-	Time   time.Time // when it was sent or received; zero: not recorded
+	Time   time.Time // when it was sent or received; zero if not recorded
 	Coarse bool      // the time is in whole seconds
 
-	Client string // who sent it, as far as recorded
+	Client string // address of the sender, or another name for it; empty if not recorded
 	Method string
 	Target string // path and query as recorded
 	Host   string
-	Status int    // 0: none
-	Fields Fields // what else was recorded, by lower-case name; headers as "header.NAME"
+	Status int    // 0 if there was no answer or it was not recorded
+	Fields Fields // other recorded values, by lower-case name; headers as "header.NAME"
 
 	Body     []byte
-	BodySize int64 // as recorded; negative: not told
-	BodyCut  bool  // Body is not all of it
+	BodySize int64 // as recorded; negative if not recorded
+	BodyCut  bool  // Body is incomplete
 
 	File string
-	Line int64 // or the number of the entry in a HAR file, from 1
+	Line int64 // line number, or number of the entry in a HAR file, from 1
 }
 
-// Where names the entry's place.
+// Where returns the entry's place as FILE:LINE.
 func (e *Entry) Where() string { return fmt.Sprintf("%s:%d", e.File, e.Line) }
 
 // Field is a named value.
@@ -52,7 +51,7 @@
 // Fields are an entry's named values, in the order in which they were recorded.
 type Fields []Field
 
-// Get returns the value of a name; empty: none.
+// Get returns the value of a name, or an empty string if there is none.
 func (f Fields) Get(name string) string {
 	for _, x := range f {
 		if x.Name == name {
@@ -62,33 +61,33 @@
 	return ""
 }
 
-// Source yields entries. Next returns io.EOF at the end; a *Skip says that something could not be
-// used and that the next call goes on behind it; any other error is final.
+// Source yields entries. Next returns io.EOF at the end. A *Skip says that something could not be used, and
+// the next call continues after it; any other error is final.
 type Source interface {
 	Next() (*Entry, error)
 	Close() error
 }
 
-// Reasons for which something is skipped.
+// Reasons for which input is skipped. They are written to reports.
 const (
-	ReasonFormat   = "not in a known format"
-	ReasonLong     = "longer than a line may be"
-	ReasonCut      = "cut off"
-	ReasonGzip     = "compressed stream ends early"
-	ReasonFileCut  = "file ends in the middle of an entry"
-	ReasonEntry    = "entry makes no sense"
-	ReasonData     = "data: URL"
-	ReasonSocket   = "WebSocket"
-	ReasonAborted  = "aborted before it was sent"
-	ReasonTarget   = "target can't be sent"
-	ReasonValue    = "value can't be sent"
-	ReasonNoTime   = "no time in the whole file"
-	ReasonTooLarge = "body over the limit"
+	ReasonFormat       = "not in a known format"
+	ReasonLong         = "longer than a line may be"
+	ReasonCut          = "cut off"
+	ReasonStreamCut    = "compressed stream ends early"
+	ReasonFileCut      = "file ends in the middle of an entry"
+	ReasonInvalidEntry = "entry makes no sense"
+	ReasonData         = "data: URL"
+	ReasonSocket       = "WebSocket"
+	ReasonAborted      = "aborted before it was sent"
+	ReasonTarget       = "target can't be sent"
+	ReasonValue        = "value can't be sent"
+	ReasonNoTime       = "no time in the whole file"
+	ReasonTooLarge     = "body over the limit"
 )
 
-// Skip is something that could not be used.
+// Skip is the error for a part of the input that could not be used.
 type Skip struct {
-	Reason string // one of the above
+	Reason string // one of the Reason constants
 	File   string
 	Line   int64
 	Detail string
@@ -102,42 +101,42 @@
 	return text
 }
 
-// Notes: what was repaired and used all the same.
+// Repairs of entries that were used nonetheless. They are written to reports.
 const (
-	NoteTimeMissing = "time missing, placed between its neighbours"
-	NoteTimeLate    = "out of order beyond the window, placed where it stood"
-	NoteClockBack   = "clock stepped back, times after it moved on"
-	NoteClockAhead  = "gap shortened"
-	NoteBodyFilled  = "body not recorded whole, filled up"
-	NoteRunTogether = "two lines run together, taken apart"
-	NoteEscaped     = "bytes of the target escaped"
+	RepairTimeMissing  = "time missing, placed between its neighbours"
+	RepairTimeLate     = "out of order beyond the window, placed where it stood"
+	RepairClockBack    = "clock stepped back, times after it moved on"
+	RepairGapShortened = "gap shortened"
+	RepairBodyFilled   = "body not recorded whole, filled up"
+	RepairRunTogether  = "two lines run together, taken apart"
+	RepairEscaped      = "bytes of the target escaped"
 )
 
-// Counts adds up what was read.
+// Counts adds up what was read, skipped and repaired.
 type Counts struct {
-	Read    int64            // entries
+	Read    int64            // entries read
 	Skipped map[string]int64 // by reason
-	Notes   map[string]int64 // repaired, by what was done
-	First   []string         // the first few skips, in full
+	Notes   map[string]int64 // repairs, by kind
+	First   []string         // the first skips, with place and detail
 }
 
-const firstSkips = 20 // kept in full
+const maxExamples = 20 // skips and unmatched entries that are listed one by one
 
 // NewCounts returns empty counts.
 func NewCounts() *Counts { return &Counts{Skipped: map[string]int64{}, Notes: map[string]int64{}} }
 
-// Skip adds what err says, if it is a *Skip, and reports whether it was one.
+// Skip counts err if it is a *Skip, and reports whether it is one.
 func (c *Counts) Skip(err error) bool {
 	var s *Skip
 	if !errors.As(err, &s) {
 		return false
 	}
 	c.Skipped[s.Reason]++
-	if len(c.First) < firstSkips {
+	if len(c.First) < maxExamples {
 		c.First = append(c.First, s.Error())
 	}
 	return true
 }
 
-// Note adds one repair.
-func (c *Counts) Note(what string) { c.Notes[what]++ }
+// AddRepair counts one repair.
+func (c *Counts) AddRepair(repair string) { c.Notes[repair]++ }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -20,8 +20,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// read opens a text as a file and returns its entries in the file's order, and what was skipped.
-func read(t testing.TB, text string, o Options) ([]*Entry, *Counts) {
+// readEntries reads a text as a file and returns its entries in the order of the file, and the counts.
+func readEntries(t testing.TB, text string, o Options) ([]*Entry, *Counts) {
 	t.Helper()
 	counts := NewCounts()
 	o.Stdin = strings.NewReader(text)
@@ -50,7 +50,7 @@
 	}
 }
 
-func brief(list []*Entry) string {
+func summary(list []*Entry) string {
 	var b strings.Builder
 	for _, e := range list {
 		at := "-"
@@ -67,7 +67,7 @@
 	line2 = `192.0.2.2 - ravi [14/Jul/2026:10:00:01 +0530] "POST /alert-sub?key=b HTTP/1.1" 503 0 "-" "advisory/4.2"`
 )
 
-// Each form in which a line may stand is read to the same entry.
+// Every supported way to write a log line gives the same entry.
 func TestFormats(t *testing.T) {
 	const want = "04:30:00.000 192.0.2.1 GET /point-read?key=a 200"
 	for _, tt := range []struct {
@@ -107,25 +107,25 @@
 			want + "\n04:30:02.000  GET /x 0\n04:30:03.000 192.0.2.1 GET /y 200", Options{}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			list, counts := read(t, tt.text, tt.o)
-			if got := brief(list); got != tt.want || len(counts.Skipped) > 0 {
+			list, counts := readEntries(t, tt.text, tt.o)
+			if got := summary(list); got != tt.want || len(counts.Skipped) > 0 {
 				t.Errorf("got\n%s\nwant\n%s\nskipped %v", got, tt.want, counts.First)
 			}
 		})
 	}
 }
 
-func TestFormatsThatMakeNoSense(t *testing.T) {
+func TestInvalidFormats(t *testing.T) {
 	for _, o := range []Options{{Nginx: []string{"$remote_addr$request"}}, {Nginx: []string{"$status"}}, {Nginx: []string{"${request"}},
 		{Apache: []string{`LogFormat "%h`}}, {Apache: []string{`%h %`}}, {Apache: []string{`%{Referer`}}, {Format: "csv"}, {Format: "custom"}} {
 		o.Stdin = strings.NewReader("")
 		if _, err := Open("-", o, NewCounts()); err == nil {
-			t.Errorf("%+v is taken", o)
+			t.Errorf("%+v is accepted", o)
 		}
 	}
 }
 
-// What is damaged costs itself alone, is counted with its reason, and never what stands round it.
+// A damaged line is skipped and counted with its reason; the lines around it are read.
 func TestDamagedLines(t *testing.T) {
 	both := "04:30:00.000 192.0.2.1 GET /point-read?key=a 200\n04:30:01.000 192.0.2.2 POST /alert-sub?key=b 503"
 	for _, tt := range []struct {
@@ -133,24 +133,24 @@
 		skipped          map[string]int64
 		notes            map[string]int64
 	}{
-		{"a line cut off", line1[:60] + "\n" + line1 + "\n" + line2, both, map[string]int64{ReasonFormat: 1}, nil},
-		{"a last line cut off", line1 + "\n" + line2 + "\n" + line1[:70], both, map[string]int64{ReasonFormat: 1}, nil},
-		{"two run together", line1 + line2, both, nil, map[string]int64{NoteRunTogether: 1}},
-		{"the head of one and a whole one", line1 + "\n" + line1[:45] + line2, both, map[string]int64{ReasonCut: 1}, map[string]int64{NoteRunTogether: 1}},
-		{"over a megabyte", line1 + "\n" + strings.Repeat("x", 3<<20) + "\n" + line2, both, map[string]int64{ReasonLong: 1}, nil},
-		{"noise", "\x00\x01\xff\n" + line1 + "\n \n\n" + line2 + "\nnot a line\n", both, map[string]int64{ReasonFormat: 2}, nil},
-		{"JSON cut off", line1 + "\n" + `{"time":"2026-07-14T04:30:00Z","uri":"/po` + "\n" + line2, both, map[string]int64{ReasonCut: 1}, nil},
+		{"a truncated line", line1[:60] + "\n" + line1 + "\n" + line2, both, map[string]int64{ReasonFormat: 1}, nil},
+		{"a truncated last line", line1 + "\n" + line2 + "\n" + line1[:70], both, map[string]int64{ReasonFormat: 1}, nil},
+		{"two records on one line", line1 + line2, both, nil, map[string]int64{RepairRunTogether: 1}},
+		{"the head of a record and a whole record on one line", line1 + "\n" + line1[:45] + line2, both, map[string]int64{ReasonCut: 1}, map[string]int64{RepairRunTogether: 1}},
+		{"a line over one megabyte", line1 + "\n" + strings.Repeat("x", 3<<20) + "\n" + line2, both, map[string]int64{ReasonLong: 1}, nil},
+		{"arbitrary bytes", "\x00\x01\xff\n" + line1 + "\n \n\n" + line2 + "\nnot a line\n", both, map[string]int64{ReasonFormat: 2}, nil},
+		{"truncated JSON", line1 + "\n" + `{"time":"2026-07-14T04:30:00Z","uri":"/po` + "\n" + line2, both, map[string]int64{ReasonCut: 1}, nil},
 		{"JSON without a request", line1 + "\n{}\n" + line2, both, map[string]int64{ReasonFormat: 1}, nil},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			list, counts := read(t, tt.text, Options{})
+			list, counts := readEntries(t, tt.text, Options{})
 			if tt.skipped == nil {
 				tt.skipped = map[string]int64{}
 			}
 			if tt.notes == nil {
 				tt.notes = map[string]int64{}
 			}
-			if got := brief(list); got != tt.want || !reflect.DeepEqual(counts.Skipped, tt.skipped) || !reflect.DeepEqual(counts.Notes, tt.notes) {
+			if got := summary(list); got != tt.want || !reflect.DeepEqual(counts.Skipped, tt.skipped) || !reflect.DeepEqual(counts.Notes, tt.notes) {
 				t.Errorf("got\n%s\nskipped %v, notes %v", got, counts.Skipped, counts.Notes)
 			}
 		})
@@ -170,66 +170,66 @@
 	e.Write([]byte(text))
 	e.Close()
 	for name, raw := range map[string][]byte{"gzip": gz.Bytes(), "zstd": zs.Bytes(), "plain": []byte(text)} {
-		if list, counts := read(t, string(raw), Options{}); len(list) != 1000 || len(counts.Skipped) > 0 {
+		if list, counts := readEntries(t, string(raw), Options{}); len(list) != 1000 || len(counts.Skipped) > 0 {
 			t.Errorf("%s: %d entries, skipped %v", name, len(list), counts.Skipped)
 		}
 	}
-	// One that ends early keeps what came whole and says so.
+	// A truncated stream gives its complete lines and is counted as skipped.
 	var slow bytes.Buffer
 	z = gzip.NewWriter(&slow)
 	for i := range 2000 {
 		fmt.Fprintf(z, "%s\n", strings.Replace(line1, "key=a", fmt.Sprintf("key=%d", i*7919), 1))
 	}
 	z.Close()
-	list, counts := read(t, slow.String()[:slow.Len()/2], Options{})
-	if len(list) < 100 || len(list) >= 2000 || counts.Skipped[ReasonGzip] != 1 {
+	list, counts := readEntries(t, slow.String()[:slow.Len()/2], Options{})
+	if len(list) < 100 || len(list) >= 2000 || counts.Skipped[ReasonStreamCut] != 1 {
 		t.Errorf("%d entries, skipped %v", len(list), counts.Skipped)
 	}
 }
 
 const harHead = `{"log":{"version":"1.2","creator":{"name":"x","version":"1"},"pages":[{"id":"p"}],"entries":[`
 
-func harOne(at, method, url string, more string) string {
+func harEntryText(at, method, url string, more string) string {
 	return fmt.Sprintf(`{"startedDateTime":%q,"request":{"method":%q,"url":%q,"headers":[]%s},"response":{"status":200},"timings":{"send":0,"wait":3}}`, at, method, url, more)
 }
 
 func TestHAR(t *testing.T) {
 	at := "2026-07-14T10:00:00.250+05:30"
-	read1 := harOne(at, "GET", "https://api.example/point-read?key=a", "")
+	entryText := harEntryText(at, "GET", "https://api.example/point-read?key=a", "")
 	const want = "04:30:00.250 - GET https://api.example/point-read?key=a 200"
 	for _, tt := range []struct {
 		name, text, want string
 		skipped          map[string]int64
 	}{
-		{"whole", harHead + read1 + "]}}", want, nil},
-		{"a byte order mark", "\ufeff" + harHead + read1 + "]}}", want, nil},
-		{"white space", " \n" + strings.ReplaceAll(harHead, "{", "{\n ") + read1 + "\n]}}", want, nil},
-		{"members in another order", `{"log":{"entries":[` + read1 + `],"version":"1.1"}}`, want, nil},
+		{"whole", harHead + entryText + "]}}", want, nil},
+		{"a byte order mark", "\ufeff" + harHead + entryText + "]}}", want, nil},
+		{"white space", " \n" + strings.ReplaceAll(harHead, "{", "{\n ") + entryText + "\n]}}", want, nil},
+		{"members in another order", `{"log":{"entries":[` + entryText + `],"version":"1.1"}}`, want, nil},
 		{"no entries", harHead + "]}}", "", nil},
-		{"cut within an entry", harHead + read1 + "," + read1[:90], want, map[string]int64{ReasonFileCut: 1}},
-		{"cut between entries", harHead + read1 + ",", want, map[string]int64{ReasonFileCut: 1}},
-		{"cut before the entries", harHead[:40], "", map[string]int64{ReasonFileCut: 1}},
-		{"an entry that makes no sense", harHead + `{"request":7},` + read1 + "]}}", want, map[string]int64{ReasonEntry: 1}},
-		{"data, WebSocket and aborted", harHead + harOne(at, "GET", "data:text/plain,x", "") + "," + harOne(at, "GET", "wss://x/y", "") + "," +
-			strings.Replace(strings.Replace(read1, `"status":200`, `"status":0`, 1), `"wait":3`, `"wait":-1`, 1) + "," + read1 + "]}}",
+		{"truncated within an entry", harHead + entryText + "," + entryText[:90], want, map[string]int64{ReasonFileCut: 1}},
+		{"truncated between entries", harHead + entryText + ",", want, map[string]int64{ReasonFileCut: 1}},
+		{"truncated before the entries", harHead[:40], "", map[string]int64{ReasonFileCut: 1}},
+		{"an invalid entry", harHead + `{"request":7},` + entryText + "]}}", want, map[string]int64{ReasonInvalidEntry: 1}},
+		{"data, WebSocket and aborted", harHead + harEntryText(at, "GET", "data:text/plain,x", "") + "," + harEntryText(at, "GET", "wss://x/y", "") + "," +
+			strings.Replace(strings.Replace(entryText, `"status":200`, `"status":0`, 1), `"wait":3`, `"wait":-1`, 1) + "," + entryText + "]}}",
 			want, map[string]int64{ReasonData: 1, ReasonSocket: 1, ReasonAborted: 1}},
-		{"aborted after it was sent", harHead + strings.Replace(read1, `"status":200`, `"status":0`, 1) + "]}}",
+		{"aborted after it was sent", harHead + strings.Replace(entryText, `"status":200`, `"status":0`, 1) + "]}}",
 			"04:30:00.250 - GET https://api.example/point-read?key=a 0", nil},
-		{"no time", harHead + harOne("yesterday", "GET", "/x", "") + "]}}", "- - GET /x 200", nil},
+		{"no time", harHead + harEntryText("yesterday", "GET", "/x", "") + "]}}", "- - GET /x 200", nil},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			list, counts := read(t, tt.text, Options{Format: "har"})
+			list, counts := readEntries(t, tt.text, Options{Format: "har"})
 			if tt.skipped == nil {
 				tt.skipped = map[string]int64{}
 			}
-			if got := brief(list); got != tt.want || !reflect.DeepEqual(counts.Skipped, tt.skipped) {
+			if got := summary(list); got != tt.want || !reflect.DeepEqual(counts.Skipped, tt.skipped) {
 				t.Errorf("got\n%s\nwant\n%s\nskipped %v", got, tt.want, counts.First)
 			}
 		})
 	}
 }
 
-// Bodies are used as far as they were recorded, and filled up where they were cut off.
+// Recorded bodies are sent as far as they were recorded, and filled up to their size where they are incomplete.
 func TestHARBodies(t *testing.T) {
 	for _, tt := range []struct {
 		name, more, body string
@@ -240,14 +240,14 @@
 		{"shorter than its size", `,"bodySize":9,"postData":{"text":"hello"}`, "hello", 9, true},
 		{"size not known", `,"bodySize":-1,"postData":{"text":"hello"}`, "hello", 5, false},
 		{"no size", `,"postData":{"text":"hello"}`, "hello", 5, false},
-		{"no postData", `,"bodySize":7`, "", 7, true},
-		{"neither", `,"bodySize":-1`, "", -1, false},
+		{"no postData, with a size", `,"bodySize":7`, "", 7, true},
+		{"no postData, no size", `,"bodySize":-1`, "", -1, false},
 		{"base64", `,"bodySize":5,"postData":{"text":"aGVsbG8=","encoding":"base64"}`, "hello", 5, false},
-		{"broken base64", `,"bodySize":5,"postData":{"text":"aGVs!!!","encoding":"base64"}`, "hel", 5, true},
+		{"invalid base64", `,"bodySize":5,"postData":{"text":"aGVs!!!","encoding":"base64"}`, "hel", 5, true},
 		{"parameters", `,"bodySize":7,"postData":{"params":[{"name":"a","value":"1"},{"name":"b","value":"2"}]}`, "a=1&b=2", 7, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			list, counts := read(t, harHead+harOne("2026-07-14T04:30:00Z", "POST", "/alert-sub", tt.more)+"]}}", Options{})
+			list, counts := readEntries(t, harHead+harEntryText("2026-07-14T04:30:00Z", "POST", "/alert-sub", tt.more)+"]}}", Options{})
 			if len(list) != 1 {
 				t.Fatalf("%d entries, %v", len(list), counts.First)
 			}
@@ -258,7 +258,7 @@
 			q, err := NewMapper(DefaultMapping(), counts).Map(e)
 			want := max(tt.size, 0)
 			if tt.size < 0 {
-				want = 212 // of the default rules
+				want = 212 // body_bytes of the default rules
 			}
 			if err != nil || int64(len(q.Body)) != want || !strings.HasPrefix(string(q.Body), tt.body) {
 				t.Errorf("sends %d bytes, want %d; %v", len(q.Body), want, err)
@@ -267,9 +267,9 @@
 	}
 }
 
-// times runs entries with such times ("" for none) through Order and returns what comes out, in
-// milliseconds since the first second.
-func times(t testing.TB, o OrderOptions, texts ...string) ([]int64, *Counts) {
+// orderedTimes passes entries with the given times ("" for none) through Order. It returns the resulting times in
+// milliseconds since 04:30:00.
+func orderedTimes(t testing.TB, o OrderOptions, texts ...string) ([]int64, *Counts) {
 	t.Helper()
 	counts := NewCounts()
 	i := 0
@@ -300,7 +300,7 @@
 func (f sourceFunc) Next() (*Entry, error) { return f() }
 func (f sourceFunc) Close() error          { return nil }
 
-func TestOrderOfTimes(t *testing.T) {
+func TestOrder(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		in    []string
@@ -310,18 +310,18 @@
 	}{
 		{"in order", []string{"04:30:00.100Z", "04:30:00.300Z"}, OrderOptions{}, []int64{100, 300}, nil},
 		{"out of order within the window", []string{"04:30:03.000Z", "04:30:00.100Z", "04:30:01.500Z"}, OrderOptions{}, []int64{100, 1500, 3000}, nil},
-		{"beyond it", []string{"04:30:10.500Z", "04:30:01.500Z", "04:30:11.500Z"}, OrderOptions{}, []int64{10500, 10500, 11500}, map[string]int64{NoteTimeLate: 1}},
+		{"out of order beyond the window", []string{"04:30:10.500Z", "04:30:01.500Z", "04:30:11.500Z"}, OrderOptions{}, []int64{10500, 10500, 11500}, map[string]int64{RepairTimeLate: 1}},
 		{"whole seconds are spread", []string{"04:30:00Z", "04:30:00Z", "04:30:00Z", "04:30:00Z", "04:30:01Z"}, OrderOptions{}, []int64{125, 375, 625, 875, 1500}, nil},
-		{"missing between two", []string{"04:30:00.100Z", "", "", "04:30:00.400Z"}, OrderOptions{}, []int64{100, 200, 300, 400}, map[string]int64{NoteTimeMissing: 2}},
-		{"missing at both ends", []string{"", "04:30:00.100Z", ""}, OrderOptions{}, []int64{100, 100, 100}, map[string]int64{NoteTimeMissing: 2}},
-		{"over a zone", []string{"10:00:00.100+05:30", "04:30:00.200+00:00", "06:30:00.300+02:00", "05:30:00.400+01:00"}, OrderOptions{}, []int64{100, 200, 300, 400}, nil},
-		{"a long silence kept", []string{"04:30:00.000Z", "05:30:00.000Z"}, OrderOptions{}, []int64{0, 3600000}, nil},
-		{"and shortened", []string{"04:30:00.000Z", "05:30:00.000Z", "05:30:00.500Z"}, OrderOptions{MaxGap: time.Second}, []int64{0, 1000, 1500}, map[string]int64{NoteClockAhead: 1}},
-		{"stepped back an hour", []string{"05:00:00.000Z", "05:00:00.500Z", "04:00:00.700Z", "04:00:00.900Z", "04:00:01.100Z"}, OrderOptions{backRun: 3},
-			[]int64{1800000, 1800500, 1800500, 1800700, 1800900}, map[string]int64{NoteClockBack: 1}},
+		{"missing between two", []string{"04:30:00.100Z", "", "", "04:30:00.400Z"}, OrderOptions{}, []int64{100, 200, 300, 400}, map[string]int64{RepairTimeMissing: 2}},
+		{"missing at both ends", []string{"", "04:30:00.100Z", ""}, OrderOptions{}, []int64{100, 100, 100}, map[string]int64{RepairTimeMissing: 2}},
+		{"several time zones", []string{"10:00:00.100+05:30", "04:30:00.200+00:00", "06:30:00.300+02:00", "05:30:00.400+01:00"}, OrderOptions{}, []int64{100, 200, 300, 400}, nil},
+		{"a long gap kept", []string{"04:30:00.000Z", "05:30:00.000Z"}, OrderOptions{}, []int64{0, 3600000}, nil},
+		{"a long gap shortened", []string{"04:30:00.000Z", "05:30:00.000Z", "05:30:00.500Z"}, OrderOptions{MaxGap: time.Second}, []int64{0, 1000, 1500}, map[string]int64{RepairGapShortened: 1}},
+		{"stepped back an hour", []string{"05:00:00.000Z", "05:00:00.500Z", "04:00:00.700Z", "04:00:00.900Z", "04:00:01.100Z"}, OrderOptions{stepBackRun: 3},
+			[]int64{1800000, 1800500, 1800500, 1800700, 1800900}, map[string]int64{RepairClockBack: 1}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			got, counts := times(t, tt.o, tt.in...)
+			got, counts := orderedTimes(t, tt.o, tt.in...)
 			if tt.notes == nil {
 				tt.notes = map[string]int64{}
 			}
@@ -330,16 +330,16 @@
 			}
 		})
 	}
-	if got, counts := times(t, OrderOptions{}, "", "", ""); len(got) != 0 || counts.Skipped[ReasonNoTime] != 3 {
-		t.Errorf("without one time: %v, skipped %v", got, counts.Skipped)
+	if got, counts := orderedTimes(t, OrderOptions{}, "", "", ""); len(got) != 0 || counts.Skipped[ReasonNoTime] != 3 {
+		t.Errorf("no time in the file: %v, skipped %v", got, counts.Skipped)
 	}
 }
 
-// Over any times: nothing is lost, and time never runs backwards.
-func TestOrderLosesNothing(t *testing.T) {
+// For arbitrary times, Order returns every entry once, and times never decrease.
+func TestOrderKeepsEveryEntryInTimeOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 200).Draw(t, "n")
-		o := OrderOptions{Window: time.Duration(rapid.IntRange(1, 20).Draw(t, "window")) * time.Second, backRun: rapid.IntRange(2, 8).Draw(t, "run")}
+		o := OrderOptions{Window: time.Duration(rapid.IntRange(1, 20).Draw(t, "window")) * time.Second, stepBackRun: rapid.IntRange(2, 8).Draw(t, "run")}
 		i, at := 0, int64(1784003400_000)
 		src := Order(sourceFunc(func() (*Entry, error) {
 			if i == n {
@@ -377,7 +377,7 @@
 			seen[e.Line], last = true, e.Time
 		}
 		if len(seen) != n {
-			t.Fatalf("%d of %d come out", len(seen), n)
+			t.Fatalf("%d of %d entries are returned", len(seen), n)
 		}
 	})
 }
@@ -408,15 +408,15 @@
 	}
 }
 
-// Nothing of the input reaches the wire unchecked.
-func TestNothingUncheckedIsSent(t *testing.T) {
+// Recorded values can't add headers to a request or choose the host that it is sent to.
+func TestMapperRejectsUnsafeValues(t *testing.T) {
 	entry := func(target string, fields ...Field) *Entry {
 		return &Entry{Method: "POST", Target: target, Fields: fields, BodySize: -1, File: "f", Line: 1}
 	}
 	for _, tt := range []struct {
 		name   string
 		e      *Entry
-		target string // empty: skipped; "-": no rule fits
+		target string // empty: skipped; "-": no rule matches
 	}{
 		{"a header in a key", entry("/alert-sub?key=a%0d%0aX-Evil:%201"), ""},
 		{"a header in an idempotency key", entry("/alert-sub", Field{"header.idempotency-key", "k\r\nX-Evil: 1"}), ""},
@@ -424,9 +424,9 @@
 		{"an authority", entry("evil.example:443"), "-"},
 		{"an asterisk", entry("*"), "-"},
 		{"two slashes", entry("//evil.example/alert-sub?key=a"), "/alert-sub?key=a"},
-		{"dots", entry("/../alert-sub?key=a/../b"), "/alert-sub?key=a%2F..%2Fb"},
-		{"a blank in the path", entry("/alert-sub /x"), "-"},
-		{"a key of other bytes", entry("/alert-sub?key=%C3%A9"), "/alert-sub?key=%C3%A9"},
+		{"dot segments", entry("/../alert-sub?key=a/../b"), "/alert-sub?key=a%2F..%2Fb"},
+		{"a space in the path", entry("/alert-sub /x"), "-"},
+		{"a key that is not ASCII", entry("/alert-sub?key=%C3%A9"), "/alert-sub?key=%C3%A9"},
 		{"a fragment", entry("/alert-sub?key=a#b"), "/alert-sub?key=a"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -492,13 +492,13 @@
 	}
 }
 
-// Repeats are told from new requests by key, or by client and request, within their windows.
+// Repeats are detected by idempotency key, or by client and request, within their windows.
 func TestRepeats(t *testing.T) {
 	r := NewRepeats(DefaultMapping())
 	base := time.Unix(1784003400, 0)
 	note := func(ms int, client, target, key string) *Request {
-		q := &Request{Time: base.Add(time.Duration(ms) * time.Millisecond), Client: client, Class: "c", Target: target, Effect: key, keyed: true}
-		r.Note(q)
+		q := &Request{Time: base.Add(time.Duration(ms) * time.Millisecond), Client: client, Class: "c", Target: target, Effect: key, needsIdempotencyKey: true}
+		r.Identify(q)
 		return q
 	}
 	first := note(0, "a", "/x", "")
@@ -508,16 +508,16 @@
 		repeat bool
 		origin int64
 	}{
-		{"the same at once", note(100, "a", "/x", ""), true, 0},
+		{"the same request after 100 ms", note(100, "a", "/x", ""), true, 0},
 		{"a third time, within the window of the second", note(2050, "a", "/x", ""), true, 0},
 		{"another client", note(2060, "b", "/x", ""), false, 3},
 		{"another target", note(2070, "a", "/y", ""), false, 4},
 		{"no client", note(2080, "", "/x", ""), false, 5},
-		{"no client again", note(2090, "", "/x", ""), false, 6},
+		{"no client, the same request", note(2090, "", "/x", ""), false, 6},
 		{"beyond the window", note(4500, "a", "/x", ""), false, 7},
-		{"a key", note(5000, "a", "/x", "k"), false, 8},
-		{"the same key from elsewhere, later", note(30000, "b", "/z", "k"), true, 8},
-		{"and much later", note(95000, "b", "/z", "k"), false, 10},
+		{"a new idempotency key", note(5000, "a", "/x", "k"), false, 8},
+		{"the same key from another client, within the window", note(30000, "b", "/z", "k"), true, 8},
+		{"the same key beyond the window", note(95000, "b", "/z", "k"), false, 10},
 	} {
 		if tt.q.Repeat != tt.repeat || tt.q.Origin != tt.origin || tt.q.Effect == "" {
 			t.Errorf("%s: got repeat %v of %d, key %q", tt.name, tt.q.Repeat, tt.q.Origin, tt.q.Effect)
@@ -529,14 +529,13 @@
 	for i := range 2 * MaxRemembered {
 		note(100000, "a", fmt.Sprint("/", i), "")
 	}
-	if len(r.byKey) > MaxRemembered || r.recent.Len()+r.keys.Len() != len(r.byKey) {
-		t.Errorf("%d are remembered", len(r.byKey))
+	if len(r.byKey) > MaxRemembered || r.unkeyed.Len()+r.keyed.Len() != len(r.byKey) {
+		t.Errorf("%d requests are remembered", len(r.byKey))
 	}
 }
 
-// The same made-up log in each format holds the same requests, and the same seed gives the same
-// schedule.
-func TestSameLogInEachFormat(t *testing.T) {
+// The same synthetic log holds the same requests in each format, and the same seed gives the same schedule.
+func TestGeneratedLogIsEqualInEachFormat(t *testing.T) {
 	for _, shape := range []string{"steady", "bursty", "monsoon"} {
 		var plans [][]string
 		for _, format := range []string{"combined", "json", "har", "json"} {
@@ -562,13 +561,13 @@
 				classes[q.Class]++
 				plan = append(plan, fmt.Sprint(q.At, q.Class, q.Target, q.Repeat, q.Origin, q.Effect))
 			}
-			if int64(len(plan)) != g.Requests || !reflect.DeepEqual(classes, g.Classes) || p.Repeats.Count != g.Repeats || len(p.Counts.Skipped) > 0 || p.Mapper.Unmatched > 0 {
-				t.Errorf("%s, %s: %d requests, %v, %d repeats; the log has %+v; skipped %v", shape, format, len(plan), classes, p.Repeats.Count, g, p.Counts.First)
+			if int64(len(plan)) != g.Requests || !reflect.DeepEqual(classes, g.Classes) || p.Repeats.Found != g.Repeats || len(p.Counts.Skipped) > 0 || p.Mapper.Unmatched > 0 {
+				t.Errorf("%s, %s: %d requests, %v, %d repeats; the log has %+v; skipped %v", shape, format, len(plan), classes, p.Repeats.Found, g, p.Counts.First)
 			}
 			plans = append(plans, plan)
 		}
 		if !reflect.DeepEqual(plans[1], plans[3]) {
-			t.Errorf("%s: the same seed gives another schedule", shape)
+			t.Errorf("%s: the same seed gives a different schedule", shape)
 		}
 	}
 }
--- a/internal/load/mapping.go
+++ b/internal/load/mapping.go
@@ -19,64 +19,64 @@
 	"lemonrail/internal/strict"
 )
 
-// Request is one request as it is to be sent.
+// Request is one request to be sent.
 type Request struct {
-	At     time.Duration // since the first one
-	Time   time.Time     // as recorded, put right
+	At     time.Duration // time since the first request
+	Time   time.Time     // recorded time, as corrected by Order
 	Class  string
 	Method string
 	Target string // path and query; begins with a slash
-	Key    string // the subject
-	Effect string // idempotency key; empty: none
+	Key    string // key of the data that the request reads or changes
+	Effect string // idempotency key; empty if none
 	Tenant string
-	Left   time.Duration // how long the client waits
+	Left   time.Duration // how long the client waits for the answer
 	Body   []byte
 	Client string
 
-	Repeat bool  // a client's repeat of an earlier request
-	Origin int64 // number of the request that it repeats, or its own
-	Seq    int64 // its number, from 0
+	Repeat bool  // the client's repeat of an earlier request
+	Origin int64 // number of the first request of which this is a repeat, or its own number
+	Seq    int64 // number of the request, from 0
 
-	keyed bool // needs an idempotency key
+	needsIdempotencyKey bool // a key is generated if none was recorded
 }
 
-// Mapping says which entries become which requests. It is read from TOML.
+// Mapping defines which entries become which requests. It is read from TOML.
 type Mapping struct {
-	RepeatWindowMs    float64 `toml:"repeat_window_ms"`     // the same request of one client again within it is a repeat
-	KeyRepeatWindowMs float64 `toml:"key_repeat_window_ms"` // the same idempotency key again within it is one
+	RepeatWindowMs    float64 `toml:"repeat_window_ms"`     // within it, an equal request of the same client is a repeat
+	KeyRepeatWindowMs float64 `toml:"key_repeat_window_ms"` // within it, a request with the same idempotency key is a repeat
 	Rules             []Rule  `toml:"rule"`
 }
 
-// Rule maps the entries that fit it. Of several rules the first that fits counts. What is left out
-// fits anything.
+// Rule maps the entries that match it to requests of a class. The first matching rule applies. A condition
+// that is left out matches any entry.
 type Rule struct {
-	Class      string            `toml:"class"`
-	Method     []string          `toml:"method"`      // any of these
-	Path       string            `toml:"path"`        // regular expression on the path
-	Host       string            `toml:"host"`        // regular expression on the host
-	Status     []string          `toml:"status"`      // "200", "2xx", "500-599", "0" for none
-	Field      map[string]string `toml:"field"`       // regular expressions on fields, by name
-	SendMethod string            `toml:"send_method"` // GET or POST
-	Target     string            `toml:"target"`      // template; empty: /CLASS and the key
-	Key        string            `toml:"key"`         // template
-	Effect     string            `toml:"idempotency_key"`
-	Tenant     string            `toml:"tenant"`
-	LeftMs     float64           `toml:"time_left_ms"`
-	Left       string            `toml:"time_left"`  // template for a recorded one, such as "{header:x-time-left}"
-	Body       string            `toml:"body"`       // "recorded", "filled", "none"
-	BodyBytes  int               `toml:"body_bytes"` // of a body that was not recorded
-	Keyed      bool              `toml:"keyed"`      // needs an idempotency key; one is made where none was recorded
+	Class               string            `toml:"class"`
+	Method              []string          `toml:"method"`      // any of these
+	Path                string            `toml:"path"`        // regular expression on the path
+	Host                string            `toml:"host"`        // regular expression on the host
+	Status              []string          `toml:"status"`      // "200", "2xx", "500-599", "0" for none
+	Field               map[string]string `toml:"field"`       // regular expressions on the values of fields, by name
+	SendMethod          string            `toml:"send_method"` // GET or POST
+	Target              string            `toml:"target"`      // template; empty: /CLASS and the key
+	Key                 string            `toml:"key"`         // template
+	IdempotencyKey      string            `toml:"idempotency_key"`
+	Tenant              string            `toml:"tenant"`
+	TimeLeftMs          float64           `toml:"time_left_ms"`
+	TimeLeft            string            `toml:"time_left"`  // template for a recorded value, such as "{header:x-time-left}"
+	Body                string            `toml:"body"`       // "recorded", "filled", "none"
+	BodyBytes           int               `toml:"body_bytes"` // size of a body that was not recorded
+	NeedsIdempotencyKey bool              `toml:"keyed"`      // a key is generated where none was recorded
 
-	path, host *regexp.Regexp
-	field      map[string]*regexp.Regexp
-	names      []string // of field, sorted
-	status     [][2]int
+	pathPattern, hostPattern *regexp.Regexp
+	fieldPatterns            map[string]*regexp.Regexp
+	fieldNames               []string // keys of fieldPatterns, sorted
+	statusRanges             [][2]int
 }
 
-// MaxBody is the most bytes of a body (PROTOCOL: 64 KiB).
+// MaxBody is the maximum size of a body in bytes (PROTOCOL: 64 KiB).
 const MaxBody = 64 << 10
 
-// DefaultMapping returns the rules that hold where no file is given: deploy/load.toml as it was built in.
+// DefaultMapping returns the built-in rules from deploy/load.toml, which apply if no file is given.
 func DefaultMapping() *Mapping {
 	m, err := ParseMapping("deploy/load.toml", []byte(deploy.Load))
 	if err != nil {
@@ -85,10 +85,10 @@
 	return m
 }
 
-// DefaultMappingText is the TOML of DefaultMapping, to begin a file of one's own with.
+// DefaultMappingText returns the TOML text of DefaultMapping, as a start for a file of one's own.
 func DefaultMappingText() string { return deploy.Load }
 
-// ReadMapping reads a file.
+// ReadMapping reads and checks a mapping file.
 func ReadMapping(path string) (*Mapping, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -97,7 +97,7 @@
 	return ParseMapping(path, raw)
 }
 
-// ParseMapping reads and checks rules; errors name file, line and key.
+// ParseMapping reads and checks rules. Errors name the file, the line and the key.
 func ParseMapping(file string, raw []byte) (*Mapping, error) {
 	var m Mapping
 	if err := strict.Decode(file, raw, &m); err != nil {
@@ -112,7 +112,7 @@
 		def float64
 	}{{"repeat_window_ms", &m.RepeatWindowMs, 2000}, {"key_repeat_window_ms", &m.KeyRepeatWindowMs, 60000}} {
 		if !(*w.v >= 0) || *w.v > 3.6e6 {
-			return nil, fmt.Errorf("%s: %s: %v makes no sense", file, w.key, *w.v)
+			return nil, fmt.Errorf("%s: %s: %v is not within 0 and 3600000", file, w.key, *w.v)
 		}
 		if *w.v == 0 {
 			*w.v = w.def
@@ -127,8 +127,8 @@
 }
 
 func (r *Rule) compile() error {
-	if r.Class == "" || strings.ContainsAny(r.Class, "/?# \t\r\n%") || !isPrintable(r.Class) {
-		return fmt.Errorf("class: %q makes no sense", r.Class)
+	if r.Class == "" || strings.ContainsAny(r.Class, "/?# \t\r\n%") || !isPrintableASCII(r.Class) {
+		return fmt.Errorf("class: %q is not a name of printable ASCII characters without spaces, /, ?, # and %%", r.Class)
 	}
 	var err error
 	re := func(key, text string) *regexp.Regexp {
@@ -141,32 +141,32 @@
 		}
 		return x
 	}
-	r.path, r.host = re("path", r.Path), re("host", r.Host)
-	r.field = map[string]*regexp.Regexp{}
+	r.pathPattern, r.hostPattern = re("path", r.Path), re("host", r.Host)
+	r.fieldPatterns = map[string]*regexp.Regexp{}
 	for _, name := range sortedKeys(r.Field) {
-		r.field[name] = re("field."+name, r.Field[name])
-		r.names = append(r.names, name)
+		r.fieldPatterns[name] = re("field."+name, r.Field[name])
+		r.fieldNames = append(r.fieldNames, name)
 	}
 	if err != nil {
 		return err
 	}
 	for _, s := range r.Status {
-		span, e := statusSpan(s)
+		span, e := parseStatusRange(s)
 		if e != nil {
 			return fmt.Errorf("status: %w", e)
 		}
-		r.status = append(r.status, span)
+		r.statusRanges = append(r.statusRanges, span)
 	}
 	switch r.SendMethod {
 	case "":
-		if r.SendMethod = "GET"; r.Keyed {
+		if r.SendMethod = "GET"; r.NeedsIdempotencyKey {
 			r.SendMethod = "POST"
 		}
 	case "GET", "POST":
 	default:
 		return fmt.Errorf("send_method: %q is neither GET nor POST", r.SendMethod)
 	}
-	if r.Keyed && r.SendMethod != "POST" {
+	if r.NeedsIdempotencyKey && r.SendMethod != "POST" {
 		return errors.New("keyed: goes with POST only")
 	}
 	switch r.Body {
@@ -185,18 +185,18 @@
 	if r.BodyBytes < 0 || r.BodyBytes > MaxBody {
 		return fmt.Errorf("body_bytes: %d is not within 0 and %d", r.BodyBytes, MaxBody)
 	}
-	if !(r.LeftMs > 0) || r.LeftMs > 3.6e6 || math.IsNaN(r.LeftMs) {
-		return fmt.Errorf("time_left_ms: %v makes no sense", r.LeftMs)
+	if !(r.TimeLeftMs > 0) || r.TimeLeftMs > 3.6e6 || math.IsNaN(r.TimeLeftMs) {
+		return fmt.Errorf("time_left_ms: %v is not above 0 and at most 3600000", r.TimeLeftMs)
 	}
-	for key, text := range map[string]string{"target": r.Target, "key": r.Key, "idempotency_key": r.Effect, "tenant": r.Tenant, "time_left": r.Left} {
-		if _, e := expand(text, &scope{e: &Entry{}}); e != nil {
+	for key, text := range map[string]string{"target": r.Target, "key": r.Key, "idempotency_key": r.IdempotencyKey, "tenant": r.Tenant, "time_left": r.TimeLeft} {
+		if _, e := expand(text, &templateValues{entry: &Entry{}}); e != nil {
 			return fmt.Errorf("%s: %w", key, e)
 		}
 	}
 	return nil
 }
 
-func statusSpan(s string) ([2]int, error) {
+func parseStatusRange(s string) ([2]int, error) {
 	if len(s) == 3 && strings.HasSuffix(s, "xx") && s[0] >= '0' && s[0] <= '9' {
 		n := int(s[0]-'0') * 100
 		return [2]int{n, n + 99}, nil
@@ -205,54 +205,54 @@
 	if !span {
 		hi = lo
 	}
-	a, ok1 := digits(lo)
-	b, ok2 := digits(hi)
+	a, ok1 := parseDigits(lo)
+	b, ok2 := parseDigits(hi)
 	if !ok1 || !ok2 || a > b || b > 999 {
-		return [2]int{}, fmt.Errorf("%q makes no sense", s)
+		return [2]int{}, fmt.Errorf("%q is not a status, a class such as 2xx or a range such as 500-599", s)
 	}
 	return [2]int{a, b}, nil
 }
 
-// fits reports whether the rule is for an entry with this path.
-func (r *Rule) fits(e *Entry, path string) bool {
+// matches reports whether the rule applies to an entry with this path.
+func (r *Rule) matches(e *Entry, path string) bool {
 	if len(r.Method) > 0 && !slices.ContainsFunc(r.Method, func(m string) bool { return strings.EqualFold(m, e.Method) }) {
 		return false
 	}
-	if r.path != nil && !r.path.MatchString(path) || r.host != nil && !r.host.MatchString(e.Host) {
+	if r.pathPattern != nil && !r.pathPattern.MatchString(path) || r.hostPattern != nil && !r.hostPattern.MatchString(e.Host) {
 		return false
 	}
-	if len(r.status) > 0 && !slices.ContainsFunc(r.status, func(s [2]int) bool { return e.Status >= s[0] && e.Status <= s[1] }) {
+	if len(r.statusRanges) > 0 && !slices.ContainsFunc(r.statusRanges, func(s [2]int) bool { return e.Status >= s[0] && e.Status <= s[1] }) {
 		return false
 	}
-	for _, name := range r.names {
-		if !r.field[name].MatchString(e.Fields.Get(name)) {
+	for _, name := range r.fieldNames {
+		if !r.fieldPatterns[name].MatchString(e.Fields.Get(name)) {
 			return false
 		}
 	}
 	return true
 }
 
-// Mapper turns entries into requests.
+// Mapper converts entries to requests, and counts them.
 type Mapper struct {
-	m      *Mapping
-	counts *Counts
+	mapping *Mapping
+	counts  *Counts
 
-	Unmatched      int64
-	UnmatchedFirst []string         // the first few
-	Rules          []int64          // requests by rule
-	Classes        map[string]int64 // and by class
+	Unmatched         int64
+	UnmatchedExamples []string // the first unmatched entries
+	RequestsByRule    []int64  // by index of the rule
+	RequestsByClass   map[string]int64
 }
 
-// NewMapper returns a Mapper that adds to counts what it repairs.
+// NewMapper returns a Mapper that counts its repairs in counts.
 func NewMapper(m *Mapping, counts *Counts) *Mapper {
-	return &Mapper{m: m, counts: counts, Rules: make([]int64, len(m.Rules)), Classes: map[string]int64{}}
+	return &Mapper{mapping: m, counts: counts, RequestsByRule: make([]int64, len(m.Rules)), RequestsByClass: map[string]int64{}}
 }
 
-// Map returns the request for an entry; nil: no rule fits. A *Skip says that one does, and that the
-// entry can't be sent.
+// Map returns the request for an entry, or nil if no rule matches. It returns a *Skip if a rule matches but the
+// request cannot be sent.
 func (m *Mapper) Map(e *Entry) (*Request, error) {
 	target := e.Target
-	// Absolute targets name a host that load is never sent to.
+	// The host of an absolute target is dropped: load is sent to agents only.
 	if i := strings.Index(target, "://"); i > 0 && !strings.ContainsAny(target[:i], "/?#") {
 		rest := target[i+3:]
 		if k := strings.IndexAny(rest, "/?#"); k >= 0 {
@@ -263,51 +263,51 @@
 	}
 	target, _, _ = strings.Cut(target, "#")
 	path, rawQuery, _ := strings.Cut(target, "?")
-	for i := range m.m.Rules {
-		r := &m.m.Rules[i]
-		if !r.fits(e, path) {
+	for i := range m.mapping.Rules {
+		r := &m.mapping.Rules[i]
+		if !r.matches(e, path) {
 			continue
 		}
-		req, err := m.request(r, e, path, rawQuery)
+		req, err := m.newRequest(r, e, path, rawQuery)
 		if err != nil {
 			return nil, err
 		}
-		m.Rules[i]++
-		m.Classes[r.Class]++
+		m.RequestsByRule[i]++
+		m.RequestsByClass[r.Class]++
 		return req, nil
 	}
 	m.Unmatched++
-	if len(m.UnmatchedFirst) < firstSkips {
-		m.UnmatchedFirst = append(m.UnmatchedFirst, fmt.Sprintf("%s: %.20s %.80q", e.Where(), e.Method, e.Target))
+	if len(m.UnmatchedExamples) < maxExamples {
+		m.UnmatchedExamples = append(m.UnmatchedExamples, fmt.Sprintf("%s: %.20s %.80q", e.Where(), e.Method, e.Target))
 	}
 	return nil, nil
 }
 
-func (m *Mapper) request(r *Rule, e *Entry, path, rawQuery string) (*Request, error) {
+func (m *Mapper) newRequest(r *Rule, e *Entry, path, rawQuery string) (*Request, error) {
 	skip := func(reason, detail string) error {
 		return &Skip{Reason: reason, File: e.File, Line: e.Line, Detail: detail}
 	}
-	in := &scope{e: e, path: path, rawQuery: rawQuery}
-	q := &Request{Time: e.Time, Class: r.Class, Method: r.SendMethod, Client: e.Client, keyed: r.Keyed, Left: time.Duration(r.LeftMs * float64(time.Millisecond))}
+	in := &templateValues{entry: e, path: path, rawQuery: rawQuery}
+	q := &Request{Time: e.Time, Class: r.Class, Method: r.SendMethod, Client: e.Client, needsIdempotencyKey: r.NeedsIdempotencyKey, Left: time.Duration(r.TimeLeftMs * float64(time.Millisecond))}
 	for _, f := range []struct {
 		to   *string
 		text string
 		what string
-	}{{&q.Key, r.Key, "key"}, {&q.Effect, r.Effect, "idempotency key"}, {&q.Tenant, r.Tenant, "tenant"}} {
+	}{{&q.Key, r.Key, "key"}, {&q.Effect, r.IdempotencyKey, "idempotency key"}, {&q.Tenant, r.Tenant, "tenant"}} {
 		v, err := expand(f.text, in)
 		if err != nil {
 			return nil, skip(ReasonValue, err.Error())
 		}
-		// Guards against headers that recorded values would add to the request. A key goes into the
-		// target, escaped.
-		if f.what == "key" && !isText(v) || f.what != "key" && !isPrintable(v) || len(v) > 512 {
+		// Recorded values must not add headers to the request. A key may be any text, since it is escaped in
+		// the target.
+		if f.what == "key" && !isPrintableUTF8(v) || f.what != "key" && !isPrintableASCII(v) || len(v) > 512 {
 			return nil, skip(ReasonValue, fmt.Sprintf("%s %.40q", f.what, v))
 		}
 		*f.to = v
 	}
-	if r.Left != "" {
-		if text, _ := expand(r.Left, in); text != "" {
-			d, ok := parseLeft(text)
+	if r.TimeLeft != "" {
+		if text, _ := expand(r.TimeLeft, in); text != "" {
+			d, ok := parseTimeLeft(text)
 			if !ok {
 				return nil, skip(ReasonValue, fmt.Sprintf("time left %.40q", text))
 			}
@@ -321,7 +321,7 @@
 		}
 		escaped, changed := escapeTarget(t)
 		if changed {
-			m.counts.Note(NoteEscaped)
+			m.counts.AddRepair(RepairEscaped)
 		}
 		if u, err := url.ParseRequestURI(escaped); err != nil || !strings.HasPrefix(escaped, "/") || strings.HasPrefix(escaped, "//") || u.Host != "" || len(escaped) > 4096 {
 			return nil, skip(ReasonTarget, fmt.Sprintf("%.60q", t))
@@ -330,14 +330,14 @@
 	} else if q.Target = "/" + r.Class; q.Key != "" {
 		q.Target += "?key=" + url.QueryEscape(q.Key)
 	}
-	return q, m.body(r, e, q, skip)
+	return q, m.setBody(r, e, q, skip)
 }
 
-// filler is what stands for bodies that were not recorded; requests share it.
-var filler = bytes.Repeat([]byte("x"), MaxBody)
+// fillerBody fills in for bodies that were not recorded; all requests share it.
+var fillerBody = bytes.Repeat([]byte("x"), MaxBody)
 
-// body gives a request the body that was recorded, or fills it up to the size that was.
-func (m *Mapper) body(r *Rule, e *Entry, q *Request, skip func(string, string) error) error {
+// setBody gives a request the recorded body, filled up to the recorded size where it is incomplete.
+func (m *Mapper) setBody(r *Rule, e *Entry, q *Request, skip func(string, string) error) error {
 	if r.Body == "none" {
 		return nil
 	}
@@ -350,9 +350,9 @@
 	}
 	if r.Body == "filled" || len(e.Body) == 0 {
 		if e.BodyCut {
-			m.counts.Note(NoteBodyFilled)
+			m.counts.AddRepair(RepairBodyFilled)
 		}
-		q.Body = filler[:size:size]
+		q.Body = fillerBody[:size:size]
 		return nil
 	}
 	q.Body = make([]byte, 0, size)
@@ -361,15 +361,16 @@
 	}
 	if missing := int(size) - len(q.Body); missing > 0 {
 		if e.BodyCut {
-			m.counts.Note(NoteBodyFilled)
+			m.counts.AddRepair(RepairBodyFilled)
 		}
-		q.Body = append(q.Body, filler[:missing]...)
+		q.Body = append(q.Body, fillerBody[:missing]...)
 	}
 	return nil
 }
 
-// parseLeft reads a number with a unit as PROTOCOL writes it, or milliseconds.
-func parseLeft(text string) (time.Duration, bool) {
+// parseTimeLeft parses a number with a unit as in PROTOCOL ("u" for microseconds, "m" for milliseconds); a
+// number without a unit is in milliseconds.
+func parseTimeLeft(text string) (time.Duration, bool) {
 	unit := time.Millisecond
 	if s, ok := strings.CutSuffix(text, "u"); ok {
 		text, unit = s, time.Microsecond
@@ -383,7 +384,7 @@
 	return time.Duration(v * float64(unit)), true
 }
 
-func isPrintable(s string) bool {
+func isPrintableASCII(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] < 0x20 || s[i] > 0x7e {
 			return false
@@ -392,11 +393,12 @@
 	return true
 }
 
-func isText(s string) bool {
+func isPrintableUTF8(s string) bool {
 	return utf8.ValidString(s) && !strings.ContainsFunc(s, unicode.IsControl)
 }
 
-// escapeTarget percent-escapes what may not stand in a request's target.
+// escapeTarget percent-encodes the bytes that are not allowed in a request target, and reports whether there
+// were any.
 func escapeTarget(s string) (string, bool) {
 	clean := true
 	for i := 0; i < len(s) && clean; i++ {
@@ -416,9 +418,9 @@
 	return b.String(), true
 }
 
-// expand fills a template in: {query:NAME}, {header:NAME}, {field:NAME}, {path}, {path:N} (the Nth
-// part, from 1), {client}, {host}, {method}; "{a|b}" takes the first that isn't empty.
-func expand(text string, in *scope) (string, error) {
+// expand replaces the placeholders of a template: {query:NAME}, {header:NAME}, {field:NAME}, {path}, {path:N}
+// (the Nth segment, from 1), {client}, {host}, {method}. "{a|b}" stands for the first that isn't empty.
+func expand(text string, in *templateValues) (string, error) {
 	if !strings.Contains(text, "{") {
 		return text, nil
 	}
@@ -448,20 +450,20 @@
 	}
 }
 
-// scope is what templates are filled in from.
-type scope struct {
-	e              *Entry
+// templateValues holds the entry whose values templates refer to.
+type templateValues struct {
+	entry          *Entry
 	path, rawQuery string
-	query          url.Values // read when it is first asked for
+	query          url.Values // parsed on first use
 }
 
-func (in *scope) lookUp(name string) (string, error) {
+func (in *templateValues) lookUp(name string) (string, error) {
 	kind, arg, _ := strings.Cut(name, ":")
-	e := in.e
+	e := in.entry
 	switch kind {
 	case "query":
 		if in.query == nil {
-			in.query, _ = url.ParseQuery(in.rawQuery) // what can be read of it
+			in.query, _ = url.ParseQuery(in.rawQuery) // on an error, the valid parameters are used
 		}
 		return in.query.Get(arg), nil
 	case "header":
--- a/internal/load/open.go
+++ b/internal/load/open.go
@@ -13,18 +13,18 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Options say how files are read.
+// Options define how files are read.
 type Options struct {
-	Format string     // "auto", "har", "json", "common", "combined", "vhost_combined", or empty for auto
+	Format string     // "auto", "har", "json", "common", "combined", "vhost_combined" or "custom"; empty for auto
 	Nginx  []string   // log_format strings or directives that are tried first
 	Apache []string   // LogFormat strings or directives that are tried first
-	JSON   *JSONNames // nil: DefaultJSONNames
-	Stdin  io.Reader  // what "-" reads; nil: os.Stdin
+	JSON   *JSONNames // nil for DefaultJSONNames
+	Stdin  io.Reader  // input for the file name "-"; nil for os.Stdin
 }
 
-const sniffSize = 64 << 10 // bytes that decide what a file is
+const sniffSize = 64 << 10 // bytes from the start of a file by which its format is detected
 
-// formats compiles the formats that are tried on lines.
+// formats compiles the line formats that are tried on each line.
 func (o *Options) formats() (list []*Format, err error) {
 	add := func(f *Format, e error) {
 		if e != nil {
@@ -49,18 +49,18 @@
 	default:
 		text, ok := known[o.Format]
 		if !ok {
-			return nil, fmt.Errorf("format %q is not known; there are auto, har, json, common, combined, vhost_combined and custom", o.Format)
+			return nil, fmt.Errorf("unknown format %q; want auto, har, json, common, combined, vhost_combined or custom", o.Format)
 		}
 		add(CompileApache(o.Format, text))
 	}
 	if o.Format == "custom" && len(list) == 0 && err == nil {
-		err = errors.New("format custom needs a log_format or LogFormat")
+		err = errors.New("format custom needs a log_format or LogFormat string")
 	}
 	return list, err
 }
 
-// Open opens a file ("-": standard input), plain or compressed by gzip or zstd, and tells by its
-// first bytes what it holds where the options don't say.
+// Open opens a file, or standard input for "-". Plain, gzip and zstd files are accepted. If the options don't
+// set the format, it is detected from the first bytes.
 func Open(name string, o Options, counts *Counts) (Source, error) {
 	formats, err := o.formats()
 	if err != nil {
@@ -111,7 +111,7 @@
 	io.Closer
 }
 
-// decompress tells by the first bytes how a stream is compressed.
+// decompress detects gzip and zstd by their magic numbers and returns a reader of the decompressed stream.
 func decompress(raw io.ReadCloser) (io.ReadCloser, error) {
 	buf := bufio.NewReaderSize(raw, 64<<10)
 	magic, _ := buf.Peek(4)
@@ -123,7 +123,7 @@
 		}
 		return readCloser{z, raw}, nil
 	case bytes.Equal(magic, []byte{0x28, 0xb5, 0x2f, 0xfd}):
-		// One goroutine and a bounded window: a file must not decide what memory it takes.
+		// One goroutine and a bounded window, so that a file cannot dictate how much memory is used.
 		z, err := zstd.NewReader(buf, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(64<<20),
 			zstd.WithDecoderMaxWindow(16<<20))
 		if err != nil {
@@ -144,8 +144,8 @@
 	return err
 }
 
-// looksLikeHAR tells a HAR file from JSON lines: an object whose first member that is an object is
-// "log", or that has it within its first bytes while its first line is no whole object.
+// looksLikeHAR distinguishes a HAR file from JSON lines: the first member of the first object is the object
+// "log", and either "entries" occurs in head or head is as long as sniffSize.
 func looksLikeHAR(head []byte) bool {
 	text := bytes.TrimLeft(head, " \t\r\n")
 	if len(text) == 0 || text[0] != '{' {
--- a/internal/load/order.go
+++ b/internal/load/order.go
@@ -8,70 +8,71 @@
 	"time"
 )
 
-// MaxPending bounds the entries that are held to be put in order.
+// MaxPending is the maximum number of entries that Order holds back for sorting.
 const MaxPending = 1 << 16
 
-// OrderOptions say how times are put right.
+// OrderOptions define how recorded times are corrected.
 type OrderOptions struct {
-	Window  time.Duration // entries may stand so much too late in a file; 0: DefaultWindow
-	MaxGap  time.Duration // longer silences are shortened to this; 0: kept
-	backRun int           // entries in a row that tell that the clock was stepped back; 0: defaultBackRun
+	Window      time.Duration // how late an entry may stand in a file and still be sorted; 0 for DefaultWindow
+	MaxGap      time.Duration // longer gaps between entries are shortened to this; 0 to keep them
+	stepBackRun int           // number of consecutive late entries that show a clock stepped back; 0 for defaultStepBackRun
 }
 
-// DefaultWindow is the usual reorder window: servers log requests when they end.
+// DefaultWindow is the usual reorder window. Entries are out of order because servers log requests when they end.
 const DefaultWindow = 5 * time.Second
 
-const defaultBackRun = 20
+const defaultStepBackRun = 20
 
-// order puts the entries of one file into the order of their times, in bounded memory:
+// orderedSource sorts the entries of one file by time, in bounded memory:
 //
-//   - within the window they are sorted;
-//   - one that comes later than that stays where it stood in the file;
-//   - one without a time is spread between its neighbours;
-//   - where times are in whole seconds, those of one second are spread over it evenly, instead of
-//     standing in a burst at its edge;
-//   - when the clock was stepped back, as a run of entries that are all late shows, what follows
-//     moves on by the step: the log's order then tells more than its clock.
-type order struct {
-	src    Source
-	opt    OrderOptions
-	counts *Counts
+//   - entries within the window are sorted;
+//   - an entry that is late by more than the window keeps its place in the file;
+//   - entries without a time are spread evenly between their neighbours;
+//   - entries whose times are in whole seconds are spread evenly over their second, instead of forming a
+//     burst at its start;
+//   - when the clock was stepped back, which shows as a run of late entries, later times are shifted forward by
+//     the size of the step: the order in the log is then more reliable than its clock.
+type orderedSource struct {
+	src     Source
+	options OrderOptions
+	counts  *Counts
 
-	heap    entryHeap
-	seq     int64
-	high    time.Time     // latest time read, corrected
-	out     time.Time     // latest time given out
-	shift   time.Duration // added to what is read, after the clock was stepped back
-	late    []*Entry      // in a row, all beyond the window
-	noTime  []*Entry      // since the last entry with a time
-	second  []*Entry      // of one whole second, in order
-	ready   []*Entry      // to be given out next
-	skip    error         // to be said next
-	end     error         // of the source
-	gapped  time.Duration // taken out of long silences
-	lastRaw time.Time
+	heap            entryHeap
+	seq             int64
+	latestRead      time.Time     // latest time read, after clockShift was added
+	latestReturned  time.Time     // latest time returned by Next
+	clockShift      time.Duration // added to times that are read, after the clock was stepped back
+	lateRun         []*Entry      // consecutive entries that are late by more than the window
+	untimed         []*Entry      // entries without a time, since the last entry with one
+	currentSecond   []*Entry      // sorted entries of one whole second, not spread yet
+	ready           []*Entry      // entries that Next returns first
+	pendingSkip     error         // *Skip that Next returns before anything is read
+	sourceErr       error         // final error of src, io.EOF included
+	removedSilence  time.Duration // sum of what was cut from long gaps
+	lastUnshortened time.Time     // time of the last entry before gaps were cut
 }
 
-// Order wraps a source of one file.
+// Order returns a Source that yields the entries of src, which reads one file, in order of time.
 func Order(src Source, opt OrderOptions, counts *Counts) Source {
 	if opt.Window <= 0 {
 		opt.Window = DefaultWindow
 	}
-	if opt.backRun == 0 {
-		opt.backRun = defaultBackRun
+	if opt.stepBackRun == 0 {
+		opt.stepBackRun = defaultStepBackRun
 	}
-	return &order{src: src, opt: opt, counts: counts}
+	return &orderedSource{src: src, options: opt, counts: counts}
 }
 
-func (o *order) Close() error { return o.src.Close() }
+func (o *orderedSource) Close() error { return o.src.Close() }
 
-type ordered struct {
-	e   *Entry
-	at  time.Time
-	seq int64
+// heapItem is an entry in the heap; entries with the same time keep the order in which they were read.
+type heapItem struct {
+	entry *Entry
+	at    time.Time
+	seq   int64
 }
 
-type entryHeap []ordered
+type entryHeap []heapItem
 
 func (h entryHeap) Len() int { return len(h) }
 func (h entryHeap) Less(i, j int) bool {
@@ -81,15 +82,15 @@
 	return h[i].seq < h[j].seq
 }
 func (h entryHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *entryHeap) Push(x any)   { *h = append(*h, x.(ordered)) }
+func (h *entryHeap) Push(x any)   { *h = append(*h, x.(heapItem)) }
 func (h *entryHeap) Pop() any {
 	last := (*h)[len(*h)-1]
-	(*h)[len(*h)-1] = ordered{}
+	(*h)[len(*h)-1] = heapItem{}
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-func (o *order) Next() (*Entry, error) {
+func (o *orderedSource) Next() (*Entry, error) {
 	for {
 		if len(o.ready) > 0 {
 			e := o.ready[0]
@@ -97,16 +98,16 @@
 			o.ready = o.ready[1:]
 			return e, nil
 		}
-		if o.skip != nil {
-			err := o.skip
-			o.skip = nil
+		if o.pendingSkip != nil {
+			err := o.pendingSkip
+			o.pendingSkip = nil
 			return nil, err
 		}
-		if o.end != nil {
-			if len(o.heap) == 0 && len(o.second) == 0 {
-				return nil, o.end
+		if o.sourceErr != nil {
+			if len(o.heap) == 0 && len(o.currentSecond) == 0 {
+				return nil, o.sourceErr
 			}
-			o.pop()
+			o.popEarliest()
 			continue
 		}
 		e, err := o.src.Next()
@@ -115,191 +116,191 @@
 		case errors.As(err, &s):
 			return nil, err
 		case err != nil:
-			o.settle()
-			o.end = err
+			o.finish()
+			o.sourceErr = err
 			continue
 		}
-		o.take(e)
-		for len(o.heap) > 0 && (o.heap[0].at.Before(o.high.Add(-o.opt.Window)) || len(o.heap) > MaxPending) {
-			o.pop()
+		o.add(e)
+		for len(o.heap) > 0 && (o.heap[0].at.Before(o.latestRead.Add(-o.options.Window)) || len(o.heap) > MaxPending) {
+			o.popEarliest()
 		}
 	}
 }
 
-// take adds one entry that was read.
-func (o *order) take(e *Entry) {
+// add adds one entry that was read from the source.
+func (o *orderedSource) add(e *Entry) {
 	if e.Time.IsZero() {
-		o.noTime = append(o.noTime, e)
-		if len(o.noTime) > MaxPending/4 { // a long stretch without times: it stands where the last time was
-			o.place(o.high)
+		o.untimed = append(o.untimed, e)
+		if len(o.untimed) > MaxPending/4 { // bounds memory in a long stretch without times: all get the last time
+			o.placeUntimed(o.latestRead)
 		}
 		return
 	}
-	at := e.Time.Add(o.shift)
-	if !o.high.IsZero() && at.Before(o.high.Add(-o.opt.Window)) {
-		o.late = append(o.late, e)
-		if len(o.late) >= o.opt.backRun {
-			o.steppedBack()
+	at := e.Time.Add(o.clockShift)
+	if !o.latestRead.IsZero() && at.Before(o.latestRead.Add(-o.options.Window)) {
+		o.lateRun = append(o.lateRun, e)
+		if len(o.lateRun) >= o.options.stepBackRun {
+			o.handleStepBack()
 		}
 		return
 	}
 	o.flushLate()
 	e.Time = at
-	o.place(at)
+	o.placeUntimed(at)
 	o.push(e, at)
-	if at.After(o.high) {
-		o.high = at
+	if at.After(o.latestRead) {
+		o.latestRead = at
 	}
 }
 
-func (o *order) push(e *Entry, at time.Time) {
+func (o *orderedSource) push(e *Entry, at time.Time) {
 	o.seq++
-	heap.Push(&o.heap, ordered{e, at, o.seq})
+	heap.Push(&o.heap, heapItem{e, at, o.seq})
 }
 
-// place spreads the entries without a time between the last one that had one and now.
-func (o *order) place(now time.Time) {
-	if len(o.noTime) == 0 {
+// placeUntimed spreads the entries without a time evenly between the last recorded time and now.
+func (o *orderedSource) placeUntimed(now time.Time) {
+	if len(o.untimed) == 0 {
 		return
 	}
-	from := o.high
+	from := o.latestRead
 	if from.IsZero() {
 		from = now
 	}
 	if now.Before(from) {
 		now = from
 	}
-	step := now.Sub(from) / time.Duration(len(o.noTime)+1)
-	for i, e := range o.noTime {
-		if now.IsZero() { // not one time so far
-			o.second = append(o.second, e)
+	step := now.Sub(from) / time.Duration(len(o.untimed)+1)
+	for i, e := range o.untimed {
+		if now.IsZero() { // no time was read so far
+			o.currentSecond = append(o.currentSecond, e)
 			continue
 		}
 		e.Time, e.Coarse = from.Add(step*time.Duration(i+1)), false
-		o.counts.Note(NoteTimeMissing)
+		o.counts.AddRepair(RepairTimeMissing)
 		o.push(e, e.Time)
 	}
-	o.noTime = o.noTime[:0]
+	o.untimed = o.untimed[:0]
 }
 
-// flushLate places entries beyond the window where they stood: at the latest time so far.
-func (o *order) flushLate() {
-	for _, e := range o.late {
-		e.Time, e.Coarse = o.high, false
-		o.counts.Note(NoteTimeLate)
-		o.push(e, o.high)
+// flushLate places the late entries where they stood in the file: at the latest time read so far.
+func (o *orderedSource) flushLate() {
+	for _, e := range o.lateRun {
+		e.Time, e.Coarse = o.latestRead, false
+		o.counts.AddRepair(RepairTimeLate)
+		o.push(e, o.latestRead)
 	}
-	o.late = o.late[:0]
+	o.lateRun = o.lateRun[:0]
 }
 
-// steppedBack moves on the clock by what it was stepped back.
-func (o *order) steppedBack() {
-	first := o.late[0].Time.Add(o.shift)
-	o.shift += o.high.Sub(first)
-	o.counts.Note(NoteClockBack)
-	run := append([]*Entry(nil), o.late...)
-	o.late = o.late[:0]
+// handleStepBack shifts the clock forward by the step that the run of late entries shows.
+func (o *orderedSource) handleStepBack() {
+	first := o.lateRun[0].Time.Add(o.clockShift)
+	o.clockShift += o.latestRead.Sub(first)
+	o.counts.AddRepair(RepairClockBack)
+	run := append([]*Entry(nil), o.lateRun...)
+	o.lateRun = o.lateRun[:0]
 	for _, e := range run {
-		at := e.Time.Add(o.shift)
-		if at.Before(o.high.Add(-o.opt.Window)) {
-			at = o.high
+		at := e.Time.Add(o.clockShift)
+		if at.Before(o.latestRead.Add(-o.options.Window)) {
+			at = o.latestRead
 		}
 		e.Time = at
 		o.push(e, at)
-		if at.After(o.high) {
-			o.high = at
+		if at.After(o.latestRead) {
+			o.latestRead = at
 		}
 	}
 }
 
-// settle ends the file: nothing more will tell what to make of what is still open.
-func (o *order) settle() {
+// finish places the entries that are still held back when the source has ended.
+func (o *orderedSource) finish() {
 	o.flushLate()
-	if o.high.IsZero() { // no time at all
-		if n := len(o.noTime); n > 0 {
-			e := o.noTime[0]
-			o.skip = &Skip{Reason: ReasonNoTime, File: e.File, Line: e.Line}
-			o.counts.Skipped[ReasonNoTime] += int64(n) - 1 // and the one that is said
-			o.noTime = nil
+	if o.latestRead.IsZero() { // the file has no time at all
+		if n := len(o.untimed); n > 0 {
+			e := o.untimed[0]
+			o.pendingSkip = &Skip{Reason: ReasonNoTime, File: e.File, Line: e.Line}
+			o.counts.Skipped[ReasonNoTime] += int64(n) - 1 // the caller counts pendingSkip itself
+			o.untimed = nil
 		}
 		return
 	}
-	o.place(o.high)
+	o.placeUntimed(o.latestRead)
 }
 
-// pop moves the earliest entry on. Those of one whole second are collected, and spread when the
-// next second begins.
-func (o *order) pop() {
+// popEarliest moves the earliest entry from the heap to currentSecond, and releases that when the next second
+// begins.
+func (o *orderedSource) popEarliest() {
 	if len(o.heap) == 0 {
-		o.spread()
+		o.releaseSecond()
 		return
 	}
-	x := heap.Pop(&o.heap).(ordered)
-	if len(o.second) > 0 && (!x.at.Truncate(time.Second).Equal(o.second[0].Time.Truncate(time.Second)) || len(o.second) >= MaxPending) {
-		o.spread()
+	x := heap.Pop(&o.heap).(heapItem)
+	if len(o.currentSecond) > 0 && (!x.at.Truncate(time.Second).Equal(o.currentSecond[0].Time.Truncate(time.Second)) || len(o.currentSecond) >= MaxPending) {
+		o.releaseSecond()
 	}
-	x.e.Time = x.at
-	o.second = append(o.second, x.e)
-	if len(o.heap) == 0 && o.end != nil {
-		o.spread()
+	x.entry.Time = x.at
+	o.currentSecond = append(o.currentSecond, x.entry)
+	if len(o.heap) == 0 && o.sourceErr != nil {
+		o.releaseSecond()
 	}
 }
 
-// spread gives out the entries of one second. Those whose times are coarse are laid out evenly
-// over it, in the order in which they stand among each other; the others keep their times.
-func (o *order) spread() {
+// releaseSecond moves the entries of currentSecond to ready. Entries with coarse times are spread evenly over
+// the second in their order; the other entries keep their times.
+func (o *orderedSource) releaseSecond() {
 	coarse := 0
-	for _, e := range o.second {
+	for _, e := range o.currentSecond {
 		if e.Coarse {
 			coarse++
 		}
 	}
 	n := 0
-	for _, e := range o.second {
+	for _, e := range o.currentSecond {
 		if e.Coarse {
 			base := e.Time.Truncate(time.Second)
 			e.Time = base.Add(time.Duration((float64(n) + 0.5) / float64(coarse) * float64(time.Second)))
 			n++
 		}
 	}
-	slices.SortStableFunc(o.second, func(a, b *Entry) int { return a.Time.Compare(b.Time) })
-	for _, e := range o.second {
-		o.gap(e)
+	slices.SortStableFunc(o.currentSecond, func(a, b *Entry) int { return a.Time.Compare(b.Time) })
+	for _, e := range o.currentSecond {
+		o.adjustTime(e)
 		o.ready = append(o.ready, e)
 	}
-	o.second = o.second[:0]
+	o.currentSecond = o.currentSecond[:0]
 }
 
-// gap shortens long silences, and keeps times from running backwards.
-func (o *order) gap(e *Entry) {
+// adjustTime shortens a long gap before an entry, and keeps times from decreasing.
+func (o *orderedSource) adjustTime(e *Entry) {
 	raw := e.Time
-	if o.opt.MaxGap > 0 && !o.lastRaw.IsZero() && raw.Sub(o.lastRaw) > o.opt.MaxGap {
-		o.gapped += raw.Sub(o.lastRaw) - o.opt.MaxGap
-		o.counts.Note(NoteClockAhead)
+	if o.options.MaxGap > 0 && !o.lastUnshortened.IsZero() && raw.Sub(o.lastUnshortened) > o.options.MaxGap {
+		o.removedSilence += raw.Sub(o.lastUnshortened) - o.options.MaxGap
+		o.counts.AddRepair(RepairGapShortened)
 	}
-	o.lastRaw = raw
-	e.Time = raw.Add(-o.gapped)
-	if e.Time.Before(o.out) {
-		e.Time = o.out
+	o.lastUnshortened = raw
+	e.Time = raw.Add(-o.removedSilence)
+	if e.Time.Before(o.latestReturned) {
+		e.Time = o.latestReturned
 	}
-	o.out = e.Time
+	o.latestReturned = e.Time
 }
 
-// Merge joins sources that are each in order of time into one that is.
+// Merge returns a Source that merges sources, each in order of time, by time.
 func Merge(sources ...Source) Source {
 	if len(sources) == 1 {
 		return sources[0]
 	}
-	return &merge{sources: sources, heads: make([]*Entry, len(sources)), ended: make([]bool, len(sources))}
+	return &mergedSource{sources: sources, heads: make([]*Entry, len(sources)), ended: make([]bool, len(sources))}
 }
 
-type merge struct {
+type mergedSource struct {
 	sources []Source
 	heads   []*Entry
 	ended   []bool
 }
 
-func (m *merge) Close() error {
+func (m *mergedSource) Close() error {
 	var err error
 	for _, s := range m.sources {
 		err = errors.Join(err, s.Close())
@@ -307,7 +308,7 @@
 	return err
 }
 
-func (m *merge) Next() (*Entry, error) {
+func (m *mergedSource) Next() (*Entry, error) {
 	best := -1
 	for i, s := range m.sources {
 		if m.heads[i] == nil && !m.ended[i] {
--- a/internal/load/page.go
+++ b/internal/load/page.go
@@ -8,7 +8,7 @@
 	"lemonrail/internal/chart"
 )
 
-// HTML writes the report as one self-contained page.
+// HTML writes the report as one self-contained HTML page.
 func (r *Report) HTML(w io.Writer, title string) error {
 	var source, played, bad []float64
 	byClass := map[string]*[2][]float64{}
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Plan is files, a mapping and what is made of them: a stream of requests in order of time.
+// Plan is the stream of requests, in order of time, that a mapping makes of the entries of files.
 type Plan struct {
 	Counts  *Counts
 	Mapper  *Mapper
@@ -16,7 +16,8 @@
 	first time.Time
 }
 
-// NewPlan opens the files. Each is put in order by itself; together they are merged by time.
+// NewPlan opens the files. Each file is sorted by time separately, then all are merged by time. A nil mapping
+// stands for DefaultMapping.
 func NewPlan(files []string, o Options, order OrderOptions, m *Mapping) (*Plan, error) {
 	if len(files) == 0 {
 		return nil, errors.New("no files")
@@ -44,7 +45,7 @@
 // Close closes the files.
 func (p *Plan) Close() error { return p.src.Close() }
 
-// Next returns the next request; io.EOF at the end. What is skipped is counted.
+// Next returns the next request, or io.EOF at the end. Skipped input is counted in Counts.
 func (p *Plan) Next() (*Request, error) {
 	for {
 		e, err := p.src.Next()
@@ -65,7 +66,7 @@
 		if q == nil {
 			continue
 		}
-		p.Repeats.Note(q)
+		p.Repeats.Identify(q)
 		if p.first.IsZero() {
 			p.first = q.Time
 		}
@@ -74,20 +75,20 @@
 	}
 }
 
-// Window is the requests of one span of time.
+// Window counts the requests of one time window of a plan.
 type Window struct {
-	T        float64          `json:"t"` // s since the first request
+	T        float64          `json:"t"` // start, in seconds since the first request
 	Requests int64            `json:"requests"`
 	Classes  map[string]int64 `json:"classes"`
 }
 
-// Inspection is what a plan holds.
+// Inspection summarises a plan.
 type Inspection struct {
 	Requests  int64            `json:"requests"` // repeats included
 	Repeats   int64            `json:"repeats"`
-	Unmatched int64            `json:"unmatched"` // entries that fit no rule
+	Unmatched int64            `json:"unmatched"` // entries that match no rule
 	Skipped   map[string]int64 `json:"skipped"`   // by reason
-	Notes     map[string]int64 `json:"notes"`     // repaired and used
+	Notes     map[string]int64 `json:"notes"`     // repairs, by kind
 	First     string           `json:"first"`     // RFC 3339
 	Last      string           `json:"last"`
 	SpanS     float64          `json:"span_s"`
@@ -100,10 +101,11 @@
 	UnmatchedExamples []string `json:"unmatched_examples"`
 }
 
-// maxWindows bounds the windows of an inspection; beyond it requests count in the last one.
+// maxWindows is the maximum number of windows of an inspection; later requests are counted in the last one.
 const maxWindows = 200_000
 
-// Inspect reads a plan to its end. progress, if not nil, is called now and then; an error ends it.
+// Inspect reads a plan to its end. progress, if not nil, is called every 65536 requests; an error from it ends
+// the inspection.
 func Inspect(p *Plan, window time.Duration, progress func(requests int64) error) (*Inspection, error) {
 	in := &Inspection{Classes: map[string]int64{}, WindowS: window.Seconds(), Windows: []Window{}}
 	var first, last time.Time
@@ -125,10 +127,10 @@
 		}
 		last = q.Time
 		in.Classes[q.Class]++
-		in.add(q, window)
+		in.addRequest(q, window)
 	}
-	in.Repeats, in.Unmatched, in.Skipped, in.Notes = p.Repeats.Count, p.Mapper.Unmatched, p.Counts.Skipped, p.Counts.Notes
-	in.Examples, in.UnmatchedExamples = p.Counts.First, p.Mapper.UnmatchedFirst
+	in.Repeats, in.Unmatched, in.Skipped, in.Notes = p.Repeats.Found, p.Mapper.Unmatched, p.Counts.Skipped, p.Counts.Notes
+	in.Examples, in.UnmatchedExamples = p.Counts.First, p.Mapper.UnmatchedExamples
 	if in.Requests > 0 {
 		in.First, in.Last = first.UTC().Format(time.RFC3339Nano), last.UTC().Format(time.RFC3339Nano)
 		in.SpanS = last.Sub(first).Seconds()
@@ -139,7 +141,7 @@
 	return in, nil
 }
 
-func (in *Inspection) add(q *Request, window time.Duration) {
+func (in *Inspection) addRequest(q *Request, window time.Duration) {
 	i := min(int(q.At/window), maxWindows-1)
 	for len(in.Windows) <= i {
 		in.Windows = append(in.Windows, Window{T: float64(len(in.Windows)) * window.Seconds(), Classes: map[string]int64{}})
--- a/internal/load/player.go
+++ b/internal/load/player.go
@@ -20,96 +20,95 @@
 	"time"
 )
 
-// Outcome is what a client makes of what it got.
+// Outcome is how a request ended for the client.
 type Outcome string
 
 const (
-	Served   Outcome = "served"
-	Refused  Outcome = "refused"   // 429 or 503: trying again is harmless
-	Failed   Outcome = "failed"    // any other answer
-	Broken   Outcome = "broken"    // the connection ended without a whole answer
-	TimedOut Outcome = "timed out" // the client went away when its time was up
-	Unsent   Outcome = "unsent"    // there was no room for it, or no connection
+	Served   Outcome = "served"    // answered with 200
+	Refused  Outcome = "refused"   // answered with 429 or 503; a retry is harmless
+	Failed   Outcome = "failed"    // answered with any other status
+	Broken   Outcome = "broken"    // the connection ended without a complete answer
+	TimedOut Outcome = "timed out" // the client gave up at the end of its time
+	Unsent   Outcome = "unsent"    // not sent: InFlight requests were open, or connecting failed
 )
 
-// Sample is one request that was played.
+// Sample is one request of a play and its outcome.
 type Sample struct {
 	Request *Request
-	ID      string
-	Target  string
-	Due     time.Time // when it was to be sent
-	Sent    time.Time // when its last byte was written; zero: never
+	ID      string    // correlation id
+	Target  string    // address of the agent
+	Due     time.Time // when it was scheduled to be sent
+	Sent    time.Time // when its last byte was written; zero if never
 	Ended   time.Time
 	Outcome Outcome
-	Status  int
-	Body    []byte // of a 200
-	Begun   bool   // with Broken: part of an answer had come
-	First   bool   // it was the first on its connection
-	After   time.Duration
+	Status  int           // 0 if there was no complete answer
+	Body    []byte        // body of a 200
+	Begun   bool          // with Broken: part of an answer was received
+	First   bool          // it was the first request on its connection
+	After   time.Duration // Retry-After of the answer; 0 if none
 }
 
-// Observer is told what the player's clients do, as it happens. Calls come from many goroutines.
+// Observer is called as the player's clients send requests and get answers, from many goroutines at once.
 type Observer interface {
 	Sent(s *Sample)  // the last byte was written
-	Ended(s *Sample) // it has its outcome
+	Ended(s *Sample) // the outcome is known
 }
 
-// PlayOptions say how a plan is played.
+// PlayOptions define how a plan is played.
 type PlayOptions struct {
-	Targets  []netip.AddrPort // loopback addresses; requests go to them in turn, those of one client to the same
-	Speed    float64          // 2: twice as fast as recorded; 0: 1
-	Limit    int64            // requests at the most; 0: all
-	For      time.Duration    // ends after so long; 0: no bound
-	InFlight int              // requests at a time at the most; 0: DefaultInFlight
-	Seed     uint64           // of correlation ids
+	Targets  []netip.AddrPort // loopback addresses; requests are spread over them, those of one client go to the same
+	Speed    float64          // factor on the recorded speed; 2 is twice as fast; 0 for 1
+	Limit    int64            // maximum number of requests; 0 for all
+	For      time.Duration    // maximum duration; 0 for no bound
+	InFlight int              // maximum number of open requests; 0 for DefaultInFlight
+	Seed     uint64           // seed of the correlation ids
 	Marks    bool             // repeats carry X-Repeat: 1
-	Observer Observer
-	Done     func(*Sample) // called for each request, by one goroutine at a time
+	Observer Observer         // may be nil
+	Done     func(*Sample)    // called for each request that has ended, never concurrently; may be nil
 }
 
-// DefaultInFlight bounds the connections that are busy at a time.
+// DefaultInFlight is the default maximum number of open requests.
 const DefaultInFlight = 4096
 
 const (
-	idleConns   = 1024 // connections that are kept to each target
-	maxAnswer   = 1 << 20
-	answerGrace = 500 * time.Millisecond // beyond its time a client waits, to see a late answer
+	maxIdleConns   = 1024 // per target
+	maxAnswerBytes = 1 << 20
+	answerGrace    = 500 * time.Millisecond // a client waits this long after its time has passed, to record a late answer
 )
 
-// Totals are what a play came to.
+// Totals summarise a play.
 type Totals struct {
 	Played   int64
-	Unsent   int64 // of these: no room within InFlight
-	Stopped  bool  // by the caller's context
+	Unsent   int64 // requests not sent because InFlight requests were open
+	Stopped  bool  // the caller's context ended the play
 	Begun    time.Time
 	Finished time.Time
 }
 
-// Play sends a plan's requests at their times, whatever becomes of earlier ones: an open loop. It
-// returns when all have their outcomes. When ctx ends, nothing more is sent, and what is out is
-// waited for.
+// Play sends a plan's requests at their times, without waiting for earlier answers: an open loop. It returns
+// when every request has its outcome. When ctx ends, Play sends nothing more and waits for the open requests.
 func Play(ctx context.Context, next func() (*Request, error), o PlayOptions) (Totals, error) {
 	p, err := newPlayer(&o)
 	if err != nil {
 		return Totals{}, err
 	}
 	var all sync.WaitGroup
-	tot := Totals{Begun: time.Now()}
+	totals := Totals{Begun: time.Now()}
 	sleep := time.NewTimer(0)
 	defer sleep.Stop()
 	<-sleep.C
-	// A worker that is free takes the next request: goroutines and connections are used again.
+	// A free worker takes the next request, so that goroutines are reused.
 	work := make(chan *Sample)
 	workers := 0
 	var idle atomic.Int64
 	defer func() {
-		for _, x := range p.pools {
-			x.close()
+		for _, pool := range p.pools {
+			pool.close()
 		}
 	}()
 	var failure error
 loop:
-	for o.Limit == 0 || tot.Played < o.Limit {
+	for o.Limit == 0 || totals.Played < o.Limit {
 		q, err := next()
 		if errors.Is(err, io.EOF) {
 			break
@@ -122,25 +121,25 @@
 		if o.For > 0 && at >= o.For {
 			break
 		}
-		due := tot.Begun.Add(at)
+		due := totals.Begun.Add(at)
 		if wait := time.Until(due); wait > 0 {
 			sleep.Reset(wait)
 			select {
 			case <-sleep.C:
 			case <-ctx.Done():
-				tot.Stopped = true
+				totals.Stopped = true
 				break loop
 			}
 		} else if ctx.Err() != nil {
-			tot.Stopped = true
+			totals.Stopped = true
 			break
 		}
-		tot.Played++
-		s := &Sample{Request: q, ID: p.id(tot.Played), Due: due}
+		totals.Played++
+		s := &Sample{Request: q, ID: p.correlationID(totals.Played), Due: due}
 		if idle.Load() == 0 && workers >= o.InFlight {
-			tot.Unsent++
+			totals.Unsent++
 			s.Outcome, s.Ended = Unsent, time.Now()
-			p.done(s)
+			p.reportDone(s)
 			continue
 		}
 		if idle.Add(-1) < 0 {
@@ -160,32 +159,32 @@
 	}
 	close(work)
 	all.Wait()
-	tot.Finished = time.Now()
-	return tot, failure
+	totals.Finished = time.Now()
+	return totals, failure
 }
 
-// PlayClosed has a number of clients send a plan's requests at once and, from then on, each the next
-// one when it has its answer: a closed loop, in which the plan's times count for nothing but For.
-// A loop of this kind sends less where answers are slow; how long they take is Play's to tell.
+// PlayClosed runs a number of clients that each send the plan's next request as soon as the previous one is
+// answered: a closed loop. It ignores the plan's times; For still applies. A closed loop sends less when answers
+// are slow, so latency has to be measured with Play.
 func PlayClosed(ctx context.Context, clients int, next func() (*Request, error), o PlayOptions) (Totals, error) {
 	p, err := newPlayer(&o)
 	if err != nil {
 		return Totals{}, err
 	}
 	if clients < 1 || clients > DefaultInFlight {
-		return Totals{}, fmt.Errorf("%d clients make no sense", clients)
+		return Totals{}, fmt.Errorf("%d clients are not within 1 and the limit of open requests", clients)
 	}
-	tot := Totals{Begun: time.Now()}
-	var mu sync.Mutex // guards tot, failure and next
+	totals := Totals{Begun: time.Now()}
+	var mu sync.Mutex // guards totals, failure and next
 	var failure error
-	take := func() *Sample {
+	nextSample := func() *Sample {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
-		case failure != nil || o.Limit > 0 && tot.Played >= o.Limit || o.For > 0 && time.Since(tot.Begun) >= o.For:
+		case failure != nil || o.Limit > 0 && totals.Played >= o.Limit || o.For > 0 && time.Since(totals.Begun) >= o.For:
 			return nil
 		case ctx.Err() != nil:
-			tot.Stopped = true
+			totals.Stopped = true
 			return nil
 		}
 		q, err := next()
@@ -193,81 +192,81 @@
 			failure = err
 			return nil
 		}
-		tot.Played++
-		return &Sample{Request: q, ID: p.id(tot.Played), Due: time.Now()}
+		totals.Played++
+		return &Sample{Request: q, ID: p.correlationID(totals.Played), Due: time.Now()}
 	}
 	var all sync.WaitGroup
 	for range clients {
 		all.Go(func() {
-			for s := take(); s != nil; s = take() {
+			for s := nextSample(); s != nil; s = nextSample() {
 				p.play(s)
 			}
 		})
 	}
 	all.Wait()
-	for _, x := range p.pools {
-		x.close()
+	for _, pool := range p.pools {
+		pool.close()
 	}
-	tot.Finished = time.Now()
+	totals.Finished = time.Now()
 	if errors.Is(failure, io.EOF) {
 		failure = nil
 	}
-	return tot, failure
+	return totals, failure
 }
 
-// newPlayer checks the options and fills in what was left out.
+// newPlayer checks the options and sets the defaults.
 func newPlayer(o *PlayOptions) (*player, error) {
 	if len(o.Targets) == 0 {
 		return nil, errors.New("no target")
 	}
 	for _, t := range o.Targets {
 		if !t.Addr().IsLoopback() {
-			return nil, fmt.Errorf("target %v: load goes to loopback addresses only", t)
+			return nil, fmt.Errorf("target %v: load is sent to loopback addresses only", t)
 		}
 	}
 	if o.Speed == 0 {
 		o.Speed = 1
 	}
 	if !(o.Speed > 0) {
-		return nil, fmt.Errorf("speed %v makes no sense", o.Speed)
+		return nil, fmt.Errorf("speed %v is not above 0", o.Speed)
 	}
 	if o.InFlight <= 0 {
 		o.InFlight = DefaultInFlight
 	}
-	p := &player{o: *o}
+	p := &player{options: *o}
 	for _, t := range o.Targets {
-		p.pools = append(p.pools, &pool{addr: t.String()})
+		p.pools = append(p.pools, &connPool{addr: t.String()})
 	}
 	return p, nil
 }
 
 type player struct {
-	o     PlayOptions
-	pools []*pool
-	mu    sync.Mutex // guards o.Done
+	options PlayOptions
+	pools   []*connPool
+	mu      sync.Mutex // serialises calls of options.Done
 }
 
-func (p *player) done(s *Sample) {
-	if p.o.Done != nil {
+func (p *player) reportDone(s *Sample) {
+	if p.options.Done != nil {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.o.Done(s)
+		p.options.Done(s)
 	}
 }
 
-// id is a correlation id: new with each request, also with a repeat, and the same again for the
-// same seed.
-func (p *player) id(n int64) string {
+// correlationID returns the id of the nth request. Every request has its own, repeats included; the same seed
+// gives the same ids.
+func (p *player) correlationID(n int64) string {
 	h := fnv.New64a()
 	var b [16]byte
-	binary.BigEndian.PutUint64(b[:8], p.o.Seed)
+	binary.BigEndian.PutUint64(b[:8], p.options.Seed)
 	binary.BigEndian.PutUint64(b[8:], uint64(n))
 	h.Write(b[:])
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// pick chooses a target: a client's requests go to the same one.
-func (p *player) pick(q *Request) *pool {
+// poolFor chooses the target of a request. All requests of a client go to the same target.
+func (p *player) poolFor(q *Request) *connPool {
 	if len(p.pools) == 1 {
 		return p.pools[0]
 	}
@@ -279,28 +278,28 @@
 	return p.pools[int(h.Sum32())%len(p.pools)]
 }
 
-// play sends one request and waits for what becomes of it.
+// play sends one request and waits for its outcome.
 func (p *player) play(s *Sample) {
-	to := p.pick(s.Request)
-	s.Target = to.addr
-	text := encodeRequest(s, to.addr, p.o.Marks)
-	for try := 0; ; try++ {
-		c, kept, err := to.get(try > 0)
+	pool := p.poolFor(s.Request)
+	s.Target = pool.addr
+	text := encodeRequest(s, pool.addr, p.options.Marks)
+	for attempt := 0; ; attempt++ {
+		c, reused, err := pool.get(attempt > 0)
 		if err != nil {
 			s.Outcome = Unsent
 			break
 		}
-		s.First = !kept
-		again := s.exchange(c, text, p.o.Observer)
-		if again && kept && try == 0 {
-			// It crossed the end of a kept connection unread: once more, on a new one.
+		s.First = !reused
+		retry := s.exchange(c, text, p.options.Observer)
+		if retry && reused && attempt == 0 {
+			// The server closed the idle connection before it read the request: retry once on a new connection.
 			c.Close()
-			to.drop()
+			pool.closeIdle()
 			continue
 		}
 		if s.Outcome == Served || s.Outcome == Refused || s.Outcome == Failed {
-			if !c.last {
-				to.put(c)
+			if !c.closing {
+				pool.put(c)
 				break
 			}
 		}
@@ -308,13 +307,13 @@
 		break
 	}
 	s.Ended = time.Now()
-	if p.o.Observer != nil && !s.Sent.IsZero() {
-		p.o.Observer.Ended(s)
+	if p.options.Observer != nil && !s.Sent.IsZero() {
+		p.options.Observer.Ended(s)
 	}
-	p.done(s)
+	p.reportDone(s)
 }
 
-// encodeRequest writes a request out as PROTOCOL says. All values were checked by the Mapper.
+// encodeRequest encodes a request for HTTP/1.1 as PROTOCOL defines it. The Mapper has checked all values.
 func encodeRequest(s *Sample, host string, marks bool) []byte {
 	q := s.Request
 	var b strings.Builder
@@ -336,17 +335,17 @@
 	return []byte(b.String())
 }
 
-// exchange writes the request and reads the answer. It reports whether the connection ended with
-// nothing read, which on a kept one may mean that the request was never looked at.
-func (s *Sample) exchange(c *conn, text []byte, observe Observer) (again bool) {
+// exchange writes the request and reads the answer. retry reports whether the connection ended before any byte
+// of an answer; on a reused connection this may mean that the server never read the request.
+func (s *Sample) exchange(c *conn, text []byte, observer Observer) (retry bool) {
 	c.SetDeadline(time.Now().Add(s.Request.Left + answerGrace))
 	if _, err := c.Write(text); err != nil {
 		s.Outcome = Broken
 		return true
 	}
 	s.Sent = time.Now()
-	if observe != nil {
-		observe.Sent(s)
+	if observer != nil {
+		observer.Sent(s)
 	}
 	if _, err := c.r.Peek(1); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -359,14 +358,14 @@
 	resp, err := http.ReadResponse(c.r, &http.Request{Method: s.Request.Method})
 	var body []byte
 	if err == nil {
-		body, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+		body, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 		resp.Body.Close()
 	}
 	if err != nil {
 		s.Outcome, s.Begun = Broken, true
 		return false
 	}
-	c.last = resp.Close
+	c.closing = resp.Close
 	s.Status = resp.StatusCode
 	if v, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && v >= 0 && v < 1e6 {
 		s.After = time.Duration(v * float64(time.Second))
@@ -382,8 +381,8 @@
 	return false
 }
 
-// pool keeps connections to one target.
-type pool struct {
+// connPool keeps idle connections to one target.
+type connPool struct {
 	addr string
 	mu   sync.Mutex
 	idle []*conn
@@ -391,14 +390,14 @@
 
 type conn struct {
 	net.Conn
-	r    *bufio.Reader
-	last bool // the answer said that it ends
+	r       *bufio.Reader
+	closing bool // the answer had "Connection: close"
 }
 
-const dialLimit = 2 * time.Second
+const dialTimeout = 2 * time.Second
 
-// get returns a kept connection, or a new one.
-func (p *pool) get(fresh bool) (c *conn, kept bool, err error) {
+// get returns an idle connection, or a new one if there is none or fresh is set.
+func (p *connPool) get(fresh bool) (c *conn, reused bool, err error) {
 	p.mu.Lock()
 	if n := len(p.idle); n > 0 && !fresh {
 		c = p.idle[n-1]
@@ -408,25 +407,25 @@
 	if c != nil {
 		return c, true, nil
 	}
-	nc, err := net.DialTimeout("tcp", p.addr, dialLimit)
+	nc, err := net.DialTimeout("tcp", p.addr, dialTimeout)
 	if err != nil {
 		return nil, false, err
 	}
 	return &conn{Conn: nc, r: bufio.NewReader(nc)}, false, nil
 }
 
-func (p *pool) put(c *conn) {
+func (p *connPool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle) >= idleConns {
+	if len(p.idle) >= maxIdleConns {
 		c.Close()
 		return
 	}
 	p.idle = append(p.idle, c)
 }
 
-// drop closes what is kept: the other side has begun to end idle connections.
-func (p *pool) drop() {
+// closeIdle closes the idle connections. It is called when the server has begun to close them.
+func (p *connPool) closeIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle {
@@ -435,4 +434,4 @@
 	p.idle = nil
 }
 
-func (p *pool) close() { p.drop() }
+func (p *connPool) close() { p.closeIdle() }
--- a/internal/load/player_test.go
+++ b/internal/load/player_test.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// requests yields so many at even distances.
-func requests(n int, every time.Duration) func() (*Request, error) {
+// evenRequests yields n requests at even intervals.
+func evenRequests(n int, every time.Duration) func() (*Request, error) {
 	i := 0
 	return func() (*Request, error) {
 		if i == n {
@@ -30,7 +30,7 @@
 	}
 }
 
-func server(t *testing.T, h http.HandlerFunc) netip.AddrPort {
+func startServer(t *testing.T, h http.HandlerFunc) netip.AddrPort {
 	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
@@ -41,24 +41,23 @@
 	return a
 }
 
-// The player never waits for answers to keep its times, reuses connections, and every request has
-// one outcome.
+// Play sends on time without waiting for answers, reuses connections, and gives every request one outcome.
 func TestPlayIsAnOpenLoop(t *testing.T) {
 	const n = 60
 	var arrived sync.WaitGroup
 	arrived.Add(n)
 	ids := map[string]bool{}
 	var mu sync.Mutex
-	to := server(t, func(w http.ResponseWriter, r *http.Request) {
+	to := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		ids[r.Header.Get("X-Correlation-Id")] = true
 		mu.Unlock()
 		arrived.Done()
-		arrived.Wait() // no answer before all have come
+		arrived.Wait() // no answer before all requests have arrived
 		io.WriteString(w, "ok")
 	})
 	rec := NewRecorder(10 * time.Millisecond)
-	tot, err := Play(context.Background(), requests(n, time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, Done: rec.Add})
+	tot, err := Play(context.Background(), evenRequests(n, time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, Done: rec.Add})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +68,7 @@
 }
 
 func TestPlayOutcomes(t *testing.T) {
-	to := server(t, func(w http.ResponseWriter, r *http.Request) {
+	to := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Query().Get("key") {
 		case "1":
 			io.WriteString(w, "ok")
@@ -88,7 +87,7 @@
 		}
 	})
 	var got []string
-	_, err := Play(context.Background(), requests(5, 20*time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, Done: func(s *Sample) {
+	_, err := Play(context.Background(), evenRequests(5, 20*time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, Done: func(s *Sample) {
 		got = append(got, fmt.Sprintf("%d %s %d %v %v", s.Request.Seq, s.Outcome, s.Status, s.Begun, s.After))
 	}})
 	if err != nil {
@@ -101,9 +100,9 @@
 	}
 }
 
-// A request that crosses the end of a kept connection goes out once more; one on a new connection
-// doesn't.
-func TestCrossedRequestGoesOutOnceMore(t *testing.T) {
+// A request that the server leaves unread because it closes the idle connection is sent once more; one on a new
+// connection isn't.
+func TestRetryOnClosedIdleConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -119,7 +118,7 @@
 			conns <- i
 			buf := make([]byte, 4096)
 			c.Read(buf)
-			if i < 2 { // answers once, and ends with the next request unread
+			if i < 2 { // answers the first request, and closes the connection without reading the next
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 				time.Sleep(5 * time.Millisecond)
 			}
@@ -128,7 +127,7 @@
 	})
 	var got []Outcome
 	to := netip.MustParseAddrPort(ln.Addr().String())
-	if _, err := Play(context.Background(), requests(3, 100*time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, Done: func(s *Sample) { got = append(got, s.Outcome) }}); err != nil {
+	if _, err := Play(context.Background(), evenRequests(3, 100*time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, Done: func(s *Sample) { got = append(got, s.Outcome) }}); err != nil {
 		t.Fatal(err)
 	}
 	ln.Close()
@@ -138,15 +137,15 @@
 	}
 }
 
-// The first end of the context stops sending; what is out is waited for, and the report stands.
+// When the context ends, Play sends nothing more, waits for the open requests, and reports complete results.
 func TestPlayStops(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
-	to := server(t, func(w http.ResponseWriter, r *http.Request) {
+	to := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		stop()
 		io.WriteString(w, "ok")
 	})
 	rec := NewRecorder(time.Second)
-	tot, err := Play(ctx, requests(1000, 50*time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, Done: rec.Add})
+	tot, err := Play(ctx, evenRequests(1000, 50*time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, Done: rec.Add})
 	if err != nil || !tot.Stopped || tot.Played >= 1000 {
 		t.Fatalf("got %+v, %v", tot, err)
 	}
@@ -155,11 +154,11 @@
 	}
 }
 
-func TestPlayBounds(t *testing.T) {
+func TestPlayLimits(t *testing.T) {
 	hold := make(chan struct{})
-	to := server(t, func(w http.ResponseWriter, r *http.Request) { <-hold })
+	to := startServer(t, func(w http.ResponseWriter, r *http.Request) { <-hold })
 	n := 0
-	tot, err := Play(context.Background(), requests(10, time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, InFlight: 3, Done: func(s *Sample) {
+	tot, err := Play(context.Background(), evenRequests(10, time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, InFlight: 3, Done: func(s *Sample) {
 		if n++; n == 7 {
 			close(hold)
 		}
@@ -167,13 +166,13 @@
 	if err != nil || tot.Unsent != 7 {
 		t.Errorf("got %+v, %v", tot, err)
 	}
-	tot, err = Play(context.Background(), requests(10, time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, Limit: 4})
+	tot, err = Play(context.Background(), evenRequests(10, time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, Limit: 4})
 	if err != nil || tot.Played != 4 {
 		t.Errorf("got %+v, %v", tot, err)
 	}
 	for _, o := range []PlayOptions{{}, {Targets: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:80")}}, {Targets: []netip.AddrPort{to}, Speed: -1}} {
-		if _, err := Play(context.Background(), requests(1, 0), o); err == nil {
-			t.Errorf("%+v is taken", o)
+		if _, err := Play(context.Background(), evenRequests(1, 0), o); err == nil {
+			t.Errorf("%+v is accepted", o)
 		}
 	}
 	bad := errors.New("bad file")
@@ -182,11 +181,11 @@
 	}
 }
 
-// A player that sends late, or leaves out a class, shows as an error of rate and of mix.
-func TestReportTellsUnfaithfulPlay(t *testing.T) {
+// Requests that are sent late show as lateness, and as errors of rate and mix.
+func TestReportShowsRateAndMixErrors(t *testing.T) {
 	rec := NewRecorder(time.Second)
 	begun := time.Unix(1784003400, 0)
-	for i := range 400 { // 100 a second; half of the second window's are sent in the third
+	for i := range 400 { // 100 a second; one class of the second window is sent in the third
 		due := begun.Add(time.Duration(i) * 10 * time.Millisecond)
 		s := &Sample{Request: &Request{Class: []string{"point-read", "alert-sub"}[i%2]}, Due: due, Sent: due, Ended: due, Outcome: Served}
 		if i >= 100 && i < 200 && i%2 == 0 {
@@ -203,7 +202,7 @@
 func TestReports(t *testing.T) {
 	rec := NewRecorder(time.Second)
 	begun := time.Unix(1784003400, 0)
-	for i := range 9000 { // more windows than are kept
+	for i := range 9000 { // more than maxPlayedWindows
 		due := begun.Add(time.Duration(i) * time.Second)
 		s := &Sample{Request: &Request{Class: []string{"point-read", "alert-sub"}[i%2], Repeat: i%10 == 0}, Due: due, Sent: due.Add(time.Millisecond), Ended: due.Add(20 * time.Millisecond), Outcome: Served, Status: 200}
 		if i%100 == 0 {
@@ -212,7 +211,7 @@
 		rec.Add(s)
 	}
 	r := rec.Report(Totals{Begun: begun, Finished: begun.Add(9000 * time.Second)})
-	if r.Requests != 9000 || r.Repeats != 900 || len(r.Windows) > maxSteps || r.WindowS != 4 || r.RateError > 0.3 || r.Classes["point-read"].Outcomes[Refused] != 90 {
+	if r.Requests != 9000 || r.Repeats != 900 || len(r.Windows) > maxPlayedWindows || r.WindowS != 4 || r.RateError > 0.3 || r.Classes["point-read"].Outcomes[Refused] != 90 {
 		t.Errorf("got %d requests, %d repeats, %d windows of %v s, error %v", r.Requests, r.Repeats, len(r.Windows), r.WindowS, r.RateError)
 	}
 	var text, page, js bytes.Buffer
--- a/internal/load/repeats.go
+++ b/internal/load/repeats.go
@@ -9,95 +9,96 @@
 	"time"
 )
 
-// MaxRemembered bounds the requests that are kept to recognise repeats by.
+// MaxRemembered is the maximum number of requests that Repeats remembers.
 const MaxRemembered = 1 << 16
 
-// Repeats recognises requests that a client sent again: the same idempotency key, or the same
-// request (class, target, body) of the same client, within a window. Each keeps its place in time and
-// its number; a repeat names the first one as its origin, and shares its key.
+// Repeats detects requests that a client sent again: a request with the same idempotency key, or the same
+// request (class, target, body) of the same client, within a window. A repeat keeps its own time and number;
+// its origin is the first request, whose idempotency key it shares.
 type Repeats struct {
 	window, keyWindow time.Duration
 	byKey             map[[sha256.Size]byte]*list.Element
-	text              []byte     // of which a key is made
-	recent, keys      *list.List // of remembered, the oldest first; those by key last for longer
+	keyText           []byte     // buffer of the text that is hashed to a key of byKey
+	unkeyed, keyed    *list.List // of *rememberedRequest, the oldest first; keyed ones are remembered for longer
 	seq               int64
 
-	Count int64 // repeats so far
+	Found int64 // number of repeats detected so far
 }
 
-type remembered struct {
-	key    [sha256.Size]byte
-	at     time.Time // of the latest
-	origin int64
-	effect string
+// rememberedRequest is a request that later ones may repeat.
+type rememberedRequest struct {
+	key            [sha256.Size]byte
+	lastTime       time.Time // of the request or its latest repeat
+	origin         int64
+	idempotencyKey string
 }
 
-// NewRepeats returns an empty memory for the windows of a mapping.
+// NewRepeats returns a Repeats with the windows of a mapping.
 func NewRepeats(m *Mapping) *Repeats {
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
-	return &Repeats{window: ms(m.RepeatWindowMs), keyWindow: ms(m.KeyRepeatWindowMs), byKey: map[[sha256.Size]byte]*list.Element{}, recent: list.New(), keys: list.New()}
+	return &Repeats{window: ms(m.RepeatWindowMs), keyWindow: ms(m.KeyRepeatWindowMs), byKey: map[[sha256.Size]byte]*list.Element{}, unkeyed: list.New(), keyed: list.New()}
 }
 
-// Note numbers a request and notes whether it repeats one. Requests must come in order of time.
-// One that needs an idempotency key gets one if none was recorded.
-func (r *Repeats) Note(q *Request) {
+// Identify numbers a request and sets Repeat and Origin. Requests must come in order of time. A request that
+// needs an idempotency key gets a generated one if none was recorded.
+func (r *Repeats) Identify(q *Request) {
 	q.Seq, q.Origin = r.seq, r.seq
 	r.seq++
-	known, among := true, r.recent
-	r.forget(r.recent, q.Time.Add(-r.window))
-	r.forget(r.keys, q.Time.Add(-r.keyWindow))
-	r.text = r.text[:0]
-	add := func(parts ...string) { // a zero byte parts them
+	identifiable, entries := true, r.unkeyed
+	r.dropBefore(r.unkeyed, q.Time.Add(-r.window))
+	r.dropBefore(r.keyed, q.Time.Add(-r.keyWindow))
+	r.keyText = r.keyText[:0]
+	add := func(parts ...string) { // each part ends with a zero byte
 		for _, p := range parts {
-			r.text = append(append(r.text, p...), 0)
+			r.keyText = append(append(r.keyText, p...), 0)
 		}
 	}
 	switch {
 	case q.Effect != "":
-		among = r.keys
+		entries = r.keyed
 		add("key", q.Class, q.Effect)
 	case q.Client != "":
 		add("request", q.Client, q.Class, q.Target)
-		r.text = append(r.text, q.Body...)
+		r.keyText = append(r.keyText, q.Body...)
 	default:
-		known = false
+		identifiable = false
 	}
-	key := sha256.Sum256(r.text)
-	if known {
-		if at := r.byKey[key]; at != nil {
-			m := at.Value.(*remembered) // within its window, or it would have been forgotten
-			q.Repeat, q.Origin, q.Effect = true, m.origin, m.effect
-			r.Count++
-			m.at = q.Time
-			among.MoveToBack(at)
+	key := sha256.Sum256(r.keyText)
+	if identifiable {
+		if element := r.byKey[key]; element != nil {
+			earlier := element.Value.(*rememberedRequest) // within its window, since older ones were dropped above
+			q.Repeat, q.Origin, q.Effect = true, earlier.origin, earlier.idempotencyKey
+			r.Found++
+			earlier.lastTime = q.Time
+			entries.MoveToBack(element)
 			return
 		}
 	}
-	if q.keyed && q.Effect == "" {
-		q.Effect = madeKey(q.Seq)
+	if q.needsIdempotencyKey && q.Effect == "" {
+		q.Effect = generatedKey(q.Seq)
 	}
-	if !known {
+	if !identifiable {
 		return
 	}
-	r.byKey[key] = among.PushBack(&remembered{key: key, at: q.Time, origin: q.Origin, effect: q.Effect})
-	for among.Len() > MaxRemembered/2 {
-		r.drop(among)
+	r.byKey[key] = entries.PushBack(&rememberedRequest{key: key, lastTime: q.Time, origin: q.Origin, idempotencyKey: q.Effect})
+	for entries.Len() > MaxRemembered/2 {
+		r.dropOldest(entries)
 	}
 }
 
-// forget drops what can't be repeated any longer.
-func (r *Repeats) forget(among *list.List, before time.Time) {
-	for at := among.Front(); at != nil && at.Value.(*remembered).at.Before(before); at = among.Front() {
-		r.drop(among)
+// dropBefore drops the requests whose last time is before a time, and which can no longer be repeated.
+func (r *Repeats) dropBefore(entries *list.List, before time.Time) {
+	for oldest := entries.Front(); oldest != nil && oldest.Value.(*rememberedRequest).lastTime.Before(before); oldest = entries.Front() {
+		r.dropOldest(entries)
 	}
 }
 
-func (r *Repeats) drop(among *list.List) {
-	delete(r.byKey, among.Remove(among.Front()).(*remembered).key)
+func (r *Repeats) dropOldest(entries *list.List) {
+	delete(r.byKey, entries.Remove(entries.Front()).(*rememberedRequest).key)
 }
 
-// madeKey is an idempotency key for a request of which none was recorded.
-func madeKey(seq int64) string {
+// generatedKey returns an idempotency key for a request for which none was recorded.
+func generatedKey(seq int64) string {
 	h := fnv.New128a()
 	h.Write(strconv.AppendInt([]byte("lemonrail load "), seq, 10))
 	return hex.EncodeToString(h.Sum(nil))
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -12,7 +12,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Quantiles of a set of times, in milliseconds.
+// Quantiles summarise a set of durations, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -22,12 +22,12 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// hist is a histogram of times up to an hour, in microseconds, to three digits.
-func hist() *hdrhistogram.Histogram {
+// newHistogram returns a histogram of durations up to one hour, in microseconds, with three significant digits.
+func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
 	h.RecordValue(min(max(1, d.Microseconds()), h.HighestTrackableValue()))
 }
 
@@ -39,53 +39,53 @@
 	return Quantiles{h.TotalCount(), q(50), q(90), q(99), q(99.9), float64(h.Max()) / 1000}
 }
 
-// Step is one window of a play: what the source has in it and what was sent.
-type Step struct {
-	T       float64            `json:"t"` // s since the start, as played
-	Source  map[string]int64   `json:"source"`
-	Played  map[string]int64   `json:"played"` // sent within it
-	Ended   map[Outcome]int64  `json:"ended"`  // by what became of those due in it
-	P99     map[string]float64 `json:"p99_ms"` // of those served, by class
+// PlayedWindow is one time window of a play: the requests that were due in it and those that were sent in it.
+type PlayedWindow struct {
+	T       float64            `json:"t"`      // start, in seconds since the start of the play
+	Source  map[string]int64   `json:"source"` // requests due in the window, by class
+	Played  map[string]int64   `json:"played"` // requests sent in the window, by class
+	Ended   map[Outcome]int64  `json:"ended"`  // requests due in the window, by outcome
+	P99     map[string]float64 `json:"p99_ms"` // latency of the served requests, by class
 	latency map[string]*hdrhistogram.Histogram
 }
 
-// Recorder collects samples into a Report, in memory that doesn't grow with their number: the
-// windows are bounded, and made twice as long when they run out.
+// Recorder collects samples into a Report. Its memory doesn't grow with their number: when the number of windows
+// reaches maxPlayedWindows, the windows are made twice as long.
 type Recorder struct {
-	window  time.Duration
-	begun   time.Time
-	steps   []*Step
-	all     *hdrhistogram.Histogram // latency of all classes
-	late    *hdrhistogram.Histogram
-	latency map[string]*hdrhistogram.Histogram
-	r       Report
+	windowLength   time.Duration
+	started        time.Time
+	windows        []*PlayedWindow
+	latencyAll     *hdrhistogram.Histogram // of all classes
+	lateness       *hdrhistogram.Histogram
+	latencyByClass map[string]*hdrhistogram.Histogram
+	report         Report
 }
 
-const maxSteps = 4096
+const maxPlayedWindows = 4096
 
-// NewRecorder begins a report in windows of a length.
+// NewRecorder returns a Recorder whose windows have the given length at first.
 func NewRecorder(window time.Duration) *Recorder {
-	return &Recorder{window: window, all: hist(), late: hist(), latency: map[string]*hdrhistogram.Histogram{},
-		r: Report{Outcomes: map[Outcome]int64{}, Statuses: map[int]int64{}, Classes: map[string]*ClassReport{}}}
+	return &Recorder{windowLength: window, latencyAll: newHistogram(), lateness: newHistogram(), latencyByClass: map[string]*hdrhistogram.Histogram{},
+		report: Report{Outcomes: map[Outcome]int64{}, Statuses: map[int]int64{}, Classes: map[string]*ClassReport{}}}
 }
 
-func (r *Recorder) step(at time.Duration) *Step {
-	for at/r.window >= maxSteps {
-		r.double()
+func (r *Recorder) windowAt(at time.Duration) *PlayedWindow {
+	for at/r.windowLength >= maxPlayedWindows {
+		r.doubleWindows()
 	}
-	i := max(0, int(at/r.window))
-	for len(r.steps) <= i {
-		r.steps = append(r.steps, &Step{Source: map[string]int64{}, Played: map[string]int64{}, Ended: map[Outcome]int64{}, P99: map[string]float64{},
+	i := max(0, int(at/r.windowLength))
+	for len(r.windows) <= i {
+		r.windows = append(r.windows, &PlayedWindow{Source: map[string]int64{}, Played: map[string]int64{}, Ended: map[Outcome]int64{}, P99: map[string]float64{},
 			latency: map[string]*hdrhistogram.Histogram{}})
 	}
-	return r.steps[i]
+	return r.windows[i]
 }
 
-// double joins the windows two by two.
-func (r *Recorder) double() {
-	r.window *= 2
-	var joined []*Step
-	for i, s := range r.steps {
+// doubleWindows doubles the length of the windows by joining each pair.
+func (r *Recorder) doubleWindows() {
+	r.windowLength *= 2
+	var joined []*PlayedWindow
+	for i, s := range r.windows {
 		if i%2 == 0 {
 			joined = append(joined, s)
 			continue
@@ -108,79 +108,79 @@
 			}
 		}
 	}
-	r.steps = joined
+	r.windows = joined
 }
 
-// Add takes one sample.
+// Add records one sample.
 func (r *Recorder) Add(s *Sample) {
-	if r.begun.IsZero() {
-		r.begun = s.Due
+	if r.started.IsZero() {
+		r.started = s.Due
 	}
 	class := s.Request.Class
-	c := r.r.Classes[class]
+	c := r.report.Classes[class]
 	if c == nil {
 		c = &ClassReport{Outcomes: map[Outcome]int64{}}
-		r.r.Classes[class], r.latency[class] = c, hist()
+		r.report.Classes[class], r.latencyByClass[class] = c, newHistogram()
 	}
-	due := r.step(s.Due.Sub(r.begun))
+	due := r.windowAt(s.Due.Sub(r.started))
 	due.Source[class]++
 	due.Ended[s.Outcome]++
-	r.r.Requests++
+	r.report.Requests++
 	if s.Request.Repeat {
-		r.r.Repeats++
+		r.report.Repeats++
 	}
 	c.Requests++
 	c.Outcomes[s.Outcome]++
-	r.r.Outcomes[s.Outcome]++
-	r.r.Statuses[s.Status]++
+	r.report.Outcomes[s.Outcome]++
+	r.report.Statuses[s.Status]++
 	if s.Sent.IsZero() {
 		return
 	}
-	record(r.late, s.Sent.Sub(s.Due))
-	r.step(s.Sent.Sub(r.begun)).Played[class]++
+	recordDuration(r.lateness, s.Sent.Sub(s.Due))
+	r.windowAt(s.Sent.Sub(r.started)).Played[class]++
 	if s.Outcome == Served {
-		record(r.all, s.Ended.Sub(s.Due))
-		// From the time when it was due, not from when it was sent: a late client waits all the same.
+		recordDuration(r.latencyAll, s.Ended.Sub(s.Due))
+		// Latency counts from the due time, not from the send time: a client whose request is sent late waits as well.
 		d := s.Ended.Sub(s.Due)
-		record(r.latency[class], d)
+		recordDuration(r.latencyByClass[class], d)
 		if due.latency[class] == nil {
 			due.latency[class] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)
 		}
-		record(due.latency[class], d)
+		recordDuration(due.latency[class], d)
 	}
 }
 
-// ClassReport is a class's part of a report.
+// ClassReport is the part of a report for one class.
 type ClassReport struct {
 	Requests int64             `json:"requests"`
 	Outcomes map[Outcome]int64 `json:"outcomes"`
-	Latency  Quantiles         `json:"latency"` // of those served, from when they were due
+	Latency  Quantiles         `json:"latency"` // of served requests, from their due times
 }
 
-// Report is what a play came to.
+// Report summarises a play.
 type Report struct {
 	Requests int64                   `json:"requests"`
 	Repeats  int64                   `json:"repeats"`
 	SpanS    float64                 `json:"span_s"`
 	RatePerS float64                 `json:"rate_per_s"`
 	Stopped  bool                    `json:"stopped"`
-	Lateness Quantiles               `json:"lateness"` // of sends, against when they were due
-	All      Quantiles               `json:"latency"`  // of those served, all classes, from when they were due
+	Lateness Quantiles               `json:"lateness"` // of sends, compared to the due times
+	All      Quantiles               `json:"latency"`  // of served requests of all classes, from their due times
 	Outcomes map[Outcome]int64       `json:"outcomes"`
 	Statuses map[int]int64           `json:"statuses"`
 	Classes  map[string]*ClassReport `json:"classes"`
 	WindowS  float64                 `json:"window_s"`
-	Windows  []*Step                 `json:"windows"`
+	Windows  []*PlayedWindow         `json:"windows"`
 
 	RateError float64 `json:"rate_error"` // the largest of any window, as a share of the source's rate
-	MixError  float64 `json:"mix_error"`  // the largest of any class in any window, as a share of all requests in it
+	MixError  float64 `json:"mix_error"`  // the largest of any class in any window, as a share of the window's requests
 
 	Source  *SourceReport `json:"source,omitempty"`
-	Verdict any           `json:"verdict,omitempty"` // of the observer
-	Site    []string      `json:"site,omitempty"`    // what the site did to itself
+	Verdict any           `json:"verdict,omitempty"` // result of the checks by the observer
+	Site    []string      `json:"site,omitempty"`    // events in the simulated site, such as faults
 }
 
-// SourceReport is what reading the source came to.
+// SourceReport summarises how the source was read.
 type SourceReport struct {
 	Files     []string         `json:"files"`
 	Read      int64            `json:"read"`
@@ -190,17 +190,17 @@
 	Examples  []string         `json:"examples"`
 }
 
-// Report sums up. Windows that hold only part of their time, at the end, don't count for the errors.
+// Report returns the report. The last window, which is incomplete, doesn't count for the rate and mix errors.
 func (r *Recorder) Report(t Totals) *Report {
-	out := &r.r
-	out.Stopped, out.WindowS, out.Windows = t.Stopped, r.window.Seconds(), r.steps
-	out.Lateness, out.All = quantiles(r.late), quantiles(r.all)
+	out := &r.report
+	out.Stopped, out.WindowS, out.Windows = t.Stopped, r.windowLength.Seconds(), r.windows
+	out.Lateness, out.All = quantiles(r.lateness), quantiles(r.latencyAll)
 	for name, c := range out.Classes {
-		c.Latency = quantiles(r.latency[name])
+		c.Latency = quantiles(r.latencyByClass[name])
 	}
 	last := 0
-	for i, s := range r.steps {
-		s.T = float64(i) * r.window.Seconds()
+	for i, s := range r.windows {
+		s.T = float64(i) * r.windowLength.Seconds()
 		for name, h := range s.latency {
 			s.P99[name] = float64(h.ValueAtQuantile(99)) / 1000
 		}
@@ -211,7 +211,7 @@
 	if out.SpanS = t.Finished.Sub(t.Begun).Seconds(); out.SpanS > 0 {
 		out.RatePerS = float64(out.Requests) / out.SpanS
 	}
-	for i, s := range r.steps[:min(len(r.steps), last+1)] {
+	for i, s := range r.windows[:min(len(r.windows), last+1)] {
 		want, got := sum(s.Source), sum(s.Played)
 		if want == 0 || i == last && last > 0 {
 			continue
@@ -233,14 +233,14 @@
 	return n
 }
 
-// JSON writes the report for programs.
+// JSON writes the report as JSON.
 func (r *Report) JSON(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", " ")
 	return enc.Encode(r)
 }
 
-// Text writes the report for people.
+// Text writes the report as text for people.
 func (r *Report) Text(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "requests  %d in %.1f s, %.1f a second, %d of them repeats", r.Requests, r.SpanS, r.RatePerS, r.Repeats)
@@ -276,7 +276,7 @@
 	return err
 }
 
-// Text writes an inspection for people.
+// Text writes the inspection as text for people.
 func (in *Inspection) Text(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "requests  %d, %d of them repeats; %d entries fit no rule\n", in.Requests, in.Repeats, in.Unmatched)
@@ -296,11 +296,11 @@
 		fmt.Fprintf(&b, "  %s\n", e)
 	}
 	if len(in.Windows) > 0 {
-		most := int64(1)
+		maxRequests := int64(1)
 		for _, x := range in.Windows {
-			most = max(most, x.Requests)
+			maxRequests = max(maxRequests, x.Requests)
 		}
-		every := (len(in.Windows) + 39) / 40 // no more lines than a screen holds
+		every := (len(in.Windows) + 39) / 40 // at most 40 lines, to fit a screen
 		fmt.Fprintf(&b, "\nrequests in each %.0f s", in.WindowS)
 		if every > 1 {
 			fmt.Fprintf(&b, ", one of %d shown", every)
@@ -308,7 +308,7 @@
 		b.WriteString("\n")
 		for i := 0; i < len(in.Windows); i += every {
 			x := in.Windows[i]
-			fmt.Fprintf(&b, "%9.0f s %8d %s\n", x.T, x.Requests, strings.Repeat("#", int(50*x.Requests/most)))
+			fmt.Fprintf(&b, "%9.0f s %8d %s\n", x.T, x.Requests, strings.Repeat("#", int(50*x.Requests/maxRequests)))
 		}
 	}
 	_, err := io.WriteString(w, b.String())
--- a/internal/load/times.go
+++ b/internal/load/times.go
@@ -10,13 +10,13 @@
 
 var months = [...]string{"Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec"}
 
-var errTime = errors.New("no time")
+var errInvalidTime = errors.New("invalid time")
 
-// parseCommonTime reads the time of the Common Log Format, 02/Jan/2006:15:04:05 -0700. Offsets of
-// up to 14 hours are taken.
+// parseCommonTime parses a time of the Common Log Format, 02/Jan/2006:15:04:05 -0700. The offset may be up to 14
+// hours; without one the time is in UTC.
 func parseCommonTime(s string) (time.Time, error) {
 	if len(s) < 20 || s[2] != '/' || s[6] != '/' || s[11] != ':' || s[14] != ':' || s[17] != ':' {
-		return time.Time{}, errTime
+		return time.Time{}, errInvalidTime
 	}
 	month := 0
 	for i, m := range months {
@@ -24,37 +24,37 @@
 			month = i + 1
 		}
 	}
-	day, ok1 := digits(s[0:2])
-	year, ok2 := digits(s[7:11])
-	hour, ok3 := digits(s[12:14])
-	minute, ok4 := digits(s[15:17])
-	second, ok5 := digits(s[18:20])
+	day, ok1 := parseDigits(s[0:2])
+	year, ok2 := parseDigits(s[7:11])
+	hour, ok3 := parseDigits(s[12:14])
+	minute, ok4 := parseDigits(s[15:17])
+	second, ok5 := parseDigits(s[18:20])
 	if month == 0 || !ok1 || !ok2 || !ok3 || !ok4 || !ok5 || day < 1 || day > 31 || hour > 23 || minute > 59 || second > 60 {
-		return time.Time{}, errTime
+		return time.Time{}, errInvalidTime
 	}
 	offset := 0
 	switch rest := s[20:]; {
 	case rest == "":
 	case len(rest) == 6 && rest[0] == ' ' && (rest[1] == '+' || rest[1] == '-'):
-		h, ok1 := digits(rest[2:4])
-		m, ok2 := digits(rest[4:6])
+		h, ok1 := parseDigits(rest[2:4])
+		m, ok2 := parseDigits(rest[4:6])
 		if !ok1 || !ok2 || h > 14 || m > 59 {
-			return time.Time{}, errTime
+			return time.Time{}, errInvalidTime
 		}
 		if offset = (h*60 + m) * 60; rest[1] == '-' {
 			offset = -offset
 		}
 	default:
-		return time.Time{}, errTime
+		return time.Time{}, errInvalidTime
 	}
 	t := time.Date(year, time.Month(month), day, hour, minute, second, 0, time.UTC)
-	if t.Day() != day { // 31 Feb
-		return time.Time{}, errTime
+	if t.Day() != day { // such as 31 Feb
+		return time.Time{}, errInvalidTime
 	}
 	return t.Add(-time.Duration(offset) * time.Second), nil
 }
 
-func digits(s string) (n int, ok bool) {
+func parseDigits(s string) (n int, ok bool) {
 	for i := 0; i < len(s); i++ {
 		if s[i] < '0' || s[i] > '9' {
 			return 0, false
@@ -64,42 +64,43 @@
 	return n, len(s) > 0
 }
 
-var isoForms = []string{time.RFC3339Nano, "2006-01-02T15:04:05.999999999Z0700", "2006-01-02 15:04:05.999999999Z07:00",
+var isoLayouts = []string{time.RFC3339Nano, "2006-01-02T15:04:05.999999999Z0700", "2006-01-02 15:04:05.999999999Z07:00",
 	"2006-01-02 15:04:05.999999999 -0700", "2006-01-02T15:04:05.999999999", "2006-01-02 15:04:05.999999999"}
 
-// parseISOTime reads a time of ISO 8601; one without a zone is taken for UTC.
+// parseISOTime parses an ISO 8601 time; without a zone it is in UTC.
 func parseISOTime(s string) (time.Time, error) {
-	for _, form := range isoForms {
-		if t, err := time.Parse(form, s); err == nil {
+	for _, layout := range isoLayouts {
+		if t, err := time.Parse(layout, s); err == nil {
 			return t.UTC(), nil
 		}
 	}
-	return time.Time{}, errTime
+	return time.Time{}, errInvalidTime
 }
 
-// parseEpoch reads a Unix time in units of a second divided by per, with a fraction.
-func parseEpoch(s string, per int64) (time.Time, error) {
+// parseEpoch parses a Unix time, which may have a fraction, in units of which unitsPerSecond make a second.
+func parseEpoch(s string, unitsPerSecond int64) (time.Time, error) {
 	whole, fraction, _ := strings.Cut(s, ".")
 	n, err := strconv.ParseInt(whole, 10, 64)
-	if err != nil || n < 0 || n/per > 1<<34 {
-		return time.Time{}, errTime
+	if err != nil || n < 0 || n/unitsPerSecond > 1<<34 {
+		return time.Time{}, errInvalidTime
 	}
-	nanos := (n % per) * (int64(time.Second) / per)
+	nanos := (n % unitsPerSecond) * (int64(time.Second) / unitsPerSecond)
 	if fraction != "" {
-		f, ok := digits((fraction + "000000000")[:9])
+		f, ok := parseDigits((fraction + "000000000")[:9])
 		if !ok {
-			return time.Time{}, errTime
+			return time.Time{}, errInvalidTime
 		}
-		nanos += int64(f) / per
+		nanos += int64(f) / unitsPerSecond
 	}
-	return time.Unix(n/per, nanos).UTC(), nil
+	return time.Unix(n/unitsPerSecond, nanos).UTC(), nil
 }
 
-// parseAnyTime reads a time whose form is not known: ISO 8601, the Common Log Format's, or a Unix
-// time in seconds, milliseconds, microseconds or nanoseconds, told apart by its size. Coarse: in whole seconds.
+// parseAnyTime parses a time in an unknown format: ISO 8601, the Common Log Format, or a Unix time in seconds,
+// milliseconds, microseconds or nanoseconds, distinguished by its number of digits. coarse reports whether the
+// time is in whole seconds.
 func parseAnyTime(s string) (t time.Time, coarse bool, err error) {
 	if s == "" || s == "-" {
-		return time.Time{}, false, errTime
+		return time.Time{}, false, errInvalidTime
 	}
 	if t, err := parseISOTime(s); err == nil {
 		return t, !strings.ContainsAny(s, ".,"), nil
@@ -108,36 +109,36 @@
 		return t, true, nil
 	}
 	whole, _, fraction := strings.Cut(s, ".")
-	per := int64(1)
+	unitsPerSecond := int64(1)
 	switch n := len(whole); {
 	case n >= 18:
-		per = 1e9
+		unitsPerSecond = 1e9
 	case n >= 15:
-		per = 1e6
+		unitsPerSecond = 1e6
 	case n >= 12:
-		per = 1e3
+		unitsPerSecond = 1e3
 	}
-	t, err = parseEpoch(s, per)
+	t, err = parseEpoch(s, unitsPerSecond)
 	if err != nil {
-		return time.Time{}, false, fmt.Errorf("%w: %.40q", errTime, s)
+		return time.Time{}, false, fmt.Errorf("%w: %.40q", errInvalidTime, s)
 	}
-	return t, per == 1 && !fraction, nil
+	return t, unitsPerSecond == 1 && !fraction, nil
 }
 
-// commonTimes remembers the last time read: the lines of a second share it.
-type commonTimes struct {
+// commonTimeCache caches the last time parsed, because all lines logged within a second have the same text.
+type commonTimeCache struct {
 	text string
-	at   time.Time
+	time time.Time
 }
 
-func (c *commonTimes) parse(b []byte) (time.Time, error) {
+func (c *commonTimeCache) parse(b []byte) (time.Time, error) {
 	if c.text != "" && string(b) == c.text {
-		return c.at, nil
+		return c.time, nil
 	}
 	s := string(b)
 	t, err := parseCommonTime(s)
 	if err == nil {
-		c.text, c.at = s, t
+		c.text, c.time = s, t
 	}
 	return t, err
 }
