--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,13 +1,13 @@
-// Package ledger is an observer of a site: it is told what clients sent and got, what each node
-// began and finished, and what discovery told each agent when, and says whether the four rules held.
-// It shares no code with the agent, so that a fault of the agent's can't hide in it.
+// Package ledger records what happens at a site and checks four rules: what clients sent and received, which
+// attempts each node started and finished, and when discovery reported which node state to each agent. It
+// shares no code with the agent, so that a fault of the agent cannot hide in it.
 //
-// All calls may come from any goroutine, in any order; the times they carry count. Each request is
-// judged when it is settled: some time after its end, so that memory is bounded by what happened
-// within Rules.Settle and not by the length of a run. What is found is a Breach with its evidence.
+// The methods may be called from any goroutine and in any order: the times that are passed count. Each request
+// is checked when it is settled, some time after its end, so that memory is bounded by what happened within
+// Rules.Settle and not by the length of a run. Each violation is recorded as a Breach with its evidence.
 //
-// What it can't see: an answer that a node wrote and a broken connection swallowed; bytes between
-// a node's kernel and the node. Where that matters it decides for the agent.
+// The ledger cannot see an answer that a node wrote and that was lost with a broken connection, nor bytes
+// between a node's kernel and the node. Where that matters it decides in favour of the agent.
 package ledger
 
 import (
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// Effect is what repeating a request does.
+// Effect says whether a request may be repeated.
 type Effect string
 
 const (
@@ -27,7 +27,7 @@
 	Unsafe Effect = "unsafe"
 )
 
-// Group says which nodes drop repeats of a keyed request.
+// Group says which nodes drop repeats of a keyed request: all, those of one zone or those of one cell.
 type Group string
 
 const (
@@ -36,29 +36,29 @@
 	Cell Group = "cell"
 )
 
-// Class is what the rules depend on.
+// Class holds the properties of a class of requests that the rules depend on.
 type Class struct {
 	Effect Effect
 	Group  Group
 	Window time.Duration
 }
 
-// Rules are the site's figures.
+// Rules holds the parameters that the four rules are checked against.
 type Rules struct {
 	Classes map[string]Class
 
-	AnswerGrace  time.Duration // after its time is up an answer still counts
-	DrainGrace   time.Duration // after it was told an agent may still send to a draining node
-	ColdShare    float64       // of its capacity that a node has when it starts
-	Ramp         time.Duration // in which it warms up
-	FallMultiple float64       // a cold node sent more than this multiple of what it can do ...
-	FallWindow   time.Duration // ... over this span falls over
+	AnswerGrace  time.Duration // time after a request's deadline within which an answer still counts
+	DrainGrace   time.Duration // time for which an agent that was told of a drain may still send to the node
+	ColdShare    float64       // share of its capacity that a node has when it starts
+	Ramp         time.Duration // time from a node's start until it has its full capacity
+	FallMultiple float64       // a cold node fails if it is sent more than this multiple of its capacity ...
+	FallWindow   time.Duration // ... within this span
 
-	Slack  time.Duration // by which each time limit is longer on sockets; PROTOCOL: 50 ms
-	Settle time.Duration // after the end of a request nothing more is expected of it; 0: 10 s
+	Slack  time.Duration // tolerance on each time limit, for delays on sockets; 50 ms in PROTOCOL
+	Settle time.Duration // time after a request's end from which it is checked and forgotten; 0: 10 s
 }
 
-// Rule is one of the four.
+// Rule identifies one of the four rules.
 type Rule string
 
 const (
@@ -68,7 +68,7 @@
 	Cold   Rule = "no cold node pushed over"
 )
 
-// Breach is a rule that was broken, with its evidence.
+// Breach is one violation of a rule, with its evidence.
 type Breach struct {
 	Rule     Rule      `json:"rule"`
 	At       time.Time `json:"at"`
@@ -79,39 +79,39 @@
 }
 
 func (b Breach) String() string {
-	var who []string
+	var parties []string
 	for _, x := range []string{b.Agent, b.Node, b.Request} {
 		if x != "" {
-			who = append(who, x)
+			parties = append(parties, x)
 		}
 	}
-	return fmt.Sprintf("%s: %s (%s)", b.Rule, b.Evidence, strings.Join(who, ", "))
+	return fmt.Sprintf("%s: %s (%s)", b.Rule, b.Evidence, strings.Join(parties, ", "))
 }
 
-// Answer is what a client got at last.
+// Answer is the final answer that a client received.
 type Answer struct {
 	Status int    // 0: the connection ended without a whole answer
-	Body   []byte // of a 200
-	Begun  bool   // with Status 0: part of an answer had come, so the client can tell
-	Unsent bool   // with Status 0: it was the first on a connection that ended, and is failed if no node saw it
+	Body   []byte // of an answer with status 200
+	Begun  bool   // with Status 0: part of an answer had arrived, so that the client can tell that it was cut off
+	Unsent bool   // with Status 0: first request on a connection that ended; it counts as failed if no node received it
 }
 
-// Attempt is one request as it came to a node.
+// Attempt is one request as a node received it.
 type Attempt struct {
-	Request string // id; as the client's
-	Agent   string // who sent it
+	Request string // the client's request id
+	Agent   string // the agent that sent it
 	Node    string
 	Zone    string
 	Cell    int
-	First   time.Time // its first byte came
-	Last    time.Time // its last one
+	First   time.Time // when its first byte arrived
+	Last    time.Time // when its last byte arrived
 }
 
-// Ending is what a node did with an attempt.
+// Ending is the outcome of an attempt at a node.
 type Ending struct {
-	Turned bool   // away, unseen: it never ran
-	Ran    bool   // its effect took place; false for a repeat that was dropped
-	Answer []byte // the body of the answer that was written, if one was
+	Turned bool   // rejected unprocessed: it had no effect
+	Ran    bool   // its effect took place; false for a repeat that the node dropped
+	Answer []byte // body of the answer that the node wrote; nil if it wrote none
 }
 
 type attempt struct {
@@ -121,31 +121,31 @@
 }
 
 type request struct {
-	class    string
-	agent    string
-	sent     time.Time
-	left     time.Duration
-	answers  []Answer
-	answered time.Time // the first
-	gone     bool      // the client went away
-	goneAt   time.Time
-	attempts []*attempt
-}
-
-// known is a node's latest start that an agent was told of, and when it was.
-type known struct{ started, at time.Time }
-
-// told is what an agent knows of a node's state.
-type told struct {
+	class       string
+	agent       string
+	sent        time.Time
+	timeLeft    time.Duration
+	answers     []Answer
+	answered    time.Time // time of the first answer
+	abandoned   bool      // the client closed before it had an answer
+	abandonedAt time.Time
+	attempts    []*attempt
+}
+
+// nodeStart is the latest start of a node that discovery reported to an agent, and the time of that report.
+type nodeStart struct{ started, at time.Time }
+
+// stateReport is a state of a node that discovery reported to an agent, and the time of that report.
+type stateReport struct {
 	state string
 	at    time.Time
 }
 
-type node struct {
-	started time.Time // 0: long ago
-	rate    float64   // work that it does in a second when warm
-	work    []work    // sent to it lately, while it was cold
-	fell    bool
+type coldNode struct {
+	started    time.Time // zero: long ago, so the node is warm
+	rate       float64   // capacity when warm, in seconds of work per second
+	recentWork []work    // work sent to the node within the last FallWindow while it was cold
+	failed     bool
 }
 
 type work struct {
@@ -155,40 +155,40 @@
 }
 
 const (
-	maxBreaches = 100  // kept in full
-	maxWork     = 4096 // pieces of work to one cold node within the window
+	maxBreaches = 100  // number of breaches kept with their evidence; further ones are only counted
+	maxWork     = 4096 // maximum number of recent pieces of work kept for one cold node
 )
 
-// Ledger is one site's. The zero value is not of use; see New.
+// Ledger records the events of one site. New makes one; the zero value is not usable.
 type Ledger struct {
 	rules Rules
 
-	mu       sync.Mutex
-	requests map[string]*request
-	ends     []end // when requests may be settled, in order of their ends
-	told     map[[2]string][]told
-	nodes    map[string]*node
-	knows    map[[2]string]known // by agent and node
+	mu           sync.Mutex
+	requests     map[string]*request
+	deadlines    []deadline // when each request may be settled, in order of their ends
+	stateReports map[[2]string][]stateReport
+	nodes        map[string]*coldNode
+	knownStarts  map[[2]string]nodeStart // by agent and node
 
 	verdict Verdict
 }
 
-type end struct {
+type deadline struct {
 	id string
 	at time.Time
 }
 
-// Verdict is what a run came to.
+// Verdict is the result of a run.
 type Verdict struct {
 	Requests int64          `json:"requests"`
 	Served   int64          `json:"served"`
 	Refused  int64          `json:"refused"`
 	Failed   int64          `json:"failed"`
-	Gone     int64          `json:"gone"`     // the client went away first
-	Attempts int64          `json:"attempts"` // that came to nodes
-	Effects  int64          `json:"effects"`  // that took place
+	Gone     int64          `json:"gone"`     // the client closed before it had an answer
+	Attempts int64          `json:"attempts"` // received by nodes
+	Effects  int64          `json:"effects"`  // requests whose effect took place, with repeats
 	Broken   map[Rule]int64 `json:"broken"`
-	Breaches []Breach       `json:"breaches"` // the first ones
+	Breaches []Breach       `json:"breaches"` // the first maxBreaches
 }
 
 // Held reports whether no rule was broken.
@@ -216,19 +216,19 @@
 	if rules.Settle == 0 {
 		rules.Settle = 10 * time.Second
 	}
-	return &Ledger{rules: rules, requests: map[string]*request{}, told: map[[2]string][]told{}, nodes: map[string]*node{},
-		knows: map[[2]string]known{}, verdict: Verdict{Broken: map[Rule]int64{}, Breaches: []Breach{}}}
+	return &Ledger{rules: rules, requests: map[string]*request{}, stateReports: map[[2]string][]stateReport{}, nodes: map[string]*coldNode{},
+		knownStarts: map[[2]string]nodeStart{}, verdict: Verdict{Broken: map[Rule]int64{}, Breaches: []Breach{}}}
 }
 
-func (l *Ledger) breach(b Breach) {
+func (l *Ledger) addBreach(b Breach) {
 	l.verdict.Broken[b.Rule]++
 	if len(l.verdict.Breaches) < maxBreaches {
 		l.verdict.Breaches = append(l.verdict.Breaches, b)
 	}
 }
 
-// get returns a request's record, new if it is heard of for the first time.
-func (l *Ledger) get(id string) *request {
+// requestRecord returns the record of a request and creates it for an id that is not known yet.
+func (l *Ledger) requestRecord(id string) *request {
 	r := l.requests[id]
 	if r == nil {
 		r = &request{}
@@ -237,52 +237,53 @@
 	return r
 }
 
-// Sent notes that the last byte of a client's request was written, to an agent.
+// Sent records that a client wrote the last byte of its request to an agent, with the time that is left for an
+// answer.
 func (l *Ledger) Sent(id, class, agent string, at time.Time, left time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.get(id)
-	if !r.sent.IsZero() { // the same one again, after its connection ended with it unread
+	r := l.requestRecord(id)
+	if !r.sent.IsZero() { // sent again on a new connection, since the first one ended before the request was read
 		r.sent = at
 		return
 	}
-	r.class, r.agent, r.sent, r.left = class, agent, at, left
-	l.ends = append(l.ends, end{id, at.Add(left)})
+	r.class, r.agent, r.sent, r.timeLeft = class, agent, at, left
+	l.deadlines = append(l.deadlines, deadline{id, at.Add(left)})
 	l.settle(at)
 }
 
-// Got notes what a client got.
+// Got records an answer that a client received.
 func (l *Ledger) Got(id string, at time.Time, a Answer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.get(id)
+	r := l.requestRecord(id)
 	if len(r.answers) == 0 {
 		r.answered = at
 	}
 	r.answers = append(r.answers, a)
 }
 
-// Gone notes that a client went away before it had an answer.
+// Gone records that a client closed before it had an answer.
 func (l *Ledger) Gone(id string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.get(id)
-	r.gone, r.goneAt = true, at
+	r := l.requestRecord(id)
+	r.abandoned, r.abandonedAt = true, at
 }
 
-// Began notes that an attempt came to a node. The returned function is to be called once, with what
-// became of it.
+// Began records that a node received an attempt. The caller must call the returned function once, with the
+// attempt's outcome.
 func (l *Ledger) Began(a Attempt) (ended func(Ending)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.verdict.Attempts++
 	x := &attempt{Attempt: a}
-	r := l.get(a.Request)
-	if len(r.attempts) == 0 && r.sent.IsZero() { // the client's word may still come
-		l.ends = append(l.ends, end{a.Request, a.Last.Add(time.Minute)})
+	r := l.requestRecord(a.Request)
+	if len(r.attempts) == 0 && r.sent.IsZero() { // Sent may be called later for this request
+		l.deadlines = append(l.deadlines, deadline{a.Request, a.Last.Add(time.Minute)})
 	}
 	r.attempts = append(r.attempts, x)
-	l.drained(x)
+	l.checkDrain(x)
 	return func(e Ending) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -293,32 +294,32 @@
 	}
 }
 
-// Told notes that discovery told an agent of a node's state ("ready", "draining", "gone") and of its
-// latest start; zero: long ago.
+// Told records that discovery reported a node's state ("ready", "draining", "gone") and latest start to an
+// agent. A zero start means long ago.
 func (l *Ledger) Told(agent, node, state string, started, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := [2]string{agent, node}
 	if !started.IsZero() {
-		if started.After(l.knows[k].started) {
-			l.knows[k] = known{started, at}
+		if started.After(l.knownStarts[k].started) {
+			l.knownStarts[k] = nodeStart{started, at}
 		}
 	}
-	list := l.told[k]
+	list := l.stateReports[k]
 	if n := len(list); n > 0 && list[n-1].state == state {
 		return
 	}
-	// What is older than any attempt still to come decides nothing.
+	// Reports that are older than any attempt still to come no longer matter.
 	if len(list) >= 16 {
 		list = append(list[:0], list[len(list)-8:]...)
 	}
-	l.told[k] = append(list, told{state, at})
+	l.stateReports[k] = append(list, stateReport{state, at})
 }
 
-// drained checks an attempt against what its agent had been told.
-func (l *Ledger) drained(x *attempt) {
-	var last *told
-	list := l.told[[2]string{x.Agent, x.Node}]
+// checkDrain checks that an attempt did not go to a node that its agent knew to be draining or gone.
+func (l *Ledger) checkDrain(x *attempt) {
+	var last *stateReport
+	list := l.stateReports[[2]string{x.Agent, x.Node}]
 	for i := range list {
 		if !list[i].at.After(x.First) {
 			last = &list[i]
@@ -327,7 +328,7 @@
 	if last == nil || last.state == "ready" {
 		return
 	}
-	// It may have been told "draining" and then "gone": the first of these counts.
+	// After "draining" the agent may have been told "gone" as well: the grace runs from the first report.
 	since := last.at
 	for i := len(list) - 1; i >= 0; i-- {
 		if list[i].at.After(x.First) {
@@ -339,73 +340,73 @@
 		since = list[i].at
 	}
 	if late := x.First.Sub(since); late > l.rules.DrainGrace+l.rules.Slack {
-		l.breach(Breach{Rule: Drains, At: x.First, Request: x.Request, Node: x.Node, Agent: x.Agent,
+		l.addBreach(Breach{Rule: Drains, At: x.First, Request: x.Request, Node: x.Node, Agent: x.Agent,
 			Evidence: fmt.Sprintf("sent %v after the agent was told that the node is %s; %v are allowed", late.Round(time.Millisecond), last.state, l.rules.DrainGrace)})
 	}
 }
 
-// Started notes that a node's process started cold, and the work (in seconds of its own time, all
-// cores together) that it does in a second when warm.
+// Started records that a node's process started cold, and its capacity when warm, in seconds of work (on all
+// cores together) per second.
 func (l *Ledger) Started(name string, at time.Time, rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.nodes[name] = &node{started: at, rate: rate}
+	l.nodes[name] = &coldNode{started: at, rate: rate}
 }
 
-// Work notes work that was sent to a node, whether it was taken or turned away. It reports whether
-// a cold node falls over by it.
+// Work records work that was sent to a node, accepted or rejected. It reports whether the node, being cold,
+// fails under it.
 func (l *Ledger) Work(name, agent string, at time.Time, amount float64) (falls bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := l.nodes[name]
-	if n == nil || n.fell || n.started.IsZero() || at.Sub(n.started) >= l.rules.Ramp {
+	if n == nil || n.failed || n.started.IsZero() || at.Sub(n.started) >= l.rules.Ramp {
 		return false
 	}
-	keep := n.work[:0]
-	for _, w := range n.work {
+	keep := n.recentWork[:0]
+	for _, w := range n.recentWork {
 		if at.Sub(w.at) < l.rules.FallWindow {
 			keep = append(keep, w)
 		}
 	}
-	n.work = append(keep, work{at, agent, amount})
-	if len(n.work) > maxWork {
-		n.work = n.work[len(n.work)-maxWork:]
+	n.recentWork = append(keep, work{at, agent, amount})
+	if len(n.recentWork) > maxWork {
+		n.recentWork = n.recentWork[len(n.recentWork)-maxWork:]
 	}
 	warmth := l.rules.ColdShare + (1-l.rules.ColdShare)*at.Sub(n.started).Seconds()/l.rules.Ramp.Seconds()
 	limit := l.rules.FallMultiple * warmth * n.rate * l.rules.FallWindow.Seconds()
-	sum, knowing := 0.0, 0.0
-	for _, w := range n.work {
+	sum, informed := 0.0, 0.0
+	for _, w := range n.recentWork {
 		sum += w.work
-		// Lists tell starts in whole milliseconds.
-		if k := l.knows[[2]string{w.agent, name}]; k.started.After(n.started.Add(-2*time.Millisecond)) && !k.at.After(w.at) {
-			knowing += w.work
+		// Lists give start times in whole milliseconds.
+		if k := l.knownStarts[[2]string{w.agent, name}]; k.started.After(n.started.Add(-2*time.Millisecond)) && !k.at.After(w.at) {
+			informed += w.work
 		}
 	}
 	if sum <= limit {
 		return false
 	}
-	n.fell = true
-	if knowing >= sum*2/3 {
-		l.breach(Breach{Rule: Cold, At: at, Node: name, Agent: agent,
+	n.failed = true
+	if informed >= sum*2/3 {
+		l.addBreach(Breach{Rule: Cold, At: at, Node: name, Agent: agent,
 			Evidence: fmt.Sprintf("%.2f s of work within %v, %v after its start; it falls over above %.2f s, and agents that knew sent %.2f s of it",
-				sum, l.rules.FallWindow, at.Sub(n.started).Round(time.Millisecond), limit, knowing)})
+				sum, l.rules.FallWindow, at.Sub(n.started).Round(time.Millisecond), limit, informed)})
 	}
 	return true
 }
 
-// settle judges the requests that ended long enough before now.
+// settle checks the requests that ended more than Rules.Settle before now.
 func (l *Ledger) settle(now time.Time) {
 	n := 0
-	for n < len(l.ends) && now.Sub(l.ends[n].at) > l.rules.Settle {
-		l.judge(l.ends[n].id)
+	for n < len(l.deadlines) && now.Sub(l.deadlines[n].at) > l.rules.Settle {
+		l.judge(l.deadlines[n].id)
 		n++
 	}
 	if n > 0 {
-		l.ends = append(l.ends[:0], l.ends[n:]...)
+		l.deadlines = append(l.deadlines[:0], l.deadlines[n:]...)
 	}
 }
 
-// Verdict judges all that is left and returns what the run came to.
+// Verdict checks all requests that are left and returns the result of the run.
 func (l *Ledger) Verdict() Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -417,7 +418,7 @@
 	for _, id := range ids {
 		l.judge(id)
 	}
-	l.ends = nil
+	l.deadlines = nil
 	v := l.verdict
 	v.Breaches = slices.Clone(v.Breaches)
 	v.Broken = map[Rule]int64{}
@@ -427,7 +428,7 @@
 	return v
 }
 
-// judge checks one request against the first two rules, and forgets it.
+// judge checks one request against the rules on answers and on effects, and forgets it.
 func (l *Ledger) judge(id string) {
 	r := l.requests[id]
 	if r == nil {
@@ -435,32 +436,32 @@
 	}
 	delete(l.requests, id)
 	slices.SortStableFunc(r.attempts, func(a, b *attempt) int { return a.First.Compare(b.First) })
-	if r.sent.IsZero() { // no client of ours sent it
+	if r.sent.IsZero() { // no client recorded by Sent
 		for _, a := range r.attempts {
-			l.breach(Breach{Rule: Lost, At: a.First, Request: id, Node: a.Node, Agent: a.Agent, Evidence: "came to a node though no client sent it"})
+			l.addBreach(Breach{Rule: Lost, At: a.First, Request: id, Node: a.Node, Agent: a.Agent, Evidence: "came to a node though no client sent it"})
 		}
 		return
 	}
 	l.verdict.Requests++
-	l.lost(id, r)
-	l.twice(id, r)
+	l.checkAnswers(id, r)
+	l.checkEffects(id, r)
 }
 
-// lost checks that a request got exactly one final answer in time, made for it, and that nothing
-// was sent for it afterwards.
-func (l *Ledger) lost(id string, r *request) {
-	say := func(at time.Time, format string, args ...any) {
-		l.breach(Breach{Rule: Lost, At: at, Request: id, Agent: r.agent, Evidence: fmt.Sprintf(format, args...)})
+// checkAnswers checks that a request got exactly one final answer in time, made by a node that it was sent to,
+// and that it was not sent to a node after that.
+func (l *Ledger) checkAnswers(id string, r *request) {
+	report := func(at time.Time, format string, args ...any) {
+		l.addBreach(Breach{Rule: Lost, At: at, Request: id, Agent: r.agent, Evidence: fmt.Sprintf(format, args...)})
 	}
-	if r.gone && (len(r.answers) == 0 || !r.answered.Before(r.goneAt)) {
+	if r.abandoned && (len(r.answers) == 0 || !r.answered.Before(r.abandonedAt)) {
 		l.verdict.Gone++
-		l.after(id, r, r.goneAt)
+		l.checkNoLateAttempts(id, r, r.abandonedAt)
 		return
 	}
-	limit := r.sent.Add(r.left + l.rules.AnswerGrace + l.rules.Slack)
+	limit := r.sent.Add(r.timeLeft + l.rules.AnswerGrace + l.rules.Slack)
 	if len(r.answers) == 0 {
 		l.verdict.Failed++
-		say(limit, "no answer within %v", r.left)
+		report(limit, "no answer within %v", r.timeLeft)
 		return
 	}
 	a := r.answers[0]
@@ -468,46 +469,46 @@
 	case a.Status == 200:
 		l.verdict.Served++
 		if !slices.ContainsFunc(r.attempts, func(x *attempt) bool { return x.Answer != nil && string(x.Answer) == string(a.Body) }) {
-			say(r.answered, "served with %.40q, which no node made for it", a.Body)
+			report(r.answered, "served with %.40q, which no node made for it", a.Body)
 		}
 	case a.Status == 429 || a.Status == 503:
 		l.verdict.Refused++
 	default:
 		l.verdict.Failed++
 		if a.Status == 0 && !a.Begun && !(a.Unsent && len(r.attempts) == 0) {
-			say(r.answered, "its connection ended without a whole answer after %d attempts", len(r.attempts))
+			report(r.answered, "its connection ended without a whole answer after %d attempts", len(r.attempts))
 		}
 	}
 	if r.answered.After(limit) {
-		say(r.answered, "answered %v after its time of %v was up", r.answered.Sub(r.sent.Add(r.left)).Round(time.Millisecond), r.left)
+		report(r.answered, "answered %v after its time of %v was up", r.answered.Sub(r.sent.Add(r.timeLeft)).Round(time.Millisecond), r.timeLeft)
 	}
 	if len(r.answers) > 1 {
-		say(r.answered, "%d final answers", len(r.answers))
+		report(r.answered, "%d final answers", len(r.answers))
 	}
-	l.after(id, r, r.answered)
+	l.checkNoLateAttempts(id, r, r.answered)
 }
 
-// after checks that no attempt was begun once a request had ended.
-func (l *Ledger) after(id string, r *request, ended time.Time) {
+// checkNoLateAttempts checks that no attempt started after a request had ended.
+func (l *Ledger) checkNoLateAttempts(id string, r *request, ended time.Time) {
 	for _, x := range r.attempts {
 		if x.First.After(ended.Add(l.rules.Slack)) {
-			l.breach(Breach{Rule: Lost, At: x.First, Request: id, Node: x.Node, Agent: x.Agent,
+			l.addBreach(Breach{Rule: Lost, At: x.First, Request: id, Node: x.Node, Agent: x.Agent,
 				Evidence: fmt.Sprintf("sent to a node %v after its end", x.First.Sub(ended).Round(time.Millisecond))})
 		}
 	}
 }
 
-// twice checks that nothing ran, or may have run, more often than its class allows.
-func (l *Ledger) twice(id string, r *request) {
-	c, known := l.rules.Classes[r.class]
-	if !known || c.Effect == Safe {
+// checkEffects checks that no request took effect, or may have taken effect, more often than its class allows.
+func (l *Ledger) checkEffects(id string, r *request) {
+	c, found := l.rules.Classes[r.class]
+	if !found || c.Effect == Safe {
 		return
 	}
-	var first *attempt // that may have run
+	var first *attempt // the first attempt that may have taken effect
 	ran := 0
 	for i, x := range r.attempts {
-		say := func(format string, args ...any) {
-			l.breach(Breach{Rule: Twice, At: x.First, Request: id, Node: x.Node, Agent: x.Agent,
+		report := func(format string, args ...any) {
+			l.addBreach(Breach{Rule: Twice, At: x.First, Request: id, Node: x.Node, Agent: x.Agent,
 				Evidence: fmt.Sprintf("attempt %d: ", i+1) + fmt.Sprintf(format, args...)})
 		}
 		if x.Ran {
@@ -516,13 +517,13 @@
 		if first != nil {
 			switch {
 			case c.Effect == Unsafe:
-				say("sent though the one to %s may have run, and the class is unsafe", first.Node)
+				report("sent though the one to %s may have run, and the class is unsafe", first.Node)
 			case c.Group == Zone && x.Zone != first.Zone:
-				say("sent to zone %s though the one to %s in zone %s may have run", x.Zone, first.Node, first.Zone)
+				report("sent to zone %s though the one to %s in zone %s may have run", x.Zone, first.Node, first.Zone)
 			case c.Group == Cell && x.Cell != first.Cell:
-				say("sent to cell %d though the one to %s in cell %d may have run", x.Cell, first.Node, first.Cell)
+				report("sent to cell %d though the one to %s in cell %d may have run", x.Cell, first.Node, first.Cell)
 			case x.First.Sub(first.First) > c.Window+l.rules.Slack:
-				say("sent %v after the first that may have run; repeats are dropped for %v", x.First.Sub(first.First).Round(time.Millisecond), c.Window)
+				report("sent %v after the first that may have run; repeats are dropped for %v", x.First.Sub(first.First).Round(time.Millisecond), c.Window)
 			}
 		}
 		if first == nil && !(x.ended && x.Turned) {
@@ -530,11 +531,11 @@
 		}
 	}
 	if ran > 1 {
-		l.breach(Breach{Rule: Twice, At: r.answered, Request: id, Agent: r.agent, Evidence: fmt.Sprintf("its effect took place %d times", ran)})
+		l.addBreach(Breach{Rule: Twice, At: r.answered, Request: id, Agent: r.agent, Evidence: fmt.Sprintf("its effect took place %d times", ran)})
 	}
 	refused := len(r.answers) > 0 && (r.answers[0].Status == 429 || r.answers[0].Status == 503)
 	if refused && first != nil && !(c.Effect == Keyed && c.Group == All) && !r.answered.Before(first.Last) {
-		l.breach(Breach{Rule: Twice, At: r.answered, Request: id, Node: first.Node, Agent: r.agent,
+		l.addBreach(Breach{Rule: Twice, At: r.answered, Request: id, Node: first.Node, Agent: r.agent,
 			Evidence: fmt.Sprintf("refused with %d though the attempt at %s may have run", r.answers[0].Status, first.Node)})
 	}
 }
