--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,11 +1,11 @@
-// Package explain writes down why an agent's decision module refused, failed and cut its limit on
-// attempts in flight, and reads it back. It is off unless a file under deploy/ switches it on.
+// Package explain records why an agent's decision module refused or failed requests and cut its limit on
+// attempts in flight, and summarizes such records. It is off unless a configuration file such as
+// deploy/explain.toml is given.
 //
-// The module tells a Writer in its own goroutine; Tell copies the note into a bounded queue and
-// returns. One further goroutine writes JSON lines. What the queue can't take is counted, and the
-// count is written with the next note that it takes, so that a reader knows of the gap. A file that
-// has grown to its bound is renamed to NAME.old, in place of the one before, so that the last notes
-// are kept in at most twice the bound.
+// The module calls Writer.Tell in its own goroutine. Tell puts a copy of the note into a bounded queue and
+// returns; another goroutine writes the notes as JSON lines. Notes that do not fit into the queue are counted,
+// and the count is written with the next note, so that a reader knows of the gap. A file that reaches its
+// maximum size replaces NAME.old, so that the latest notes are kept in at most twice that size.
 package explain
 
 import (
@@ -23,26 +23,26 @@
 	"lemonrail/internal/strict"
 )
 
-// Config is a file such as deploy/explain.toml.
+// Config is the content of a configuration file such as deploy/explain.toml.
 type Config struct {
-	File  string `toml:"file"`   // where notes go; "-": standard error, among the log; empty: nowhere
-	MaxMB int    `toml:"max_mb"` // of the file, and as much again of the one before; 0: 16
+	File  string `toml:"file"`   // path of the notes file; "-": standard error, among the log; empty: no notes
+	MaxMB int    `toml:"max_mb"` // maximum size of the file; the previous one, NAME.old, takes as much again; 0: 16
 }
 
-const defaultMB = 16
+const defaultMaxMB = 16
 
-// ReadConfig reads and checks a file.
+// ReadConfig reads and checks a configuration file.
 func ReadConfig(path string) (c Config, err error) {
 	if err := strict.DecodeFile(path, &c); err != nil {
 		return c, err
 	}
 	if c.MaxMB < 0 || c.MaxMB > 1<<20 {
-		return c, fmt.Errorf("%s: max_mb: %d makes no sense", path, c.MaxMB)
+		return c, fmt.Errorf("%s: max_mb: %d is not within 0 and %d", path, c.MaxMB, 1<<20)
 	}
 	return c, nil
 }
 
-// Record is a note as it is written: one JSON object a line. Times are in milliseconds.
+// Record is a note in the form in which it is written, one JSON object per line. Times are in milliseconds.
 type Record struct {
 	Agent   string  `json:"agent,omitempty"`
 	At      float64 `json:"at_ms"` // Unix time
@@ -81,12 +81,12 @@
 	Backends []Backend `json:"backends,omitempty"`
 }
 
-// Backend is what the module thinks of one backend, with a note on how things stand.
+// Backend is the module's state of one backend, part of a note of kind state.
 type Backend struct {
 	ID      string  `json:"id"`
 	Out     int     `json:"out"`
 	Down    bool    `json:"down,omitempty"`
-	Ejected float64 `json:"ejected_ms,omitempty"` // for so long yet
+	Ejected float64 `json:"ejected_ms,omitempty"` // time since the ejection
 	Strikes float64 `json:"strikes,omitempty"`
 	Warmth  float64 `json:"warmth"`
 	Slow    float64 `json:"slow"`
@@ -109,31 +109,31 @@
 	return r
 }
 
-const queue = 1024 // notes that wait for the writer
+const queueCapacity = 1024 // maximum number of notes that wait to be written
 
-// Writer writes notes down. Tell never waits.
+// Writer writes notes in a goroutine of its own.
 type Writer struct {
-	agent   string
-	classes []string
-	notes   chan balance.Note
-	skipped atomic.Uint64
-	out     io.Writer
-	file    *os.File // nil: standard error
-	path    string
-	most    int64
-	done    chan struct{}
-	err     error
+	agent    string
+	classes  []string
+	notes    chan balance.Note
+	skipped  atomic.Uint64
+	out      io.Writer
+	file     *os.File // nil: notes go to standard error
+	path     string
+	maxBytes int64
+	done     chan struct{}
+	err      error
 }
 
-// Open begins to write as c says. It returns nil where c says nowhere.
+// Open starts a Writer. It returns nil if c names no file.
 func Open(c Config, agent string, classes []string) (*Writer, error) {
 	if c.File == "" {
 		return nil, nil
 	}
-	w := &Writer{agent: agent, classes: classes, notes: make(chan balance.Note, queue), done: make(chan struct{}),
-		out: os.Stderr, path: c.File, most: int64(c.MaxMB) << 20}
-	if w.most == 0 {
-		w.most = defaultMB << 20
+	w := &Writer{agent: agent, classes: classes, notes: make(chan balance.Note, queueCapacity), done: make(chan struct{}),
+		out: os.Stderr, path: c.File, maxBytes: int64(c.MaxMB) << 20}
+	if w.maxBytes == 0 {
+		w.maxBytes = defaultMaxMB << 20
 	}
 	if c.File != "-" {
 		if err := w.reopen(); err != nil {
@@ -144,7 +144,7 @@
 	return w, nil
 }
 
-// Tell takes a note. It belongs to the goroutine that runs the module.
+// Tell queues a note and never blocks. Only the goroutine that runs the module may call it.
 func (w *Writer) Tell(n balance.Note) {
 	select {
 	case w.notes <- n:
@@ -153,7 +153,8 @@
 	}
 }
 
-// Close writes what is queued and ends. Tell must not be called any more.
+// Close writes the queued notes, ends the writer and returns the first error of writing. Tell must not be
+// called afterwards.
 func (w *Writer) Close() error {
 	close(w.notes)
 	<-w.done
@@ -170,9 +171,9 @@
 	defer close(w.done)
 	buf := bufio.NewWriterSize(w.out, 64<<10)
 	var size int64
-	broken := false
+	failed := false
 	for n := range w.notes {
-		if broken { // the loop goes on; what comes is dropped
+		if failed { // keeps emptying the queue after an error
 			continue
 		}
 		r := record(w.agent, w.classes, &n)
@@ -185,17 +186,17 @@
 		if err == nil && len(w.notes) == 0 {
 			err = buf.Flush()
 		}
-		if err == nil && w.file != nil && size >= w.most {
+		if err == nil && w.file != nil && size >= w.maxBytes {
 			if err = errors.Join(buf.Flush(), w.file.Close(), os.Rename(w.path, w.path+".old"), w.reopen()); err == nil {
 				buf.Reset(w.out)
 				size = 0
 			}
 		}
 		if err != nil {
-			w.err, broken = fmt.Errorf("explain: %w", err), true
+			w.err, failed = fmt.Errorf("explain: %w", err), true
 		}
 	}
-	if !broken {
+	if !failed {
 		w.err = buf.Flush()
 	}
 	if w.file != nil {
@@ -203,22 +204,22 @@
 	}
 }
 
-// Read calls f for each note of r, in order. Lines that are no notes, such as an agent's log, are
-// skipped and counted; so is a last line that was cut off.
-func Read(r io.Reader, f func(Record)) (others int, err error) {
+// Read calls f for each note of r, in order. It skips and counts other lines, such as an agent's log or a last
+// line that was cut off.
+func Read(r io.Reader, f func(Record)) (otherLines int, err error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 64<<10), 1<<20)
 	for lines.Scan() {
 		var rec Record
 		line := lines.Bytes()
-		if i := bytes.IndexByte(line, '{'); i > 0 { // behind what a log collector puts before each line
+		if i := bytes.IndexByte(line, '{'); i > 0 { // skip the prefix of a log collector
 			line = line[i:]
 		}
 		if json.Unmarshal(line, &rec) != nil || rec.Kind == "" {
-			others++
+			otherLines++
 			continue
 		}
 		f(rec)
 	}
-	return others, lines.Err()
+	return otherLines, lines.Err()
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestConfigRefusesNonsense(t *testing.T) {
+func TestReadConfigRejectsInvalidValues(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                         "",
 		"file = \"x\"\nmax_mb = 1": "",
@@ -42,7 +42,7 @@
 	}
 }
 
-// What the module tells is read back as it was, in order, and a file that is full makes way.
+// Notes are read back unchanged and in order, and a file that has reached its maximum size is rotated.
 func TestNotesAreWrittenAndReadBack(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "notes")
 	w, err := Open(Config{File: path, MaxMB: 1}, "n0", []string{"read"})
@@ -51,7 +51,7 @@
 	}
 	const notes = 4000
 	for i := range notes {
-		for len(w.notes) == queue { // the test tells faster than a disk writes
+		for len(w.notes) == queueCapacity { // the test queues notes faster than a disk takes them
 			time.Sleep(time.Millisecond)
 		}
 		w.Tell(balance.Note{At: time.Duration(i) * time.Millisecond, Kind: balance.NoteRefused, Why: balance.TooLate, Request: fmt.Sprint(i),
@@ -90,8 +90,8 @@
 	}
 }
 
-// The loop never waits for the disk: what finds the queue full is counted.
-func TestFullQueueCountsWhatItSkips(t *testing.T) {
+// Tell must not block the module's goroutine: notes that find the queue full are counted.
+func TestFullQueueCountsSkippedNotes(t *testing.T) {
 	w := &Writer{notes: make(chan balance.Note, 2)}
 	for range 5 {
 		w.Tell(balance.Note{})
@@ -101,8 +101,8 @@
 	}
 }
 
-// A disk that fails ends the notes, not the agent, and says so at the end.
-func TestFailingFileEndsNotesOnly(t *testing.T) {
+// An error of writing ends the notes only, and Close returns it.
+func TestWriteErrorIsReturnedByClose(t *testing.T) {
 	dir := t.TempDir()
 	w, err := Open(Config{File: filepath.Join(dir, "notes")}, "n0", nil)
 	if err != nil {
@@ -113,10 +113,10 @@
 		w.Tell(balance.Note{})
 	}
 	if err := w.Close(); err == nil {
-		t.Error("no word of what was lost")
+		t.Error("Close returned no error")
 	}
 	if _, err := Open(Config{File: filepath.Join(dir, "none", "notes")}, "n0", nil); err == nil {
-		t.Error("a file that can't be made is accepted")
+		t.Error("Open accepted a file that cannot be created")
 	}
 }
 
@@ -132,7 +132,7 @@
 	return b.String()
 }
 
-func TestReportTellsWhatStandsOut(t *testing.T) {
+func TestReportInterpretsStates(t *testing.T) {
 	state := Record{Agent: "n0", Kind: "state", Part: 10, InFlight: 10, Up: 8, Used: 8, Capacity: 8, Delay: .5, Aimed: .4}
 	refused := Record{Agent: "n0", Kind: "refused", Why: "too-late", Class: "read", Waited: 20, Left: 80}
 	cold := state
@@ -145,7 +145,7 @@
 		want []string
 	}{
 		{"nothing", []Record{state}, []string{"nothing was refused"}},
-		{"crowd", []Record{state, refused}, []string{"100 % of what was refused: the limit", "answers took longer"}},
+		{"limit reached", []Record{state, refused}, []string{"100 % of what was refused: the limit", "answers took longer"}},
 		{"cold", []Record{cold, idle, idle}, []string{"cold, or taken for cold", "held nothing"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -173,8 +173,8 @@
 	}
 }
 
-// However long the notes, what is kept is bounded, and nothing drops out of the counts.
-func TestLongNotesAreKeptInBounds(t *testing.T) {
+// Windows and samples stay bounded however many notes are added, and each note is counted.
+func TestSummaryIsBounded(t *testing.T) {
 	s := NewSummary(0.1)
 	const n = 20000
 	for i := range n {
--- a/internal/explain/fleet.go
+++ b/internal/explain/fleet.go
@@ -18,88 +18,88 @@
 	"lemonrail/internal/chart"
 )
 
-// Fleet adds up what all agents of a fleet noted and logged, by time and by backend: what one agent does
-// without harm, and all together with harm, shows in no single agent's notes. It holds windows, agents and
-// backends, each up to a bound, and no notes.
-type Fleet struct {
-	window   float64 // s
-	first    float64 // ms, Unix, of the earliest window
-	windows  []*FleetWindow
-	agents   map[string]bool
-	backends map[string]*FleetBackend
-	left     int // notes that went over a bound or lie too far from the others
-	others   int
+// Fleet summarizes the notes and logs of all agents of a fleet by time and by backend, to show effects that
+// are harmless in one agent and harmful in all together. It keeps a bounded number of windows, agents and
+// backends, and no notes.
+type Fleet struct { // length of a window in s
+	window     float64 // start of the earliest window, Unix time in ms
+	start      float64 // ms, Unix, of the earliest window
+	windows    []*FleetWindow
+	agents     map[string]bool
+	backends   map[string]*FleetBackend
+	omitted    int // notes beyond a bound or too far in time from the others
+	otherLines int
 }
 
-// FleetWindow is a fleet over a stretch of time. Sums are over the agents, each counted by the mean of its
-// states in the window.
+// FleetWindow summarizes a fleet over a span of time. Sums are over the agents; each agent counts with the
+// mean of its states in the window.
 type FleetWindow struct {
 	T         float64        `json:"t"`
-	Agents    int            `json:"agents"`    // that noted a state
+	Agents    int            `json:"agents"`    // with at least one state note
 	InFlight  float64        `json:"in_flight"` // sum
-	Part      float64        `json:"part"`      // sum: the limit on attempts in flight as agents split it
+	Part      float64        `json:"part"`      // sum of the agents' parts of the limit on attempts in flight
 	Stuck     float64        `json:"stuck"`     // sum
 	Held      float64        `json:"held"`      // sum
-	UpLeast   int            `json:"up_least"`  // of the agents, the fewest and most backends that any list names
-	UpMost    int            `json:"up_most"`
+	MinUp     int            `json:"up_least"`  // smallest and largest number of backends up, over the agents
+	MaxUp     int            `json:"up_most"`
 	Used      float64        `json:"used"`     // mean
 	Capacity  float64        `json:"capacity"` // mean
 	Delay     float64        `json:"delay"`    // mean
 	Aimed     float64        `json:"aimed"`    // mean
 	Tokens    float64        `json:"tokens"`   // mean
-	Dry       int            `json:"dry"`      // agents whose bucket held less than a retry at some time
+	Dry       int            `json:"dry"`      // agents whose bucket held less than the price of a retry at some time
 	Ejections float64        `json:"ejections"`
 	Refused   map[string]int `json:"refused,omitempty"`
 	Failed    map[string]int `json:"failed,omitempty"`
 	Cuts      int            `json:"cuts"`
-	ListFails int            `json:"list_fails"` // calls at discovery that failed, by the log
+	ListFails int            `json:"list_fails"` // failed calls to discovery, from the logs
 
 	states map[string]*agentStates
 }
 
 type agentStates struct {
-	n                                                                             float64
-	inFlight, part, stuck, held, used, capacity, delay, aimed, tokens, out, least float64
+	n                                                                                       float64
+	inFlight, part, stuck, held, used, capacity, delay, aimed, tokens, ejections, minTokens float64
 }
 
-// FleetBackend is one backend as all agents see it.
+// FleetBackend is one backend as seen by all agents.
 type FleetBackend struct {
-	ID      string  `json:"id"`
-	States  int     `json:"states"`  // of all agents
-	Out     float64 `json:"out"`     // attempts out a state, in the mean
-	Ejected float64 `json:"ejected"` // share of the states in which an agent kept off it
-	Down    float64 `json:"down"`    // and took it for gone
-	Cold    float64 `json:"cold"`    // and for cold
-	Slow    float64 `json:"slow"`    // mean of those that know
-	slows   int
+	ID          string  `json:"id"`
+	States      int     `json:"states"`  // state notes of all agents
+	Out         float64 `json:"out"`     // mean number of attempts per state
+	Ejected     float64 `json:"ejected"` // share of the states in which the agent had ejected the backend
+	Down        float64 `json:"down"`    // share of the states in which the agent took the backend for gone
+	Cold        float64 `json:"cold"`    // share of the states in which the agent took the backend for cold
+	Slow        float64 `json:"slow"`    // mean over the states that have a value
+	slowSamples int
 }
 
 const (
-	mostAgents   = 10000
-	mostBackends = 4096
-	dryTokens    = 5 // the price of a retry
+	maxAgents   = 10000
+	maxBackends = 4096
+	retryTokens = 5 // the price of a retry
 )
 
-// NewFleet begins a summary in windows of a length in seconds.
+// NewFleet returns an empty summary with windows of the given length in seconds.
 func NewFleet(window float64) *Fleet {
 	return &Fleet{window: window, agents: map[string]bool{}, backends: map[string]*FleetBackend{}}
 }
 
-// Read takes the notes and log lines of one or more agents.
+// Read adds the notes and log lines of one or more agents.
 func (f *Fleet) Read(r io.Reader) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 64<<10), 1<<20)
 	for lines.Scan() {
 		line := lines.Bytes()
 		if at, ok := listFailed(line); ok {
-			if w := f.at(at); w != nil {
+			if w := f.windowAt(at); w != nil {
 				w.ListFails++
 			}
 			continue
 		}
 		var rec Record
 		if i := bytes.IndexByte(line, '{'); i < 0 || json.Unmarshal(line[i:], &rec) != nil || rec.Kind == "" {
-			f.others++
+			f.otherLines++
 			continue
 		}
 		f.add(&rec)
@@ -107,7 +107,7 @@
 	return lines.Err()
 }
 
-// listFailed reads an agent's log line on a call at discovery that failed.
+// listFailed parses an agent's log line about a failed call to discovery and returns its time (Unix, ms).
 func listFailed(line []byte) (at float64, ok bool) {
 	if !bytes.Contains(line, []byte("msg=discovery ")) {
 		return 0, false
@@ -121,26 +121,26 @@
 	return float64(t.UnixMicro()) / 1000, err == nil
 }
 
-// at is the window of a time, nil where it lies outside what is kept.
-func (f *Fleet) at(ms float64) *FleetWindow {
+// windowAt returns the window of a time (Unix, ms), or nil if the time is outside of what is kept.
+func (f *Fleet) windowAt(ms float64) *FleetWindow {
 	if len(f.windows) == 0 {
-		f.first = ms
+		f.start = ms
 	}
 	step := f.window * 1000
-	if !(math.Abs(ms-f.first)/step < maxWindows) {
-		f.left++
+	if !(math.Abs(ms-f.start)/step < maxWindows) {
+		f.omitted++
 		return nil
 	}
-	for ms < f.first { // agents' files are read one after another
-		n := int(math.Ceil((f.first - ms) / step))
+	for ms < f.start { // files of agents are read one after another, each from its start
+		n := int(math.Ceil((f.start - ms) / step))
 		if len(f.windows)+n > maxWindows {
-			f.left++
+			f.omitted++
 			return nil
 		}
 		f.windows = append(make([]*FleetWindow, n), f.windows...)
-		f.first -= float64(n) * step
+		f.start -= float64(n) * step
 	}
-	i := int((ms - f.first) / step)
+	i := int((ms - f.start) / step)
 	for len(f.windows) <= i {
 		f.windows = append(f.windows, nil)
 	}
@@ -151,7 +151,7 @@
 }
 
 func (f *Fleet) add(r *Record) {
-	w := f.at(r.At)
+	w := f.windowAt(r.At)
 	if w == nil {
 		return
 	}
@@ -163,47 +163,47 @@
 	case "failed":
 		w.Failed[r.Why]++
 	case "state":
-		f.state(w, r)
+		f.addState(w, r)
 	}
 }
 
-func (f *Fleet) state(w *FleetWindow, r *Record) {
-	if !f.agents[r.Agent] && len(f.agents) >= mostAgents {
-		f.left++
+func (f *Fleet) addState(w *FleetWindow, r *Record) {
+	if !f.agents[r.Agent] && len(f.agents) >= maxAgents {
+		f.omitted++
 		return
 	}
 	f.agents[r.Agent] = true
 	s := w.states[r.Agent]
 	if s == nil {
-		s = &agentStates{least: r.Tokens}
+		s = &agentStates{minTokens: r.Tokens}
 		if len(w.states) == 0 {
-			w.UpLeast, w.UpMost = r.Up, r.Up
+			w.MinUp, w.MaxUp = r.Up, r.Up
 		}
 		w.states[r.Agent] = s
 	}
-	w.UpLeast, w.UpMost = min(w.UpLeast, r.Up), max(w.UpMost, r.Up)
+	w.MinUp, w.MaxUp = min(w.MinUp, r.Up), max(w.MaxUp, r.Up)
 	s.n++
-	s.least = min(s.least, r.Tokens)
+	s.minTokens = min(s.minTokens, r.Tokens)
 	ejected := 0.0
 	for i := range r.Backends {
 		b := &r.Backends[i]
 		if b.Ejected > 0 {
 			ejected++
 		}
-		f.backend(b)
+		f.addBackend(b)
 	}
 	for _, v := range []struct{ to, from *float64 }{{&s.inFlight, new(float64(r.InFlight))}, {&s.part, &r.Part}, {&s.stuck, new(float64(r.Stuck))},
 		{&s.held, new(float64(r.Held))}, {&s.used, new(float64(r.Used))}, {&s.capacity, &r.Capacity}, {&s.delay, &r.Delay},
-		{&s.aimed, &r.Aimed}, {&s.tokens, &r.Tokens}, {&s.out, &ejected}} {
+		{&s.aimed, &r.Aimed}, {&s.tokens, &r.Tokens}, {&s.ejections, &ejected}} {
 		*v.to += (*v.from - *v.to) / s.n
 	}
 }
 
-func (f *Fleet) backend(b *Backend) {
+func (f *Fleet) addBackend(b *Backend) {
 	t := f.backends[b.ID]
 	if t == nil {
-		if len(f.backends) >= mostBackends {
-			f.left++
+		if len(f.backends) >= maxBackends {
+			f.omitted++
 			return
 		}
 		t = &FleetBackend{ID: b.ID}
@@ -222,30 +222,30 @@
 	share(&t.Down, b.Down)
 	share(&t.Cold, b.Warmth < 1)
 	if b.Slow > 0 {
-		t.slows++
-		t.Slow += (b.Slow - t.Slow) / float64(t.slows)
+		t.slowSamples++
+		t.Slow += (b.Slow - t.Slow) / float64(t.slowSamples)
 	}
 }
 
-// FleetReport is what a fleet's notes come to.
+// FleetReport is the summary of a fleet's notes.
 type FleetReport struct {
 	WindowS  float64         `json:"window_s"`
 	Agents   int             `json:"agents"`
-	Left     int             `json:"left_out"`
+	Omitted  int             `json:"left_out"`
 	Others   int             `json:"other_lines"`
 	Windows  []*FleetWindow  `json:"windows"`
-	Backends []*FleetBackend `json:"backends"` // those that agents kept off most first
+	Backends []*FleetBackend `json:"backends"` // sorted by the share of states in which agents avoided them, largest first
 }
 
-// Report sums up.
+// Report returns the summary of the notes that were added.
 func (f *Fleet) Report() *FleetReport {
-	rep := &FleetReport{WindowS: f.window, Agents: len(f.agents), Left: f.left, Others: f.others}
+	rep := &FleetReport{WindowS: f.window, Agents: len(f.agents), Omitted: f.omitted, Others: f.otherLines}
 	for i, w := range f.windows {
 		if w == nil {
 			w = &FleetWindow{}
 		}
 		w.T = float64(i) * f.window
-		w.sum()
+		w.sumStates()
 		rep.Windows = append(rep.Windows, w)
 	}
 	rep.Backends = slices.SortedFunc(maps.Values(f.backends), func(a, b *FleetBackend) int {
@@ -254,7 +254,7 @@
 	return rep
 }
 
-func (w *FleetWindow) sum() {
+func (w *FleetWindow) sumStates() {
 	w.Agents = len(w.states)
 	for _, name := range slices.Sorted(maps.Keys(w.states)) {
 		s := w.states[name]
@@ -262,21 +262,21 @@
 		w.Part += s.part
 		w.Stuck += s.stuck
 		w.Held += s.held
-		w.Ejections += s.out
+		w.Ejections += s.ejections
 		n := float64(len(w.states))
 		w.Used += s.used / n
 		w.Capacity += s.capacity / n
 		w.Delay += s.delay / n
 		w.Aimed += s.aimed / n
 		w.Tokens += s.tokens / n
-		if s.least < dryTokens {
+		if s.minTokens < retryTokens {
 			w.Dry++
 		}
 	}
 }
 
-// worst names the reason that counts most.
-func worst(counts map[string]int) string {
+// mostFrequent returns the reason with the highest count, or "-".
+func mostFrequent(counts map[string]int) string {
 	why := ""
 	for _, k := range slices.Sorted(maps.Keys(counts)) {
 		if why == "" || counts[k] > counts[why] {
@@ -286,34 +286,34 @@
 	return cmp.Or(why, "-")
 }
 
-const backendRows = 20 // of the table; all are in the JSON
+const maxBackendRows = 20 // in the text table; the JSON has all backends
 
-// Text writes the report for people.
+// Text writes the report as text tables.
 func (r *FleetReport) Text(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d agents; sums over them, means for used, capacity, delay, aimed and tokens\n", r.Agents)
 	tab := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tab, "s\tagents\trefused\tmost for\tfailed\tmost for\tpart\tin flight\tstuck\theld\tup\tused\tcapacity\tdelay\taimed\ttokens\tdry\tejections\tlist fails\t")
 	for _, x := range r.Windows {
-		up := fmt.Sprint(x.UpLeast)
-		if x.UpMost != x.UpLeast {
-			up = fmt.Sprintf("%d-%d", x.UpLeast, x.UpMost)
+		up := fmt.Sprint(x.MinUp)
+		if x.MaxUp != x.MinUp {
+			up = fmt.Sprintf("%d-%d", x.MinUp, x.MaxUp)
 		}
-		fmt.Fprintf(tab, "%g\t%d\t%d\t%s\t%d\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%s\t%.1f\t%.1f\t%.2f\t%.2f\t%.0f\t%d\t%.0f\t%d\t\n", x.T, x.Agents, total(x.Refused), worst(x.Refused),
-			total(x.Failed), worst(x.Failed), x.Part, x.InFlight, x.Stuck, x.Held, up, x.Used, x.Capacity, x.Delay, x.Aimed, x.Tokens, x.Dry, x.Ejections, x.ListFails)
+		fmt.Fprintf(tab, "%g\t%d\t%d\t%s\t%d\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%s\t%.1f\t%.1f\t%.2f\t%.2f\t%.0f\t%d\t%.0f\t%d\t\n", x.T, x.Agents, total(x.Refused), mostFrequent(x.Refused),
+			total(x.Failed), mostFrequent(x.Failed), x.Part, x.InFlight, x.Stuck, x.Held, up, x.Used, x.Capacity, x.Delay, x.Aimed, x.Tokens, x.Dry, x.Ejections, x.ListFails)
 	}
 	tab.Flush()
 	tab = tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tab, "backend\tkept off %\tgone %\tcold %\tslow\tout\t")
-	for _, t := range r.Backends[:min(backendRows, len(r.Backends))] {
+	for _, t := range r.Backends[:min(maxBackendRows, len(r.Backends))] {
 		fmt.Fprintf(tab, "%s\t%.1f\t%.1f\t%.1f\t%.2f\t%.3f\t\n", t.ID, 100*t.Ejected, 100*t.Down, 100*t.Cold, t.Slow, t.Out)
 	}
 	tab.Flush()
-	if n := len(r.Backends) - backendRows; n > 0 {
+	if n := len(r.Backends) - maxBackendRows; n > 0 {
 		fmt.Fprintf(&b, "and %d more backends\n", n)
 	}
-	if r.Left > 0 {
-		fmt.Fprintf(&b, "%d notes were left out: too many agents, backends or windows\n", r.Left)
+	if r.Omitted > 0 {
+		fmt.Fprintf(&b, "%d notes were left out: too many agents, backends or windows\n", r.Omitted)
 	}
 	if r.Others > 0 {
 		fmt.Fprintf(&b, "%d lines were no notes\n", r.Others)
--- a/internal/explain/fleet_test.go
+++ b/internal/explain/fleet_test.go
@@ -22,7 +22,7 @@
 		agent, at, inFlight, up, up, tokens, backends)
 }
 
-// Sums are over agents, each by the mean of its states, whatever the order of the files.
+// Sums count each agent with the mean of its states, and do not depend on the order of the files.
 func TestFleetAddsUp(t *testing.T) {
 	bad := `{"id":"b0","out":1,"ejected_ms":5,"down":true,"warmth":1,"slow":2},{"id":"b1","out":0,"warmth":0.5,"slow":0}`
 	good := `{"id":"b0","out":0,"warmth":1,"slow":1},{"id":"b1","out":2,"warmth":1,"slow":0}`
@@ -32,11 +32,11 @@
 	two := state("n2", 3000, 50, 7, 6, good) + state("n2", 5000, 50, 1, 6, good) + "nothing of this kind\n"
 	for _, order := range [][]string{{one, two}, {two, one}} {
 		r := fleetOf(t, order...)
-		if r.Agents != 2 || len(r.Windows) != 3 || r.Others != 1 || r.Left != 0 {
-			t.Fatalf("%d agents, %d windows, %d other lines, %d left out", r.Agents, len(r.Windows), r.Others, r.Left)
+		if r.Agents != 2 || len(r.Windows) != 3 || r.Others != 1 || r.Omitted != 0 {
+			t.Fatalf("%d agents, %d windows, %d other lines, %d left out", r.Agents, len(r.Windows), r.Others, r.Omitted)
 		}
 		w := r.Windows[2]
-		if w.Agents != 2 || w.InFlight != 4 || w.Part != 8 || w.UpLeast != 6 || w.UpMost != 8 || w.Dry != 1 ||
+		if w.Agents != 2 || w.InFlight != 4 || w.Part != 8 || w.MinUp != 6 || w.MaxUp != 8 || w.Dry != 1 ||
 			w.Refused["no-tokens"] != 1 || w.ListFails != 1 || w.Ejections != 0.5 || w.T != 2 {
 			t.Errorf("window: %+v", w)
 		}
@@ -49,15 +49,15 @@
 	}
 }
 
-// What is kept stays bounded: notes from far apart and too many backends are counted, not kept.
+// Notes that are too far apart in time and backends beyond the bound are counted, not kept.
 func TestFleetIsBounded(t *testing.T) {
 	var many strings.Builder
-	for i := range mostBackends + 3 {
+	for i := range maxBackends + 3 {
 		many.WriteString(state("n0", 1000, 1, 1, 1, fmt.Sprintf(`{"id":"b%d"}`, i)))
 	}
 	r := fleetOf(t, many.String(), state("n1", 1000+maxWindows*1000, 1, 1, 1, ""), state("n2", -10_000_000, 1, 1, 1, ""))
-	if len(r.Backends) != mostBackends || r.Left != 5 || len(r.Windows) > maxWindows {
-		t.Errorf("%d backends, %d left out, %d windows", len(r.Backends), r.Left, len(r.Windows))
+	if len(r.Backends) != maxBackends || r.Omitted != 5 || len(r.Windows) > maxWindows {
+		t.Errorf("%d backends, %d left out, %d windows", len(r.Backends), r.Omitted, len(r.Windows))
 	}
 }
 
--- a/internal/explain/report.go
+++ b/internal/explain/report.go
@@ -13,13 +13,14 @@
 	"lemonrail/internal/chart"
 )
 
-// Window is how an agent stood over a stretch of time: counts of what it gave up, means of the rest.
+// Window summarizes the notes of one agent over a span of time: counts of refused and failed requests and of
+// cuts of the limit, and means of the states.
 type Window struct {
 	T        float64        `json:"t"` // s since the first note
 	Refused  map[string]int `json:"refused,omitempty"`
 	Failed   map[string]int `json:"failed,omitempty"`
 	Cuts     int            `json:"cuts"`
-	States   int            `json:"states"` // notes that the means rest on
+	States   int            `json:"states"` // number of state notes behind the means
 	Part     float64        `json:"part"`
 	InFlight float64        `json:"in_flight"`
 	Stuck    float64        `json:"stuck"`
@@ -32,46 +33,48 @@
 	Tokens   float64        `json:"tokens"`
 }
 
-// Group is what was given up for one reason.
+// Group summarizes the requests of one class that were refused or failed for one reason.
 type Group struct {
-	Kind     string  `json:"kind"` // refused, failed
-	Why      string  `json:"why"`
-	Class    string  `json:"class"`
-	Repeat   bool    `json:"repeat"`
-	Count    int     `json:"count"`
-	Waited   float64 `json:"waited_p50_ms"`
-	Left     float64 `json:"left_p50_ms"`
-	IdleNode int     `json:"with_idle_backend"` // of them, while a backend in use held nothing of this agent's
+	Kind            string  `json:"kind"` // refused, failed
+	Why             string  `json:"why"`
+	Class           string  `json:"class"`
+	Repeat          bool    `json:"repeat"`
+	Count           int     `json:"count"`
+	Waited          float64 `json:"waited_p50_ms"`
+	Left            float64 `json:"left_p50_ms"`
+	WithIdleBackend int     `json:"with_idle_backend"` // of them, while a backend in use had none of this agent's attempts
 }
 
-// Agent is what one agent's notes come to.
+// Agent is the summary of one agent's notes.
 type Agent struct {
 	Name    string    `json:"agent"`
 	Notes   int       `json:"notes"`
-	Skipped uint64    `json:"skipped"` // notes that were lost
+	Skipped uint64    `json:"skipped"` // notes lost because the queue was full
 	Groups  []Group   `json:"groups"`
 	Windows []*Window `json:"windows"`
-	Reading []string  `json:"reading"` // what the figures say
+	Reading []string  `json:"reading"` // conclusions in plain text
 }
 
-// Report is what notes come to.
+// Report is the summary of all notes.
 type Report struct {
 	WindowS float64  `json:"window_s"`
-	Others  int      `json:"other_lines"` // lines that were no notes
+	Others  int      `json:"other_lines"` // lines that are not notes
 	Agents  []*Agent `json:"agents"`
 }
 
-// maxWindows bounds what is kept of an agent; then windows are made twice as long.
+// maxWindows is the maximum number of windows kept for an agent. Beyond it the length of all windows is
+// doubled.
 const maxWindows = 2048
 
-// groupKey tells groups apart.
+// groupKey identifies a group.
 type groupKey struct {
 	kind, why, class string
 	repeat           bool
 }
 
-// group adds up one group; the samples for its quantiles are bounded by taking every nth.
-type group struct {
+// groupSamples accumulates one group. It keeps every nth note as a sample for the medians, so that the number
+// of samples is bounded.
+type groupSamples struct {
 	count, idle  int
 	every        int
 	waited, left []float64
@@ -79,7 +82,7 @@
 
 const maxSamples = 4096
 
-func (g *group) add(r *Record) {
+func (g *groupSamples) add(r *Record) {
 	if g.count%g.every == 0 {
 		g.waited, g.left = append(g.waited, r.Waited), append(g.left, r.Left)
 		if len(g.waited) > maxSamples {
@@ -108,45 +111,45 @@
 	return sorted[len(sorted)/2]
 }
 
-// Summary takes notes and sums them up.
+// Summary accumulates notes.
 type Summary struct {
-	window float64
-	begun  float64
-	agents map[string]*collected
-	others int
+	window     float64
+	start      float64
+	agents     map[string]*agentSummary
+	otherLines int
 }
 
-type collected struct {
+type agentSummary struct {
 	Agent
-	groups map[groupKey]*group
+	groups map[groupKey]*groupSamples
 }
 
-// NewSummary begins a summary in windows of a length in seconds.
+// NewSummary returns an empty summary with windows of the given length in seconds.
 func NewSummary(window float64) *Summary {
-	return &Summary{window: window, agents: map[string]*collected{}}
+	return &Summary{window: window, agents: map[string]*agentSummary{}}
 }
 
-// Read takes all notes of r.
+// Read adds all notes of r.
 func (s *Summary) Read(r io.Reader) error {
 	others, err := Read(r, s.add)
-	s.others += others
+	s.otherLines += others
 	return err
 }
 
 func (s *Summary) add(r Record) {
-	if s.begun == 0 {
-		s.begun = r.At
+	if s.start == 0 {
+		s.start = r.At
 	}
 	a := s.agents[r.Agent]
 	if a == nil {
-		a = &collected{Agent: Agent{Name: r.Agent}, groups: map[groupKey]*group{}}
+		a = &agentSummary{Agent: Agent{Name: r.Agent}, groups: map[groupKey]*groupSamples{}}
 		s.agents[r.Agent] = a
 	}
 	a.Notes++
 	a.Skipped += r.Skipped
-	t := max(0, (r.At-s.begun)/1000)
+	t := max(0, (r.At-s.start)/1000)
 	for t/s.window >= maxWindows {
-		s.double()
+		s.doubleWindow()
 	}
 	i := int(t / s.window)
 	for len(a.Windows) <= i {
@@ -164,17 +167,17 @@
 		}
 		k := groupKey{r.Kind, r.Why, r.Class, r.Repeat}
 		if a.groups[k] == nil {
-			a.groups[k] = &group{every: 1}
+			a.groups[k] = &groupSamples{every: 1}
 		}
 		a.groups[k].add(&r)
 	case "state":
-		w.mean(1, &Window{Part: r.Part, InFlight: float64(r.InFlight), Stuck: float64(r.Stuck), Held: float64(r.Held), Up: float64(r.Up),
+		w.addMean(1, &Window{Part: r.Part, InFlight: float64(r.InFlight), Stuck: float64(r.Stuck), Held: float64(r.Held), Up: float64(r.Up),
 			Used: float64(r.Used), Capacity: r.Capacity, Delay: r.Delay, Aimed: r.Aimed, Tokens: r.Tokens})
 	}
 }
 
-// mean takes n states of the mean o into w.
-func (w *Window) mean(n int, o *Window) {
+// addMean merges the means o of n states into w.
+func (w *Window) addMean(n int, o *Window) {
 	if n == 0 {
 		return
 	}
@@ -186,8 +189,8 @@
 	}
 }
 
-// double joins the windows two by two.
-func (s *Summary) double() {
+// doubleWindow doubles the length of the windows by merging them in pairs.
+func (s *Summary) doubleWindow() {
 	s.window *= 2
 	for _, a := range s.agents {
 		var joined []*Window
@@ -198,7 +201,7 @@
 			}
 			to := joined[len(joined)-1]
 			to.Cuts += w.Cuts
-			to.mean(w.States, w)
+			to.addMean(w.States, w)
 			for why, n := range w.Refused {
 				to.Refused[why] += n
 			}
@@ -210,9 +213,9 @@
 	}
 }
 
-// Report sums up.
+// Report returns the summary of the notes that were added.
 func (s *Summary) Report() *Report {
-	rep := &Report{WindowS: s.window, Others: s.others}
+	rep := &Report{WindowS: s.window, Others: s.otherLines}
 	for _, name := range slices.Sorted(maps.Keys(s.agents)) {
 		a := s.agents[name]
 		out := a.Agent
@@ -229,7 +232,7 @@
 			}
 			return fmt.Sprint(x) < fmt.Sprint(y)
 		})
-		out.Reading = out.read()
+		out.Reading = out.interpret()
 		rep.Agents = append(rep.Agents, &out)
 	}
 	return rep
@@ -242,13 +245,14 @@
 	return n
 }
 
-// read says what the figures mean, for the windows in which requests were refused.
-func (a *Agent) read() (says []string) {
-	refused, idle, cold, unused, late, bound := 0, 0, 0, 0, 0, 0
+// interpret returns conclusions from the windows in which requests were refused: a text for each condition
+// that holds in windows with at least 5 % of the refused requests.
+func (a *Agent) interpret() (findings []string) {
+	refused, idle, cold, unused, slow, limited := 0, 0, 0, 0, 0, 0
 	for _, g := range a.Groups {
 		if g.Kind == "refused" {
 			refused += g.Count
-			idle += g.IdleNode
+			idle += g.WithIdleBackend
 		}
 	}
 	for _, w := range a.Windows {
@@ -263,32 +267,32 @@
 			unused += n
 		}
 		if w.Delay > w.Aimed {
-			late += n
+			slow += n
 		}
 		if w.InFlight-w.Stuck > 0.8*w.Part {
-			bound += n
+			limited += n
 		}
 	}
 	if refused == 0 {
 		return []string{"nothing was refused"}
 	}
-	say := func(n int, text string) {
+	report := func(n int, text string) {
 		if share := float64(n) / float64(refused); share >= 0.05 {
-			says = append(says, fmt.Sprintf("%.0f %% of what was refused: %s", 100*share, text))
+			findings = append(findings, fmt.Sprintf("%.0f %% of what was refused: %s", 100*share, text))
 		}
 	}
-	say(bound, "the limit on attempts in flight bound (in flight less stuck over 80 % of this agent's part)")
-	say(late, "answers took longer than the limit keeps to (delay over aimed), so that it was being cut")
-	say(unused, "over 15 % of the backends listed as up were ejected or looked gone")
-	say(cold, "over 15 % of the capacity in use was missing since backends were cold, or taken for cold")
-	say(idle, "a backend in use held nothing of this agent's at that moment: look for budgets of cold ones, and for a limit that is too small")
-	if len(says) == 0 {
-		says = append(says, "no single state stands out over the windows in which requests were refused")
+	report(limited, "the limit on attempts in flight bound (in flight less stuck over 80 % of this agent's part)")
+	report(slow, "answers took longer than the limit keeps to (delay over aimed), so that it was being cut")
+	report(unused, "over 15 % of the backends listed as up were ejected or looked gone")
+	report(cold, "over 15 % of the capacity in use was missing since backends were cold, or taken for cold")
+	report(idle, "a backend in use held nothing of this agent's at that moment: look for budgets of cold ones, and for a limit that is too small")
+	if len(findings) == 0 {
+		findings = append(findings, "no single state stands out over the windows in which requests were refused")
 	}
-	return says
+	return findings
 }
 
-// Text writes the report for people.
+// Text writes the report as text tables.
 func (r *Report) Text(w io.Writer) error {
 	var b strings.Builder
 	for _, a := range r.Agents {
@@ -305,7 +309,7 @@
 			fmt.Fprintln(tab, "  ended\twhy\tclass\trepeat\tcount\twaited p50 ms\tleft p50 ms\twith an idle backend")
 		}
 		for _, g := range a.Groups {
-			fmt.Fprintf(tab, "  %s\t%s\t%s\t%t\t%d\t%.1f\t%.1f\t%d\n", g.Kind, g.Why, g.Class, g.Repeat, g.Count, g.Waited, g.Left, g.IdleNode)
+			fmt.Fprintf(tab, "  %s\t%s\t%s\t%t\t%d\t%.1f\t%.1f\t%d\n", g.Kind, g.Why, g.Class, g.Repeat, g.Count, g.Waited, g.Left, g.WithIdleBackend)
 		}
 		tab.Flush()
 		tab = tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
