--- a/internal/standin/diameter.go
+++ b/internal/standin/diameter.go
@@ -8,8 +8,8 @@
 	"lemonrail/internal/diameter"
 )
 
-// DiameterNode is a scripted Diameter server: it speaks the base protocol by itself and does with requests
-// what its script says.
+// DiameterNode is a scripted Diameter server: it answers the base protocol itself and passes all other
+// messages to its handler.
 type DiameterNode struct {
 	Identity string
 	ln       net.Listener
@@ -19,17 +19,17 @@
 	wait     sync.WaitGroup
 }
 
-// DiameterConn is a connection of a DiameterNode, or of a DiameterClient.
+// DiameterConn is a connection of a DiameterNode, or of a client made by DialDiameter.
 type DiameterConn struct {
 	net.Conn
 	identity string
 	mu       sync.Mutex
-	Got      chan *diameter.Message // of a client: all but what was asked of it
-	Goodbye  chan uint32            // of a client: the causes of the DPRs that it got
-	Stubborn bool                   // answers no DPR; to be set before one can come
+	Got      chan *diameter.Message // client only: all messages but base protocol requests
+	Goodbye  chan uint32            // client only: Disconnect-Cause of each DPR received
+	Stubborn bool                   // do not answer DPRs; set it before one can arrive
 }
 
-// NewDiameterNode starts one on a loopback address.
+// NewDiameterNode starts a node on a free loopback port.
 func NewDiameterNode(identity string, handle func(c *DiameterConn, m *diameter.Message)) (*DiameterNode, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -38,7 +38,7 @@
 	return NewDiameterNodeOn(ln, identity, handle), nil
 }
 
-// NewDiameterNodeOn starts one on a listener, which it closes at its end.
+// NewDiameterNodeOn starts a node on a listener and takes ownership of the listener.
 func NewDiameterNodeOn(ln net.Listener, identity string, handle func(c *DiameterConn, m *diameter.Message)) *DiameterNode {
 	n := &DiameterNode{Identity: identity, ln: ln, handle: handle, conns: map[*DiameterConn]bool{}}
 	n.wait.Go(func() {
@@ -65,10 +65,10 @@
 	return n
 }
 
-// Addr is where it listens.
+// Addr returns the address that the node listens on.
 func (n *DiameterNode) Addr() string { return n.ln.Addr().String() }
 
-// Each does something with each connection.
+// Each calls do for each open connection, holding the node's lock.
 func (n *DiameterNode) Each(do func(c *DiameterConn)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -77,14 +77,14 @@
 	}
 }
 
-// Stop ends it, as a process that dies.
+// Stop closes the listener and all connections, as when a process dies, and waits for the handlers.
 func (n *DiameterNode) Stop() {
 	n.ln.Close()
 	n.Each(func(c *DiameterConn) { c.Close() })
 	n.wait.Wait()
 }
 
-// read serves the base protocol and hands on the rest.
+// read answers base protocol requests and passes all other messages to rest.
 func (c *DiameterConn) read(rest func(m *diameter.Message)) {
 	limits := diameter.DefaultLimits()
 	messages := diameter.NewReader(c.Conn, limits)
@@ -116,7 +116,7 @@
 	}
 }
 
-// Answer answers a request.
+// Answer sends an answer to m with the given result code.
 func (c *DiameterConn) Answer(m *diameter.Message, result uint32, more ...diameter.AVP) {
 	a := m.Answer()
 	if result/1000 == 3 {
@@ -127,11 +127,11 @@
 	c.Send(a)
 }
 
-// Send writes a message whole. What fails is the connection's end, which its reader sees.
+// Send writes a message. After an error the connection is closed, which its reader notices.
 func (c *DiameterConn) Send(m *diameter.Message) {
 	raw, err := m.Append(nil)
 	if err != nil {
-		panic(err) // a script that makes no sense
+		panic(err) // an invalid script
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +139,7 @@
 	c.Write(raw)
 }
 
-// DialDiameter connects a client. Its first message, the answer to its CER, is on Got.
+// DialDiameter connects a client and sends a CER. The answer to the CER is the first message on Got.
 func DialDiameter(addr, identity string, application uint32) (*DiameterConn, error) {
 	nc, err := net.Dial("tcp4", addr)
 	if err != nil {
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// entry is one node as discovery lists it.
-type entry struct {
+// host is one node as discovery lists it.
+type host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -25,37 +25,38 @@
 }
 
 type listing struct {
-	Seq   int64   `json:"seq"`
-	Whole bool    `json:"whole"`
-	Hosts []entry `json:"hosts"`
+	Seq   int64  `json:"seq"`
+	Whole bool   `json:"whole"`
+	Hosts []host `json:"hosts"`
 }
 
-// register is discovery as one agent meets it: what it has been sent so far.
-type register struct {
+// agentDiscovery is the discovery service as one agent sees it. Each agent has its own, since changes reach
+// agents at different times.
+type agentDiscovery struct {
 	site  *Site
 	agent string
 
 	mu      sync.Mutex
 	seq     int64
-	hosts   []entry // up to date for this agent, gone ones left out
+	hosts   []host // current list for this agent, without nodes that are gone
 	changes []listing
 	down    bool
-	changed chan struct{} // closed at each change
+	changed chan struct{} // closed at each change and replaced
 	ln      net.Listener
 	srv     *http.Server
 	serving sync.WaitGroup
 	addr    string
 }
 
-const keptChanges = 256 // beyond that a watch begins with the whole list
+const maxChanges = 256 // a watch from a version older than these starts with the full list
 
-func newRegister(site *Site, agent string, hosts []entry) (*register, error) {
-	r := &register{site: site, agent: agent, seq: 1, hosts: hosts, changed: make(chan struct{})}
+func newAgentDiscovery(site *Site, agent string, hosts []host) (*agentDiscovery, error) {
+	r := &agentDiscovery{site: site, agent: agent, seq: 1, hosts: hosts, changed: make(chan struct{})}
 	return r, r.open()
 }
 
-// open serves at an address of its own.
-func (r *register) open() error {
+// open starts to serve at a new address.
+func (r *agentDiscovery) open() error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
@@ -72,7 +73,7 @@
 	return nil
 }
 
-func (r *register) close() {
+func (r *agentDiscovery) close() {
 	r.mu.Lock()
 	srv := r.srv
 	r.mu.Unlock()
@@ -80,8 +81,8 @@
 	r.serving.Wait()
 }
 
-// move closes the address and serves at another.
-func (r *register) move() (string, error) {
+// move serves at a new address and closes the old one.
+func (r *agentDiscovery) move() (string, error) {
 	r.mu.Lock()
 	old := r.srv
 	r.mu.Unlock()
@@ -94,8 +95,8 @@
 	return r.addr, nil
 }
 
-// apply makes a change known to this agent from now on.
-func (r *register) apply(e entry) {
+// apply makes a change visible to this agent.
+func (r *agentDiscovery) apply(e host) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seq++
@@ -108,36 +109,37 @@
 	if r.hosts = kept; e.Health != "gone" {
 		r.hosts = append(r.hosts, e)
 	}
-	if r.changes = append(r.changes, listing{Seq: r.seq, Hosts: []entry{e}}); len(r.changes) > keptChanges {
-		r.changes = append(r.changes[:0], r.changes[len(r.changes)-keptChanges/2:]...)
+	if r.changes = append(r.changes, listing{Seq: r.seq, Hosts: []host{e}}); len(r.changes) > maxChanges {
+		r.changes = append(r.changes[:0], r.changes[len(r.changes)-maxChanges/2:]...)
 	}
-	r.tick()
+	r.notify()
 }
 
-func (r *register) tick() {
+func (r *agentDiscovery) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-func (r *register) setDown(down bool) {
+func (r *agentDiscovery) setDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down = down
-	r.tick()
+	r.notify()
 }
 
-// whole is the list as it is now; it is called with the lock held.
-func (r *register) whole() listing {
-	return listing{Seq: r.seq, Whole: true, Hosts: append([]entry{}, r.hosts...)}
+// fullList returns the current list. The caller holds mu.
+func (r *agentDiscovery) fullList() listing {
+	return listing{Seq: r.seq, Whole: true, Hosts: append([]host{}, r.hosts...)}
 }
 
-// since is what changed after a version; it is called with the lock held.
-func (r *register) since(seq int64) []listing {
+// changesSince returns the changes after a version, or the full list if they are not all kept. The caller
+// holds mu.
+func (r *agentDiscovery) changesSince(seq int64) []listing {
 	if seq == r.seq {
 		return nil
 	}
 	if len(r.changes) == 0 || r.changes[0].Seq > seq+1 || seq > r.seq {
-		return []listing{r.whole()}
+		return []listing{r.fullList()}
 	}
 	var out []listing
 	for _, c := range r.changes {
@@ -148,8 +150,8 @@
 	return out
 }
 
-// note tells the observer what the agent has now been told.
-func (r *register) note(l listing) {
+// reportToObserver reports the states that the agent has now received to the observer.
+func (r *agentDiscovery) reportToObserver(l listing) {
 	now := time.Now()
 	listed := map[string]bool{}
 	for _, h := range l.Hosts {
@@ -158,18 +160,18 @@
 			born = time.UnixMilli(int64(h.BornMs))
 		}
 		listed[h.Host] = true
-		r.site.watch.Told(r.agent, h.Host, h.Health, born, now)
+		r.site.observer.Told(r.agent, h.Host, h.Health, born, now)
 	}
 	if l.Whole {
-		for _, id := range r.site.ids() {
+		for _, id := range r.site.listedNodes() {
 			if !listed[id] {
-				r.site.watch.Told(r.agent, id, "gone", time.Time{}, now)
+				r.site.observer.Told(r.agent, id, "gone", time.Time{}, now)
 			}
 		}
 	}
 }
 
-func (r *register) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (r *agentDiscovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path != "/discovery/hosts" || req.Method != http.MethodGet {
 		http.NotFound(w, req)
 		return
@@ -183,10 +185,10 @@
 	}
 	if req.URL.Query().Get("follow") != "1" {
 		r.mu.Lock()
-		l := r.whole()
+		l := r.fullList()
 		r.mu.Unlock()
 		json.NewEncoder(w).Encode(l)
-		r.note(l)
+		r.reportToObserver(l)
 		return
 	}
 	seq, err := strconv.ParseInt(req.URL.Query().Get("since"), 10, 64)
@@ -196,15 +198,15 @@
 	r.follow(w, req, seq)
 }
 
-// follow keeps a watch open.
-func (r *register) follow(w http.ResponseWriter, req *http.Request, seq int64) {
+// follow streams changes and heartbeats to a watch.
+func (r *agentDiscovery) follow(w http.ResponseWriter, req *http.Request, seq int64) {
 	flush := http.NewResponseController(w)
-	beat := time.NewTicker(ms(r.site.sc.Discovery.HeartbeatMs))
+	beat := time.NewTicker(ms(r.site.scenario.Discovery.HeartbeatMs))
 	defer beat.Stop()
 	w.Write(nil)
 	for {
 		r.mu.Lock()
-		list, changed, down := r.since(seq), r.changed, r.down
+		list, changed, down := r.changesSince(seq), r.changed, r.down
 		r.mu.Unlock()
 		if down {
 			panic(http.ErrAbortHandler)
@@ -213,7 +215,7 @@
 			if json.NewEncoder(w).Encode(l) != nil || flush.Flush() != nil {
 				return
 			}
-			r.note(l)
+			r.reportToObserver(l)
 			seq = l.Seq
 		}
 		if flush.Flush() != nil {
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -19,57 +19,58 @@
 )
 
 const (
-	maxHead = 16 << 10
-	maxBody = 64 << 10
+	maxHeaderBytes = 16 << 10
+	maxBodyBytes   = 64 << 10
 )
 
-// machine is one node's machine with the process on it. The process may die and start again, cold,
-// and under another id.
+// machine simulates one node: a machine with a process on it. The process may die and start again, cold and
+// possibly under another id.
 type machine struct {
 	site  *Site
 	kind  *KindSpec
 	zone  string
 	block int
-	index int // among the site's
+	index int // index in Site.machines
 
-	mu       sync.Mutex
-	id       string
-	up       bool
-	life     context.Context // ends with the process
-	end      context.CancelFunc
-	started  time.Time // zero: long ago
-	draining time.Time // since when it turns new work away; zero: not
-	silent   bool
-	faults   map[string]float64  // by what, its size
-	conns    map[net.Conn]string // by whose agent's
-	cut      map[string]int      // agents that it says nothing to, by the faults that say so
-	working  []*job              // in work, sharing the cores
-	queue    []*job              // waiting
-	rate     float64             // work that each in work gets done in a second
-	counted  time.Time           // until when that is counted
-	turn     uint64              // of the last look ahead; earlier ones are void
-	count    uint64              // attempts so far, for the choices
-	lastings []time.Duration
-	lastAt   []time.Time
-	report   string // the load report in force
-	reportAt time.Time
+	mu         sync.Mutex
+	id         string
+	up         bool
+	processCtx context.Context // ends with the process
+	endProcess context.CancelFunc
+	started    time.Time // start of a process that starts cold; zero: long ago, so the process is warm
+	draining   time.Time // from when on new work is rejected; zero: not draining
+	silent     bool
+	faults     map[string]float64  // size by name of the fault
+	conns      map[net.Conn]string // agent by connection
+	cutAgents  map[string]int      // number of active cut faults by agent; the node sends nothing to these agents
+	working    []*job              // jobs being worked on, sharing the cores
+	queue      []*job              // jobs waiting for a slot
+	rate       float64             // work per second that each working job receives
+	progressAt time.Time           // time up to which the working jobs' progress is counted
+	generation uint64              // number of the latest scheduled look at the jobs; earlier ones do nothing
+	attempts   uint64              // attempts so far, as input to draw
+	durations  []time.Duration
+	endedAt    []time.Time
+	report     string // latest load report, sent until it is refreshed
+	reportAt   time.Time
 
-	listeners []net.Listener // by agent; the addresses stay
-	addrs     []string
-	places    []int // descriptors that hold the addresses while the process is down
-	accepting sync.WaitGroup
+	listeners   []net.Listener // one per agent; a listener is opened again at its old address
+	addrs       []string
+	reservedFDs []int // descriptors that keep the addresses bound while the process is down
+	accepting   sync.WaitGroup
 }
 
-// job is work on the machine.
+// job is work on a machine.
 type job struct {
-	left  float64 // s on a core of speed 1
-	begun time.Time
-	done  func()
+	remaining float64 // s on a core of speed 1
+	begun     time.Time
+	done      func()
 }
 
-// choose draws a number in 0 to 1 for the nth attempt at this node, from the scenario's seed.
-func (m *machine) choose(n uint64, what uint64) float64 {
-	x := m.site.sc.Seed*0x9e3779b97f4a7c15 + uint64(m.index)*0xbf58476d1ce4e5b9 + n*0x94d049bb133111eb + what*0xd6e8feb86659fd93
+// draw returns a number from 0 to 1 for the nth attempt at this node, from the scenario's seed. what numbers
+// the decisions about one attempt.
+func (m *machine) draw(n uint64, what uint64) float64 {
+	x := m.site.scenario.Seed*0x9e3779b97f4a7c15 + uint64(m.index)*0xbf58476d1ce4e5b9 + n*0x94d049bb133111eb + what*0xd6e8feb86659fd93
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -78,27 +79,27 @@
 	return float64(x>>11) / (1 << 53)
 }
 
-// work draws the work of an attempt in seconds on a core of speed 1.
-func (m *machine) work(c *ClassSpec, n uint64) float64 {
+// drawWork returns the work of an attempt in seconds on a core of speed 1.
+func (m *machine) drawWork(c *ClassSpec, n uint64) float64 {
 	mean := c.WorkMs / 1000
 	if c.CV == 0 {
 		return mean
 	}
 	sigma2 := math.Log(1 + c.CV*c.CV)
-	u := max(m.choose(n, 1), 1e-12)
-	normal := math.Sqrt(-2*math.Log(u)) * math.Cos(2*math.Pi*m.choose(n, 2))
+	u := max(m.draw(n, 1), 1e-12)
+	normal := math.Sqrt(-2*math.Log(u)) * math.Cos(2*math.Pi*m.draw(n, 2))
 	return mean * math.Exp(normal*math.Sqrt(sigma2)-sigma2/2)
 }
 
-// listen opens the node's addresses, one for each agent; again after it was closed the same ones.
+// listen opens one address per agent, or the same addresses again after the listeners were closed.
 func (m *machine) listen() error {
-	for i := range m.site.sc.Agents {
+	for i := range m.site.scenario.Agents {
 		if i == len(m.addrs) {
 			fd, addr, err := Reserve()
 			if err != nil {
 				return fmt.Errorf("node %s: %w", m.id, err)
 			}
-			m.places, m.addrs = append(m.places, fd), append(m.addrs, addr)
+			m.reservedFDs, m.addrs = append(m.reservedFDs, fd), append(m.addrs, addr)
 		}
 		ln, err := net.Listen("tcp", m.addrs[i])
 		if err != nil {
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// Reserve binds an address without listening on it: connections are refused, and nobody else gets
-// it while a node is down.
+// Reserve binds a loopback address without listening on it, so that connections are refused and no other
+// process gets the address while a node is down.
 func Reserve() (fd int, addr string, err error) {
 	fd, err = syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -139,7 +140,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(5 * time.Millisecond) // out of descriptors
+			time.Sleep(5 * time.Millisecond) // out of descriptors; retry
 			continue
 		}
 		m.mu.Lock()
@@ -162,7 +163,7 @@
 	}
 }
 
-// reset ends a connection as a process that dies does.
+// reset closes a connection with a TCP reset, as happens when a process dies.
 func reset(nc net.Conn) {
 	if t, ok := nc.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -170,15 +171,16 @@
 	nc.Close()
 }
 
-// die ends the process: its connections are reset, what it had in work is gone, new ones are refused.
-func (m *machine) die() {
+// stop simulates the death of the process: its connections are reset, its jobs are lost and new connections
+// are refused.
+func (m *machine) stop() {
 	m.mu.Lock()
 	m.up = false
 	listeners := m.listeners
 	m.listeners = nil
 	m.queue = nil
-	if m.end != nil {
-		m.end()
+	if m.endProcess != nil {
+		m.endProcess()
 	}
 	for nc := range m.conns {
 		reset(nc)
@@ -190,39 +192,39 @@
 	m.accepting.Wait()
 }
 
-// start starts the process cold, under an id.
+// start starts the process cold, under the given id. A zero now starts it warm.
 func (m *machine) start(id string, now time.Time) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.id, m.up, m.started, m.draining, m.silent = id, true, now, time.Time{}, false
 	m.working, m.queue, m.report = nil, nil, ""
-	m.life, m.end = context.WithCancel(m.site.ctx)
+	m.processCtx, m.endProcess = context.WithCancel(m.site.ctx)
 	if !now.IsZero() {
-		m.site.watch.Started(id, now, float64(m.kind.Cores))
+		m.site.observer.Started(id, now, float64(m.kind.Cores))
 	}
 	return m.listen()
 }
 
-// speed is what one core does now, against the yardstick.
+// speed returns the work that one core does per second, where a core of speed 1 does 1.
 func (m *machine) speed(now time.Time) float64 {
 	speed := m.kind.Speed
 	if f := m.faults["slow"]; f > 1 {
 		speed /= f
 	}
-	if ramp := ms(m.site.sc.Rules.RampMs); !m.started.IsZero() && ramp > 0 {
+	if ramp := ms(m.site.scenario.Rules.RampMs); !m.started.IsZero() && ramp > 0 {
 		if age := now.Sub(m.started); age < ramp {
-			cold := m.site.sc.Rules.ColdShare
+			cold := m.site.scenario.Rules.ColdShare
 			speed *= cold + (1-cold)*age.Seconds()/ramp.Seconds()
 		}
 	}
 	return speed
 }
 
-// submit puts work on the machine. It reports false if the queue is full.
+// submit queues or starts work on the machine. It reports false if the queue is full.
 func (m *machine) submit(work float64, done func()) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	j := &job{left: work, done: done}
+	j := &job{remaining: work, done: done}
 	if len(m.working) >= m.kind.Slots {
 		if len(m.queue) >= m.kind.Queue {
 			return false
@@ -234,99 +236,100 @@
 	m.progress(now)
 	j.begun = now
 	m.working = append(m.working, j)
-	m.ahead(now)
+	m.schedule(now)
 	return true
 }
 
-// progress counts what has been done since it was last counted.
+// progress subtracts the work done since the last call from the working jobs.
 func (m *machine) progress(now time.Time) {
-	if done := m.rate * now.Sub(m.counted).Seconds(); done > 0 {
+	if done := m.rate * now.Sub(m.progressAt).Seconds(); done > 0 {
 		for _, j := range m.working {
-			j.left -= done
+			j.remaining -= done
 		}
 	}
-	m.counted = now
+	m.progressAt = now
 }
 
-// ahead shares the cores out anew and looks ahead to when the next piece of work is done. A cold
-// machine gets faster on the way, so that the look is repeated at least every 20 ms.
-func (m *machine) ahead(now time.Time) {
-	m.turn++
+// schedule divides the cores among the working jobs and sets a timer for the end of the next job. A cold
+// machine gets faster meanwhile, so that the timer is set to at most 20 ms.
+func (m *machine) schedule(now time.Time) {
+	m.generation++
 	if len(m.working) == 0 {
 		return
 	}
 	m.rate = m.speed(now) * min(1, float64(m.kind.Cores)/float64(len(m.working)))
-	least := math.Inf(1)
+	shortest := math.Inf(1)
 	for _, j := range m.working {
-		least = min(least, j.left)
+		shortest = min(shortest, j.remaining)
 	}
-	wait := time.Duration(max(0, least/m.rate) * float64(time.Second))
+	wait := time.Duration(max(0, shortest/m.rate) * float64(time.Second))
 	if !m.started.IsZero() || len(m.faults) > 0 {
 		wait = min(wait, 20*time.Millisecond)
 	}
-	turn, life := m.turn, m.life
-	m.site.timers.after(wait, func() { m.look(turn, life) })
+	turn, life := m.generation, m.processCtx
+	m.site.timers.after(wait, func() { m.finishJobs(turn, life) })
 }
 
-// look ends the work that is done and begins what waits.
-func (m *machine) look(turn uint64, life context.Context) {
+// finishJobs ends the jobs whose work is done and starts waiting ones.
+func (m *machine) finishJobs(turn uint64, life context.Context) {
 	m.mu.Lock()
-	if turn != m.turn || life.Err() != nil { // overtaken, or its process has died
+	if turn != m.generation || life.Err() != nil { // superseded by a later schedule, or the process has died
 		m.mu.Unlock()
 		return
 	}
 	now := time.Now()
 	m.progress(now)
 	var ended []*job
-	still := m.working[:0]
+	unfinished := m.working[:0]
 	for _, j := range m.working {
-		if j.left <= 1e-6 {
+		if j.remaining <= 1e-6 {
 			ended = append(ended, j)
-			m.lasted(now.Sub(j.begun))
+			m.recordDuration(now.Sub(j.begun))
 		} else {
-			still = append(still, j)
+			unfinished = append(unfinished, j)
 		}
 	}
-	m.working = still
+	m.working = unfinished
 	for len(m.queue) > 0 && len(m.working) < m.kind.Slots {
 		j := m.queue[0]
 		m.queue = m.queue[1:]
 		j.begun = now
 		m.working = append(m.working, j)
 	}
-	m.ahead(now)
+	m.schedule(now)
 	m.mu.Unlock()
 	for _, j := range ended {
 		j.done()
 	}
 }
 
-// lasted remembers how long the last pieces of work took.
-func (m *machine) lasted(d time.Duration) {
-	const most = 64
-	m.lastings = append(m.lastings, d)
-	m.lastAt = append(m.lastAt, time.Now())
-	if len(m.lastings) > most {
-		m.lastings = append(m.lastings[:0], m.lastings[1:]...)
-		m.lastAt = append(m.lastAt[:0], m.lastAt[1:]...)
+// recordDuration keeps the durations of the latest jobs, for load reports.
+func (m *machine) recordDuration(d time.Duration) {
+	const maxDurations = 64
+	m.durations = append(m.durations, d)
+	m.endedAt = append(m.endedAt, time.Now())
+	if len(m.durations) > maxDurations {
+		m.durations = append(m.durations[:0], m.durations[1:]...)
+		m.endedAt = append(m.endedAt[:0], m.endedAt[1:]...)
 	}
 }
 
-// loadReport is what goes with an answer; it is refreshed now and then.
+// loadReport returns the load report header for an answer. The report is refreshed after the scenario's
+// refresh_ms.
 func (m *machine) loadReport(n uint64) string {
-	fields := m.site.sc.Report.Fields
+	fields := m.site.scenario.Report.Fields
 	if len(fields) == 0 {
 		return ""
 	}
-	if m.choose(n, 7) < m.faults["report_unreadable"] {
+	if m.draw(n, 7) < m.faults["report_unreadable"] {
 		return "X-Backend-Load: {\"latency_ms\":oops\r\n"
 	}
 	now := time.Now()
-	if m.report == "" || now.Sub(m.reportAt) >= ms(m.site.sc.Report.RefreshMs) {
+	if m.report == "" || now.Sub(m.reportAt) >= ms(m.site.scenario.Report.RefreshMs) {
 		mean, qps := 0.0, 0.0
-		for i, d := range m.lastings {
-			mean += d.Seconds() * 1000 / float64(len(m.lastings))
-			if now.Sub(m.lastAt[i]) < time.Second {
+		for i, d := range m.durations {
+			mean += d.Seconds() * 1000 / float64(len(m.durations))
+			if now.Sub(m.endedAt[i]) < time.Second {
 				qps++
 			}
 		}
@@ -343,32 +346,32 @@
 
 // serve answers the requests of one connection.
 func (m *machine) serve(nc net.Conn, agent string) {
-	r := bufio.NewReaderSize(nc, maxHead)
-	idle := ms(m.site.sc.Allow.IdleCloseMs)
+	r := bufio.NewReaderSize(nc, maxHeaderBytes)
+	idle := ms(m.site.scenario.Allow.IdleCloseMs)
 	first := true
-	var rested time.Time // since when it has been idle
+	var idleSince time.Time // start of the current wait for a request
 	for {
-		rested = time.Now()
-		nc.SetReadDeadline(rested.Add(idle))
+		idleSince = time.Now()
+		nc.SetReadDeadline(idleSince.Add(idle))
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
 		began := time.Now()
 		m.mu.Lock()
-		n := m.count
-		m.count++
-		before := m.choose(n, 3) < m.faults["reset_before"]
-		if rest := m.faults["stale"]; rest > 0 && !first && began.Sub(rested) >= ms(rest) {
-			before = true
+		n := m.attempts
+		m.attempts++
+		resetBefore := m.draw(n, 3) < m.faults["reset_before"]
+		if minIdle := m.faults["stale"]; minIdle > 0 && !first && began.Sub(idleSince) >= ms(minIdle) {
+			resetBefore = true
 		}
-		silent := m.silent || m.cut[agent] > 0
+		silent := m.silent || m.cutAgents[agent] > 0
 		m.mu.Unlock()
-		if before {
+		if resetBefore {
 			reset(nc)
 			return
 		}
 		if silent {
-			m.silence(nc)
+			m.holdSilent(nc)
 			return
 		}
 		nc.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -376,7 +379,7 @@
 		if err != nil {
 			return
 		}
-		if req.ContentLength > maxBody || req.ContentLength < 0 {
+		if req.ContentLength > maxBodyBytes || req.ContentLength < 0 {
 			return
 		}
 		body, err := io.ReadAll(req.Body)
@@ -390,8 +393,8 @@
 	}
 }
 
-// silence holds a connection of a machine that says nothing until that ends.
-func (m *machine) silence(nc net.Conn) {
+// holdSilent keeps a connection open without answering, until it is closed.
+func (m *machine) holdSilent(nc net.Conn) {
 	nc.SetReadDeadline(time.Time{})
 	buf := make([]byte, 4096)
 	for {
@@ -401,7 +404,7 @@
 	}
 }
 
-// exchange answers one request. It reports whether the connection goes on.
+// exchange answers one request. It reports whether the connection stays open.
 func (m *machine) exchange(nc net.Conn, req *http.Request, agent string, n uint64, began time.Time, first bool) bool {
 	now := time.Now()
 	id := req.Header.Get("X-Correlation-Id")
@@ -412,25 +415,25 @@
 		return true
 	}
 	m.mu.Lock()
-	node, life := m.id, m.life
+	node, life := m.id, m.processCtx
 	m.mu.Unlock()
-	ended := m.site.watch.Began(ledger.Attempt{Request: id, Agent: agent, Node: node, Zone: m.zone, Cell: m.block, First: began, Last: now})
-	work := m.work(class, n)
+	ended := m.site.observer.Began(ledger.Attempt{Request: id, Agent: agent, Node: node, Zone: m.zone, Cell: m.block, First: began, Last: now})
+	work := m.drawWork(class, n)
 	if first {
 		work += m.kind.HandshakeMs / 1000
 	}
-	if m.site.watch.Work(node, agent, now, work/m.kind.Speed) {
-		m.site.spawn(func() { m.site.fell(m) })
+	if m.site.observer.Work(node, agent, now, work/m.kind.Speed) {
+		m.site.goTask(func() { m.site.nodeFailed(m) })
 	}
 	m.mu.Lock()
 	report := m.loadReport(n)
-	turned := !m.draining.IsZero() && now.After(m.draining)
-	fails := m.choose(n, 4) < m.faults["fail_fast"]
-	after := m.choose(n, 5) < m.faults["reset_after"]
-	spoilt := m.choose(n, 6) < m.faults["spoilt"]
+	rejected := !m.draining.IsZero() && now.After(m.draining)
+	fails := m.draw(n, 4) < m.faults["fail_fast"]
+	resetAfter := m.draw(n, 5) < m.faults["reset_after"]
+	unreadable := m.draw(n, 6) < m.faults["spoilt"]
 	m.mu.Unlock()
 	switch {
-	case turned:
+	case rejected:
 		ended(ledger.Ending{Turned: true})
 		answer(nc, 503, report+"X-Unprocessed: 1\r\n", "draining\n")
 		return true
@@ -445,17 +448,17 @@
 		answer(nc, 503, report+"X-Unprocessed: 1\r\n", "queue full\n")
 		return true
 	}
-	goesOn := func() { // the work does, and nobody hears of it
-		m.site.spawn(func() {
+	finishUnanswered := func() { // lets the work finish and take effect, although no answer is sent
+		m.site.goTask(func() {
 			select {
 			case <-done:
-				ended(ledger.Ending{Ran: m.effect(class, req, id)})
+				ended(ledger.Ending{Ran: m.applyEffect(class, req, id)})
 			case <-life.Done():
 			}
 		})
 	}
-	if after {
-		goesOn()
+	if resetAfter {
+		finishUnanswered()
 		reset(nc)
 		return false
 	}
@@ -463,23 +466,23 @@
 	stop := m.watchClient(nc, gone)
 	select {
 	case <-done:
-	case <-gone: // a cancel stops nothing
+	case <-gone: // closing the connection does not stop the work
 		stop()
-		goesOn()
+		finishUnanswered()
 		return false
 	case <-life.Done():
 		stop()
 		return false
 	}
 	if !stop() {
-		ended(ledger.Ending{Ran: m.effect(class, req, id)})
+		ended(ledger.Ending{Ran: m.applyEffect(class, req, id)})
 		return false
 	}
 	m.mu.Lock()
-	silent := m.silent || m.cut[agent] > 0
+	silent := m.silent || m.cutAgents[agent] > 0
 	m.mu.Unlock()
-	ran := m.effect(class, req, id)
-	if spoilt {
+	ran := m.applyEffect(class, req, id)
+	if unreadable {
 		ended(ledger.Ending{Ran: ran})
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n\x00\x01 spoilt")
 		return false
@@ -487,7 +490,7 @@
 	text := fmt.Sprintf("%s by %s, attempt %d\n", id, node, n)
 	if silent {
 		ended(ledger.Ending{Ran: ran})
-		m.silence(nc)
+		m.holdSilent(nc)
 		return false
 	}
 	ended(ledger.Ending{Ran: ran, Answer: []byte(text)})
@@ -497,31 +500,31 @@
 	return answer(nc, 200, report, text) == nil
 }
 
-// watchClient closes gone when the other side ends the connection while it waits for an answer. The
-// returned function ends the watch and reports whether the connection is still there.
+// watchClient closes gone when the client closes the connection while it waits for an answer. The returned
+// function ends the watch and reports whether the connection is still open.
 func (m *machine) watchClient(nc net.Conn, gone chan struct{}) (stop func() bool) {
-	var over sync.WaitGroup
+	var done sync.WaitGroup
 	left := false
 	nc.SetReadDeadline(time.Time{})
-	over.Go(func() {
+	done.Go(func() {
 		var b [1]byte
 		n, err := nc.Read(b[:])
 		var timeout net.Error
 		if n > 0 || err != nil && !(errors.As(err, &timeout) && timeout.Timeout()) {
-			left = true // bytes before the answer make no sense either
+			left = true // bytes before the answer are a protocol violation, so the connection is given up as well
 			close(gone)
 		}
 	})
 	return func() bool {
 		nc.SetReadDeadline(time.Unix(1, 0))
-		over.Wait()
+		done.Wait()
 		return !left
 	}
 }
 
-// effect lets a request take effect, unless it is a repeat that its group still remembers. It
-// reports whether it did.
-func (m *machine) effect(c *ClassSpec, req *http.Request, id string) bool {
+// applyEffect lets a request take effect, unless it repeats a key that its group has seen within the window.
+// It reports whether the request took effect.
+func (m *machine) applyEffect(c *ClassSpec, req *http.Request, id string) bool {
 	key := req.Header.Get("Idempotency-Key")
 	if c.Effect != "keyed" || key == "" {
 		return true
@@ -533,7 +536,7 @@
 	case "cell":
 		group = fmt.Sprint(m.zone, " ", m.block)
 	}
-	return m.site.remember(c.Name+" "+group+" "+key, ms(c.WindowMs))
+	return m.site.rememberKey(c.Name+" "+group+" "+key, ms(c.WindowMs))
 }
 
 func answer(nc net.Conn, status int, headers, body string) error {
--- a/internal/standin/scenario.go
+++ b/internal/standin/scenario.go
@@ -1,17 +1,16 @@
-// Package standin is a site of stand-ins after PROTOCOL: nodes, discovery and what goes wrong with
-// them, on loopback addresses. It is there for tests, for trying lemonrail out, and for playing
-// load against; it models no real machine.
+// Package standin simulates a site as PROTOCOL describes it: nodes, discovery and their faults, on loopback
+// addresses. It serves tests, trials and load generation; it models no real machine.
 //
-// A Scenario (TOML) describes the site and times its faults. Open starts it; Configs gives the
-// agents' configurations; an observer (internal/ledger) is told all that happens. Each node
-// listens on an address of its own for each agent, and discovery does too, so that it shows
-// which agent sent what and was told what.
+// A Scenario (TOML) describes the site and schedules its faults. Open starts the site, Config returns each
+// agent's configuration, and an Observer (internal/ledger) is told of all events. Each node and discovery
+// listen on a separate address for each agent, which identifies the agent that sent a request or received a
+// list.
 //
-// All choices come from the scenario's seed: what the nth attempt at a node meets, the work of it,
-// the delay of the nth change. The times at which things happen are the machine's own.
+// All random choices come from the scenario's seed: the faults that the nth attempt at a node meets, its work,
+// and the delay of the nth change. Timing depends on the machine.
 //
-// Bounds: connections by the kind's conns, waiting requests by its queue, changes of the list by
-// the scenario's faults, bodies and heads by PROTOCOL's. Close ends everything and waits for it.
+// Connections are bounded by the kind's conns, waiting requests by its queue, changes of the list by the
+// scenario's faults, and headers and bodies by PROTOCOL's limits. Close ends everything and waits for it.
 package standin
 
 import (
@@ -24,13 +23,13 @@
 	"lemonrail/internal/strict"
 )
 
-// Scenario is a site and what goes wrong with it.
+// Scenario describes a site and its faults.
 type Scenario struct {
 	Name    string   `toml:"name"`
 	Seed    uint64   `toml:"seed"`
-	Seconds float64  `toml:"seconds"` // how long it is meant to run
+	Seconds float64  `toml:"seconds"` // intended duration of a run
 	Sites   []string `toml:"sites"`   // data centres
-	Agents  int      `toml:"agents"`  // the nth is in site n modulo their number
+	Agents  int      `toml:"agents"`  // the nth agent is in site n modulo the number of sites
 
 	Limits struct {
 		MemoryMB int `toml:"memory_mb"`
@@ -43,7 +42,7 @@
 		RampMs        float64 `toml:"ramp_ms"`
 		FallMultiple  float64 `toml:"fall_multiple"`
 		FallMs        float64 `toml:"fall_ms"`
-		SlackMs       float64 `toml:"slack_ms"` // by which the observer's limits are longer; more on a slow machine
+		SlackMs       float64 `toml:"slack_ms"` // tolerance on the observer's time limits; increase it on a slow machine
 	} `toml:"rules"`
 	Allow struct {
 		Attempts        int     `toml:"attempts"`
@@ -55,7 +54,7 @@
 		Peers           bool    `toml:"peers"`
 	} `toml:"allow"`
 	Discovery struct {
-		DelayMs     [2]float64 `toml:"delay_ms"` // after which a change is told, drawn for each agent
+		DelayMs     [2]float64 `toml:"delay_ms"` // minimum and maximum delay of a change, drawn per agent
 		HeartbeatMs float64    `toml:"heartbeat_ms"`
 	} `toml:"discovery"`
 	Report struct {
@@ -68,32 +67,32 @@
 	Faults  []FaultSpec `toml:"fault"`
 }
 
-// ClassSpec is a class of requests.
+// ClassSpec describes a class of requests.
 type ClassSpec struct {
 	Name       string  `toml:"name"`
 	Effect     string  `toml:"effect"` // safe, keyed, unsafe
-	Group      string  `toml:"group"`  // of keyed: all, zone, cell
+	Group      string  `toml:"group"`  // which nodes drop repeats of a keyed request: all, zone, cell
 	WindowMs   float64 `toml:"window_ms"`
 	AimMs      float64 `toml:"aim_ms"`
 	DeadlineMs float64 `toml:"deadline_ms"`
 	Worth      float64 `toml:"worth"`
 	LateWorth  float64 `toml:"late_worth"`
 	WorkMs     float64 `toml:"work_ms"` // mean, on a core of speed 1
-	CV         float64 `toml:"cv"`      // of its lognormal distribution; 0: always the mean
+	CV         float64 `toml:"cv"`      // coefficient of variation of the lognormal distribution; 0: always the mean
 }
 
-// KindSpec is a kind of machine.
+// KindSpec describes a kind of machine.
 type KindSpec struct {
 	Name        string  `toml:"name"`
 	Cores       int     `toml:"cores"`
 	Speed       float64 `toml:"speed"`
-	Slots       int     `toml:"slots"`        // requests in work at a time, which share the cores evenly; 0: as many as cores
-	Queue       int     `toml:"queue"`        // requests that wait beyond those in work
-	Conns       int     `toml:"conns"`        // open connections it accepts
-	HandshakeMs float64 `toml:"handshake_ms"` // work of a new connection
+	Slots       int     `toml:"slots"`        // requests worked on at a time, sharing the cores evenly; 0: number of cores
+	Queue       int     `toml:"queue"`        // maximum number of requests waiting for a slot
+	Conns       int     `toml:"conns"`        // maximum number of open connections
+	HandshakeMs float64 `toml:"handshake_ms"` // additional work of the first request on a connection
 }
 
-// NodeSpec is one node, or several alike.
+// NodeSpec describes one node, or several equal ones.
 type NodeSpec struct {
 	Name  string `toml:"name"`
 	Site  string `toml:"site"`
@@ -102,39 +101,39 @@
 	Count int    `toml:"count"` // 0: 1; several are named NAME-1, NAME-2 ...
 }
 
-// FaultSpec is something that goes wrong.
+// FaultSpec describes a fault.
 type FaultSpec struct {
 	What   string   `toml:"what"`
 	AtS    float64  `toml:"at_s"`
-	ForS   float64  `toml:"for_s"`  // 0: to the end
-	Nodes  []string `toml:"nodes"`  // none: all
-	Agents []string `toml:"agents"` // of cut: who is cut off, by name or as site:NAME; none: all
-	Size   float64  `toml:"size"`   // what it means depends on what; see Faults
+	ForS   float64  `toml:"for_s"`  // duration; 0: to the end of the run
+	Nodes  []string `toml:"nodes"`  // empty: all
+	Agents []string `toml:"agents"` // cut only: agents cut off, by name or as site:NAME; empty: all
+	Size   float64  `toml:"size"`   // meaning depends on What; see Faults
 
-	byHand *hand // ended by a call, not by its time
+	manualEnd *manualEnd // ends a fault that Harm began; nil: the fault ends by ForS
 }
 
-// Faults are those that a scenario can time, and what their size means.
+// Faults describes the faults that a scenario can schedule and the meaning of their size.
 var Faults = map[string]string{
 	"fail_fast":         "share of requests that a node answers 500 at once",
-	"slow":              "how many times slower it works",
-	"silent":            "the machine says nothing more: connections stay open, new ones bring nothing",
-	"cut":               "it says nothing to some agents: their connections stay open, new ones bring nothing",
-	"reset_before":      "share of connections that it resets before a request's last byte is read",
-	"reset_after":       "share of requests after whose last byte it resets the connection",
-	"spoilt":            "share of answers that can't be read",
-	"drain":             "it is listed as draining, and turns new work away after the drain grace",
-	"gone":              "its process dies; it is listed as gone",
-	"restart":           "its process dies and starts again cold after size seconds",
-	"replace":           "its process dies; another, under a new id, starts cold at its address after size seconds",
-	"discovery_stale":   "size seconds more until a change is told",
-	"discovery_down":    "discovery answers nothing, and ends its watches",
-	"discovery_moves":   "discovery closes its address; agents find it at another in their configuration",
-	"report_unreadable": "share of load reports that can't be read",
-	"stale":             "ms of rest after which it resets a kept connection at the next request",
+	"slow":              "factor by which the node is slower",
+	"silent":            "the machine sends nothing: connections stay open, new ones get no answer",
+	"cut":               "the node sends nothing to some agents: their connections stay open, new ones get no answer",
+	"reset_before":      "share of requests whose connection is reset before their last byte is read",
+	"reset_after":       "share of requests whose connection is reset after their last byte is read",
+	"spoilt":            "share of answers that cannot be parsed",
+	"drain":             "the node is listed as draining and rejects new work after the drain grace",
+	"gone":              "the process dies and the node is listed as gone",
+	"restart":           "the process dies and starts again, cold, after size seconds",
+	"replace":           "the process dies; another one with a new id starts cold at the same address after size seconds",
+	"discovery_stale":   "additional delay of each change, in seconds",
+	"discovery_down":    "discovery answers 503 and ends its watches",
+	"discovery_moves":   "discovery moves to another address, which the agents' new configuration names",
+	"report_unreadable": "share of load reports that cannot be parsed",
+	"stale":             "ms of idle time after which a kept connection is reset at the next request",
 }
 
-// ReadScenario reads and checks a file.
+// ReadScenario reads and checks a scenario file.
 func ReadScenario(path string) (*Scenario, error) {
 	var s Scenario
 	if err := strict.DecodeFile(path, &s); err != nil {
@@ -146,7 +145,7 @@
 	return &s, nil
 }
 
-// ParseScenario reads and checks a scenario's text.
+// ParseScenario decodes and checks a scenario; name is the file name in errors.
 func ParseScenario(name string, raw []byte) (*Scenario, error) {
 	var s Scenario
 	if err := strict.Decode(name, raw, &s); err != nil {
@@ -158,30 +157,30 @@
 	return &s, nil
 }
 
-func or(v *float64, def float64) {
+func setDefault(v *float64, def float64) {
 	if *v == 0 {
 		*v = def
 	}
 }
 
-// Check fills in what was left out, for a scenario that was read as part of something else.
+// Check fills in defaults and checks a scenario that was decoded as part of another document.
 func (s *Scenario) Check() error { return s.check() }
 
-// check fills in what was left out and names the first thing that makes no sense.
+// check fills in defaults and returns an error about the first invalid value.
 func (s *Scenario) check() error {
-	or(&s.Seconds, 30)
-	or(&s.Rules.DrainGraceMs, 500)
-	or(&s.Rules.AnswerGraceMs, 20)
-	or(&s.Rules.ColdShare, 0.32)
-	or(&s.Rules.RampMs, 7800)
-	or(&s.Rules.FallMultiple, 3)
-	or(&s.Rules.FallMs, 1500)
-	or(&s.Rules.SlackMs, 50)
-	or(&s.Allow.MaxRetryAfterMs, 750)
-	or(&s.Allow.ConnectMs, 150)
-	or(&s.Allow.IdleCloseMs, 10000)
-	or(&s.Discovery.HeartbeatMs, 2000)
-	or(&s.Report.RefreshMs, 450)
+	setDefault(&s.Seconds, 30)
+	setDefault(&s.Rules.DrainGraceMs, 500)
+	setDefault(&s.Rules.AnswerGraceMs, 20)
+	setDefault(&s.Rules.ColdShare, 0.32)
+	setDefault(&s.Rules.RampMs, 7800)
+	setDefault(&s.Rules.FallMultiple, 3)
+	setDefault(&s.Rules.FallMs, 1500)
+	setDefault(&s.Rules.SlackMs, 50)
+	setDefault(&s.Allow.MaxRetryAfterMs, 750)
+	setDefault(&s.Allow.ConnectMs, 150)
+	setDefault(&s.Allow.IdleCloseMs, 10000)
+	setDefault(&s.Discovery.HeartbeatMs, 2000)
+	setDefault(&s.Report.RefreshMs, 450)
 	if s.Allow.Attempts == 0 {
 		s.Allow.Attempts = 5
 	}
@@ -202,7 +201,7 @@
 		"allow.max_retry_after_ms": s.Allow.MaxRetryAfterMs, "allow.connect_ms": s.Allow.ConnectMs, "allow.idle_close_ms": s.Allow.IdleCloseMs,
 		"discovery.delay_ms": s.Discovery.DelayMs[0], "discovery.heartbeat_ms": s.Discovery.HeartbeatMs, "report.refresh_ms": s.Report.RefreshMs} {
 		if !(v >= 0) || v > 1e7 {
-			return fmt.Errorf("%s: %v makes no sense", key, v)
+			return fmt.Errorf("%s: %v is not within 0 and 1e7", key, v)
 		}
 	}
 	switch {
@@ -211,17 +210,17 @@
 	case s.Agents < 1 || s.Agents > 256:
 		return fmt.Errorf("agents: %d is not within 1 and 256", s.Agents)
 	case s.Discovery.DelayMs[1] < s.Discovery.DelayMs[0]:
-		return fmt.Errorf("discovery.delay_ms: the second is the longer one")
+		return fmt.Errorf("discovery.delay_ms: the second must not be shorter than the first")
 	case s.Limits.Sockets < 64:
-		return fmt.Errorf("limits.sockets: %d are too few, 64 needed", s.Limits.Sockets)
+		return fmt.Errorf("limits.sockets: %d is below the minimum of 64", s.Limits.Sockets)
 	case len(s.Classes) == 0:
-		return fmt.Errorf("class: none")
+		return fmt.Errorf("class: at least one is required")
 	case len(s.Nodes) == 0:
-		return fmt.Errorf("node: none")
+		return fmt.Errorf("node: at least one is required")
 	}
 	for i, f := range s.Report.Fields {
 		if !slices.Contains([]string{"latency_ms", "qps", "queue", "inflight", "util"}, f) {
-			return fmt.Errorf("report.fields[%d]: %q is not known", i, f)
+			return fmt.Errorf("report.fields[%d]: %q is unknown", i, f)
 		}
 	}
 	if err := s.checkClasses(); err != nil {
@@ -242,25 +241,25 @@
 		if c.Group == "" {
 			c.Group = "all"
 		}
-		or(&c.DeadlineMs, 1000)
-		or(&c.AimMs, c.DeadlineMs/2)
-		or(&c.Worth, 1)
-		or(&c.WorkMs, 10)
+		setDefault(&c.DeadlineMs, 1000)
+		setDefault(&c.AimMs, c.DeadlineMs/2)
+		setDefault(&c.Worth, 1)
+		setDefault(&c.WorkMs, 10)
 		if c.Effect == "keyed" {
-			or(&c.WindowMs, 1000)
+			setDefault(&c.WindowMs, 1000)
 		}
 		switch {
 		case c.Name == "":
 			return fmt.Errorf("%sname: missing", at)
 		case !slices.Contains([]string{"safe", "keyed", "unsafe"}, c.Effect):
-			return fmt.Errorf("%seffect: %q is none of safe, keyed, unsafe", at, c.Effect)
+			return fmt.Errorf("%seffect: %q is not one of safe, keyed, unsafe", at, c.Effect)
 		case !slices.Contains([]string{"all", "zone", "cell"}, c.Group):
-			return fmt.Errorf("%sgroup: %q is none of all, zone, cell", at, c.Group)
+			return fmt.Errorf("%sgroup: %q is not one of all, zone, cell", at, c.Group)
 		}
 		for key, v := range map[string]float64{"window_ms": c.WindowMs, "aim_ms": c.AimMs, "deadline_ms": c.DeadlineMs, "worth": c.Worth,
 			"late_worth": c.LateWorth, "work_ms": c.WorkMs, "cv": c.CV} {
 			if !(v >= 0) || math.IsInf(v, 0) {
-				return fmt.Errorf("%s%s: %v makes no sense", at, key, v)
+				return fmt.Errorf("%s%s: %v is not a finite number of 0 or more", at, key, v)
 			}
 		}
 	}
@@ -270,7 +269,7 @@
 func (s *Scenario) checkNodes() error {
 	for i := range s.Kinds {
 		k, at := &s.Kinds[i], fmt.Sprintf("kind %d (%s): ", i+1, s.Kinds[i].Name)
-		or(&k.Speed, 1)
+		setDefault(&k.Speed, 1)
 		if k.Cores == 0 {
 			k.Cores = 4
 		}
@@ -287,13 +286,13 @@
 		case k.Name == "":
 			return fmt.Errorf("%sname: missing", at)
 		case k.Cores < 1 || k.Cores > 1024:
-			return fmt.Errorf("%scores: %d makes no sense", at, k.Cores)
+			return fmt.Errorf("%scores: %d is not within 1 and 1024", at, k.Cores)
 		case k.Slots < k.Cores || k.Slots > 1<<14:
-			return fmt.Errorf("%sslots: %d are fewer than its cores, or too many", at, k.Slots)
+			return fmt.Errorf("%sslots: %d is not within the number of cores and 16384", at, k.Slots)
 		case !(k.Speed > 0) || math.IsInf(k.Speed, 0):
-			return fmt.Errorf("%sspeed: %v makes no sense", at, k.Speed)
+			return fmt.Errorf("%sspeed: %v is not a finite number above 0", at, k.Speed)
 		case k.Queue < 0 || k.Conns < 1 || !(k.HandshakeMs >= 0):
-			return fmt.Errorf("%squeue, conns or handshake_ms make no sense", at)
+			return fmt.Errorf("%squeue or handshake_ms is negative, or conns is below 1", at)
 		}
 	}
 	names := map[string]bool{}
@@ -307,13 +306,13 @@
 		}
 		switch {
 		case n.Name == "" || names[n.Name]:
-			return fmt.Errorf("%sname: missing, or there twice", at)
+			return fmt.Errorf("%sname: missing or duplicate", at)
 		case !slices.Contains(s.Sites, n.Site):
-			return fmt.Errorf("%ssite: %q is none of %v", at, n.Site, s.Sites)
+			return fmt.Errorf("%ssite: %q is not one of %v", at, n.Site, s.Sites)
 		case !slices.ContainsFunc(s.Kinds, func(k KindSpec) bool { return k.Name == n.Kind }):
-			return fmt.Errorf("%skind: %q is not described", at, n.Kind)
+			return fmt.Errorf("%skind: %q is not defined", at, n.Kind)
 		case n.Count < 1 || n.Count > 1000:
-			return fmt.Errorf("%scount: %d makes no sense", at, n.Count)
+			return fmt.Errorf("%scount: %d is not within 1 and 1000", at, n.Count)
 		}
 		names[n.Name] = true
 	}
@@ -324,51 +323,51 @@
 	for i := range s.Faults {
 		f, at := &s.Faults[i], fmt.Sprintf("fault %d (%s): ", i+1, s.Faults[i].What)
 		if _, known := Faults[f.What]; !known {
-			return fmt.Errorf("%swhat: not known", at)
+			return fmt.Errorf("%swhat: unknown", at)
 		}
 		if !(f.AtS >= 0) || !(f.ForS >= 0) || f.AtS > 1e6 || f.ForS > 1e6 {
-			return fmt.Errorf("%sat_s and for_s: %v, %v make no sense", at, f.AtS, f.ForS)
+			return fmt.Errorf("%sat_s and for_s: %v, %v are not within 0 and 1e6", at, f.AtS, f.ForS)
 		}
 		switch f.What {
 		case "fail_fast", "reset_before", "reset_after", "spoilt", "report_unreadable":
-			or(&f.Size, 1)
+			setDefault(&f.Size, 1)
 			if !(f.Size > 0 && f.Size <= 1) {
-				return fmt.Errorf("%ssize: %v is no share", at, f.Size)
+				return fmt.Errorf("%ssize: %v is not above 0 and at most 1", at, f.Size)
 			}
 		case "stale":
-			or(&f.Size, 50)
+			setDefault(&f.Size, 50)
 			if !(f.Size > 0) || f.Size > 1e7 {
-				return fmt.Errorf("%ssize: %v ms make no sense", at, f.Size)
+				return fmt.Errorf("%ssize: %v ms is not above 0 and at most 1e7", at, f.Size)
 			}
 		case "slow":
 			if !(f.Size >= 1) || math.IsInf(f.Size, 0) {
-				return fmt.Errorf("%ssize: %v is not 1 or more", at, f.Size)
+				return fmt.Errorf("%ssize: %v is not a finite number of 1 or more", at, f.Size)
 			}
 		case "restart", "replace", "discovery_stale":
-			or(&f.Size, 1)
+			setDefault(&f.Size, 1)
 			if !(f.Size >= 0) || f.Size > 1e5 {
-				return fmt.Errorf("%ssize: %v s make no sense", at, f.Size)
+				return fmt.Errorf("%ssize: %v s is not within 0 and 1e5", at, f.Size)
 			}
 		}
 		if len(f.Agents) > 0 && f.What != "cut" {
-			return fmt.Errorf("%sagents: of cut alone", at)
+			return fmt.Errorf("%sagents: only valid for cut", at)
 		}
 		for _, name := range f.Agents {
-			if len(s.agents(name)) == 0 {
-				return fmt.Errorf("%sagents: %q is none", at, name)
+			if len(s.agentsNamed(name)) == 0 {
+				return fmt.Errorf("%sagents: %q names no agent", at, name)
 			}
 		}
 		for _, name := range f.Nodes {
-			if len(s.match(name)) == 0 {
-				return fmt.Errorf("%snodes: %q is none of the site's", at, name)
+			if len(s.nodesNamed(name)) == 0 {
+				return fmt.Errorf("%snodes: %q names no node", at, name)
 			}
 		}
 	}
 	return nil
 }
 
-// match returns the names of the single nodes that a name in a fault means.
-func (s *Scenario) match(name string) (list []string) {
+// nodesNamed returns the names of the single nodes that a name in a fault stands for.
+func (s *Scenario) nodesNamed(name string) (list []string) {
 	for _, n := range s.Nodes {
 		for _, one := range n.names() {
 			if one == name || n.Name == name {
@@ -379,8 +378,8 @@
 	return list
 }
 
-// agents are the numbers of those that a name in a fault means: n0 and so on, or site:NAME.
-func (s *Scenario) agents(name string) (list []int) {
+// agentsNamed returns the numbers of the agents that a name in a fault stands for: n0 and so on, or site:NAME.
+func (s *Scenario) agentsNamed(name string) (list []int) {
 	site, ofSite := strings.CutPrefix(name, "site:")
 	for i := range s.Agents {
 		if ofSite && s.Sites[i%len(s.Sites)] == site || name == fmt.Sprintf("n%d", i) {
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -17,7 +17,7 @@
 	"lemonrail/internal/ledger"
 )
 
-// Observer is told what happens at a site. *ledger.Ledger is one.
+// Observer is told of the events at a site. *ledger.Ledger implements it.
 type Observer interface {
 	Began(ledger.Attempt) (ended func(ledger.Ending))
 	Work(node, agent string, at time.Time, amount float64) (falls bool)
@@ -25,38 +25,38 @@
 	Started(node string, at time.Time, rate float64)
 }
 
-// Happening is something that a site did to itself.
+// Happening is an entry of a site's log: a fault that began or ended, or its consequence.
 type Happening struct {
 	At   time.Duration // since the site's start
 	Text string
 }
 
-// Site is a scenario that runs.
+// Site is a running scenario.
 type Site struct {
-	sc     *Scenario
-	watch  Observer
-	ctx    context.Context
-	cancel context.CancelFunc
-	tasks  sync.WaitGroup
-	timers *timers
-	start  time.Time
-
-	machines  []*machine
-	registers []*register
-
-	mu        sync.Mutex
-	listed    map[string]bool // every id that was ever listed
-	rng       *rand.Rand
-	stale     float64 // s more until a change is told
-	seen      map[string]time.Time
-	seenOrder []string
-	log       []Happening
-	err       error
-	moved     chan string // agents whose discovery has moved
-	replaced  int
+	scenario *Scenario
+	observer Observer
+	ctx      context.Context
+	cancel   context.CancelFunc
+	tasks    sync.WaitGroup
+	timers   *timers
+	start    time.Time
+
+	machines    []*machine
+	discoveries []*agentDiscovery
+
+	mu           sync.Mutex
+	listed       map[string]bool // every node id that was ever listed
+	rng          *rand.Rand
+	staleness    float64 // additional delay of changes in s, by discovery_stale
+	keyTimes     map[string]time.Time
+	keyOrder     []string
+	log          []Happening
+	err          error
+	moved        chan string // agents whose discovery address has changed
+	replacements int
 }
 
-// RulesOf are a scenario's figures as the observer needs them.
+// RulesOf returns the parameters of a scenario that the observer checks against.
 func RulesOf(sc *Scenario) ledger.Rules {
 	r := ledger.Rules{Classes: map[string]ledger.Class{}, AnswerGrace: ms(sc.Rules.AnswerGraceMs), DrainGrace: ms(sc.Rules.DrainGraceMs),
 		ColdShare: sc.Rules.ColdShare, Ramp: ms(sc.Rules.RampMs), FallMultiple: sc.Rules.FallMultiple, FallWindow: ms(sc.Rules.FallMs),
@@ -68,19 +68,19 @@
 }
 
 const (
-	maxSeen = 1 << 16 // idempotency keys that are remembered
-	maxLog  = 4096
+	maxKeys       = 1 << 16 // maximum number of idempotency keys remembered
+	maxLogEntries = 4096
 )
 
-// Open starts a site. Faults are timed from Begin.
+// Open starts a site. The scenario's faults are scheduled by Begin.
 func Open(sc *Scenario, watch Observer) (*Site, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &Site{sc: sc, watch: watch, ctx: ctx, cancel: cancel, timers: newTimers(), start: time.Now(), listed: map[string]bool{},
-		rng: rand.New(rand.NewPCG(sc.Seed, 1)), seen: map[string]time.Time{}, moved: make(chan string, sc.Agents)}
+	s := &Site{scenario: sc, observer: watch, ctx: ctx, cancel: cancel, timers: newTimers(), start: time.Now(), listed: map[string]bool{},
+		rng: rand.New(rand.NewPCG(sc.Seed, 1)), keyTimes: map[string]time.Time{}, moved: make(chan string, sc.Agents)}
 	for _, n := range sc.Nodes {
 		kind := &sc.Kinds[slices.IndexFunc(sc.Kinds, func(k KindSpec) bool { return k.Name == n.Kind })]
 		for _, id := range n.names() {
-			m := &machine{site: s, kind: kind, zone: n.Site, block: n.Block, index: len(s.machines), faults: map[string]float64{}, conns: map[net.Conn]string{}, cut: map[string]int{}}
+			m := &machine{site: s, kind: kind, zone: n.Site, block: n.Block, index: len(s.machines), faults: map[string]float64{}, conns: map[net.Conn]string{}, cutAgents: map[string]int{}}
 			s.machines = append(s.machines, m)
 			s.listed[id] = true
 			if err := m.start(id, time.Time{}); err != nil {
@@ -89,33 +89,33 @@
 		}
 	}
 	for i := range sc.Agents {
-		var hosts []entry
+		var hosts []host
 		for _, m := range s.machines {
 			hosts = append(hosts, m.entry(i, "ready"))
 		}
-		r, err := newRegister(s, s.agentName(i), hosts)
+		r, err := newAgentDiscovery(s, s.agentName(i), hosts)
 		if err != nil {
 			return nil, errors.Join(err, s.Close())
 		}
-		s.registers = append(s.registers, r)
-		for _, h := range hosts { // what an agent finds in its configuration it has been told
-			s.watch.Told(r.agent, h.Host, "ready", time.Time{}, s.start)
+		s.discoveries = append(s.discoveries, r)
+		for _, h := range hosts { // the list in the agent's configuration counts as reported to it
+			s.observer.Told(r.agent, h.Host, "ready", time.Time{}, s.start)
 		}
 	}
 	return s, nil
 }
 
-// Close ends the site and waits until nothing of it is left.
+// Close ends the site and waits until all its goroutines have ended.
 func (s *Site) Close() error {
 	s.cancel()
-	for _, r := range s.registers {
+	for _, r := range s.discoveries {
 		r.close()
 	}
 	s.timers.stop()
 	s.tasks.Wait()
 	for _, m := range s.machines {
-		m.die()
-		for _, fd := range m.places {
+		m.stop()
+		for _, fd := range m.reservedFDs {
 			syscall.Close(fd)
 		}
 	}
@@ -130,12 +130,12 @@
 	s.err = errors.Join(s.err, err)
 }
 
-func (s *Site) spawn(f func()) { s.tasks.Go(f) }
+func (s *Site) goTask(f func()) { s.tasks.Go(f) }
 
 func (s *Site) agentName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// ids are all nodes that were ever listed.
-func (s *Site) ids() []string {
+// listedNodes returns the ids of all nodes that were ever listed, sorted.
+func (s *Site) listedNodes() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make([]string, 0, len(s.listed))
@@ -147,56 +147,55 @@
 }
 
 func (s *Site) class(name string) *ClassSpec {
-	for i := range s.sc.Classes {
-		if s.sc.Classes[i].Name == name {
-			return &s.sc.Classes[i]
+	for i := range s.scenario.Classes {
+		if s.scenario.Classes[i].Name == name {
+			return &s.scenario.Classes[i]
 		}
 	}
 	return nil
 }
 
-// remember notes a key for a time. It reports whether it is new: a repeat within that time is not.
-func (s *Site) remember(key string, window time.Duration) bool {
+// rememberKey remembers a key for a time. It reports false if the key was used within that time already.
+func (s *Site) rememberKey(key string, window time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if at, ok := s.seen[key]; ok && now.Sub(at) < window {
+	if at, ok := s.keyTimes[key]; ok && now.Sub(at) < window {
 		return false
 	}
-	if _, ok := s.seen[key]; !ok {
-		s.seenOrder = append(s.seenOrder, key)
+	if _, ok := s.keyTimes[key]; !ok {
+		s.keyOrder = append(s.keyOrder, key)
 	}
-	s.seen[key] = now
-	if len(s.seenOrder) > maxSeen {
-		for _, old := range s.seenOrder[:maxSeen/4] {
-			delete(s.seen, old)
+	s.keyTimes[key] = now
+	if len(s.keyOrder) > maxKeys {
+		for _, old := range s.keyOrder[:maxKeys/4] {
+			delete(s.keyTimes, old)
 		}
-		s.seenOrder = append(s.seenOrder[:0], s.seenOrder[maxSeen/4:]...)
+		s.keyOrder = append(s.keyOrder[:0], s.keyOrder[maxKeys/4:]...)
 	}
 	return true
 }
 
-// Log is what the site did to itself so far.
+// Log returns the faults and their consequences so far.
 func (s *Site) Log() []Happening {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.log)
 }
 
-func (s *Site) say(format string, args ...any) {
+func (s *Site) logEvent(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.log) < maxLog {
+	if len(s.log) < maxLogEntries {
 		s.log = append(s.log, Happening{time.Since(s.start), fmt.Sprintf(format, args...)})
 	}
 }
 
-// Moved yields the names of agents whose discovery has moved: they need their new configuration
-// and a SIGHUP.
+// Moved returns a channel of agent names whose discovery address has changed: these agents need their new
+// configuration and a SIGHUP.
 func (s *Site) Moved() <-chan string { return s.moved }
 
-// FreeSlots counts, over the nodes that serve now, the places in which a request would be worked on
-// at once.
+// FreeSlots returns the number of free slots of all serving nodes: requests that would be worked on at once.
 func (s *Site) FreeSlots() (free int) {
 	for _, m := range s.machines {
 		m.mu.Lock()
@@ -208,27 +207,27 @@
 	return free
 }
 
-// entry is how discovery lists the machine to one agent.
-func (m *machine) entry(agent int, health string) entry {
+// entry returns the machine's entry in the list for one agent.
+func (m *machine) entry(agent int, health string) host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	born := 0.0
 	if !m.started.IsZero() {
 		born = float64(m.started.UnixMilli())
 	}
-	return entry{Host: m.id, Dial: m.addrs[agent], Site: m.zone, Class: m.kind.Name, Block: m.block, Health: health, Share: 1, BornMs: born}
+	return host{Host: m.id, Dial: m.addrs[agent], Site: m.zone, Class: m.kind.Name, Block: m.block, Health: health, Share: 1, BornMs: born}
 }
 
-// list tells all agents of a change, each after a delay of its own.
-func (s *Site) list(m *machine, health string) {
+// announce makes a change of a machine visible to all agents, each after its own delay.
+func (s *Site) announce(m *machine, health string) {
 	s.mu.Lock()
-	lo, hi := s.sc.Discovery.DelayMs[0], s.sc.Discovery.DelayMs[1]
-	delays := make([]time.Duration, len(s.registers))
+	lo, hi := s.scenario.Discovery.DelayMs[0], s.scenario.Discovery.DelayMs[1]
+	delays := make([]time.Duration, len(s.discoveries))
 	for i := range delays {
-		delays[i] = ms(lo+(hi-lo)*s.rng.Float64()) + sec(s.stale)
+		delays[i] = ms(lo+(hi-lo)*s.rng.Float64()) + sec(s.staleness)
 	}
 	s.mu.Unlock()
-	for i, r := range s.registers {
+	for i, r := range s.discoveries {
 		e := m.entry(i, health)
 		s.mu.Lock()
 		s.listed[e.Host] = true
@@ -237,72 +236,73 @@
 	}
 }
 
-// fell is what becomes of a cold node that was pushed over: it stays down.
-func (s *Site) fell(m *machine) {
+// nodeFailed ends a cold node that was sent too much work. The node stays down.
+func (s *Site) nodeFailed(m *machine) {
 	m.mu.Lock()
 	id := m.id
 	m.mu.Unlock()
-	s.say("%s falls over", id)
-	m.die()
-	s.list(m, "gone")
+	s.logEvent("%s falls over", id)
+	m.stop()
+	s.announce(m, "gone")
 }
 
-// Begin times the scenario's faults from now on.
+// Begin schedules the scenario's faults from now on.
 func (s *Site) Begin() {
 	s.mu.Lock()
 	s.start = time.Now()
 	s.mu.Unlock()
-	for i := range s.sc.Faults {
-		f := &s.sc.Faults[i]
-		s.timers.after(sec(f.AtS), func() { s.spawn(func() { s.fault(f) }) })
+	for i := range s.scenario.Faults {
+		f := &s.scenario.Faults[i]
+		s.timers.after(sec(f.AtS), func() { s.goTask(func() { s.applyFault(f) }) })
 	}
 }
 
-// meant are the machines that a fault is for.
-func (s *Site) meant(f *FaultSpec) (list []*machine) {
+// targets returns the machines that a fault applies to.
+func (s *Site) targets(f *FaultSpec) (list []*machine) {
 	for _, m := range s.machines {
 		m.mu.Lock()
 		id := m.id
 		m.mu.Unlock()
-		if len(f.Nodes) == 0 || slices.ContainsFunc(f.Nodes, func(name string) bool { return slices.Contains(s.sc.match(name), id) }) {
+		if len(f.Nodes) == 0 || slices.ContainsFunc(f.Nodes, func(name string) bool { return slices.Contains(s.scenario.nodesNamed(name), id) }) {
 			list = append(list, m)
 		}
 	}
 	return list
 }
 
-// hand is how a fault ends that a call began.
-type hand struct {
-	mu   sync.Mutex
-	ends []func()
+// manualEnd collects the functions that end a fault that Harm began.
+type manualEnd struct {
+	mu        sync.Mutex
+	functions []func()
 }
 
-// Harm begins a fault now. The function that comes back ends it, where it is one that ends; AtS and ForS say nothing.
+// Harm begins a fault now, ignoring AtS and ForS. The returned function ends the fault, if it is one that can
+// end.
 func (s *Site) Harm(f FaultSpec) (end func(), err error) {
-	f.AtS, f.ForS, f.byHand = 0, 0, &hand{}
-	sc := *s.sc
+	f.AtS, f.ForS, f.manualEnd = 0, 0, &manualEnd{}
+	sc := *s.scenario
 	sc.Faults = []FaultSpec{f}
 	if err := sc.checkFaults(); err != nil {
 		return nil, err
 	}
 	f = sc.Faults[0]
-	s.fault(&f)
+	s.applyFault(&f)
 	return func() {
-		f.byHand.mu.Lock()
-		defer f.byHand.mu.Unlock()
-		for _, end := range f.byHand.ends {
+		f.manualEnd.mu.Lock()
+		defer f.manualEnd.mu.Unlock()
+		for _, end := range f.manualEnd.functions {
 			end()
 		}
-		f.byHand.ends = nil
+		f.manualEnd.functions = nil
 	}, nil
 }
 
-// ending runs f when a fault is over, if it ends at all.
-func (s *Site) ending(f *FaultSpec, end func()) {
-	if f.byHand != nil {
-		f.byHand.mu.Lock()
-		defer f.byHand.mu.Unlock()
-		f.byHand.ends = append(f.byHand.ends, end)
+// whenOver runs end when the fault is over, if it has an end.
+func (s *Site) whenOver(f *FaultSpec, end func()) {
+	if f.manualEnd != nil {
+		f.manualEnd.mu.Lock()
+		defer f.manualEnd.mu.Unlock()
+		f.manualEnd.functions = append(f.manualEnd.functions, end)
 		return
 	}
 	if f.ForS > 0 {
@@ -310,32 +310,32 @@
 	}
 }
 
-func (s *Site) fault(f *FaultSpec) {
-	s.say("%s %v (size %v)", f.What, f.Nodes, f.Size)
-	s.ending(f, func() { s.say("%s ends", f.What) })
+func (s *Site) applyFault(f *FaultSpec) {
+	s.logEvent("%s %v (size %v)", f.What, f.Nodes, f.Size)
+	s.whenOver(f, func() { s.logEvent("%s ends", f.What) })
 	switch f.What {
 	case "discovery_stale":
 		s.mu.Lock()
-		s.stale += f.Size
+		s.staleness += f.Size
 		s.mu.Unlock()
-		s.ending(f, func() {
+		s.whenOver(f, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.stale -= f.Size
+			s.staleness -= f.Size
 		})
 		return
 	case "discovery_down":
-		for _, r := range s.registers {
+		for _, r := range s.discoveries {
 			r.setDown(true)
 		}
-		s.ending(f, func() {
-			for _, r := range s.registers {
+		s.whenOver(f, func() {
+			for _, r := range s.discoveries {
 				r.setDown(false)
 			}
 		})
 		return
 	case "discovery_moves":
-		for _, r := range s.registers {
+		for _, r := range s.discoveries {
 			if _, err := r.move(); err != nil {
 				s.fail(err)
 				return
@@ -347,13 +347,13 @@
 		}
 		return
 	}
-	for _, m := range s.meant(f) {
-		s.faultOf(f, m)
+	for _, m := range s.targets(f) {
+		s.applyToMachine(f, m)
 	}
 }
 
-// faultOf is what a fault does to one machine.
-func (s *Site) faultOf(f *FaultSpec, m *machine) {
+// applyToMachine applies a fault to one machine.
+func (s *Site) applyToMachine(f *FaultSpec, m *machine) {
 	set := func(g func()) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
@@ -362,84 +362,84 @@
 	switch f.What {
 	case "silent":
 		set(func() { m.silent = true })
-		s.ending(f, func() {
+		s.whenOver(f, func() {
 			set(func() {
 				m.silent = false
-				for nc := range m.conns { // reset when it is back
+				for nc := range m.conns { // the machine resets old connections once it is reachable again
 					reset(nc)
 				}
 			})
 		})
 	case "cut":
-		who := map[string]bool{}
+		agents := map[string]bool{}
 		for _, name := range f.Agents {
-			for _, i := range s.sc.agents(name) {
-				who[s.agentName(i)] = true
+			for _, i := range s.scenario.agentsNamed(name) {
+				agents[s.agentName(i)] = true
 			}
 		}
 		if len(f.Agents) == 0 {
-			for i := range s.sc.Agents {
-				who[s.agentName(i)] = true
+			for i := range s.scenario.Agents {
+				agents[s.agentName(i)] = true
 			}
 		}
 		set(func() {
-			for agent := range who {
-				m.cut[agent]++
+			for agent := range agents {
+				m.cutAgents[agent]++
 			}
 		})
-		s.ending(f, func() {
+		s.whenOver(f, func() {
 			set(func() {
-				for agent := range who {
-					m.cut[agent]--
+				for agent := range agents {
+					m.cutAgents[agent]--
 				}
 				for nc, agent := range m.conns {
-					if who[agent] {
+					if agents[agent] {
 						reset(nc)
 					}
 				}
 			})
 		})
 	case "drain":
-		// It goes on with what it gets until all agents must have heard of it.
-		lag := ms(s.sc.Discovery.DelayMs[1]+s.sc.Rules.DrainGraceMs) + sec(s.stale)
+		// The node keeps accepting work until all agents must have received the change.
+		lag := ms(s.scenario.Discovery.DelayMs[1]+s.scenario.Rules.DrainGraceMs) + sec(s.staleness)
 		set(func() { m.draining = time.Now().Add(lag) })
-		s.list(m, "draining")
-		s.ending(f, func() {
+		s.announce(m, "draining")
+		s.whenOver(f, func() {
 			set(func() { m.draining = time.Time{} })
-			s.list(m, "ready")
+			s.announce(m, "ready")
 		})
 	case "gone":
-		m.die()
-		s.list(m, "gone")
-		s.ending(f, func() { s.spawn(func() { s.again(m, m.id) }) })
+		m.stop()
+		s.announce(m, "gone")
+		s.whenOver(f, func() { s.goTask(func() { s.restart(m, m.id) }) })
 	case "restart":
-		m.die()
-		s.timers.after(sec(f.Size), func() { s.spawn(func() { s.again(m, m.id) }) })
+		m.stop()
+		s.timers.after(sec(f.Size), func() { s.goTask(func() { s.restart(m, m.id) }) })
 	case "replace":
-		s.list(m, "gone")
-		m.die()
+		s.announce(m, "gone")
+		m.stop()
 		s.mu.Lock()
-		s.replaced++
-		id := fmt.Sprintf("%s.%d", m.id, s.replaced)
+		s.replacements++
+		id := fmt.Sprintf("%s.%d", m.id, s.replacements)
 		s.mu.Unlock()
-		s.timers.after(sec(f.Size), func() { s.spawn(func() { s.again(m, id) }) })
+		s.timers.after(sec(f.Size), func() { s.goTask(func() { s.restart(m, id) }) })
 	default:
-		// What is in work goes on at its new speed.
+		// The working jobs continue at the new speed.
 		change := func(g func()) {
 			set(func() {
 				now := time.Now()
 				m.progress(now)
 				g()
-				m.ahead(now)
+				m.schedule(now)
 			})
 		}
 		change(func() { m.faults[f.What] = f.Size })
-		s.ending(f, func() { change(func() { delete(m.faults, f.What) }) })
+		s.whenOver(f, func() { change(func() { delete(m.faults, f.What) }) })
 	}
 }
 
-// again starts a machine's process cold.
-func (s *Site) again(m *machine, id string) {
+// restart starts a machine's process cold.
+func (s *Site) restart(m *machine, id string) {
 	if s.ctx.Err() != nil {
 		return
 	}
@@ -447,28 +447,28 @@
 		s.fail(err)
 		return
 	}
-	s.say("%s starts cold", id)
-	s.list(m, "ready")
+	s.logEvent("%s starts cold", id)
+	s.announce(m, "ready")
 }
 
-// Config is one agent's configuration, as DEPLOY describes it.
+// Config returns an agent's configuration as DEPLOY describes it.
 func (s *Site) Config(agent int, listen string) ([]byte, error) {
-	r := s.registers[agent]
+	r := s.discoveries[agent]
 	r.mu.Lock()
-	known, addr := r.whole(), r.addr
+	known, addr := r.fullList(), r.addr
 	r.mu.Unlock()
 	h := fnv.New64a()
-	fmt.Fprintf(h, "agent %d %d %d", s.sc.Seed, agent, time.Now().UnixNano())
+	fmt.Fprintf(h, "agent %d %d %d", s.scenario.Seed, agent, time.Now().UnixNano())
 	return json.MarshalIndent(map[string]any{
 		"name": r.agent, "listen": listen, "discovery": addr, "seed": fmt.Sprintf("%016x", h.Sum64()),
-		"limits": map[string]any{"cores": 1, "memory_mb": s.sc.Limits.MemoryMB, "sockets": s.sc.Limits.Sockets},
+		"limits": map[string]any{"cores": 1, "memory_mb": s.scenario.Limits.MemoryMB, "sockets": s.scenario.Limits.Sockets},
 		"known":  known, "settings": s.settings(agent),
 	}, "", " ")
 }
 
-// settings are an agent's, in the wire's names.
+// settings returns an agent's settings under the names of the wire format.
 func (s *Site) settings(agent int) map[string]any {
-	sc := s.sc
+	sc := s.scenario
 	effects := map[string]string{"safe": "repeatable", "keyed": "by_key", "unsafe": "once"}
 	fields := map[string]string{"latency_ms": "recent_ms", "qps": "throughput", "queue": "backlog", "inflight": "outstanding", "util": "utilization"}
 	var classes, kinds, reports []any
@@ -497,8 +497,8 @@
 	}
 }
 
-// Capacity is the work that the site does in a second when all is well, in requests of the classes
-// in the shares given.
+// Capacity returns the requests per second that the site can serve without faults, for the given shares of
+// classes.
 func (s *Site) Capacity(share map[string]float64) float64 {
 	cores, work, sum := 0.0, 0.0, 0.0
 	for _, m := range s.machines {
@@ -516,7 +516,7 @@
 	return cores * sum / work
 }
 
-// timers are functions that are due at a time, and that all end together.
+// timers runs functions after a delay. stop cancels all of them together.
 type timers struct {
 	mu      sync.Mutex
 	stopped bool
@@ -547,7 +547,7 @@
 	t.pending[timer] = true
 }
 
-// stop drops what is pending and waits for what runs.
+// stop cancels pending functions and waits for running ones.
 func (t *timers) stop() {
 	t.mu.Lock()
 	t.stopped = true
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -57,50 +57,50 @@
 block = 1
 `
 
-// notes is an observer that keeps what it is told.
-type notes struct {
-	mu    sync.Mutex
-	began []ledger.Attempt
-	ended []ledger.Ending
-	told  []string
-	falls bool
+// recorder is an observer that keeps the events it is told of.
+type recorder struct {
+	mu       sync.Mutex
+	attempts []ledger.Attempt
+	outcomes []ledger.Ending
+	states   []string
+	falls    bool
 }
 
-func (n *notes) Began(a ledger.Attempt) func(ledger.Ending) {
+func (n *recorder) Began(a ledger.Attempt) func(ledger.Ending) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.began = append(n.began, a)
+	n.attempts = append(n.attempts, a)
 	return func(e ledger.Ending) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.ended = append(n.ended, e)
+		n.outcomes = append(n.outcomes, e)
 	}
 }
-func (n *notes) Work(string, string, time.Time, float64) bool {
+func (n *recorder) Work(string, string, time.Time, float64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.falls
 }
-func (n *notes) Told(agent, node, state string, _, _ time.Time) {
+func (n *recorder) Told(agent, node, state string, _, _ time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.told = append(n.told, agent+" "+node+" "+state)
+	n.states = append(n.states, agent+" "+node+" "+state)
 }
-func (n *notes) Started(string, time.Time, float64) {}
+func (n *recorder) Started(string, time.Time, float64) {}
 
-func (n *notes) endings() []ledger.Ending {
+func (n *recorder) endings() []ledger.Ending {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]ledger.Ending(nil), n.ended...)
+	return append([]ledger.Ending(nil), n.outcomes...)
 }
 
-func open(t *testing.T, more string) (*Site, *notes) {
+func open(t *testing.T, more string) (*Site, *recorder) {
 	t.Helper()
 	sc, err := ParseScenario("small.toml", []byte(small+more))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &notes{}
+	n := &recorder{}
 	s, err := Open(sc, n)
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +113,7 @@
 	return s, n
 }
 
-// list is what an agent finds in its configuration.
+// known returns the discovery address and the list in an agent's configuration.
 func (s *Site) known(t *testing.T, agent int) (discovery string, l listing) {
 	t.Helper()
 	raw, err := s.Config(agent, "127.0.0.1:1")
@@ -174,13 +174,13 @@
 	if status, _, _, err := c.ask("d2", "none", ""); err != nil || status != 404 {
 		t.Errorf("an unknown class got %d, %v", status, err)
 	}
-	if n.began[0].Agent != "n1" || n.began[0].Node != "x" || n.began[0].Zone != "a" || string(n.endings()[0].Answer) != body || !n.endings()[0].Ran {
-		t.Errorf("the observer heard %+v, %+v", n.began, n.ended)
+	if n.attempts[0].Agent != "n1" || n.attempts[0].Node != "x" || n.attempts[0].Zone != "a" || string(n.endings()[0].Answer) != body || !n.endings()[0].Ran {
+		t.Errorf("the observer recorded %+v, %+v", n.attempts, n.outcomes)
 	}
 }
 
-// A repeat of a key takes no effect in the group that remembers it, and does in another.
-func TestRepeatsAreDropped(t *testing.T) {
+// A repeated key takes no effect within the group that remembers it, but does in another group.
+func TestRepeatOfKeyIsDropped(t *testing.T) {
 	s, n := open(t, "")
 	_, l := s.known(t, 0)
 	for i, node := range []int{0, 0, 1} {
@@ -214,7 +214,7 @@
 		t.Run(tt.what, func(t *testing.T) {
 			s, n := open(t, "")
 			_, l := s.known(t, 0)
-			s.fault(&FaultSpec{What: tt.what, Size: tt.size, Nodes: []string{"x"}})
+			s.applyFault(&FaultSpec{What: tt.what, Size: tt.size, Nodes: []string{"x"}})
 			status, body, header, err := dial(t, l.Hosts[0].Dial).ask("d1", "read", "")
 			if !tt.want(status, body, header, err) {
 				t.Errorf("got %d %q, %v", status, body, err)
@@ -225,7 +225,7 @@
 						break
 					}
 					if time.Now().After(end) {
-						t.Fatalf("it never ran: %+v", n.endings())
+						t.Fatalf("the request took no effect: %+v", n.endings())
 					}
 				}
 			}
@@ -236,11 +236,11 @@
 	}
 }
 
-// A machine that is silent says nothing, and resets its connections when it is back.
+// A silent machine does not answer, and resets its connections when it is back.
 func TestSilentMachine(t *testing.T) {
 	s, _ := open(t, "")
 	_, l := s.known(t, 0)
-	s.fault(&FaultSpec{What: "silent", Nodes: []string{"x"}, ForS: 0.05})
+	s.applyFault(&FaultSpec{What: "silent", Nodes: []string{"x"}, ForS: 0.05})
 	if _, _, _, err := dial(t, l.Hosts[0].Dial).ask("d1", "read", ""); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("ended with %v", err)
 	}
@@ -249,30 +249,30 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("it never comes back")
+			t.Fatal("the machine does not answer again")
 		}
 	}
 }
 
-// Beyond its queue and its connections a node takes nothing, and says that it did not run.
-func TestNodeIsFull(t *testing.T) {
+// Beyond its queue and its connections a node rejects requests and marks them as unprocessed.
+func TestFullNodeRejects(t *testing.T) {
 	s, n := open(t, "")
 	_, l := s.known(t, 0)
-	s.fault(&FaultSpec{What: "slow", Size: 1e6, Nodes: []string{"x"}})
+	s.applyFault(&FaultSpec{What: "slow", Size: 1e6, Nodes: []string{"x"}})
 	var waiting []*conn
-	for i := range 3 { // two in work, one in the queue
+	for i := range 3 { // two being worked on, one in the queue
 		c := dial(t, l.Hosts[0].Dial)
 		fmt.Fprintf(c, "GET /read HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: d%d\r\n\r\n", i)
 		waiting = append(waiting, c)
 		for end := time.Now().Add(longWait); ; time.Sleep(time.Millisecond) {
 			n.mu.Lock()
-			came := len(n.began)
+			came := len(n.attempts)
 			n.mu.Unlock()
 			if came == i+1 {
 				break
 			}
 			if time.Now().After(end) {
-				t.Fatal("it never came")
+				t.Fatal("the request did not arrive")
 			}
 		}
 	}
@@ -301,9 +301,9 @@
 	}
 }
 
-// A process that dies refuses connections at its address, and starts again there, cold, under
-// its own id or another.
-func TestNodeDiesAndStartsAgain(t *testing.T) {
+// A process that dies refuses connections at its address and starts again there, cold, under the same id or
+// another.
+func TestRestartAndReplace(t *testing.T) {
 	for _, what := range []string{"restart", "replace"} {
 		s, n := open(t, "")
 		_, l := s.known(t, 0)
@@ -311,7 +311,7 @@
 		if status, _, _, err := dial(t, x.Dial).ask("d1", "read", ""); err != nil || status != 200 {
 			t.Fatalf("got %d, %v", status, err)
 		}
-		s.fault(&FaultSpec{What: what, Nodes: []string{"x"}, Size: 0.03})
+		s.applyFault(&FaultSpec{What: what, Nodes: []string{"x"}, Size: 0.03})
 		if nc, err := net.Dial("tcp", x.Dial); !errors.Is(err, syscall.ECONNREFUSED) {
 			if err == nil {
 				nc.Close()
@@ -348,12 +348,12 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("it stands")
+			t.Fatal("the node is still listed")
 		}
 	}
 }
 
-// watch reads a watch's lines.
+// watch returns a function that reads the next list of a watch, skipping heartbeats.
 func watch(t *testing.T, addr, query string) (next func() (listing, bool)) {
 	t.Helper()
 	tr := &http.Transport{}
@@ -386,7 +386,7 @@
 	if l, ok := next(); !ok || !l.Whole || l.Seq != known.Seq || len(l.Hosts) != 2 {
 		t.Errorf("the first line is %+v", l)
 	}
-	s.fault(&FaultSpec{What: "drain", Nodes: []string{"y"}, ForS: 0.01})
+	s.applyFault(&FaultSpec{What: "drain", Nodes: []string{"y"}, ForS: 0.01})
 	for _, health := range []string{"draining", "ready"} {
 		if l, ok := next(); !ok || l.Whole || len(l.Hosts) != 1 || l.Hosts[0].Health != health {
 			t.Errorf("got %+v, want %s", l, health)
@@ -394,36 +394,36 @@
 	}
 	since := watch(t, addr, fmt.Sprintf("?follow=1&since=%d", known.Seq))
 	if l, ok := since(); !ok || l.Whole || l.Seq != known.Seq+1 {
-		t.Errorf("since the known version comes %+v", l)
+		t.Errorf("a watch from the known version got %+v", l)
 	}
-	s.fault(&FaultSpec{What: "discovery_down", ForS: 0.05})
+	s.applyFault(&FaultSpec{What: "discovery_down", ForS: 0.05})
 	if l, ok := next(); ok {
-		t.Errorf("while it is down comes %+v", l)
+		t.Errorf("while discovery is down the watch got %+v", l)
 	}
-	s.fault(&FaultSpec{What: "discovery_moves"})
+	s.applyFault(&FaultSpec{What: "discovery_moves"})
 	if name := <-s.Moved(); name != "n0" && name != "n1" {
 		t.Errorf("moved: %q", name)
 	}
 	if moved, _ := s.known(t, 1); moved == addr {
-		t.Error("it has not moved")
+		t.Error("discovery has not moved")
 	}
 	if nc, err := net.Dial("tcp", addr); err == nil {
 		nc.Close()
-		t.Error("the old address takes connections")
+		t.Error("the old address accepts connections")
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if told := strings.Join(n.told, "; "); !strings.Contains(told, "n1 y draining; n1 y ready") {
-		t.Errorf("the observer heard %s", told)
+	if told := strings.Join(n.states, "; "); !strings.Contains(told, "n1 y draining; n1 y ready") {
+		t.Errorf("the observer recorded %s", told)
 	}
 }
 
-// The same seed draws the same choices and works; another one doesn't.
+// The same seed draws the same decisions and work; another seed draws others.
 func TestSeed(t *testing.T) {
 	draw := func(seed uint64) (out []float64) {
-		m := &machine{site: &Site{sc: &Scenario{Seed: seed}}, index: 2}
+		m := &machine{site: &Site{scenario: &Scenario{Seed: seed}}, index: 2}
 		for n := range uint64(1000) {
-			out = append(out, m.choose(n, 4), m.work(&ClassSpec{WorkMs: 10, CV: 1}, n))
+			out = append(out, m.draw(n, 4), m.drawWork(&ClassSpec{WorkMs: 10, CV: 1}, n))
 		}
 		return out
 	}
@@ -438,14 +438,14 @@
 		}
 	}
 	if a[0] == c[0] || a[2] == c[2] {
-		t.Error("seeds make no difference")
+		t.Error("different seeds draw the same numbers")
 	}
 	if mean < 0.0085 || mean > 0.0115 { // 10 ms, with a standard error of 3 %
 		t.Errorf("the mean work is %v s", mean)
 	}
 }
 
-func TestScenariosThatMakeNoSense(t *testing.T) {
+func TestInvalidScenarios(t *testing.T) {
 	for more, want := range map[string]string{
 		"[[fault]]\nwhat='fire'\n":                 "fault 1 (fire): what",
 		"[[fault]]\nwhat='drain'\nnodes=['z']\n":   "fault 1 (drain): nodes",
