--- a/internal/scripted/scripted.go
+++ b/internal/scripted/scripted.go
@@ -1,5 +1,5 @@
-// Package scripted holds what the tests of fronts, backends and agents share: servers that do what a test
-// says, connection by connection, and waits that end a test that hangs.
+// Package scripted holds helpers shared by the tests of fronts, backends and agents: scripted servers and
+// bounded waits, so that a test that hangs ends.
 package scripted
 
 import (
@@ -16,14 +16,14 @@
 	"lemonrail/internal/standin"
 )
 
-// Patience bounds every wait of a test; none is expected to last nearly so long.
+// Patience bounds every wait of a test. It is far longer than any wait should last.
 const Patience = 20 * time.Second
 
-// Hello is a whole answer.
+// Hello is a complete HTTP answer.
 const Hello = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 
-// DeadAddr is an address that refuses connections: bound, so that nobody else gets it, but not
-// listened on.
+// DeadAddr returns an address that refuses connections. It is bound, so that no other process gets it, but
+// nobody listens on it.
 func DeadAddr(t testing.TB) string {
 	t.Helper()
 	fd, addr, err := standin.Reserve()
@@ -34,7 +34,7 @@
 	return addr
 }
 
-// Listen opens a listener on a free port that the test's end closes.
+// Listen opens a listener on a free loopback port. It is closed at the end of the test.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,7 +45,8 @@
 	return ln
 }
 
-// Backend is a scripted one. Every connection is handed to handle; it closes when that returns.
+// Backend starts a server that passes each connection to handle and closes it when handle returns. It returns
+// the server's address.
 func Backend(t testing.TB, handle func(c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	ln := Listen(t)
@@ -64,7 +65,7 @@
 	return ln.Addr().String()
 }
 
-// Receive reads one request with its body.
+// Receive reads a request with its body.
 func Receive(r *bufio.Reader) (*http.Request, string, error) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -74,7 +75,7 @@
 	return req, string(body), err
 }
 
-// Always answers each request on a connection with the same bytes.
+// Always returns a handler for Backend that answers each request on a connection with the same bytes.
 func Always(answer string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -86,20 +87,20 @@
 	}
 }
 
-// Await takes what comes from a channel, which has to be soon.
+// Await returns the next value of a channel and fails the test if none arrives within Patience.
 func Await[T any](t testing.TB, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(Patience):
-		t.Fatal("nothing came")
+		t.Fatal("no value arrived")
 	}
 	panic("unreachable")
 }
 
-// Counting is a backend that counts its connections and the requests on them; restart ends
-// all that are open.
+// Counting starts a backend that counts its connections and the requests on them. restart closes all open
+// connections.
 func Counting(t testing.TB) (addr string, conns, requests *atomic.Int64, restart func()) {
 	conns, requests = new(atomic.Int64), new(atomic.Int64)
 	var mu sync.Mutex
--- a/internal/scripted/silent.go
+++ b/internal/scripted/silent.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Silent is an address where connections neither come up nor are refused, as of a machine that has vanished: its
-// queue of connections is full, so that the kernel lets further ones wait.
+// Silent returns an address where connection attempts are neither accepted nor refused, like those to a
+// machine that has vanished: the listener's accept queue is full, so that the kernel lets further ones wait.
 func Silent(t testing.TB) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	at := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: name.(*syscall.SockaddrInet4).Port}
-	c, err := net.DialTCP("tcp4", nil, at) // takes the one place
+	c, err := net.DialTCP("tcp4", nil, at) // takes the only place in the accept queue
 	if err != nil {
 		t.Fatal(err)
 	}
