--- a/internal/explain/fleet.go
+++ b/internal/explain/fleet.go
@@ -21,9 +21,9 @@
 // Fleet summarizes the notes and logs of all agents of a fleet by time and by backend, to show effects that
 // are harmless in one agent and harmful in all together. It keeps a bounded number of windows, agents and
 // backends, and no notes.
-type Fleet struct { // length of a window in s
-	window     float64 // start of the earliest window, Unix time in ms
-	start      float64 // ms, Unix, of the earliest window
+type Fleet struct {
+	window     float64 // length of a window in s
+	start      float64 // start of the earliest window, Unix time in ms
 	windows    []*FleetWindow
 	agents     map[string]bool
 	backends   map[string]*FleetBackend
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -186,7 +186,7 @@
 	Failed   int64          `json:"failed"`
 	Gone     int64          `json:"gone"`     // the client closed before it had an answer
 	Attempts int64          `json:"attempts"` // received by nodes
-	Effects  int64          `json:"effects"`  // requests whose effect took place, with repeats
+	Effects  int64          `json:"effects"`  // effects that took place, with repeats
 	Broken   map[Rule]int64 `json:"broken"`
 	Breaches []Breach       `json:"breaches"` // the first maxBreaches
 }
