--- a/internal/trial/day.go
+++ b/internal/trial/day.go
@@ -21,17 +21,17 @@
 	"lemonrail/internal/strict"
 )
 
-// Day is a site, what goes wrong with it, and the load on it: a stand-in day.
+// Day is a built-in or user-written trial: a site, its faults and the load on it.
 type Day struct {
 	Name  string `toml:"name"`
-	About string `toml:"about"` // one line: what it is to show
+	About string `toml:"about"` // one line on what the day shows
 	Load  struct {
-		Clients    int     `toml:"clients"`     // so many in a closed loop; 0: an open one
-		OfCapacity float64 `toml:"of_capacity"` // open: rate as a share of what the site can do when all is well
-		PerSecond  float64 `toml:"per_second"`  // open: the rate itself
+		Clients    int     `toml:"clients"`     // number of clients in a closed loop; 0: open loop
+		OfCapacity float64 `toml:"of_capacity"` // open loop: rate as a share of the site's capacity without faults
+		PerSecond  float64 `toml:"per_second"`  // open loop: requests per second
 		Seconds    float64 `toml:"seconds"`
-		Requests   int64   `toml:"requests"` // at the most; 0: no bound but the time
-		Share      float64 `toml:"share"`    // of the first class, the rest is the second's; 0: 0.57
+		Requests   int64   `toml:"requests"` // maximum number of requests; 0: bounded by Seconds only
+		Share      float64 `toml:"share"`    // share of requests of the first class; the others are of the second; 0: 0.57
 	} `toml:"load"`
 	Site standin.Scenario `toml:"site"`
 }
@@ -39,11 +39,11 @@
 //go:embed days/*.toml
 var dayFiles embed.FS
 
-// DayNames are the days that come with the program.
+// DayNames returns the names of the built-in days.
 func DayNames() (names []string) {
 	entries, err := dayFiles.ReadDir("days")
 	if err != nil {
-		panic(err) // they are part of the program
+		panic(err) // embedded in the program
 	}
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".toml"))
@@ -51,7 +51,7 @@
 	return names
 }
 
-// ReadDay reads a day by its name, or from a file whose name ends with .toml.
+// ReadDay reads a built-in day by its name, or a file whose name ends with .toml.
 func ReadDay(name string) (*Day, error) {
 	var d Day
 	if strings.HasSuffix(name, ".toml") {
@@ -85,20 +85,21 @@
 	case !(l.Seconds > 0) || l.Seconds > 3600:
 		return fmt.Errorf("load.seconds: %v is not within 0 and 3600", l.Seconds)
 	case l.Clients < 0 || l.Clients > load.DefaultInFlight:
-		return fmt.Errorf("load.clients: %d makes no sense", l.Clients)
+		return fmt.Errorf("load.clients: %d is not within 0 and %d", l.Clients, load.DefaultInFlight)
 	case l.Clients == 0 && (l.OfCapacity > 0) == (l.PerSecond > 0):
 		return fmt.Errorf("load: an open loop needs of_capacity or per_second")
 	case !(l.OfCapacity >= 0) || l.OfCapacity > 100 || !(l.PerSecond >= 0) || l.PerSecond > 1e5:
-		return fmt.Errorf("load.of_capacity or per_second make no sense")
+		return fmt.Errorf("load.of_capacity is not within 0 and 100, or per_second not within 0 and 1e5")
 	case !(l.Share > 0) || l.Share > 1 || l.Share < 1 && len(d.Site.Classes) < 2:
-		return fmt.Errorf("load.share: %v needs two classes, or is no share", l.Share)
+		return fmt.Errorf("load.share: %v needs two classes, or is not above 0 and at most 1", l.Share)
 	case l.Requests < 0:
-		return fmt.Errorf("load.requests: %d makes no sense", l.Requests)
+		return fmt.Errorf("load.requests: %d is negative", l.Requests)
 	}
 	return nil
 }
 
-// plan yields the day's requests: in an open loop at times of a Poisson process, all from the seed.
+// plan returns a function that yields the day's requests, drawn from the seed; in an open loop at the times of
+// a Poisson process.
 func (d *Day) plan(capacity float64, seed uint64) func() (*load.Request, error) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	rate := d.Load.PerSecond
@@ -132,15 +133,15 @@
 	}
 }
 
-// Part is what a class, a window or a whole day came to.
+// Part counts the requests of a class, a window or a whole day by their result.
 type Part struct {
 	Requests    int64 `json:"requests"`
 	InTime      int64 `json:"in_time"`      // served within the aim
-	Late        int64 `json:"late"`         // served after it
-	Refused     int64 `json:"refused"`      // turned away
-	RefusedFree int64 `json:"refused_free"` // of these, while a node would have begun the request at once
-	Failed      int64 `json:"failed"`       // any other answer
-	Lost        int64 `json:"lost"`         // no whole answer, or none in time
+	Late        int64 `json:"late"`         // served after the aim
+	Refused     int64 `json:"refused"`      // refused by the agent
+	RefusedFree int64 `json:"refused_free"` // refused while a node had a free slot
+	Failed      int64 `json:"failed"`       // other answers
+	Lost        int64 `json:"lost"`         // no complete answer, or none in time
 }
 
 func (p *Part) add(o *Part) {
@@ -153,42 +154,42 @@
 	p.Lost += o.Lost
 }
 
-func share(n, of int64) float64 {
+func ratio(n, of int64) float64 {
 	if of == 0 {
 		return 0
 	}
 	return float64(n) / float64(of)
 }
 
-// Outcome is what a day came to.
+// Outcome is the result of a day.
 type Outcome struct {
 	Day       string           `json:"day"`
 	Seed      uint64           `json:"seed"`
 	Agents    int              `json:"agents"`
 	Nodes     int              `json:"nodes"`
 	RatePerS  float64          `json:"rate_per_s"`
-	Part                       // of all
-	Worth     float64          `json:"worth"` // earned over asked for, by class and lateness
+	Part                       // all requests
+	Worth     float64          `json:"worth"` // share of the requests' full worth that was earned, by class and lateness
 	Classes   map[string]*Part `json:"classes"`
 	WindowS   float64          `json:"window_s"`
-	Windows   []*Part          `json:"windows"` // by when requests were due
-	Latency   load.Quantiles   `json:"latency"` // of those served, all classes
+	Windows   []*Part          `json:"windows"` // by the time at which requests were due
+	Latency   load.Quantiles   `json:"latency"` // of all served requests
 	RulesHeld bool             `json:"rules_held"`
 	Verdict   string           `json:"verdict"`
 	Site      []string         `json:"site,omitempty"`
 }
 
-// RefusedWithRoom is the share of all requests that were refused while a node had a free slot.
-func (o *Outcome) RefusedWithRoom() float64 { return share(o.RefusedFree, o.Requests) }
+// RefusedWithRoom returns the share of all requests that were refused while a node had a free slot.
+func (o *Outcome) RefusedWithRoom() float64 { return ratio(o.RefusedFree, o.Requests) }
 
-// DayOptions say how a day is played.
+// DayOptions configures how a day is played.
 type DayOptions struct {
-	Dir     string // for the agents' configurations; must exist
-	Program string // the agent's program; empty: agents run within this process
-	Log     io.Writer
-	Seed    uint64        // 0: the day's own
-	Window  time.Duration // 0: 1 s
-	Each    func()        // called for each request
+	Dir     string        // directory for the agents' configurations; must exist
+	Program string        // path of the agent's program; empty: agents run within this process
+	Log     io.Writer     // the agents' logs; nil: discarded
+	Seed    uint64        // 0: the seed of the day
+	Window  time.Duration // window of the outcome; 0: 1 s
+	Each    func()        // called for each request; nil: no call
 }
 
 // PlayDay plays a day against real agents.
@@ -205,17 +206,17 @@
 		out.Nodes += n.Count
 	}
 	var site atomic.Pointer[standin.Site]
-	// Free slots are looked at when the client has its refusal, before anything else is done with it.
-	free := &freeSlots{site: &site, at: map[string]bool{}}
+	// Count free slots as soon as the client has its refusal, before anything else is done with the request.
+	free := &freeSlotsAtRefusal{site: &site, free: map[string]bool{}}
 	var begun time.Time
-	earned, asked := 0.0, 0.0
+	earned, requested := 0.0, 0.0
 	each := func(s *load.Sample) {
 		if begun.IsZero() {
 			begun = s.Due
 		}
 		c := sc.Classes[slices.IndexFunc(sc.Classes, func(c standin.ClassSpec) bool { return c.Name == s.Request.Class })]
 		p := Part{Requests: 1}
-		asked += c.Worth
+		requested += c.Worth
 		switch s.Outcome {
 		case load.Served:
 			if s.Ended.Sub(s.Due) <= time.Duration(c.AimMs*float64(time.Millisecond)) {
@@ -257,12 +258,12 @@
 			site.Store(s)
 			next = d.plan(s.Capacity(map[string]float64{sc.Classes[0].Name: d.Load.Share, sc.Classes[len(sc.Classes)-1].Name: 1 - d.Load.Share}), sc.Seed)
 		},
-		Next: func() (*load.Request, error) { return next() }, Play: play, Each: each, Refused: free.look})
+		Next: func() (*load.Request, error) { return next() }, Play: play, Each: each, Refused: free.record})
 	if r == nil {
 		return nil, err
 	}
-	if asked > 0 {
-		out.Worth = earned / asked
+	if requested > 0 {
+		out.Worth = earned / requested
 	}
 	out.RatePerS, out.Latency, out.Site = r.RatePerS, r.All, r.Site
 	if v, ok := r.Verdict.(*ledger.Verdict); ok {
@@ -271,33 +272,33 @@
 	return out, err
 }
 
-// freeSlots notes for which refused requests a node had a free slot. It holds no more than what is
-// between a client's goroutine and the report.
-type freeSlots struct {
+// freeSlotsAtRefusal records for each refused request whether a node had a free slot. An entry is removed when
+// the request is reported.
+type freeSlotsAtRefusal struct {
 	site *atomic.Pointer[standin.Site]
 	mu   sync.Mutex
-	at   map[string]bool
+	free map[string]bool
 }
 
-func (f *freeSlots) look(id string) {
+func (f *freeSlotsAtRefusal) record(id string) {
 	free := f.site.Load().FreeSlots() > 0
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.at[id] = free
+	f.free[id] = free
 }
 
-func (f *freeSlots) take(id string) bool {
+func (f *freeSlotsAtRefusal) take(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	defer delete(f.at, id)
-	return f.at[id]
+	defer delete(f.free, id)
+	return f.free[id]
 }
 
-// Text writes outcomes for people, a line each.
+// Text writes outcomes as a text table, one line each.
 func Text(w io.Writer, outs []*Outcome) error {
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tab, "day\tseed\tagents x nodes\trequests\t/s\tin time %\tlate %\trefused %\twith room %\tfailed %\tlost\tworth %\tp50 ms\tp99 ms\trules\t")
-	pct := func(n, of int64) float64 { return math.Round(10000*share(n, of)) / 100 }
+	pct := func(n, of int64) float64 { return math.Round(10000*ratio(n, of)) / 100 }
 	for _, o := range outs {
 		rules := "held"
 		if !o.RulesHeld {
--- a/internal/trial/day_test.go
+++ b/internal/trial/day_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func TestDaysThatComeWithTheProgramMakeSense(t *testing.T) {
+func TestBuiltInDaysAreValid(t *testing.T) {
 	for _, name := range DayNames() {
 		d, err := ReadDay(name)
 		if err != nil {
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestReadDayNamesWhatMakesNoSense(t *testing.T) {
+func TestReadDayRejectsInvalidValues(t *testing.T) {
 	good, err := dayFiles.ReadFile("days/resets.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -47,9 +47,9 @@
 	}
 }
 
-// short makes a day of a few hundred requests of one that comes with the program, with more time for
-// each than a slow machine needs.
-func short(t *testing.T, name string) *Day {
+// shortDay returns a built-in day cut down to 400 requests, with aims and deadlines that a slow machine can
+// meet.
+func shortDay(t *testing.T, name string) *Day {
 	t.Helper()
 	d, err := ReadDay(name)
 	if err != nil {
@@ -63,9 +63,9 @@
 	return d
 }
 
-// A closed loop of more clients than the limit begins with is refused nothing.
+// A closed loop with more clients than the agent's initial limit gets no refusal on a site with room.
 func TestIdleDayRefusesNothing(t *testing.T) {
-	o, err := PlayDay(context.Background(), short(t, "idle"), DayOptions{Dir: t.TempDir()})
+	o, err := PlayDay(context.Background(), shortDay(t, "idle"), DayOptions{Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,9 +81,9 @@
 	}
 }
 
-// The same seed asks for the same requests.
-func TestPlanComesFromTheSeed(t *testing.T) {
-	d := short(t, "resets")
+// The same seed plans the same requests; another seed plans others.
+func TestPlanDependsOnSeed(t *testing.T) {
+	d := shortDay(t, "resets")
 	a, b, c := d.plan(400, 1), d.plan(400, 1), d.plan(400, 2)
 	differ := false
 	for range 100 {
@@ -96,13 +96,13 @@
 		differ = differ || x.At != z.At
 	}
 	if !differ {
-		t.Error("another seed asks for the same")
+		t.Error("another seed plans the same requests")
 	}
 }
 
-// Nodes that reset kept connections lose no request and break no rule.
+// Nodes that reset kept connections cause no lost request and no broken rule.
 func TestStaleDayKeepsTheRules(t *testing.T) {
-	d := short(t, "stale")
+	d := shortDay(t, "stale")
 	d.Site.Faults[0].AtS, d.Site.Faults[0].Size = 0, 1
 	d.Load.OfCapacity, d.Load.PerSecond = 0, 100
 	o, err := PlayDay(context.Background(), d, DayOptions{Dir: t.TempDir()})
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -1,5 +1,5 @@
-// Package trial plays load against a stand-in site through real agents, with an observer that
-// says whether the four rules held. Tests and lemonctl use it.
+// Package trial plays load against a simulated site through real agents, with an observer that checks whether
+// the four rules held. Tests and lemonctl use it.
 package trial
 
 import (
@@ -25,36 +25,36 @@
 )
 
 const (
-	readyLimit = 10 * time.Second // for an agent to answer GET /up
-	stopLimit  = 15 * time.Second // for one to end
+	readyTimeout = 10 * time.Second // for an agent to answer GET /up with 200
+	stopTimeout  = 15 * time.Second // for an agent to end
 )
 
-// Options say what is tried.
+// Options configures a trial.
 type Options struct {
 	Scenario *standin.Scenario
-	Dir      string // for the agents' configurations; must exist
-	Program  string // the agent's program; empty: agents run within this process
-	Log      io.Writer
-	Next     func() (*load.Request, error) // the plan
-	Play     load.PlayOptions              // Targets, Observer and Done are set here
-	Window   time.Duration                 // of the report; 0: 10 s
-	Each     func(*load.Sample)            // called for each request, by one goroutine at a time
-	Clients  int                           // so many in a closed loop; 0: an open loop, at the plan's times
-	Opened   func(*standin.Site)           // called once the site stands
-	Refused  func(id string)               // called as a client gets a refusal, by its goroutine
+	Dir      string                        // directory for the agents' configurations; must exist
+	Program  string                        // path of the agent's program; empty: agents run within this process
+	Log      io.Writer                     // the agents' logs; nil: discarded
+	Next     func() (*load.Request, error) // returns the next request, io.EOF at the end
+	Play     load.PlayOptions              // Run sets Targets, Observer and Done
+	Window   time.Duration                 // window of the report; 0: 10 s
+	Each     func(*load.Sample)            // called for each request, never concurrently; nil: no call
+	Clients  int                           // number of clients in a closed loop; 0: open loop, at the requests' times
+	Opened   func(*standin.Site)           // called once the site is open; nil: no call
+	Refused  func(id string)               // called when a client receives a refusal, in the client's goroutine; nil: no call
 }
 
-// Agents are running agents of a site.
+// Agents is a set of running agents of a site.
 type Agents struct {
 	Targets []netip.AddrPort
 
-	stops []func() error
-	hups  map[string]func() error
+	stops   []func() error
+	reloads map[string]func() error
 }
 
-// Start starts the site's agents and waits until each is ready.
+// Start starts the site's agents and waits until each is ready. After an error no agent is left running.
 func Start(site *standin.Site, sc *standin.Scenario, dir, program string, log io.Writer) (a *Agents, err error) {
-	a = &Agents{hups: map[string]func() error{}}
+	a = &Agents{reloads: map[string]func() error{}}
 	defer func() {
 		if err != nil {
 			err = errors.Join(err, a.Stop())
@@ -68,23 +68,23 @@
 	for i := range sc.Agents {
 		name := fmt.Sprintf("n%d", i)
 		path := filepath.Join(dir, name+".json")
-		start := a.within
+		start := a.startInProcess
 		if program != "" {
-			start = a.process
+			start = a.startProcess
 		}
 		addr, err := start(site, i, name, path, program, log)
 		if err != nil {
 			return a, fmt.Errorf("agent %s: %w", name, err)
 		}
 		a.Targets = append(a.Targets, addr)
-		if err := ready(addr); err != nil {
+		if err := waitReady(addr); err != nil {
 			return a, fmt.Errorf("agent %s: %w", name, err)
 		}
 	}
 	return a, nil
 }
 
-// lockedWriter joins the logs of several agents line by line.
+// lockedWriter serializes the writes of several agents to one log.
 type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	// A reader must not find half a file.
+	// Rename into place, so that a reader never finds part of a file.
 	tmp := path + ".new"
 	if err := os.WriteFile(tmp, raw, 0o600); err != nil {
 		return err
@@ -109,8 +109,8 @@
 	return os.Rename(tmp, path)
 }
 
-// within runs an agent in this process.
-func (a *Agents) within(site *standin.Site, i int, name, path, _ string, log io.Writer) (netip.AddrPort, error) {
+// startInProcess runs an agent in this process.
+func (a *Agents) startInProcess(site *standin.Site, i int, name, path, _ string, log io.Writer) (netip.AddrPort, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return netip.AddrPort{}, err
@@ -135,11 +135,11 @@
 		select {
 		case err := <-ended:
 			return err
-		case <-time.After(stopLimit):
+		case <-time.After(stopTimeout):
 			return fmt.Errorf("agent %s does not end", name)
 		}
 	})
-	a.hups[name] = func() error {
+	a.reloads[name] = func() error {
 		if err := writeConfig(site, i, path, listen); err != nil {
 			return err
 		}
@@ -149,8 +149,8 @@
 	return netip.ParseAddrPort(listen)
 }
 
-// process runs an agent as a process of its own.
-func (a *Agents) process(site *standin.Site, i int, name, path, program string, log io.Writer) (netip.AddrPort, error) {
+// startProcess runs an agent as a separate process.
+func (a *Agents) startProcess(site *standin.Site, i int, name, path, program string, log io.Writer) (netip.AddrPort, error) {
 	fd, listen, err := standin.Reserve()
 	if err != nil {
 		return netip.AddrPort{}, err
@@ -174,13 +174,13 @@
 		select {
 		case err := <-ended:
 			return err
-		case <-time.After(stopLimit):
+		case <-time.After(stopTimeout):
 			cmd.Process.Kill()
 			<-ended
 			return fmt.Errorf("agent %s did not end on SIGTERM", name)
 		}
 	})
-	a.hups[name] = func() error {
+	a.reloads[name] = func() error {
 		if err := writeConfig(site, i, path, listen); err != nil {
 			return err
 		}
@@ -189,10 +189,10 @@
 	return netip.ParseAddrPort(listen)
 }
 
-// Reload gives an agent its new configuration.
-func (a *Agents) Reload(name string) error { return a.hups[name]() }
+// Reload writes an agent's new configuration and sends it a SIGHUP.
+func (a *Agents) Reload(name string) error { return a.reloads[name]() }
 
-// Stop ends the agents, all at once, and waits for them.
+// Stop ends all agents concurrently and waits for them.
 func (a *Agents) Stop() error {
 	errs := make([]error, len(a.stops))
 	var all sync.WaitGroup
@@ -204,11 +204,11 @@
 	return errors.Join(errs...)
 }
 
-// ready waits until an agent answers GET /up with 200.
-func ready(addr netip.AddrPort) error {
+// waitReady waits until an agent answers GET /up with 200.
+func waitReady(addr netip.AddrPort) error {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	var last error
-	for end := time.Now().Add(readyLimit); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		resp, err := client.Get("http://" + addr.String() + "/up")
 		if err != nil {
 			last = err
@@ -223,32 +223,32 @@
 	return fmt.Errorf("never ready: %w", last)
 }
 
-// Watch tells a ledger what a player's clients do.
+// Watch reports what a player's clients send and receive to a ledger.
 type Watch struct {
 	Ledger  *ledger.Ledger
-	Agent   map[string]string // names, by target
-	Refused func(id string)   // called as a client gets a refusal; nil: nobody asks
+	Agent   map[string]string // agent names by target address
+	Refused func(id string)   // called when a client receives a refusal; nil: no call
 }
 
-// Sent tells that a request was written.
+// Sent reports that a request was written.
 func (w *Watch) Sent(s *load.Sample) {
 	w.Ledger.Sent(s.ID, s.Request.Class, w.Agent[s.Target], s.Sent, s.Request.Left)
 }
 
-// Ended tells what a client got.
+// Ended reports the answer that a client received.
 func (w *Watch) Ended(s *load.Sample) {
 	if s.Outcome == load.Refused && w.Refused != nil {
 		w.Refused(s.ID)
 	}
 	switch s.Outcome {
 	case load.TimedOut:
-		// The client waited longer than its time: an answer was owed before.
+		// The client waited past its deadline. The ledger records no answer, which breaks a rule.
 	default:
 		w.Ledger.Got(s.ID, s.Ended, ledger.Answer{Status: s.Status, Body: s.Body, Begun: s.Begun, Unsent: s.First && s.Outcome == load.Broken})
 	}
 }
 
-// Run opens the site, starts its agents, plays the plan, and reports.
+// Run opens the site, starts its agents, plays the plan and returns a report with the ledger's verdict.
 func Run(ctx context.Context, o Options) (report *load.Report, err error) {
 	if o.Window == 0 {
 		o.Window = 10 * time.Second
@@ -284,43 +284,43 @@
 			o.Each(s)
 		}
 	}
-	moves, stopMoves := context.WithCancel(context.Background())
-	var moving sync.WaitGroup
-	moveErr := make(chan error, 1)
-	moving.Go(func() {
+	reloadCtx, stopReloads := context.WithCancel(context.Background())
+	var reloading sync.WaitGroup
+	reloadErr := make(chan error, 1)
+	reloading.Go(func() {
 		for {
 			select {
 			case name := <-site.Moved():
 				if err := agents.Reload(name); err != nil {
 					select {
-					case moveErr <- err:
+					case reloadErr <- err:
 					default:
 					}
 				}
-			case <-moves.Done():
+			case <-reloadCtx.Done():
 				return
 			}
 		}
 	})
 	site.Begin()
-	var tot load.Totals
+	var totals load.Totals
 	var playErr error
 	if o.Clients > 0 {
-		tot, playErr = load.PlayClosed(ctx, o.Clients, o.Next, play)
+		totals, playErr = load.PlayClosed(ctx, o.Clients, o.Next, play)
 	} else {
-		tot, playErr = load.Play(ctx, o.Next, play)
+		totals, playErr = load.Play(ctx, o.Next, play)
 	}
-	stopMoves()
-	moving.Wait()
+	stopReloads()
+	reloading.Wait()
 	err = errors.Join(playErr, agents.Stop())
 	closed = true
 	err = errors.Join(err, site.Close())
 	select {
-	case e := <-moveErr:
+	case e := <-reloadErr:
 		err = errors.Join(err, e)
 	default:
 	}
-	report = rec.Report(tot)
+	report = rec.Report(totals)
 	v := l.Verdict()
 	report.Verdict = &v
 	for _, h := range site.Log() {
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -29,7 +29,7 @@
 agents = 2
 [rules]
 ramp_ms = 1500
-slack_ms = 400 # a busy machine must not turn the verdict
+slack_ms = 400 # delays of a busy machine must not count as broken rules
 [allow]
 retry_after = true
 connect_ms = 1000
@@ -78,8 +78,8 @@
 	return sc
 }
 
-// log is a log that is made up, as a plan whose requests wait long enough for a slow machine.
-func log(t testing.TB, shape string, rate, seconds float64) (*load.Plan, load.Generated) {
+// generatedPlan returns a plan of a generated log, with deadlines that a slow machine can meet.
+func generatedPlan(t testing.TB, shape string, rate, seconds float64) (*load.Plan, load.Generated) {
 	t.Helper()
 	var text bytes.Buffer
 	g, err := load.Generate(&text, load.GenerateOptions{Shape: shape, Format: "json", Rate: rate, Seconds: seconds, Repeats: 0.03, Seed: 9})
@@ -121,12 +121,12 @@
 	return r, r.Verdict.(*ledger.Verdict)
 }
 
-// Replayed against stand-in nodes through real agents, a log reproduces its rate and its mix, and
-// each repeat is sent, once.
-func TestReplayIsFaithful(t *testing.T) {
+// A log that is played through real agents reproduces its rate and its mix of classes, and each repeat is sent
+// exactly once.
+func TestReplayReproducesTheLog(t *testing.T) {
 	for _, shape := range []string{"steady", "bursty", "monsoon"} {
 		t.Run(shape, func(t *testing.T) {
-			plan, g := log(t, shape, 60, 6)
+			plan, g := generatedPlan(t, shape, 60, 6)
 			sent := map[int64]int{}
 			r, v := run(t, Options{Scenario: scenario(t, ""), Next: plan.Next, Window: 6 * time.Second, Each: func(s *load.Sample) { sent[s.Request.Seq]++ }})
 			if r.Requests != g.Requests || r.Repeats != g.Repeats || int64(len(sent)) != g.Requests {
@@ -147,9 +147,9 @@
 	}
 }
 
-// All faults at once: whatever becomes of the requests, the four rules hold.
-func TestRulesHoldInTrouble(t *testing.T) {
-	plan, g := log(t, "steady", 80, 8)
+// The four rules hold under all faults at once, whatever happens to single requests.
+func TestRulesHoldUnderFaults(t *testing.T) {
+	plan, g := generatedPlan(t, "steady", 80, 8)
 	r, v := run(t, Options{Next: plan.Next, Scenario: scenario(t, `
 [[fault]]
 what = "fail_fast"
@@ -231,14 +231,14 @@
 	}
 }
 
-// The same with agents that are processes of their own: started, told where discovery has moved,
-// and ended.
+// Agents can run as separate processes: they start, follow discovery to its new address on SIGHUP, and end on
+// SIGTERM.
 func TestAgentProcesses(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "lemonrail")
 	if out, err := exec.Command("go", "build", "-buildvcs=false", "-o", program, "lemonrail/cmd/lemonrail").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	plan, g := log(t, "steady", 50, 2)
+	plan, g := generatedPlan(t, "steady", 50, 2)
 	var logs bytes.Buffer
 	r, v := run(t, Options{Next: plan.Next, Program: program, Log: &logs, Scenario: scenario(t, "[[fault]]\nwhat = \"discovery_moves\"\nat_s = 0.5\n")})
 	if !v.Held() || v.Requests != g.Requests || r.Outcomes[load.Served] < g.Requests*9/10 {
@@ -249,23 +249,24 @@
 	}
 }
 
-func TestAgentThatDoesNotStart(t *testing.T) {
-	plan, _ := log(t, "steady", 50, 1)
+func TestAgentStartFailure(t *testing.T) {
+	plan, _ := generatedPlan(t, "steady", 50, 1)
 	if _, err := Run(context.Background(), Options{Next: plan.Next, Program: os.DevNull, Dir: t.TempDir(), Scenario: scenario(t, "")}); err == nil {
-		t.Error("it starts")
+		t.Error("an agent that is no program started")
 	}
 	if _, err := Run(context.Background(), Options{Next: plan.Next, Dir: filepath.Join(t.TempDir(), "none"), Scenario: scenario(t, "")}); err == nil {
-		t.Error("it starts without a place for its configuration")
+		t.Error("an agent started without a directory for its configuration")
 	}
 }
 
-// BenchmarkReplay plays a log at a rate and reports how true it is; see docs/measurements/load.md.
+// BenchmarkReplay plays a log at several rates and reports the deviations from it; see
+// docs/measurements/load.md.
 func BenchmarkReplay(b *testing.B) {
 	for _, shape := range []string{"steady", "bursty", "monsoon"} {
 		for _, rate := range []float64{500, 1000, 3000} {
 			b.Run(fmt.Sprintf("%s/%.0f", shape, rate), func(b *testing.B) {
 				for range b.N {
-					plan, g := log(b, shape, rate, 30)
+					plan, g := generatedPlan(b, shape, rate, 30)
 					r, v := run(b, Options{Scenario: scenario(b, ""), Next: plan.Next})
 					b.ReportMetric(100*r.RateError, "rate-error-%")
 					b.ReportMetric(100*r.MixError, "mix-error-%")
