--- a/internal/cluster/cases_test.go
+++ b/internal/cluster/cases_test.go
@@ -13,8 +13,8 @@
 	"lemonrail/internal/member/link"
 )
 
-// Each of these does something to links or processes, waits for what has to be seen meanwhile, ends it, and wants
-// all views equal and true again.
+// Each case applies faults to links or processes, waits for the expected views, ends the faults and waits
+// until all views agree and are correct again.
 func TestHardCases(t *testing.T) {
 	all := func(n int) (who []int) {
 		for i := range n {
@@ -52,35 +52,35 @@
 		members  string
 		do       func(*testing.T, *cluster.Cluster)
 	}{
-		{"one is deaf", 7, 1, calm, func(t *testing.T, c *cluster.Cluster) {
-			before := moved(t, c)
+		{"one agent receives nothing", 7, 1, calmMembers, func(t *testing.T, c *cluster.Cluster) {
+			before := changeCounts(t, c)
 			cut(c, all(7), []int{3}, true)
-			sees(t, c, 3, "that it is alone", standing("alone"))
-			sees(t, c, 0, "n3 alive, in doubt, not reached from most", func(r *link.Report) bool {
+			waitForView(t, c, 3, "that it is alone", standing("alone"))
+			waitForView(t, c, 0, "n3 alive, in doubt, not reached from most", func(r *link.Report) bool {
 				m := row(r, "n3")
 				return m.State == "alive" && m.Doubts && len(m.UnreachableFrom) >= 5
 			})
 			noDeath(t, c)
-			for i, n := range moved(t, c) {
+			for i, n := range changeCounts(t, c) {
 				if i != 3 && n != before[i] {
 					t.Errorf("n%d saw %d changes", i, n-before[i])
 				}
 			}
 			cut(c, all(7), []int{3}, false)
 		}},
-		{"one is mute", 7, 1, quick, func(t *testing.T, c *cluster.Cluster) {
+		{"one agent's datagrams are lost", 7, 1, quickMembers, func(t *testing.T, c *cluster.Cluster) {
 			cut(c, []int{3}, all(7), true)
-			sees(t, c, 0, "n3 dead, not proved", func(r *link.Report) bool { return row(r, "n3").State == "dead" && !row(r, "n3").Proved })
-			sees(t, c, 3, "that it is no majority", standing("alone", "minority"))
+			waitForView(t, c, 0, "n3 dead, not proved", func(r *link.Report) bool { return row(r, "n3").State == "dead" && !row(r, "n3").Proved })
+			waitForView(t, c, 3, "that it is no majority", standing("alone", "minority"))
 			cut(c, []int{3}, all(7), false)
 		}},
-		{"a zone is deaf", 8, 2, quick, func(t *testing.T, c *cluster.Cluster) {
+		{"one zone receives nothing from the other", 8, 2, quickMembers, func(t *testing.T, c *cluster.Cluster) {
 			cut(c, []int{1, 3, 5, 7}, []int{0, 2, 4, 6}, true)
-			sees(t, c, 0, "its own zone alone", standing("own zone"))
+			waitForView(t, c, 0, "its own zone alone", standing("own zone"))
 			noDeath(t, c)
 			cut(c, []int{1, 3, 5, 7}, []int{0, 2, 4, 6}, false)
 		}},
-		{"each hears only the next", 7, 1, quick, func(t *testing.T, c *cluster.Cluster) {
+		{"each agent receives from one neighbour only", 7, 1, quickMembers, func(t *testing.T, c *cluster.Cluster) {
 			ring := func(on bool) {
 				for a := range 7 {
 					for b := range 7 {
@@ -92,23 +92,23 @@
 			}
 			ring(true)
 			for i := range 7 {
-				sees(t, c, i, "no majority", standing("alone", "minority"))
+				waitForView(t, c, i, "no majority", standing("alone", "minority"))
 			}
 			noDeath(t, c)
 			ring(false)
 		}},
-		{"halves", 6, 1, quick, func(t *testing.T, c *cluster.Cluster) {
+		{"a partition into halves", 6, 1, quickMembers, func(t *testing.T, c *cluster.Cluster) {
 			a, b := []int{0, 1, 2}, []int{3, 4, 5}
 			cut(c, a, b, true)
 			cut(c, b, a, true)
 			for i := range 6 {
-				sees(t, c, i, "three alive and no majority", func(r *link.Report) bool { return r.Alive == 3 && !r.Majority && r.Living == 6 })
+				waitForView(t, c, i, "three alive and no majority", func(r *link.Report) bool { return r.Alive == 3 && !r.Majority && r.Living == 6 })
 			}
 			noDeath(t, c)
 			cut(c, a, b, false)
 			cut(c, b, a, false)
 		}},
-		{"three parts, and one dies and starts again", 7, 1, quick, func(t *testing.T, c *cluster.Cluster) {
+		{"a partition into three, with a restart", 7, 1, quickMembers, func(t *testing.T, c *cluster.Cluster) {
 			parts := [][]int{{0, 1, 2}, {3, 4}, {5, 6}}
 			for i, a := range parts {
 				for j, b := range parts {
@@ -118,10 +118,10 @@
 				}
 			}
 			for i := range 7 {
-				sees(t, c, i, "no majority", standing("alone", "minority"))
+				waitForView(t, c, i, "no majority", standing("alone", "minority"))
 			}
 			must(t, c.Agents[6].Kill())
-			sees(t, c, 5, "n6 gone by proof", func(r *link.Report) bool { return row(r, "n6").Proved })
+			waitForView(t, c, 5, "n6 dead with proof", func(r *link.Report) bool { return row(r, "n6").Proved })
 			must(t, c.Agents[6].Start())
 			for i, a := range parts {
 				for j, b := range parts {
@@ -131,11 +131,11 @@
 				}
 			}
 		}},
-		{"three of seven are stopped", 7, 1, calm, func(t *testing.T, c *cluster.Cluster) {
+		{"three of seven are stopped", 7, 1, calmMembers, func(t *testing.T, c *cluster.Cluster) {
 			for _, i := range []int{1, 3, 5} {
 				must(t, c.Agents[i].Signal(syscall.SIGSTOP))
 			}
-			sees(t, c, 0, "three suspected", func(r *link.Report) bool {
+			waitForView(t, c, 0, "three suspected", func(r *link.Report) bool {
 				return row(r, "n1").State == "suspect" && row(r, "n3").State == "suspect" && row(r, "n5").State == "suspect"
 			})
 			for _, i := range []int{1, 3, 5} {
@@ -144,13 +144,13 @@
 			must(t, c.Until(patience, c.Agree))
 			noDeath(t, c)
 		}},
-		{"loss, doubles and late ones", 8, 2, quick, func(t *testing.T, c *cluster.Cluster) {
+		{"loss, duplicates and delays", 8, 2, quickMembers, func(t *testing.T, c *cluster.Cluster) {
 			c.Link(all(8), all(8), func(f *cluster.Fault) {
 				f.Loss, f.Double, f.Delay = 0.3, 0.2, [2]time.Duration{0, 300 * time.Millisecond}
 			})
 			must(t, c.Agents[5].Kill())
 			for _, i := range []int{0, 1, 7} {
-				sees(t, c, i, "n5 gone", func(r *link.Report) bool { return row(r, "n5").State == "dead" })
+				waitForView(t, c, i, "n5 gone", func(r *link.Report) bool { return row(r, "n5").State == "dead" })
 			}
 			for i := range 8 {
 				if i == 5 {
@@ -165,35 +165,35 @@
 			c.Link(all(8), all(8), func(f *cluster.Fault) { *f = cluster.Fault{} })
 			must(t, c.Agents[5].Start())
 		}},
-		{"a link stalls and lets go", 6, 1, quick, func(t *testing.T, c *cluster.Cluster) {
+		{"links stall and recover", 6, 1, quickMembers, func(t *testing.T, c *cluster.Cluster) {
 			c.Link([]int{2}, all(6), func(f *cluster.Fault) { f.Stall = true })
-			sees(t, c, 0, "n2 suspected or dead", func(r *link.Report) bool { s := row(r, "n2").State; return s == "suspect" || s == "dead" })
+			waitForView(t, c, 0, "n2 suspected or dead", func(r *link.Report) bool { s := row(r, "n2").State; return s == "suspect" || s == "dead" })
 			c.Link([]int{2}, all(6), func(f *cluster.Fault) { f.Stall = false })
 		}},
-		{"a rolling restart", 6, 2, quick, func(t *testing.T, c *cluster.Cluster) {
+		{"a rolling restart", 6, 2, quickMembers, func(t *testing.T, c *cluster.Cluster) {
 			for i, a := range c.Agents {
 				must(t, a.Term())
-				sees(t, c, (i+1)%6, a.Name+" left", func(r *link.Report) bool { return row(r, a.Name).State == "left" })
+				waitForView(t, c, (i+1)%6, a.Name+" left", func(r *link.Report) bool { return row(r, a.Name).State == "left" })
 				must(t, a.Start())
-				sees(t, c, (i+1)%6, a.Name+" back", func(r *link.Report) bool { return row(r, a.Name).State == "alive" })
+				waitForView(t, c, (i+1)%6, a.Name+" back", func(r *link.Report) bool { return row(r, a.Name).State == "alive" })
 			}
 		}},
-		{"one has a twentieth of a core", 6, 1, quick, func(t *testing.T, c *cluster.Cluster) {
+		{"one agent has 5 % of a core", 6, 1, quickMembers, func(t *testing.T, c *cluster.Cluster) {
 			c.Agents[4].Slow(0.05)
 			must(t, c.Agents[1].Kill())
 			for _, i := range []int{0, 2, 3, 5} {
-				sees(t, c, i, "n1 gone, and nobody else", func(r *link.Report) bool { return row(r, "n1").State == "dead" && r.Majority })
+				waitForView(t, c, i, "n1 gone, and nobody else", func(r *link.Report) bool { return row(r, "n1").State == "dead" && r.Majority })
 			}
 			noSlowAccusation(t, c)
 			c.Agents[4].Slow(1)
 			must(t, c.Agents[1].Start())
 		}},
-		{"ten of fourteen are killed, and start together", 14, 2, quick, func(t *testing.T, c *cluster.Cluster) {
+		{"ten of fourteen agents are killed and restarted together", 14, 2, quickMembers, func(t *testing.T, c *cluster.Cluster) {
 			for _, a := range c.Agents[4:] {
 				must(t, a.Kill())
 			}
 			for i := range 4 {
-				sees(t, c, i, "four to reckon with", func(r *link.Report) bool { return r.Living == 4 && r.Possible == 4 })
+				waitForView(t, c, i, "four living members", func(r *link.Report) bool { return r.Living == 4 && r.Possible == 4 })
 			}
 			for _, a := range c.Agents[4:] {
 				must(t, a.Start())
@@ -202,14 +202,14 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			c := rig(t, tt.n, tt.zones, tt.members)
+			c := startCluster(t, tt.n, tt.zones, tt.members)
 			tt.do(t, c)
 			must(t, c.Until(patience, c.Agree))
 		})
 	}
 }
 
-// noSlowAccusation wants the one that has a twentieth of a core to hold nobody that runs for dead.
+// noSlowAccusation checks that agent 0 holds no running agent for dead while another has 5 % of a core.
 func noSlowAccusation(t *testing.T, c *cluster.Cluster) {
 	t.Helper()
 	for _, m := range mustView(t, c, 0).Members {
@@ -219,12 +219,13 @@
 	}
 }
 
-// Agents that the platform gives no peers find each other by the file's list, and one that no list names joins
-// where strangers may.
-func TestAFleetFromAFileAndAStranger(t *testing.T) {
+// Agents that the platform gives no peers find each other by the list in their members file, and an agent that
+// no list names can join where strangers are allowed.
+func TestFleetFromFileWithStranger(t *testing.T) {
 	t.Parallel()
-	bin, dir := built(t), t.TempDir()
-	// On a loopback address of their own: a port that was asked for and let go may be somebody else's by then.
+	bin, dir := buildProgram(t), t.TempDir()
+	// Use a loopback address of the test's own: on a shared one, a port that was free a moment ago may be
+	// taken.
 	host := fmt.Sprintf("127.201.%d.%d", os.Getpid()>>8&0xff, os.Getpid()&0xff)
 	var at []string
 	for i := range 4 {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,12 +1,13 @@
-// Package cluster is a rig of many processes of the built program: a stand-in site, agents whose peers' addresses
-// lead through links that the rig can cut one way, lose, double, delay and stall, and a seeded timetable of faults.
-// Tests and lemonctl use it.
+// Package cluster runs many processes of the built program for tests and lemonctl: a simulated site, agents,
+// and links between the agents that can drop datagrams one way, lose, duplicate, delay and stall them, and a
+// seeded timetable of faults.
 //
-// Each agent has a peer address of its own, and sees each other agent under another: the rig's end of the link
-// between the two. What it sends there leaves at the other agent from the address that this one knows it by. A link
-// to a process that isn't up refuses, as the machine of a dead process does, unless its machine is said to be gone.
+// Each agent has its own peer address, and knows each other agent by the address of a link, which the cluster
+// listens on. A datagram that is sent there arrives at the other agent from the address by which that agent
+// knows the sender. A link to a process that is not running refuses datagrams, as the machine of a dead
+// process does, unless the machine is simulated as gone.
 //
-// Close ends all that was started, by id, and waits for it.
+// Close ends all processes that were started, by id, and waits for them.
 package cluster
 
 import (
@@ -35,69 +36,69 @@
 	"lemonrail/internal/standin"
 )
 
-// Most agents that one rig runs.
+// Most is the maximum number of agents of a cluster.
 const Most = 60
 
-// Options say what is started.
+// Options configures a cluster.
 type Options struct {
-	Program  string            // the agent's
-	Dir      string            // for configurations, folders and logs; must exist
-	Scenario *standin.Scenario // site, and the number of agents
-	Members  string            // the text of the agents' file on members; empty: they keep none
-	Sites    string            // the text of their file on sites; empty: they watch none
-	Duties   string            // the text of their file on duties, but for the seats; empty: they hold none
-	Seats    int               // of the first so many agents
-	Args     []string          // further ones of each agent; DIR in them is the agent's own folder
-	Seed     uint64            // of what links do by chance
-	Observer standin.Observer  // of the site; nil: a ledger of its own
-
-	// Amend changes an agent's configuration before it is written; nil: nothing is changed.
+	Program  string            // path of the agent's program
+	Dir      string            // directory for configurations, folders and logs; must exist
+	Scenario *standin.Scenario // the site, and the number of agents
+	Members  string            // text of the agents' members file; empty: no membership
+	Sites    string            // text of the agents' sites file; empty: agents don't watch sites
+	Duties   string            // text of the agents' duties file, without the seats; empty: no duties
+	Seats    int               // number of seats; the first Seats agents have one each
+	Args     []string          // additional arguments of each agent; DIR stands for the agent's own folder
+	Seed     uint64            // seed of random faults of links
+	Observer standin.Observer  // observer of the site; nil: a ledger that ignores attempts
+
+	// Amend changes an agent's configuration before it is written; nil: no change.
 	Amend func(agent int, config map[string]any)
 }
 
-// Cluster is a running rig.
+// Cluster is a set of running agents, links and the site.
 type Cluster struct {
-	o      Options
-	Site   *standin.Site
-	Agents []*Agent
-	links  [][]*relay // by sender and receiver
-	alls   []*relay   // by sender, to everybody
-	seats  []string   // real addresses of the seats
-	tcp    [][]*tcpLink
-	began  time.Time
-	stopAt chan struct{}
-	tasks  sync.WaitGroup
+	options        Options
+	Site           *standin.Site
+	Agents         []*Agent
+	links          [][]*udpLink // by sender and receiver
+	broadcastLinks []*udpLink   // by sender; a datagram goes to all other agents
+	seatAddrs      []string     // real addresses of the seats, without links
+	tcpLinks       [][]*tcpLink
+	startedAt      time.Time
+	stop           chan struct{}
+	tasks          sync.WaitGroup
 }
 
-// Agent is one agent: at most one process at a time.
+// Agent is one agent of a cluster. It has at most one process at a time.
 type Agent struct {
 	Name    string
 	Zone    string
-	Listen  netip.AddrPort // where clients connect
-	Control string         // where staff call
-	Log     string         // file
-
-	c      *Cluster
-	number int
-	peer   netip.AddrPort // its own, where the rig sends to
-	config string
-	dir    string
-	fds    []int
-
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	err     error
-	stopped bool
-	slow    chan struct{}
-	lives   int
+	Listen  netip.AddrPort // address for clients
+	Control string         // address of the control listener
+	Log     string         // path of the log file
+
+	cluster     *Cluster
+	index       int
+	peerAddr    netip.AddrPort // its own peer address, which links send to
+	config      string
+	dir         string
+	reservedFDs []int
+
+	mu       sync.Mutex
+	cmd      *exec.Cmd
+	exited   chan struct{}
+	exitErr  error
+	stopped  bool
+	stopSlow chan struct{}
+	starts   int
 
 	fileLimit uint64
 }
 
-var rigs atomic.Uint32
+var clusterCount atomic.Uint32
 
-// Open starts the site and the links. No agent runs yet.
+// Open starts the site and the links. No agent is started yet.
 func Open(o Options) (c *Cluster, err error) {
 	n := o.Scenario.Agents
 	if n < 1 || n > Most {
@@ -105,9 +106,9 @@
 	}
 	observer := o.Observer
 	if observer == nil {
-		observer = silent{ledger.New(standin.RulesOf(o.Scenario))}
+		observer = ignoreAttempts{ledger.New(standin.RulesOf(o.Scenario))}
 	}
-	c = &Cluster{o: o, began: time.Now(), stopAt: make(chan struct{})}
+	c = &Cluster{options: o, startedAt: time.Now(), stop: make(chan struct{})}
 	defer func() {
 		if err != nil {
 			err = errors.Join(err, c.Close())
@@ -135,15 +136,15 @@
 	return c, nil
 }
 
-// silent is a ledger that no client tells of its requests.
-type silent struct{ *ledger.Ledger }
+// ignoreAttempts is a ledger that records no attempts, for clusters whose clients don't record their requests.
+type ignoreAttempts struct{ *ledger.Ledger }
 
-func (silent) Began(ledger.Attempt) func(ledger.Ending) { return func(ledger.Ending) {} }
+func (ignoreAttempts) Began(ledger.Attempt) func(ledger.Ending) { return func(ledger.Ending) {} }
 
 func (c *Cluster) newAgent(i int) (*Agent, error) {
-	a := &Agent{Name: fmt.Sprintf("n%d", i), Zone: c.o.Scenario.Sites[i%len(c.o.Scenario.Sites)], c: c, number: i, peer: c.links[i][i].own}
-	a.dir = filepath.Join(c.o.Dir, a.Name)
-	a.config, a.Log = filepath.Join(a.dir, "config.json"), filepath.Join(c.o.Dir, a.Name+".log")
+	a := &Agent{Name: fmt.Sprintf("n%d", i), Zone: c.options.Scenario.Sites[i%len(c.options.Scenario.Sites)], cluster: c, index: i, peerAddr: c.links[i][i].agentAddr}
+	a.dir = filepath.Join(c.options.Dir, a.Name)
+	a.config, a.Log = filepath.Join(a.dir, "config.json"), filepath.Join(c.options.Dir, a.Name+".log")
 	if err := os.MkdirAll(filepath.Join(a.dir, "keep"), 0o700); err != nil {
 		return nil, err
 	}
@@ -153,15 +154,15 @@
 		if err != nil {
 			return nil, err
 		}
-		a.fds, places[k] = append(a.fds, fd), at
+		a.reservedFDs, places[k] = append(a.reservedFDs, fd), at
 	}
 	a.Listen, a.Control = netip.MustParseAddrPort(places[0]), places[1]
 	return a, nil
 }
 
-// configure writes an agent's configuration anew.
+// configure writes the agent's configuration file.
 func (a *Agent) configure() error {
-	raw, err := a.c.Site.Config(a.number, a.Listen.String())
+	raw, err := a.cluster.Site.Config(a.index, a.Listen.String())
 	if err != nil {
 		return err
 	}
@@ -169,19 +170,19 @@
 	if err := json.Unmarshal(raw, &all); err != nil {
 		return err
 	}
-	all["name"], all["peer_listen"], all["peers_all"] = a.Name, a.peer.String(), a.c.alls[a.number].at.String()
+	all["name"], all["peer_listen"], all["peers_all"] = a.Name, a.peerAddr.String(), a.cluster.broadcastLinks[a.index].addr.String()
 	var peers []string
-	for j := range a.c.links {
-		if j == a.number {
-			peers = append(peers, a.peer.String())
+	for j := range a.cluster.links {
+		if j == a.index {
+			peers = append(peers, a.peerAddr.String())
 		} else {
-			peers = append(peers, a.c.links[a.number][j].at.String())
+			peers = append(peers, a.cluster.links[a.index][j].addr.String())
 		}
 	}
 	all["peers"] = peers
 	all["settings"].(map[string]any)["PolicyLimits"].(map[string]any)["Peers"] = true
-	if a.c.o.Amend != nil {
-		a.c.o.Amend(a.number, all)
+	if a.cluster.options.Amend != nil {
+		a.cluster.options.Amend(a.index, all)
 	}
 	if raw, err = json.MarshalIndent(all, "", " "); err != nil {
 		return err
@@ -189,40 +190,40 @@
 	return os.WriteFile(a.config, raw, 0o600)
 }
 
-// Start starts an agent's process, and does nothing where one runs.
+// Start starts the agent's process, unless one is running.
 func (a *Agent) Start() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.up() {
+	if a.running() {
 		return nil
 	}
 	if err := a.configure(); err != nil {
 		return err
 	}
 	var args []string
-	if a.c.o.Members != "" {
+	if a.cluster.options.Members != "" {
 		path := filepath.Join(a.dir, "members.toml")
-		if err := os.WriteFile(path, []byte(strings.ReplaceAll(a.c.o.Members, "DIR", a.dir)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.ReplaceAll(a.cluster.options.Members, "DIR", a.dir)), 0o600); err != nil {
 			return err
 		}
 		args = append(args, "-members", path)
 	}
-	if a.c.o.Sites != "" {
+	if a.cluster.options.Sites != "" {
 		path := filepath.Join(a.dir, "sites.toml")
-		if err := os.WriteFile(path, []byte(a.c.o.Sites), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(a.cluster.options.Sites), 0o600); err != nil {
 			return err
 		}
 		args = append(args, "-sites", path)
 	}
-	if a.c.o.Duties != "" {
+	if a.cluster.options.Duties != "" {
 		path := filepath.Join(a.dir, "duties.toml")
-		text := fmt.Sprintf("folder = %q\n", filepath.Join(a.dir, "seat")) + a.c.o.Duties + "\n" + a.c.seatsText(a.number)
+		text := fmt.Sprintf("folder = %q\n", filepath.Join(a.dir, "seat")) + a.cluster.options.Duties + "\n" + a.cluster.seatsText(a.index)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			return err
 		}
 		args = append(args, "-duties", path)
 	}
-	for _, arg := range a.c.o.Args {
+	for _, arg := range a.cluster.options.Args {
 		args = append(args, strings.ReplaceAll(arg, "DIR", a.dir))
 	}
 	log, err := os.OpenFile(a.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -230,72 +231,72 @@
 		return err
 	}
 	defer log.Close()
-	program, args := a.limited(a.c.o.Program, args)
+	program, args := a.withFileLimit(a.cluster.options.Program, args)
 	cmd := exec.Command(program, args...)
 	cmd.Env = []string{"LB_CONFIG=" + a.config, "LB_NAME=" + a.Name, "LB_CONTROL=" + a.Control, "TMPDIR=" + a.dir, "GOMAXPROCS=2"}
 	cmd.Stdout, cmd.Stderr = log, log
-	if err := a.c.refuse(a.number, false); err != nil {
+	if err := a.cluster.setRefusing(a.index, false); err != nil {
 		return err
 	}
 	if err := cmd.Start(); err != nil {
-		return errors.Join(err, a.c.refuse(a.number, true))
+		return errors.Join(err, a.cluster.setRefusing(a.index, true))
 	}
 	ended := make(chan struct{})
-	a.cmd, a.ended, a.stopped = cmd, ended, false
-	a.lives++
+	a.cmd, a.exited, a.stopped = cmd, ended, false
+	a.starts++
 	go func() {
 		err := cmd.Wait()
 		a.mu.Lock()
-		a.err = err
+		a.exitErr = err
 		a.mu.Unlock()
-		a.c.refuse(a.number, true)
+		a.cluster.setRefusing(a.index, true)
 		close(ended)
 	}()
 	return nil
 }
 
-// up reports whether a process runs. The caller holds mu.
-func (a *Agent) up() bool {
+// running reports whether the process is running. The caller holds mu.
+func (a *Agent) running() bool {
 	if a.cmd == nil {
 		return false
 	}
 	select {
-	case <-a.ended:
+	case <-a.exited:
 		return false
 	default:
 		return true
 	}
 }
 
-// Peer is the address on which the agent hears its peers.
-func (a *Agent) Peer() netip.AddrPort { return a.peer }
+// Peer returns the address on which the agent receives datagrams of its peers.
+func (a *Agent) Peer() netip.AddrPort { return a.peerAddr }
 
-// Up reports whether its process runs.
+// Up reports whether the agent's process is running, also if it is stopped by SIGSTOP.
 func (a *Agent) Up() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.up()
+	return a.running()
 }
 
-// Runs reports whether its process runs and isn't stopped.
+// Runs reports whether the agent's process is running and not stopped by SIGSTOP.
 func (a *Agent) Runs() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.up() && !a.stopped
+	return a.running() && !a.stopped
 }
 
-// Lives is how many processes it has had.
+// Lives returns how many processes the agent has had.
 func (a *Agent) Lives() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.lives
+	return a.starts
 }
 
-// Signal sends a signal to the process; nothing where none runs.
+// Signal sends a signal to the process. It does nothing if no process is running.
 func (a *Agent) Signal(s syscall.Signal) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.up() {
+	if !a.running() {
 		return nil
 	}
 	switch s {
@@ -307,40 +308,40 @@
 	return a.cmd.Process.Signal(s)
 }
 
-// Kill ends the process with SIGKILL and waits for its end.
+// Kill ends the process with SIGKILL and waits for its exit.
 func (a *Agent) Kill() error { return a.end(syscall.SIGKILL) }
 
-// Term ends the process with SIGTERM, with SIGKILL where it doesn't end in time, and waits for its end.
+// Term ends the process with SIGTERM, or SIGKILL if it takes longer than exitTimeout, and waits for its exit.
 func (a *Agent) Term() error { return a.end(syscall.SIGTERM) }
 
-const endLimit = 10 * time.Second
+const exitTimeout = 10 * time.Second
 
 func (a *Agent) end(s syscall.Signal) error {
 	a.mu.Lock()
-	if !a.up() {
+	if !a.running() {
 		a.mu.Unlock()
 		return nil
 	}
-	cmd, ended := a.cmd, a.ended
+	cmd, ended := a.cmd, a.exited
 	a.mu.Unlock()
 	if err := cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
 	}
-	a.Signal(syscall.SIGCONT) // one that is stopped would not hear of it
+	a.Signal(syscall.SIGCONT) // a stopped process would not handle SIGTERM
 	select {
 	case <-ended:
 		return nil
-	case <-time.After(endLimit):
+	case <-time.After(exitTimeout):
 		cmd.Process.Kill()
 		<-ended
-		return fmt.Errorf("%s did not end within %v of %v", a.Name, endLimit, s)
+		return fmt.Errorf("%s did not end within %v of %v", a.Name, exitTimeout, s)
 	}
 }
 
-// Folder is the agent's own.
+// Folder returns the path of the agent's own folder.
 func (a *Agent) Folder() string { return a.dir }
 
-// Wipe removes what the agent keeps in its folder.
+// Wipe removes what the agent has stored in its folder.
 func (a *Agent) Wipe() error {
 	keep := filepath.Join(a.dir, "keep")
 	return errors.Join(os.RemoveAll(keep), os.MkdirAll(keep, 0o700))
@@ -348,22 +349,22 @@
 
 const slowCycle = 100 * time.Millisecond
 
-// Slow leaves the process a share of a core from now on, by stopping it for the rest of each tenth of a second;
-// 1 or more: all of it.
+// Slow limits the process to a share of a core by stopping it for the rest of each slowCycle. A share of 1 or
+// more removes the limit.
 func (a *Agent) Slow(share float64) {
 	a.mu.Lock()
-	if a.slow != nil {
-		close(a.slow)
-		a.slow = nil
+	if a.stopSlow != nil {
+		close(a.stopSlow)
+		a.stopSlow = nil
 	}
-	if share >= 1 || !a.up() {
+	if share >= 1 || !a.running() {
 		a.mu.Unlock()
 		return
 	}
-	quit, ended, process := make(chan struct{}), a.ended, a.cmd.Process
-	a.slow = quit
+	quit, ended, process := make(chan struct{}), a.exited, a.cmd.Process
+	a.stopSlow = quit
 	a.mu.Unlock()
-	a.c.tasks.Go(func() {
+	a.cluster.tasks.Go(func() {
 		defer process.Signal(syscall.SIGCONT)
 		run := time.Duration(share * float64(slowCycle))
 		for {
@@ -378,7 +379,7 @@
 					return
 				case <-ended:
 					return
-				case <-a.c.stopAt:
+				case <-a.cluster.stop:
 					return
 				}
 			}
@@ -386,12 +387,12 @@
 	})
 }
 
-// Ask asks the agent's control listener.
+// Ask sends a request to the agent's control listener.
 func (a *Agent) Ask(method, path string) (status int, body []byte, err error) {
-	return call(a.Control, method, path)
+	return httpCall(a.Control, method, path)
 }
 
-func call(address, method, path string) (status int, body []byte, err error) {
+func httpCall(address, method, path string) (status int, body []byte, err error) {
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	req, err := http.NewRequest(method, "http://"+address+path, nil)
 	if err != nil {
@@ -406,20 +407,24 @@
 	return resp.StatusCode, body, err
 }
 
-// Duties is how the agent's duties stand.
-func (a *Agent) Duties() (*seat.Report, error) { return told[seat.Report](a.Control, "/api/duties") }
+// Duties returns the agent's report on duties.
+func (a *Agent) Duties() (*seat.Report, error) { return getJSON[seat.Report](a.Control, "/api/duties") }
 
-// Members is the agent's view of the fleet.
-func (a *Agent) Members() (*link.Report, error) { return view(a.Control) }
+// Members returns the agent's report on the fleet's members.
+func (a *Agent) Members() (*link.Report, error) { return membersReport(a.Control) }
 
-// Sites is what the agent holds the sites for.
-func (a *Agent) Sites() (*driver.Report, error) { return told[driver.Report](a.Control, "/api/sites") }
+// Sites returns the agent's report on the states of sites.
+func (a *Agent) Sites() (*driver.Report, error) {
+	return getJSON[driver.Report](a.Control, "/api/sites")
+}
 
-func view(address string) (*link.Report, error) { return told[link.Report](address, "/api/members") }
+func membersReport(address string) (*link.Report, error) {
+	return getJSON[link.Report](address, "/api/members")
+}
 
-// told is what a control listener says as JSON.
-func told[T any](address, path string) (*T, error) {
-	status, body, err := call(address, http.MethodGet, path)
+// getJSON decodes the JSON answer of a control listener.
+func getJSON[T any](address, path string) (*T, error) {
+	status, body, err := httpCall(address, http.MethodGet, path)
 	if err != nil {
 		return nil, err
 	}
@@ -430,10 +435,10 @@
 	return r, json.Unmarshal(body, r)
 }
 
-// Ask asks a control listener for its view until it is as wanted, for so long at the most.
+// Ask polls the members report of a control listener until so returns nil, for at most patience.
 func Ask(address string, patience time.Duration, so func(*link.Report) error) error {
 	return until(patience, nil, func() error {
-		r, err := view(address)
+		r, err := membersReport(address)
 		if err != nil {
 			return err
 		}
@@ -451,7 +456,7 @@
 	return c.Ready(patience)
 }
 
-// Ready waits until each agent that runs is ready.
+// Ready waits until each running agent is ready.
 func (c *Cluster) Ready(patience time.Duration) error {
 	return c.Until(patience, func() error {
 		for _, a := range c.Agents {
@@ -466,9 +471,9 @@
 	})
 }
 
-// Until asks until the answer is no error, for so long at the most; then the last error comes back.
+// Until polls so until it returns nil, for at most patience; then it returns the last error.
 func (c *Cluster) Until(patience time.Duration, so func() error) error {
-	return until(patience, c.stopAt, so)
+	return until(patience, c.stop, so)
 }
 
 func until(patience time.Duration, stop <-chan struct{}, so func() error) error {
@@ -479,7 +484,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %v: %w", patience, err)
+			return fmt.Errorf("not met within %v: %w", patience, err)
 		}
 		select {
 		case <-time.After(20 * time.Millisecond):
@@ -489,7 +494,8 @@
 	}
 }
 
-// Agree is nil once all agents that run hold the same view, in which exactly those live that run.
+// Agree returns nil if all running agents have the same view of the members, and exactly the running agents
+// are alive in it.
 func (c *Cluster) Agree() error {
 	digest, by := "", ""
 	for _, a := range c.Agents {
@@ -522,7 +528,7 @@
 	return nil
 }
 
-// Logs is the last of each agent's log.
+// Logs returns the last lines of each agent's log.
 func (c *Cluster) Logs(lines int) string {
 	var b strings.Builder
 	for _, a := range c.Agents {
@@ -536,19 +542,19 @@
 	return b.String()
 }
 
-// Close ends all processes, links and the site, and waits until nothing is left.
+// Close ends all processes, links and the site, and waits for them.
 func (c *Cluster) Close() error {
-	close(c.stopAt)
+	close(c.stop)
 	var errs []error
 	for _, a := range c.Agents {
 		a.Signal(syscall.SIGCONT)
 		errs = append(errs, a.Kill())
-		for _, fd := range a.fds {
+		for _, fd := range a.reservedFDs {
 			syscall.Close(fd)
 		}
 	}
 	c.closeLinks()
-	for _, row := range c.tcp {
+	for _, row := range c.tcpLinks {
 		for _, l := range row {
 			l.close()
 		}
@@ -560,8 +566,8 @@
 	return errors.Join(errs...)
 }
 
-// freeHost is a loopback address that no other rig of this machine uses.
-func freeHost(rig uint32) (netip.Addr, error) {
+// freeLoopbackAddr returns a loopback address that no other cluster on this machine uses.
+func freeLoopbackAddr(rig uint32) (netip.Addr, error) {
 	pid := uint32(os.Getpid())
 	for try := range uint32(64) {
 		a := netip.AddrFrom4([4]byte{127, byte(64 + (pid>>8+try*7)%128), byte(pid), byte(1 + rig%250)})
@@ -575,10 +581,10 @@
 	return netip.Addr{}, errors.New("cluster: no free loopback address")
 }
 
-// The agents' own ports on the rig's address.
+// peerPort is the peer port of the first agent; the nth agent has peerPort + n, on the cluster's own address.
 const peerPort = 7946
 
-// SiteText is a small site for rigs that are about the agents alone: a node in each zone.
+// SiteText returns the scenario of a small site with one node per zone, for tests of the agents alone.
 func SiteText(agents, zones int) string {
 	var b strings.Builder
 	var names, nodes []string
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	patience = 30 * time.Second // for what takes a second or two on a machine with time to spare
-	// The shipped period, for tests that count changes: a busy machine must not make any.
-	calm  = "period_ms = 250\npause_ms = 30000\nrate = 60\n"
-	quick = "period_ms = 100\npause_ms = 3000\nrate = 100\nfolder = \"DIR/keep\"\n"
+	patience = 30 * time.Second // far longer than any wait should take on an idle machine
+	// The shipped period, for tests that count changes of state: delays of a busy machine must not cause any.
+	calmMembers  = "period_ms = 250\npause_ms = 30000\nrate = 60\n"
+	quickMembers = "period_ms = 100\npause_ms = 3000\nrate = 100\nfolder = \"DIR/keep\"\n"
 )
 
 var program struct {
@@ -39,8 +39,8 @@
 	os.Exit(code)
 }
 
-// built is the program, built once.
-func built(t testing.TB) string {
+// buildProgram returns the path of the agent's program, which is built once.
+func buildProgram(t testing.TB) string {
 	t.Helper()
 	program.once.Do(func() {
 		dir, err := os.MkdirTemp("", "lemonrail-cluster")
@@ -60,14 +60,14 @@
 	return program.path
 }
 
-// rig starts n agents and waits until all see all.
-func rig(t testing.TB, n, zones int, members string) *cluster.Cluster {
+// startCluster starts n agents and waits until all agree on the members.
+func startCluster(t testing.TB, n, zones int, members string) *cluster.Cluster {
 	t.Helper()
 	sc, err := standin.ParseScenario("site", []byte(cluster.SiteText(n, zones)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := cluster.Open(cluster.Options{Program: built(t), Dir: t.TempDir(), Scenario: sc, Members: members, Seed: 1})
+	c, err := cluster.Open(cluster.Options{Program: buildProgram(t), Dir: t.TempDir(), Scenario: sc, Members: members, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 		}
 		for _, a := range c.Agents {
 			if a.Up() {
-				t.Errorf("%s is left", a.Name)
+				t.Errorf("%s is still running", a.Name)
 			}
 		}
 	})
@@ -96,8 +96,8 @@
 	}
 }
 
-// sees waits until an agent's view is as wanted.
-func sees(t testing.TB, c *cluster.Cluster, at int, what string, so func(*link.Report) bool) {
+// waitForView waits until an agent's members report satisfies so.
+func waitForView(t testing.TB, c *cluster.Cluster, at int, what string, so func(*link.Report) bool) {
 	t.Helper()
 	var last *link.Report
 	err := c.Until(patience, func() error {
@@ -124,7 +124,7 @@
 	return link.Row{}
 }
 
-func moved(t testing.TB, c *cluster.Cluster) (n []uint64) {
+func changeCounts(t testing.TB, c *cluster.Cluster) (n []uint64) {
 	t.Helper()
 	for _, a := range c.Agents {
 		r, err := a.Members()
@@ -134,15 +134,15 @@
 	return n
 }
 
-// A process that is killed is known as gone by its machine's word; started again it is another life. One that leaves
-// says so. A folder that is lost costs nothing.
-func TestKilledLeftAndBack(t *testing.T) {
+// A killed process is reported as dead with proof, since its machine refuses datagrams, and a restart is a new
+// incarnation, also with an empty folder. A process that ends on SIGTERM is reported as left.
+func TestKillLeaveAndRestart(t *testing.T) {
 	t.Parallel()
-	c := rig(t, 7, 2, quick)
+	c := startCluster(t, 7, 2, quickMembers)
 	must(t, c.Agents[3].Kill())
 	must(t, c.Agents[4].Term())
 	for _, at := range []int{0, 1, 2, 5, 6} {
-		sees(t, c, at, "n3 gone by proof, n4 left, five to reckon with", func(r *link.Report) bool {
+		waitForView(t, c, at, "n3 dead with proof, n4 left, five living members", func(r *link.Report) bool {
 			return row(r, "n3").State == "dead" && row(r, "n3").Proved && row(r, "n4").State == "left" && r.Living == 5 && r.Possible == 5
 		})
 	}
@@ -163,28 +163,28 @@
 	return r
 }
 
-// One that is stopped is suspected and not dead before its time; back, each other has seen two changes. All that
-// are stopped together and wake accuse nobody.
+// A stopped agent is suspected, but not held for dead before its time, and each other agent sees two changes
+// in all. Agents that were all stopped together accuse nobody after they continue.
 func TestStoppedProcesses(t *testing.T) {
 	t.Parallel()
-	c := rig(t, 7, 1, calm)
-	before := moved(t, c)
+	c := startCluster(t, 7, 1, calmMembers)
+	before := changeCounts(t, c)
 	must(t, c.Agents[2].Signal(syscall.SIGSTOP))
 	for _, at := range []int{0, 1, 3, 4, 5, 6} {
-		sees(t, c, at, "n2 suspected", func(r *link.Report) bool { return row(r, "n2").State == "suspect" })
+		waitForView(t, c, at, "n2 suspected", func(r *link.Report) bool { return row(r, "n2").State == "suspect" })
 	}
 	must(t, c.Agents[2].Signal(syscall.SIGCONT))
 	must(t, c.Until(patience, c.Agree))
-	for i, n := range moved(t, c) {
+	for i, n := range changeCounts(t, c) {
 		if i != 2 && n-before[i] != 2 {
 			t.Errorf("n%d saw %d changes, want 2", i, n-before[i])
 		}
 	}
-	moved(t, c) // each of them answers before it is stopped
+	changeCounts(t, c) // each agent answers before it is stopped
 	for _, a := range c.Agents {
 		must(t, a.Signal(syscall.SIGSTOP))
 	}
-	time.Sleep(2 * time.Second) // what is stopped does nothing: there is no event to wait for
+	time.Sleep(2 * time.Second) // stopped processes do nothing, so there is no event to wait for
 	for _, a := range c.Agents {
 		must(t, a.Signal(syscall.SIGCONT))
 	}
@@ -203,18 +203,19 @@
 	}
 }
 
-// A pair that can't talk, one way, is named so at all agents, and nobody is suspected.
-func TestACutOfOneSideIsNamed(t *testing.T) {
+// Two agents that are cut off from each other in one direction are reported as such by all agents, and nobody
+// is suspected.
+func TestOneWayCutIsReported(t *testing.T) {
 	t.Parallel()
-	c := rig(t, 5, 1, calm)
-	before := moved(t, c)
+	c := startCluster(t, 5, 1, calmMembers)
+	before := changeCounts(t, c)
 	c.Link([]int{1}, []int{2}, func(f *cluster.Fault) { f.Cut = true })
 	for at := range 5 {
-		sees(t, c, at, "n2 not reached from n1, and no more", func(r *link.Report) bool {
+		waitForView(t, c, at, "n2 not reached from n1, and no more", func(r *link.Report) bool {
 			return fmt.Sprint(row(r, "n2").UnreachableFrom) == "[n1]" && len(row(r, "n1").UnreachableFrom) == 0
 		})
 	}
-	for i, n := range moved(t, c) {
+	for i, n := range changeCounts(t, c) {
 		if n != before[i] {
 			t.Errorf("n%d saw %d changes of state", i, n-before[i])
 		}
@@ -223,10 +224,10 @@
 	must(t, c.Until(patience, c.Agree))
 }
 
-// What is no datagram of the fleet is dropped and counted by a running agent.
+// Datagrams that are malformed or of another fleet are dropped and counted.
 func TestGarbageIsCounted(t *testing.T) {
 	t.Parallel()
-	c := rig(t, 2, 1, quick)
+	c := startCluster(t, 2, 1, quickMembers)
 	own := c.Agents[0].Peer()
 	from, err := net.Dial("udp4", own.String())
 	must(t, err)
@@ -235,15 +236,15 @@
 		_, err := from.Write(raw)
 		must(t, err)
 	}
-	sees(t, c, 0, "two garbled, one foreign, one under another's number", func(r *link.Report) bool {
+	waitForView(t, c, 0, "two garbled, one foreign, one under another's number", func(r *link.Report) bool {
 		return r.Counters.Garbled >= 2 && r.Counters.Foreign >= 1 && r.Counters.Strange >= 1 && r.Alive == 2
 	})
 }
 
-// Five and two: the five go on and hold the two for dead, the two know that they are the ones.
+// In a partition of seven agents, the five hold the two for dead, and the two know that they are the minority.
 func TestPartition(t *testing.T) {
 	t.Parallel()
-	c := rig(t, 7, 1, quick)
+	c := startCluster(t, 7, 1, quickMembers)
 	five, two := []int{0, 1, 2, 3, 4}, []int{5, 6}
 	cut := func(on bool) {
 		c.Link(five, two, func(f *cluster.Fault) { f.Cut = on })
@@ -251,10 +252,10 @@
 	}
 	cut(true)
 	for _, at := range five {
-		sees(t, c, at, "a majority of five", func(r *link.Report) bool { return r.Majority && r.Alive == 5 && row(r, "n6").State == "dead" })
+		waitForView(t, c, at, "a majority of five", func(r *link.Report) bool { return r.Majority && r.Alive == 5 && row(r, "n6").State == "dead" })
 	}
 	for _, at := range two {
-		sees(t, c, at, "a minority that counts all as living", func(r *link.Report) bool {
+		waitForView(t, c, at, "a minority that counts all as living", func(r *link.Report) bool {
 			return r.Standing == "minority" && r.Alive == 2 && r.Living == 7 && row(r, "n0").State == "suspect"
 		})
 	}
@@ -262,22 +263,22 @@
 	must(t, c.Until(patience, c.Agree))
 }
 
-// Whatever a seed does to links and processes, in the end all that run see the same, and it is true.
+// After any timetable all running agents agree on a correct view.
 func TestSeededTimetables(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			c := rig(t, 8, 2, quick)
+			c := startCluster(t, 8, 2, quickMembers)
 			table := cluster.Random(seed, 8, 2, 8)
 			must(t, c.Play(context.Background(), table, func(h cluster.Happening) { t.Logf("%.2f s %s", h.At.Seconds(), h.Text) }))
 			if err := c.Until(patience, c.Agree); err != nil {
-				t.Fatalf("%v\nto see it again: lemonctl cluster run --agent bin/lemonrail --seed %d --agents 8 --zones 2 --seconds 8", err, seed)
+				t.Fatalf("%v\nreproduce with: lemonctl cluster run --agent bin/lemonrail --seed %d --agents 8 --zones 2 --seconds 8", err, seed)
 			}
 		})
 	}
 }
 
-func TestTimetablesAreChecked(t *testing.T) {
+func TestParseTimetableErrors(t *testing.T) {
 	for _, tt := range []struct{ text, want string }{
 		{"agents = 0\nseconds = 1", "line 1: agents"},
 		{"agents = 7\nseconds = 0", "seconds"},
--- a/internal/cluster/duties_test.go
+++ b/internal/cluster/duties_test.go
@@ -20,14 +20,16 @@
 
 const quickDuties = "act_ms = 100\ntick_ms = 20\ndrift = 0.05\n[[duty]]\nname = \"notes\"\nlease_ms = 1200\n"
 
-// dutiesRig runs some agents, of which the first three have seats, and waits until a duty is held.
-func dutiesRig(t *testing.T, n int) *cluster.Cluster { return dutiesRigOf(t, n, 3, quickDuties) }
+// startDutiesCluster runs n agents, of which the first three have seats, and waits until the duty is held.
+func startDutiesCluster(t *testing.T, n int) *cluster.Cluster {
+	return startDutiesClusterWith(t, n, 3, quickDuties)
+}
 
-func dutiesRigOf(t *testing.T, n, seats int, text string) *cluster.Cluster {
+func startDutiesClusterWith(t *testing.T, n, seats int, text string) *cluster.Cluster {
 	t.Helper()
 	sc, err := standin.ParseScenario("site", []byte(cluster.SiteText(n, 2)))
 	must(t, err)
-	c, err := cluster.Open(cluster.Options{Program: built(t), Dir: t.TempDir(), Scenario: sc, Members: quick, Duties: text, Seats: seats, Seed: 1})
+	c, err := cluster.Open(cluster.Options{Program: buildProgram(t), Dir: t.TempDir(), Scenario: sc, Members: quickMembers, Duties: text, Seats: seats, Seed: 1})
 	must(t, err)
 	t.Cleanup(func() {
 		if t.Failed() {
@@ -38,13 +40,13 @@
 		}
 	})
 	must(t, c.StartAll(patience))
-	heldBy(t, c, 0)
+	waitForHolder(t, c, 0)
 	return c
 }
 
-// heldBy waits until just one of the agents that run holds the notes, in an epoch over one, and all know it; it returns
-// who and the epoch.
-func heldBy(t *testing.T, c *cluster.Cluster, over uint64) (holder int, epoch uint64) {
+// waitForHolder waits until exactly one running agent holds the duty in an epoch above over, and all running
+// agents know the holder. It returns the holder and its epoch.
+func waitForHolder(t *testing.T, c *cluster.Cluster, over uint64) (holder int, epoch uint64) {
 	t.Helper()
 	err := c.Until(patience, func() error {
 		holder = -1
@@ -57,7 +59,7 @@
 			if err != nil {
 				return err
 			}
-			row := notes(r)
+			row := notesRow(r)
 			if row == nil || row.Holder == "" || uint64(row.Epoch) <= over {
 				return fmt.Errorf("%s knows of no holder over %d: %+v", a.Name, over, row)
 			}
@@ -81,7 +83,7 @@
 	return holder, epoch
 }
 
-func notes(r *seat.Report) *seat.Row {
+func notesRow(r *seat.Report) *seat.Row {
 	for i := range r.Duties {
 		if r.Duties[i].Duty == "notes" {
 			return &r.Duties[i]
@@ -97,8 +99,8 @@
 	return r
 }
 
-// seatIs waits until an agent's seat is as wanted.
-func seatIs(t *testing.T, c *cluster.Cluster, agent int, what string, so func(*seat.SeatReport) bool) {
+// waitForSeat waits until the report of an agent's seat satisfies so.
+func waitForSeat(t *testing.T, c *cluster.Cluster, agent int, what string, so func(*seat.SeatReport) bool) {
 	t.Helper()
 	var last *seat.SeatReport
 	if err := c.Until(patience, func() error {
@@ -115,7 +117,7 @@
 	}
 }
 
-func served(t *testing.T, c *cluster.Cluster) {
+func checkAllServe(t *testing.T, c *cluster.Cluster) {
 	t.Helper()
 	must(t, c.Ready(patience))
 	for _, a := range c.Agents {
@@ -135,24 +137,25 @@
 	}
 }
 
-func TestTheHolderFails(t *testing.T) {
+func TestHolderFails(t *testing.T) {
 	t.Parallel()
-	c := dutiesRig(t, 5)
-	first, epoch := heldBy(t, c, 0)
+	c := startDutiesCluster(t, 5)
+	first, epoch := waitForHolder(t, c, 0)
 	must(t, c.Agents[first].Kill())
-	second, _ := heldBy(t, c, epoch)
+	second, _ := waitForHolder(t, c, epoch)
 	if second == first {
-		t.Errorf("n%d holds it, and is gone", first)
+		t.Errorf("n%d holds the duty although it was killed", first)
 	}
 	must(t, c.Agents[first].Start())
 	must(t, c.Ready(patience))
-	heldBy(t, c, epoch)
-	// Stopped for longer than its lease, it finds out when it goes on, and another goes on in between.
-	second, next := heldBy(t, c, epoch)
+	waitForHolder(t, c, epoch)
+	// An agent that is stopped for longer than its lease ends its epoch when it continues; another agent takes
+	// over meanwhile.
+	second, next := waitForHolder(t, c, epoch)
 	must(t, c.Agents[second].Signal(syscall.SIGSTOP))
-	third, last := heldBy(t, c, next)
+	third, last := waitForHolder(t, c, next)
 	must(t, c.Agents[second].Signal(syscall.SIGCONT))
-	if holder, e := heldBy(t, c, next); holder != third || e != last {
+	if holder, e := waitForHolder(t, c, next); holder != third || e != last {
 		t.Logf("n%d holds it in %d after n%d in %d", holder, e, third, last)
 	}
 	ended := false
@@ -162,15 +165,16 @@
 	if !ended {
 		t.Errorf("n%d never ended epoch %d: %+v", second, next, report(t, c, second).History)
 	}
-	served(t, c)
+	checkAllServe(t, c)
 }
 
-// Cut off from the seats one way, it lets go, though it still hears of them; the others go on.
-func TestTheHolderIsCutOff(t *testing.T) {
+// A holder that is cut off from the seats, also in one direction only, gives the duty up, and another agent
+// takes over.
+func TestHolderCutOff(t *testing.T) {
 	t.Parallel()
-	c := dutiesRig(t, 5)
+	c := startDutiesCluster(t, 5)
 	for _, both := range []bool{false, true} {
-		holder, epoch := heldBy(t, c, 0)
+		holder, epoch := waitForHolder(t, c, 0)
 		cut := func(on bool) {
 			set := func(f *cluster.Fault) { f.Cut = on }
 			c.Link([]int{holder}, []int{0, 1, 2}, set)
@@ -180,25 +184,25 @@
 		}
 		cut(true)
 		must(t, c.Until(patience, func() error {
-			if notes(report(t, c, holder)).Mine == "holding" {
-				return errors.New("it still holds it")
+			if notesRow(report(t, c, holder)).Mine == "holding" {
+				return errors.New("the agent still holds the duty")
 			}
 			for i := range c.Agents {
-				if row := notes(report(t, c, i)); i != holder && row.Mine == "holding" && uint64(row.Epoch) > epoch {
+				if row := notesRow(report(t, c, i)); i != holder && row.Mine == "holding" && uint64(row.Epoch) > epoch {
 					return nil
 				}
 			}
-			return errors.New("nobody has taken over")
+			return errors.New("no agent has taken over")
 		}))
 		cut(false)
-		heldBy(t, c, epoch)
+		waitForHolder(t, c, epoch)
 	}
 }
 
-func TestHandedOnByHand(t *testing.T) {
+func TestManualHandOver(t *testing.T) {
 	t.Parallel()
-	c := dutiesRig(t, 4)
-	holder, epoch := heldBy(t, c, 0)
+	c := startDutiesCluster(t, 4)
+	holder, epoch := waitForHolder(t, c, 0)
 	to := (holder + 1) % 4
 	put := func(agent int, path string, want int) {
 		t.Helper()
@@ -207,52 +211,53 @@
 			t.Fatalf("%s: %d %s, %v", path, status, body, err)
 		}
 	}
-	put((holder+2)%4, "/api/duties/notes/hand-on/"+c.Agents[to].Name, http.StatusOK) // at any agent
-	if got, e := heldBy(t, c, epoch); got != to || e != epoch+1 {
+	put((holder+2)%4, "/api/duties/notes/hand-on/"+c.Agents[to].Name, http.StatusOK) // at any agent, here one that is neither holder nor target
+	if got, e := waitForHolder(t, c, epoch); got != to || e != epoch+1 {
 		t.Errorf("n%d holds it in %d, wanted n%d in %d", got, e, to, epoch+1)
 	}
 	put(holder, "/api/duties/notes/release", http.StatusConflict)
 	put(to, "/api/duties/notes/release", http.StatusOK)
-	heldBy(t, c, epoch+1)
-	// A planned stop lets go at once.
-	holder, epoch = heldBy(t, c, epoch+1)
+	waitForHolder(t, c, epoch+1)
+	// On SIGTERM the holder releases the duty at once.
+	holder, epoch = waitForHolder(t, c, epoch+1)
 	must(t, c.Agents[holder].Term())
-	heldBy(t, c, epoch)
+	waitForHolder(t, c, epoch)
 }
 
-// Without a majority of the seats nobody holds a duty, and all agents serve; with one again, it goes on.
+// Without a majority of the seats no agent holds a duty, and all agents still serve. With a majority again,
+// the duty is held again.
 func TestNoMajorityOfSeats(t *testing.T) {
 	t.Parallel()
-	c := dutiesRig(t, 5)
-	_, epoch := heldBy(t, c, 0)
+	c := startDutiesCluster(t, 5)
+	_, epoch := waitForHolder(t, c, 0)
 	for _, i := range []int{0, 1} {
 		must(t, c.Agents[i].Signal(syscall.SIGSTOP))
 	}
 	must(t, c.Until(patience, func() error {
 		for _, i := range []int{2, 3, 4} {
-			if notes(report(t, c, i)).Mine == "holding" {
+			if notesRow(report(t, c, i)).Mine == "holding" {
 				return fmt.Errorf("n%d holds it", i)
 			}
 		}
 		return nil
 	}))
-	served(t, c)
+	checkAllServe(t, c)
 	for _, i := range []int{0, 1} {
 		must(t, c.Agents[i].Signal(syscall.SIGCONT))
 	}
-	heldBy(t, c, epoch-1) // nobody held it meanwhile: the same one may go on
-	// All killed, and started again with what they kept: epochs go on.
-	_, epoch = heldBy(t, c, epoch-1)
+	waitForHolder(t, c, epoch-1) // no agent held it meanwhile, so the same one may continue
+	// After all agents were killed and restarted with their stored state, epochs continue.
+	_, epoch = waitForHolder(t, c, epoch-1)
 	for _, a := range c.Agents {
 		must(t, a.Kill())
 	}
 	must(t, c.StartAll(patience))
-	heldBy(t, c, epoch)
+	waitForHolder(t, c, epoch)
 }
 
-func TestDisksThatCantBeTrusted(t *testing.T) {
+func TestUntrustedDisks(t *testing.T) {
 	t.Parallel()
-	c := dutiesRig(t, 4)
+	c := startDutiesCluster(t, 4)
 	folder := func(i int) string { return filepath.Join(c.Agents[i].Folder(), "seat", c.Agents[i].Name) }
 	segment := func(i int) string {
 		t.Helper()
@@ -270,9 +275,10 @@
 		must(t, c.Agents[i].Start())
 		must(t, c.Ready(patience))
 	}
-	seatIs(t, c, 1, "it votes", votes)
+	waitForSeat(t, c, 1, "it votes", votes)
 
-	// A flipped bit in what was kept: it says which file and why, doesn't vote, and serves.
+	// A flipped bit in a log: the seat reports the file and the reason and does not vote, and the agent
+	// serves.
 	old := identity(1)
 	restart(1, func() {
 		raw, err := os.ReadFile(segment(1))
@@ -280,17 +286,18 @@
 		raw[len(raw)/2] ^= 4
 		must(t, os.WriteFile(segment(1), raw, 0o600))
 	})
-	seatIs(t, c, 1, "distrusted, with file and place", func(r *seat.SeatReport) bool {
+	waitForSeat(t, c, 1, "distrusted, with file and place", func(r *seat.SeatReport) bool {
 		return !r.Votes && r.Start == "distrusted" && strings.Contains(r.Why, ".log, byte")
 	})
-	served(t, c)
-	heldBy(t, c, 0)
+	checkAllServe(t, c)
+	waitForHolder(t, c, 0)
 
-	// The folder is gone: it comes back as another voter.
+	// The folder is lost: the seat returns as a new voter.
 	restart(1, func() { must(t, os.RemoveAll(folder(1))) })
-	seatIs(t, c, 1, "it votes as another", func(r *seat.SeatReport) bool { return votes(r) && r.Identity != old })
+	waitForSeat(t, c, 1, "it votes as another", func(r *seat.SeatReport) bool { return votes(r) && r.Identity != old })
 
-	// An old copy of the folder is put back: the others know that more was promised.
+	// An old copy of the folder is restored: the other seats know that more was promised, so the seat returns
+	// as a new voter.
 	old = identity(1)
 	var copied []byte
 	var name string
@@ -300,69 +307,70 @@
 		must(t, err)
 		copied = bytes.Clone(raw)
 	})
-	seatIs(t, c, 1, "it votes", votes)
-	for range 3 { // something is agreed on meanwhile
-		_, epoch := heldBy(t, c, 0)
-		holder, _ := heldBy(t, c, 0)
+	waitForSeat(t, c, 1, "it votes", votes)
+	for range 3 { // commit more entries meanwhile
+		_, epoch := waitForHolder(t, c, 0)
+		holder, _ := waitForHolder(t, c, 0)
 		must(t, c.Agents[holder].Signal(syscall.SIGSTOP))
-		heldBy(t, c, epoch)
+		waitForHolder(t, c, epoch)
 		must(t, c.Agents[holder].Signal(syscall.SIGCONT))
 	}
-	seatIs(t, c, 1, "it votes", votes)
+	waitForSeat(t, c, 1, "it votes", votes)
 	restart(1, func() {
 		must(t, os.RemoveAll(folder(1)))
 		must(t, os.MkdirAll(folder(1), 0o700))
 		must(t, os.WriteFile(name, copied, 0o600))
 	})
-	seatIs(t, c, 1, "it votes as another", func(r *seat.SeatReport) bool { return votes(r) && r.Identity != old })
+	waitForSeat(t, c, 1, "it votes as another", func(r *seat.SeatReport) bool { return votes(r) && r.Identity != old })
 	if left, _ := filepath.Glob(filepath.Join(folder(1), "*.distrusted")); len(left) == 0 {
-		t.Error("what was not believed is not put away")
+		t.Error("the distrusted files were not kept")
 	}
 
-	// A disk that is full: the seat stops voting, the agent serves; with room again it is let in.
+	// A full disk: the seat stops voting and the agent serves. With free space the seat is admitted again.
 	must(t, c.Agents[2].Kill())
 	c.Agents[2].FileLimit(512)
 	must(t, c.Agents[2].Start())
 	must(t, c.Ready(patience))
-	seatIs(t, c, 2, "it doesn't vote", func(r *seat.SeatReport) bool { return !r.Votes && r.Start == "distrusted" })
-	served(t, c)
+	waitForSeat(t, c, 2, "it doesn't vote", func(r *seat.SeatReport) bool { return !r.Votes && r.Start == "distrusted" })
+	checkAllServe(t, c)
 	must(t, c.Agents[2].Kill())
 	c.Agents[2].FileLimit(0)
 	must(t, c.Agents[2].Start())
-	seatIs(t, c, 2, "it votes", votes)
-	heldBy(t, c, 0)
+	waitForSeat(t, c, 2, "it votes", votes)
+	waitForHolder(t, c, 0)
 }
 
-// A seat that the members have held for dead for long gives way to a spare one; back, it is spare itself.
-func TestASpareSeatTakesOver(t *testing.T) {
+// A seat whose agent is held for dead for replace_s is replaced by a spare one. When it comes back, it is a
+// spare seat itself.
+func TestSpareSeatTakesOver(t *testing.T) {
 	t.Parallel()
-	c := dutiesRigOf(t, 5, 4, "voters = 3\nreplace_s = 2\n"+quickDuties)
+	c := startDutiesClusterWith(t, 5, 4, "voters = 3\nreplace_s = 2\n"+quickDuties)
 	sits := func(r *seat.SeatReport) bool { return r.Votes && r.Seats[r.Name] == r.Identity }
-	seatIs(t, c, 1, "it sits", sits)
-	seatIs(t, c, 3, "it doesn't sit yet", func(r *seat.SeatReport) bool { return r.Seats["n3"] == "" })
+	waitForSeat(t, c, 1, "the agent is a voter", sits)
+	waitForSeat(t, c, 3, "the agent is not a voter yet", func(r *seat.SeatReport) bool { return r.Seats["n3"] == "" })
 	must(t, c.Agents[1].Kill())
-	seatIs(t, c, 3, "it sits", func(r *seat.SeatReport) bool { return sits(r) && r.Seats["n1"] == "" && len(r.Seats) == 3 })
-	heldBy(t, c, 0)
+	waitForSeat(t, c, 3, "the agent is a voter", func(r *seat.SeatReport) bool { return sits(r) && r.Seats["n1"] == "" && len(r.Seats) == 3 })
+	waitForHolder(t, c, 0)
 	must(t, c.Agents[1].Start())
 	must(t, c.Ready(patience))
-	seatIs(t, c, 1, "it asks to be let in, as another", func(r *seat.SeatReport) bool { return r.Start == "join" && r.Seats["n1"] == "" })
-	// The one that sits now is of use: another one of the first may go.
+	waitForSeat(t, c, 1, "the agent asks to join as a new voter", func(r *seat.SeatReport) bool { return r.Start == "join" && r.Seats["n1"] == "" })
+	// The replacement is a full voter: another of the first seats may fail.
 	must(t, c.Agents[0].Kill())
-	_, epoch := heldBy(t, c, 0)
+	_, epoch := waitForHolder(t, c, 0)
 	if epoch == 0 {
-		t.Error("nobody holds the duty")
+		t.Error("no agent holds the duty")
 	}
 }
 
-// A holder that gets a fiftieth of a core, and links to the seats that lose, delay and stall: at every look at most one
-// agent holds the duty, and afterwards one does.
+// A holder with 2 % of a core, and links to the seats that lose, delay and stall: at most one agent holds the
+// duty in an epoch, and afterwards exactly one does.
 func TestSlowHoldersAndLinks(t *testing.T) {
 	t.Parallel()
-	c := dutiesRig(t, 5)
+	c := startDutiesCluster(t, 5)
 	all := []int{0, 1, 2, 3, 4}
 	seen := uint64(0)
-	// Reports of two agents are of two moments: two that say they hold it in one epoch are two holders, in two epochs they
-	// may be one after the other.
+	// Reports of two agents are taken at different moments: two holders in one epoch are an error, in two
+	// epochs they may have held the duty one after the other.
 	one := func() error {
 		by := map[uint64]string{}
 		for _, i := range all {
@@ -370,7 +378,7 @@
 			if err != nil {
 				continue // too slow to answer
 			}
-			row := notes(r)
+			row := notesRow(r)
 			if row == nil {
 				continue
 			}
@@ -393,19 +401,19 @@
 			}
 		}
 	}
-	holder, _ := heldBy(t, c, 0)
+	holder, _ := waitForHolder(t, c, 0)
 	c.Agents[holder].Slow(0.02)
 	watch(3 * time.Second)
 	c.Agents[holder].Slow(1)
-	heldBy(t, c, 0)
+	waitForHolder(t, c, 0)
 	for _, f := range []cluster.Fault{{Loss: 0.3}, {Delay: [2]time.Duration{0, time.Second}}, {Stall: true}} {
 		c.Link(all, []int{0, 1, 2}, func(x *cluster.Fault) { *x = f })
 		watch(2 * time.Second)
 		c.Link(all, []int{0, 1, 2}, func(x *cluster.Fault) { *x = cluster.Fault{} })
-		heldBy(t, c, 0)
+		waitForHolder(t, c, 0)
 	}
 	if seen == 0 {
-		t.Error("nobody was ever seen to hold it")
+		t.Error("no agent ever held the duty")
 	}
-	served(t, c)
+	checkAllServe(t, c)
 }
--- a/internal/cluster/links.go
+++ b/internal/cluster/links.go
@@ -14,59 +14,59 @@
 	"golang.org/x/sys/unix"
 )
 
-// Fault is what a link does to datagrams, one way.
+// Fault is what a link does to datagrams in one direction.
 type Fault struct {
 	Cut    bool
-	Loss   float64          // share lost
-	Double float64          // share that comes twice
-	Delay  [2]time.Duration // least and most; different ones change the order
-	Stall  bool             // keeps what comes, stallMost at the most, until it is over
+	Loss   float64          // share of datagrams lost
+	Double float64          // share of datagrams sent twice
+	Delay  [2]time.Duration // minimum and maximum; if they differ, datagrams may be reordered
+	Stall  bool             // hold datagrams, at most maxStalled, until Stall is cleared
 }
 
-const stallMost = 1024
+const maxStalled = 1024
 
-// relay is the rig's end of the link from one agent to another, or to all.
-type relay struct {
-	c        *Cluster
-	from, to int
-	at       netip.AddrPort // where from sends to
-	own      netip.AddrPort // of the diagonal: the agent's own address
-	conn     *net.UDPConn
+// udpLink carries datagrams from one agent to another, or to all others.
+type udpLink struct {
+	c         *Cluster
+	from, to  int
+	addr      netip.AddrPort // address that the sending agent sends to
+	agentAddr netip.AddrPort // on the diagonal of Cluster.links: the agent's own address
+	conn      *net.UDPConn
 
-	mu    sync.Mutex
-	fault Fault
-	rng   *rand.Rand
-	held  [][]byte
+	mu      sync.Mutex
+	fault   Fault
+	rng     *rand.Rand
+	stalled [][]byte
 }
 
-const everyone = -1
+const broadcast = -1
 
 func (c *Cluster) openLinks(n int) error {
-	host, err := freeHost(rigs.Add(1))
+	host, err := freeLoopbackAddr(clusterCount.Add(1))
 	if err != nil {
 		return err
 	}
-	c.links, c.alls = make([][]*relay, n), make([]*relay, n)
+	c.links, c.broadcastLinks = make([][]*udpLink, n), make([]*udpLink, n)
 	for i := range n {
-		c.links[i] = make([]*relay, n)
+		c.links[i] = make([]*udpLink, n)
 		for j := range n {
-			r := &relay{c: c, from: i, to: j, rng: rand.New(rand.NewPCG(c.o.Seed, uint64(i)<<16|uint64(j)))}
+			r := &udpLink{c: c, from: i, to: j, rng: rand.New(rand.NewPCG(c.options.Seed, uint64(i)<<16|uint64(j)))}
 			c.links[i][j] = r
 			if i == j {
-				r.own = netip.AddrPortFrom(host, uint16(peerPort+i))
+				r.agentAddr = netip.AddrPortFrom(host, uint16(peerPort+i))
 				continue
 			}
 			if err := r.open(); err != nil {
 				return err
 			}
 		}
-		c.alls[i] = &relay{c: c, from: i, to: everyone}
-		if err := c.alls[i].open(); err != nil {
+		c.broadcastLinks[i] = &udpLink{c: c, from: i, to: broadcast}
+		if err := c.broadcastLinks[i].open(); err != nil {
 			return err
 		}
 	}
 	for i := range n {
-		if err := c.refuse(i, true); err != nil {
+		if err := c.setRefusing(i, true); err != nil {
 			return err
 		}
 	}
@@ -76,14 +76,14 @@
 				c.tasks.Go(c.links[i][j].run)
 			}
 		}
-		c.tasks.Go(c.alls[i].run)
+		c.tasks.Go(c.broadcastLinks[i].run)
 	}
 	return nil
 }
 
-// open binds a port that the kernel chose, by its number: one that it chose at the bind itself is lost when refuse
-// takes the socket's other end away again.
-func (r *relay) open() (err error) {
+// open binds a port by its number. The kernel picks a free one first, in a bind that is undone: a port that it
+// picks in the final bind itself is lost when setRefusing disconnects the socket.
+func (r *udpLink) open() (err error) {
 	var pc net.PacketConn
 	for range 16 {
 		var first net.PacketConn
@@ -94,16 +94,16 @@
 		first.Close()
 		if pc, err = net.ListenPacket("udp4", at); err == nil {
 			r.conn = pc.(*net.UDPConn)
-			r.at = r.conn.LocalAddr().(*net.UDPAddr).AddrPort()
+			r.addr = r.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 			return nil
 		}
 	}
 	return fmt.Errorf("cluster: link %d to %d: %w", r.from, r.to, err)
 }
 
-func (r *relay) run() {
+func (r *udpLink) run() {
 	go func() {
-		<-r.c.stopAt
+		<-r.c.stop
 		r.conn.Close()
 	}()
 	buf := make([]byte, 2048)
@@ -116,20 +116,20 @@
 			continue
 		}
 		data := append([]byte(nil), buf[:n]...)
-		if r.to != everyone {
-			r.carry(data)
+		if r.to != broadcast {
+			r.forward(data)
 			continue
 		}
 		for j, l := range r.c.links[r.from] {
 			if j != r.from {
-				l.carry(data)
+				l.forward(data)
 			}
 		}
 	}
 }
 
-// carry does to a datagram what the link does.
-func (r *relay) carry(data []byte) {
+// forward applies the link's fault to a datagram and delivers it.
+func (r *udpLink) forward(data []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f := &r.fault
@@ -137,8 +137,8 @@
 		return
 	}
 	if f.Stall {
-		if len(r.held) < stallMost {
-			r.held = append(r.held, data)
+		if len(r.stalled) < maxStalled {
+			r.stalled = append(r.stalled, data)
 		}
 		return
 	}
@@ -156,18 +156,18 @@
 	}
 }
 
-// deliver sends a datagram to its agent from where that agent knows the sender.
-func (r *relay) deliver(data []byte) {
-	r.c.links[r.to][r.from].conn.WriteToUDPAddrPort(data, r.c.links[r.to][r.to].own)
+// deliver sends a datagram to the receiving agent from the address by which that agent knows the sender.
+func (r *udpLink) deliver(data []byte) {
+	r.c.links[r.to][r.from].conn.WriteToUDPAddrPort(data, r.c.links[r.to][r.to].agentAddr)
 }
 
-// set changes what a link does; what it held leaves.
-func (r *relay) set(change func(*Fault)) {
+// changeFault changes the link's fault and delivers stalled datagrams if Stall is cleared.
+func (r *udpLink) changeFault(change func(*Fault)) {
 	r.mu.Lock()
 	change(&r.fault)
 	var held [][]byte
 	if !r.fault.Stall {
-		held, r.held = r.held, nil
+		held, r.stalled = r.stalled, nil
 	}
 	r.mu.Unlock()
 	for _, data := range held {
@@ -175,20 +175,20 @@
 	}
 }
 
-// Link changes what links do from some agents to others.
+// Link changes the faults of the links from some agents to others.
 func (c *Cluster) Link(from, to []int, change func(*Fault)) {
 	for _, i := range from {
 		for _, j := range to {
 			if i != j {
-				c.links[i][j].set(change)
+				c.links[i][j].changeFault(change)
 			}
 		}
 	}
 }
 
-// refuse has the links to an agent refuse what is sent there, as the machine of a process that is gone does: a
-// socket that is connected to another address takes nothing else, and the kernel says so to who sends.
-func (c *Cluster) refuse(to int, refuse bool) error {
+// setRefusing makes the links to an agent refuse datagrams, as the machine of a dead process does. A UDP
+// socket that is connected to another address accepts no others, and the kernel reports that to the sender.
+func (c *Cluster) setRefusing(to int, refuse bool) error {
 	for i := range c.links {
 		if i == to || c.links[i] == nil || c.links[i][to] == nil || c.links[i][to].conn == nil {
 			continue
@@ -217,7 +217,7 @@
 
 func (c *Cluster) closeLinks() {
 	for i := range c.links {
-		for _, r := range append(c.links[i], c.alls[i]) {
+		for _, r := range append(c.links[i], c.broadcastLinks[i]) {
 			if r != nil && r.conn != nil {
 				r.conn.Close()
 			}
--- a/internal/cluster/shrink.go
+++ b/internal/cluster/shrink.go
@@ -13,21 +13,22 @@
 	"lemonrail/internal/standin"
 )
 
-// Shrink is a fleet of which most agents are killed, while their clients go to those that are left.
+// Shrink is an experiment in which most agents of a fleet are killed and their clients move to the remaining
+// ones.
 type Shrink struct {
 	Program  string
 	Dir      string
-	Members  string  // the agents' file on members; empty: they keep none
-	Agents   int     // at first
-	Left     int     // after the kill
-	Share    float64 // of the site's capacity that is asked for throughout
+	Members  string  // text of the agents' members file; empty: no membership
+	Agents   int     // number of agents at the start
+	Left     int     // number of agents after the kill
+	Share    float64 // load as a share of the site's capacity, constant over the run
 	Before   time.Duration
 	After    time.Duration
 	Seed     uint64
 	Progress io.Writer
 }
 
-// Window is a second of a Shrink.
+// Window counts the requests that were due within one second of a Shrink.
 type Window struct {
 	Asked   int `json:"asked"`
 	InTime  int `json:"in_time"`
@@ -36,13 +37,13 @@
 	Failed  int `json:"failed"`
 }
 
-// ShrinkResult is what came of it.
+// ShrinkResult is the result of a Shrink.
 type ShrinkResult struct {
 	Before   []Window `json:"before"`
 	After    []Window `json:"after"`
 	Held     bool     `json:"rules_held"`
 	Verdict  string   `json:"verdict"`
-	Living   int      `json:"living"` // that one of those left reckons with at the end; 0: it keeps no view
+	Living   int      `json:"living"` // members that a remaining agent counts as living at the end; 0: it has no view
 	Sum      Window   `json:"sum_after"`
 	RatePerS float64  `json:"rate_per_s"`
 }
@@ -99,12 +100,12 @@
 size = 0.5
 `
 
-// Run plays it.
+// Run runs the experiment.
 func (o Shrink) Run(ctx context.Context) (out *ShrinkResult, err error) {
 	if o.Left < 1 || o.Left >= o.Agents || o.Agents > Most {
-		return nil, fmt.Errorf("cluster: %d of %d agents left makes no sense", o.Left, o.Agents)
+		return nil, fmt.Errorf("cluster: %d of %d agents left: at least 1 must stay and at least 1 be killed", o.Left, o.Agents)
 	}
-	// Three nodes come back cold two seconds after the kill.
+	// Three nodes restart cold two seconds after the kill.
 	sc, err := standin.ParseScenario("the rig's site", fmt.Appendf(nil, shrinkSite, o.Seed, o.Agents, o.Before.Seconds()+3))
 	if err != nil {
 		return nil, err
@@ -132,7 +133,7 @@
 	out = &ShrinkResult{RatePerS: rate}
 	c.Site.Begin()
 	fmt.Fprintf(o.Progress, "%d agents, %.0f requests a second for %v\n", o.Agents, rate, o.Before)
-	if out.Before, err = c.play(ctx, l, c.Agents, rate, o.Before, o.Seed); err != nil {
+	if out.Before, err = c.playWindows(ctx, l, c.Agents, rate, o.Before, o.Seed); err != nil {
 		return out, err
 	}
 	var killing sync.WaitGroup
@@ -141,7 +142,7 @@
 	}
 	killing.Wait()
 	fmt.Fprintf(o.Progress, "%d are killed; the same for %v\n", o.Agents-o.Left, o.After)
-	if out.After, err = c.play(ctx, l, c.Agents[:o.Left], rate, o.After, o.Seed+1); err != nil {
+	if out.After, err = c.playWindows(ctx, l, c.Agents[:o.Left], rate, o.After, o.Seed+1); err != nil {
 		return out, err
 	}
 	if r, err := c.Agents[0].Members(); err == nil {
@@ -161,10 +162,10 @@
 	return out, err
 }
 
-// play sends requests to agents in an open loop.
-func (c *Cluster) play(ctx context.Context, l *ledger.Ledger, agents []*Agent, rate float64, span time.Duration, seed uint64) (ws []Window, err error) {
+// playWindows plays requests to agents in an open loop and counts their results per second.
+func (c *Cluster) playWindows(ctx context.Context, l *ledger.Ledger, agents []*Agent, rate float64, span time.Duration, seed uint64) (ws []Window, err error) {
 	var begun time.Time
-	err = c.send(ctx, l, agents, rate, span, seed, func(s *load.Sample) {
+	err = c.playRequests(ctx, l, agents, rate, span, seed, func(s *load.Sample) {
 		if begun.IsZero() {
 			begun = s.Due
 		}
--- a/internal/cluster/siteloss.go
+++ b/internal/cluster/siteloss.go
@@ -19,18 +19,19 @@
 	"lemonrail/internal/trial"
 )
 
-// Loss is a whole site lost under load, and what is wrong beside that. Three sites, a to c, of four nodes each.
+// Loss is an experiment in which site b of the sites a to c, with four nodes each, is lost under load, with an
+// optional further fault.
 type Loss struct {
 	Seed  uint64  `json:"seed"`
-	What  string  `json:"what"`  // see Losses
-	Also  string  `json:"also"`  // see Besides
-	Share float64 `json:"share"` // of all capacity that is asked for
+	What  string  `json:"what"`  // key of Losses
+	Also  string  `json:"also"`  // key of Besides
+	Share float64 `json:"share"` // load as a share of the capacity of all sites
 	AtS   float64 `json:"at_s"`
 	ForS  float64 `json:"for_s"`
 	EndS  float64 `json:"end_s"`
 }
 
-// Losses are the ways in which site b is lost.
+// Losses describes the ways in which site b can be lost.
 var Losses = map[string]string{
 	"silent":     "its machines say nothing",
 	"resets":     "its processes reset all connections",
@@ -43,7 +44,7 @@
 	"flaps":      "it is gone and comes back cold, twice in the time",
 }
 
-// Besides are what may be wrong beside it.
+// Besides describes the further faults.
 var Besides = map[string]string{
 	"":        "nothing",
 	"stale":   "discovery tells of changes 5 s late",
@@ -52,7 +53,7 @@
 	"down":    "discovery is down",
 }
 
-// RandomLoss is one that a seed chooses.
+// RandomLoss returns a Loss drawn from a seed.
 func RandomLoss(seed uint64) Loss {
 	rng := rand.New(rand.NewPCG(seed, 21))
 	pick := func(m map[string]string) string {
@@ -81,35 +82,35 @@
 
 var (
 	lossSites   = []string{"a", "b", "c"}
-	lossParts   = []float64{0.4, 0.3, 0.3} // of the clients
-	lossClasses = []lossClass{{"read", 0.6, 1, 300 * time.Millisecond, 600 * time.Millisecond}, {"sub", 0.4, 5, 400 * time.Millisecond, 800 * time.Millisecond}}
+	siteShares  = []float64{0.4, 0.3, 0.3} // of the clients, by site
+	lossClasses = []requestClass{{"read", 0.6, 1, 300 * time.Millisecond, 600 * time.Millisecond}, {"sub", 0.4, 5, 400 * time.Millisecond, 800 * time.Millisecond}}
 )
 
-type lossClass struct {
-	name      string
-	part      float64
-	worth     float64
-	aim, left time.Duration
+type requestClass struct {
+	name          string
+	share         float64
+	worth         float64
+	aim, deadline time.Duration
 }
 
-// classOf is a played request's.
-func classOf(s *load.Sample) *lossClass {
-	return &lossClasses[slices.IndexFunc(lossClasses, func(k lossClass) bool { return k.name == s.Request.Class })]
+// classOf returns the class of a request that playRequests made.
+func classOf(s *load.Sample) *requestClass {
+	return &lossClasses[slices.IndexFunc(lossClasses, func(k requestClass) bool { return k.name == s.Request.Class })]
 }
 
-// capacity of a site, in requests a second.
+// lossCapacity is the capacity of a site, in requests per second.
 const lossCapacity = lossNodes * lossCores * 1000 / lossWorkMs
 
-// down is when a node of site b is gone or of no use, and whether it comes back cold.
-type down struct {
+// outage is a span of time in which a node of site b is unusable, and whether the node starts cold afterwards.
+type outage struct {
 	node       int
 	from, till float64
 	cold       bool
 }
 
-func (l *Loss) downs() (all []down) {
+func (l *Loss) outages() (all []outage) {
 	for i := range lossNodes {
-		d := down{i, l.AtS, l.AtS + l.ForS, false}
+		d := outage{i, l.AtS, l.AtS + l.ForS, false}
 		switch l.What {
 		case "refuses":
 			d.cold = true
@@ -124,9 +125,9 @@
 		case "flaps":
 			d.cold = true
 			d.till = l.AtS + 2
-			all = append(all, d, down{i, l.AtS + 4, l.AtS + 6, true})
+			all = append(all, d, outage{i, l.AtS + 4, l.AtS + 6, true})
 			continue
-		case "cut", "zone-cut": // the site lives
+		case "cut", "zone-cut": // the nodes keep running
 			continue
 		}
 		all = append(all, d)
@@ -134,7 +135,7 @@
 	return all
 }
 
-// scenario is the site's text.
+// scenario returns the text of the scenario for the simulated site.
 func (l *Loss) scenario(agents int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed = %d\nseconds = 600\nsites = [\"a\", \"b\", \"c\"]\nagents = %d\n", l.Seed, agents)
@@ -142,7 +143,7 @@
 	b.WriteString("[report]\nfields = [\"latency_ms\", \"queue\", \"inflight\"]\n")
 	for _, c := range lossClasses {
 		fmt.Fprintf(&b, "[[class]]\nname = %q\nwork_ms = %g\ncv = 0.7\naim_ms = %d\ndeadline_ms = %d\nworth = %g\nlate_worth = 0.25\n",
-			c.name, lossWorkMs, c.aim.Milliseconds(), c.left.Milliseconds(), c.worth)
+			c.name, lossWorkMs, c.aim.Milliseconds(), c.deadline.Milliseconds(), c.worth)
 		if c.name == "sub" {
 			b.WriteString("effect = \"keyed\"\ngroup = \"zone\"\nwindow_ms = 2000\n")
 		}
@@ -175,7 +176,7 @@
 	case "zone-cut":
 		fault("cut", l.AtS, l.ForS, 0, "nb", "site:a")
 	default:
-		for _, d := range l.downs() {
+		for _, d := range l.outages() {
 			fault("restart", d.from, 0, d.till-d.from, fmt.Sprintf("nb-%d", d.node+1))
 		}
 	}
@@ -192,20 +193,20 @@
 	return b.String()
 }
 
-// truth is the problem as one who knows all sees it at a time.
-func (l *Loss) truth(t float64) site.Problem {
+// problemAt returns the planning problem at a time, with full knowledge of the faults.
+func (l *Loss) problemAt(t float64) site.Problem {
 	p := site.Problem{}
-	for o, part := range lossParts {
+	for o, part := range siteShares {
 		p.Capacity, p.Remain = append(p.Capacity, lossCapacity), append(p.Remain, 1)
-		p.Demand, p.Cross = append(p.Demand, nil), append(p.Cross, make([]float64, len(lossParts)))
+		p.Demand, p.Cross = append(p.Demand, nil), append(p.Cross, make([]float64, len(siteShares)))
 		for _, c := range lossClasses {
-			p.Demand[o] = append(p.Demand[o], l.rate()*part*c.part)
+			p.Demand[o] = append(p.Demand[o], l.rate()*part*c.share)
 		}
 	}
 	for _, c := range lossClasses {
 		p.Classes = append(p.Classes, site.Class{Name: c.name, Worth: c.worth})
 	}
-	share := func(downs []down) float64 {
+	share := func(downs []outage) float64 {
 		left := 0.0
 		for i := range lossNodes {
 			can := 1.0
@@ -222,12 +223,12 @@
 		}
 		return left
 	}
-	p.Remain[1] = share(l.downs())
+	p.Remain[1] = share(l.outages())
 	if l.Also == "release" {
-		var c []down
+		var c []outage
 		for i := range lossNodes {
 			at := l.AtS + 1 + 2*float64(i)
-			c = append(c, down{i, at, at + 0.5, true})
+			c = append(c, outage{i, at, at + 0.5, true})
 		}
 		p.Remain[2] = share(c)
 	}
@@ -245,18 +246,19 @@
 
 func (l *Loss) rate() float64 { return l.Share * lossCapacity * float64(len(lossSites)) }
 
-// LossRun plays a Loss with agents that are set up in one way.
+// LossRun runs a Loss with agents that are configured in one way.
 type LossRun struct {
 	Loss     Loss
 	Program  string
 	Dir      string
 	Agents   int
-	Members  string // the agents' file on members; empty: they keep none
-	Sites    string // and on sites; empty: as without any plan
+	Members  string // text of the agents' members file; empty: no membership
+	Sites    string // text of the agents' sites file; empty: no site planning
 	Progress io.Writer
 }
 
-// LossFile is the agents' file on sites, with the figures of the rig and a way of planning.
+// LossFile returns the text of the agents' sites file, with the parameters of the experiment and a way of
+// planning.
 func (l *Loss) LossFile(way string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "way = %q\nheadroom = 0.05\ncross = 0.02\n[return]\ncold_share = %g\nramp_ms = %g\n", way, lossCold, lossRampMs)
@@ -266,67 +268,67 @@
 	for _, c := range lossClasses {
 		fmt.Fprintf(&b, "[[class]]\nname = %q\nworth = %g\n", c.name, c.worth)
 		for i, s := range lossSites {
-			fmt.Fprintf(&b, "[[demand]]\nsite = %q\nclass = %q\nper_s = %g\n", s, c.name, l.rate()*lossParts[i]*c.part)
+			fmt.Fprintf(&b, "[[demand]]\nsite = %q\nclass = %q\nper_s = %g\n", s, c.name, l.rate()*siteShares[i]*c.share)
 		}
 	}
 	return b.String()
 }
 
-// LossWindow is half a second of a run.
+// LossWindow holds the results of half a second of a run.
 type LossWindow struct {
 	AtS    float64 `json:"at_s"`
-	Asked  float64 `json:"asked"`  // worth
-	Served float64 `json:"served"` // worth, in time; a quarter of it late
-	Best   float64 `json:"best"`   // worth that one who knows all serves
-	Got    []int   `json:"got"`    // attempts that came to each site
+	Asked  float64 `json:"asked"`  // worth of the requests that were due
+	Served float64 `json:"served"` // worth of the served requests; a late one counts a quarter
+	Best   float64 `json:"best"`   // worth that a plan with full knowledge would serve
+	Got    []int   `json:"got"`    // attempts received by each site
 }
 
-// LossResult is what came of it.
+// LossResult is the result of a LossRun.
 type LossResult struct {
 	Loss    Loss           `json:"loss"`
 	Windows []LossWindow   `json:"windows"`
-	Served  float64        `json:"served"`        // share of the best, from the loss on
-	Soon    float64        `json:"three_to_five"` // the same from 3 s after the loss for 2 s
-	After   float64        `json:"after_s"`       // from the loss until 95 % of the best; the whole time: never
-	Return  float64        `json:"return_s"`      // the same from its end
-	Wave    float64        `json:"wave"`          // most attempts at site b in its ramp, over its usual ones times the ramp
+	Served  float64        `json:"served"`        // served worth from the loss on, as a share of the best
+	Soon    float64        `json:"three_to_five"` // as Served, from 3 s to 5 s after the loss
+	After   float64        `json:"after_s"`       // time from the loss until 95 % of the best is served; the whole span if it never is
+	Return  float64        `json:"return_s"`      // time from the end of the loss until 95 % of the best is served
+	Wave    float64        `json:"wave"`          // maximum of the attempts at site b in its ramp, divided by the usual attempts times its warmth
 	Refused map[string]int `json:"refused"`       // by class
 	Asked   map[string]int `json:"asked"`
 	InTime  map[string]int `json:"in_time"`
 	Held    bool           `json:"rules_held"`
 	Verdict string         `json:"verdict"`
-	States  map[string]int `json:"states,omitempty"` // what agents held site b for 2 s after its loss
+	States  map[string]int `json:"states,omitempty"` // number of agents by their state of site b, 2 s after its loss
 }
 
-// counting is a ledger that counts what comes to which site, and when.
-type counting struct {
+// countingLedger is a ledger that also counts attempts by site and time.
+type countingLedger struct {
 	*ledger.Ledger
-	mu    sync.Mutex
-	begun time.Time
-	got   [][]int
+	mu       sync.Mutex
+	start    time.Time
+	attempts [][]int
 }
 
-func (c *counting) Began(a ledger.Attempt) func(ledger.Ending) {
+func (c *countingLedger) Began(a ledger.Attempt) func(ledger.Ending) {
 	c.mu.Lock()
-	if i := int(time.Since(c.begun) / lossWindow); !c.begun.IsZero() && i >= 0 && i < 1<<12 {
-		for len(c.got) <= i {
-			c.got = append(c.got, make([]int, len(lossSites)))
+	if i := int(time.Since(c.start) / lossWindow); !c.start.IsZero() && i >= 0 && i < 1<<12 {
+		for len(c.attempts) <= i {
+			c.attempts = append(c.attempts, make([]int, len(lossSites)))
 		}
-		c.got[i][slices.Index(lossSites, a.Zone)]++
+		c.attempts[i][slices.Index(lossSites, a.Zone)]++
 	}
 	c.mu.Unlock()
 	return c.Ledger.Began(a)
 }
 
-// Run plays it.
+// Run runs the experiment.
 func (o LossRun) Run(ctx context.Context) (out *LossResult, err error) {
 	l := &o.Loss
 	sc, err := standin.ParseScenario("the rig's site", []byte(l.scenario(o.Agents)))
 	if err != nil {
 		return nil, err
 	}
-	book := &counting{Ledger: ledger.New(standin.RulesOf(sc))}
-	opt := Options{Program: o.Program, Dir: o.Dir, Scenario: sc, Members: o.Members, Seed: l.Seed, Observer: book, Sites: o.Sites}
+	observed := &countingLedger{Ledger: ledger.New(standin.RulesOf(sc))}
+	opt := Options{Program: o.Program, Dir: o.Dir, Scenario: sc, Members: o.Members, Seed: l.Seed, Observer: observed, Sites: o.Sites}
 	c, err := Open(opt)
 	if err != nil {
 		return nil, err
@@ -349,9 +351,9 @@
 	var mu sync.Mutex
 	var windows []LossWindow
 	begun := time.Now()
-	book.mu.Lock()
-	book.begun = begun
-	book.mu.Unlock()
+	observed.mu.Lock()
+	observed.start = begun
+	observed.mu.Unlock()
 	c.Site.Begin()
 	done := func(s *load.Sample) {
 		class := classOf(s)
@@ -384,10 +386,10 @@
 			}
 		}
 		all.Go(func() {
-			errs[z] = c.send(ctx, book.Ledger, agents, l.rate()*lossParts[z], time.Duration(l.EndS*float64(time.Second)), l.Seed*8+uint64(z), done)
+			errs[z] = c.playRequests(ctx, observed.Ledger, agents, l.rate()*siteShares[z], time.Duration(l.EndS*float64(time.Second)), l.Seed*8+uint64(z), done)
 		})
 	}
-	at := func(s float64, do func()) {
+	schedule := func(s float64, do func()) {
 		all.Go(func() {
 			if sleep(ctx, time.Until(begun.Add(time.Duration(s*float64(time.Second))))) == nil {
 				do()
@@ -395,11 +397,11 @@
 		})
 	}
 	if l.Also == "restart" {
-		at(l.AtS+1, func() {
-			var some sync.WaitGroup
+		schedule(l.AtS+1, func() {
+			var restarts sync.WaitGroup
 			for i, a := range c.Agents {
 				if i%3 == int(l.Seed%3) {
-					some.Go(func() {
+					restarts.Go(func() {
 						a.Kill()
 						if sleep(ctx, time.Second) == nil {
 							a.Start()
@@ -407,11 +409,11 @@
 					})
 				}
 			}
-			some.Wait()
+			restarts.Wait()
 		})
 	}
 	if o.Sites != "" {
-		at(l.AtS+2, func() {
+		schedule(l.AtS+2, func() {
 			for _, a := range c.Agents {
 				if r, err := a.Sites(); err == nil {
 					mu.Lock()
@@ -424,17 +426,17 @@
 	all.Wait()
 	closed = true
 	err = errors.Join(append(errs, c.Close())...)
-	v := book.Verdict()
+	v := observed.Verdict()
 	out.Held, out.Verdict = v.Held(), v.String()
 	out.Windows = windows[:min(len(windows), int(l.EndS/lossWindow.Seconds()))]
-	if err2 := out.judge(book.got); err2 != nil {
+	if err2 := out.evaluate(observed.attempts); err2 != nil {
 		err = errors.Join(err, err2)
 	}
 	return out, err
 }
 
-// judge works the figures out.
-func (r *LossResult) judge(got [][]int) error {
+// evaluate computes the figures of the result from its windows.
+func (r *LossResult) evaluate(got [][]int) error {
 	l := &r.Loss
 	sum := func(from, till float64) (served, best float64) {
 		for _, w := range r.Windows {
@@ -447,20 +449,20 @@
 	}
 	for i := range r.Windows {
 		w := &r.Windows[i]
-		p := l.truth(w.AtS + lossWindow.Seconds()/2)
+		p := l.problemAt(w.AtS + lossWindow.Seconds()/2)
 		plan, err := p.Solve()
 		if err != nil {
 			return err
 		}
-		full := 0.0
+		requested := 0.0
 		for o := range p.Demand {
 			for c, v := range p.Demand[o] {
-				full += v * p.Classes[c].Worth
+				requested += v * p.Classes[c].Worth
 			}
 		}
-		// What was asked for differs from the mean by chance: the best is a share of it.
-		if w.Best = w.Asked; full > 0 {
-			w.Best *= plan.Worth / full
+		// The requested load varies randomly around its mean, so the best is computed as a share of it.
+		if w.Best = w.Asked; requested > 0 {
+			w.Best *= plan.Worth / requested
 		}
 		if i < len(got) {
 			w.Got = got[i]
@@ -479,29 +481,31 @@
 	}
 	end := l.AtS + l.ForS
 	r.After, r.Return = until(l.AtS, end), until(end, l.EndS)
-	usual, n := 0.0, 0.0
+	attempts, n := 0.0, 0.0
 	for _, w := range r.Windows {
 		if w.AtS >= 1 && w.AtS < l.AtS && w.Got != nil {
-			usual += float64(w.Got[1])
+			attempts += float64(w.Got[1])
 			n++
 		}
 	}
 	for _, w := range r.Windows {
-		if w.AtS >= end && w.AtS < end+lossRampMs/1000 && w.Got != nil && usual > 0 {
+		if w.AtS >= end && w.AtS < end+lossRampMs/1000 && w.Got != nil && attempts > 0 {
 			ramp := lossCold + (1-lossCold)*min(1, (w.AtS+lossWindow.Seconds()-end)*1000/lossRampMs)
-			r.Wave = max(r.Wave, float64(w.Got[1])/(usual/n*ramp))
+			r.Wave = max(r.Wave, float64(w.Got[1])/(attempts/n*ramp))
 		}
 	}
 	return nil
 }
 
-// Load plays requests of the rig's classes to agents in an open loop until ctx ends, and holds them against a ledger.
+// Load plays requests of the experiment's classes to agents in an open loop until ctx ends, and records them
+// in a ledger.
 func (c *Cluster) Load(ctx context.Context, l *ledger.Ledger, agents []*Agent, rate float64, seed uint64) error {
-	return c.send(ctx, l, agents, rate, time.Hour, seed, func(*load.Sample) {})
+	return c.playRequests(ctx, l, agents, rate, time.Hour, seed, func(*load.Sample) {})
 }
 
-// send plays requests of the rig's classes to some agents, in an open loop.
-func (c *Cluster) send(ctx context.Context, l *ledger.Ledger, agents []*Agent, rate float64, span time.Duration, seed uint64, done func(*load.Sample)) error {
+// playRequests plays requests of the experiment's classes to agents in an open loop, and records them in a
+// ledger.
+func (c *Cluster) playRequests(ctx context.Context, l *ledger.Ledger, agents []*Agent, rate float64, span time.Duration, seed uint64, done func(*load.Sample)) error {
 	names := map[string]string{}
 	var targets []netip.AddrPort
 	for _, a := range agents {
@@ -516,10 +520,10 @@
 		}
 		n++
 		k := &lossClasses[0]
-		if rng.Float64() >= k.part {
+		if rng.Float64() >= k.share {
 			k = &lossClasses[1]
 		}
-		q := &load.Request{At: time.Duration(at * float64(time.Second)), Class: k.name, Method: "GET", Target: "/" + k.name, Left: k.left, Origin: n, Seq: n}
+		q := &load.Request{At: time.Duration(at * float64(time.Second)), Class: k.name, Method: "GET", Target: "/" + k.name, Left: k.deadline, Origin: n, Seq: n}
 		if k.name == "sub" {
 			q.Method, q.Body, q.Effect = "POST", []byte(`{"for":"a rig"}`), fmt.Sprintf("%016x%016x", rng.Uint64(), uint64(n))
 		}
--- a/internal/cluster/sites_test.go
+++ b/internal/cluster/sites_test.go
@@ -15,7 +15,7 @@
 	"lemonrail/internal/standin"
 )
 
-// Three sites of three nodes; the agents' file has them judge and return quickly.
+// Three sites of three nodes, and a sites file that makes agents detect losses and returns quickly.
 const (
 	threeSites = `
 seed = 3
@@ -65,15 +65,16 @@
 	quickSites = "cross = 0.0\n[watch]\nlose_ms = 300\nclear_ms = 800\n[return]\ntrial_ms = 300\ntrial_longest_ms = 600\n"
 )
 
-// sitesRig runs six agents that watch three sites, under load until the test ends; then no rule is broken.
-func sitesRig(t *testing.T) *cluster.Cluster { return sitesRigOf(t, "", 0) }
+// startSitesCluster runs six agents that watch three sites, under load until the test ends. It then checks
+// that no rule was broken.
+func startSitesCluster(t *testing.T) *cluster.Cluster { return startSitesClusterWith(t, "", 0) }
 
-func sitesRigOf(t *testing.T, duties string, seats int) *cluster.Cluster {
+func startSitesClusterWith(t *testing.T, duties string, seats int) *cluster.Cluster {
 	t.Helper()
 	sc, err := standin.ParseScenario("site", []byte(threeSites))
 	must(t, err)
 	l := ledger.New(standin.RulesOf(sc))
-	c, err := cluster.Open(cluster.Options{Program: built(t), Dir: t.TempDir(), Scenario: sc, Members: quick, Sites: quickSites, Seed: 1, Observer: l,
+	c, err := cluster.Open(cluster.Options{Program: buildProgram(t), Dir: t.TempDir(), Scenario: sc, Members: quickMembers, Sites: quickSites, Seed: 1, Observer: l,
 		Duties: duties, Seats: seats})
 	must(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -103,8 +104,8 @@
 	return c
 }
 
-// holds waits until agents hold a site for one of some states.
-func holds(t *testing.T, c *cluster.Cluster, agents []int, site string, states ...string) {
+// waitForState waits until the given agents hold a site for one of some states.
+func waitForState(t *testing.T, c *cluster.Cluster, agents []int, site string, states ...string) {
 	t.Helper()
 	var last *driver.Report
 	err := c.Until(patience, func() error {
@@ -127,8 +128,8 @@
 	}
 }
 
-// came is what states an agent had a site come to, in order.
-func came(t *testing.T, c *cluster.Cluster, agent int, site string) (states []string) {
+// pastStates returns the states that a site went through at an agent, in order.
+func pastStates(t *testing.T, c *cluster.Cluster, agent int, site string) (states []string) {
 	t.Helper()
 	r, err := c.Agents[agent].Sites()
 	must(t, err)
@@ -140,7 +141,7 @@
 	return states
 }
 
-func harm(t *testing.T, c *cluster.Cluster, f standin.FaultSpec) (end func()) {
+func beginFault(t *testing.T, c *cluster.Cluster, f standin.FaultSpec) (end func()) {
 	t.Helper()
 	end, err := c.Site.Harm(f)
 	must(t, err)
@@ -148,8 +149,8 @@
 }
 
 var (
-	everyone = []int{0, 1, 2, 3, 4, 5}
-	nb       = []string{"nb"}
+	broadcast  = []int{0, 1, 2, 3, 4, 5}
+	siteBNodes = []string{"nb"}
 )
 
 func TestSitesAreLostAndReturn(t *testing.T) {
@@ -157,54 +158,54 @@
 		name  string
 		fault standin.FaultSpec
 	}{
-		{"silent", standin.FaultSpec{What: "silent", Nodes: nb}},
-		{"with resets", standin.FaultSpec{What: "reset_before", Size: 1, Nodes: nb}},
-		{"refusing, and cold when it is back", standin.FaultSpec{What: "restart", Size: 8, Nodes: nb}},
+		{"silent", standin.FaultSpec{What: "silent", Nodes: siteBNodes}},
+		{"with resets", standin.FaultSpec{What: "reset_before", Size: 1, Nodes: siteBNodes}},
+		{"refusing, and cold when it is back", standin.FaultSpec{What: "restart", Size: 8, Nodes: siteBNodes}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			c := sitesRig(t)
-			end := harm(t, c, tt.fault)
-			holds(t, c, everyone, "b", "lost")
-			holds(t, c, everyone, "a", "well")
-			holds(t, c, everyone, "c", "well")
+			c := startSitesCluster(t)
+			end := beginFault(t, c, tt.fault)
+			waitForState(t, c, broadcast, "b", "lost")
+			waitForState(t, c, broadcast, "a", "well")
+			waitForState(t, c, broadcast, "c", "well")
 			end()
-			holds(t, c, everyone, "b", "well")
-			for i := range everyone {
-				states := came(t, c, i, "b")
+			waitForState(t, c, broadcast, "b", "well")
+			for i := range broadcast {
+				states := pastStates(t, c, i, "b")
 				if n := len(states); n < 4 || n > 8 || states[0] != "doubted" || !slices.Contains(states, "returning") {
-					t.Errorf("n%d: one loss came as %v", i, states)
+					t.Errorf("n%d: states of one loss: %v", i, states)
 				}
 			}
 		})
 	}
 }
 
-// What is not the loss of a site is not held for one.
-func TestWhatIsNoLossOfASite(t *testing.T) {
+// Faults that are not the loss of a whole site do not make agents hold a site for lost.
+func TestOtherFaultsAreNotSiteLoss(t *testing.T) {
 	t.Run("the agents of one site are cut off from another", func(t *testing.T) {
 		t.Parallel()
-		c := sitesRig(t)
-		// Until members elsewhere have said that they are answered there, an agent can't tell a cut from a loss.
+		c := startSitesCluster(t)
+		// Until peers report that site b answers them, an agent can't tell a cut from a loss.
 		until(t, c, "every agent has heard that others are answered at b", func(r *driver.Report) bool { return r.Sites[1].Reach >= 2 })
-		end := harm(t, c, standin.FaultSpec{What: "cut", Nodes: nb, Agents: []string{"site:a"}})
-		holds(t, c, []int{0, 3}, "b", "cut")
-		holds(t, c, []int{1, 2, 4, 5}, "b", "well")
+		end := beginFault(t, c, standin.FaultSpec{What: "cut", Nodes: siteBNodes, Agents: []string{"site:a"}})
+		waitForState(t, c, []int{0, 3}, "b", "cut")
+		waitForState(t, c, []int{1, 2, 4, 5}, "b", "well")
 		end()
-		holds(t, c, everyone, "b", "well")
+		waitForState(t, c, broadcast, "b", "well")
 		for _, i := range []int{0, 3} {
-			if states := came(t, c, i, "b"); slices.Contains(states, "lost") || slices.Contains(states, "returning") {
-				t.Errorf("n%d: %v; others kept it warm", i, states)
+			if states := pastStates(t, c, i, "b"); slices.Contains(states, "lost") || slices.Contains(states, "returning") {
+				t.Errorf("n%d: %v; other agents kept the site warm", i, states)
 			}
 		}
 	})
 	t.Run("errors, and half of a site", func(t *testing.T) {
 		t.Parallel()
-		c := sitesRig(t)
-		end := harm(t, c, standin.FaultSpec{What: "fail_fast", Size: 1, Nodes: nb})
+		c := startSitesCluster(t)
+		end := beginFault(t, c, standin.FaultSpec{What: "fail_fast", Size: 1, Nodes: siteBNodes})
 		until(t, c, "every agent has met errors at b", func(r *driver.Report) bool { return r.Sites[1].Kinds["errored"] > 0 })
 		end()
-		harm(t, c, standin.FaultSpec{What: "restart", Size: 8, Nodes: []string{"nc-1"}})
+		beginFault(t, c, standin.FaultSpec{What: "restart", Size: 8, Nodes: []string{"nc-1"}})
 		met := map[string]bool{}
 		must(t, c.Until(patience, func() error {
 			for _, a := range c.Agents {
@@ -219,20 +220,20 @@
 			}
 			return nil
 		}))
-		for i := range everyone {
+		for i := range broadcast {
 			for _, s := range []string{"b", "c"} {
-				if states := came(t, c, i, s); slices.Contains(states, "lost") {
-					t.Errorf("n%d: %s came to %v", i, s, states)
+				if states := pastStates(t, c, i, s); slices.Contains(states, "lost") {
+					t.Errorf("n%d: %s went through %v", i, s, states)
 				}
 			}
 		}
 	})
 	t.Run("an agent that is cut off from all that is not its own", func(t *testing.T) {
 		t.Parallel()
-		c := sitesRig(t)
+		c := startSitesCluster(t)
 		var ends []func()
-		for _, nodes := range [][]string{nb, {"nc"}} {
-			ends = append(ends, harm(t, c, standin.FaultSpec{What: "cut", Nodes: nodes, Agents: []string{"n0"}}))
+		for _, nodes := range [][]string{siteBNodes, {"nc"}} {
+			ends = append(ends, beginFault(t, c, standin.FaultSpec{What: "cut", Nodes: nodes, Agents: []string{"n0"}}))
 		}
 		others := []int{1, 2, 3, 4, 5}
 		cut := func(on bool) {
@@ -241,20 +242,20 @@
 			c.Link(others, []int{0}, set)
 		}
 		cut(true)
-		holds(t, c, []int{0}, "b", "cut", "lost")
-		holds(t, c, []int{0}, "c", "cut", "lost")
-		holds(t, c, others, "a", "well")
-		holds(t, c, others, "b", "well")
+		waitForState(t, c, []int{0}, "b", "cut", "lost")
+		waitForState(t, c, []int{0}, "c", "cut", "lost")
+		waitForState(t, c, others, "a", "well")
+		waitForState(t, c, others, "b", "well")
 		for _, end := range ends {
 			end()
 		}
 		cut(false)
-		holds(t, c, []int{0}, "b", "well")
-		holds(t, c, []int{0}, "c", "well")
+		waitForState(t, c, []int{0}, "b", "well")
+		waitForState(t, c, []int{0}, "c", "well")
 	})
 }
 
-// until waits until all agents' reports are as wanted.
+// until waits until all agents' reports on sites satisfy so.
 func until(t *testing.T, c *cluster.Cluster, what string, so func(*driver.Report) bool) {
 	t.Helper()
 	must(t, c.Until(patience, func() error {
@@ -271,9 +272,9 @@
 	}))
 }
 
-func TestASiteOutByHand(t *testing.T) {
+func TestSiteExcludedManually(t *testing.T) {
 	t.Parallel()
-	c := sitesRig(t)
+	c := startSitesCluster(t)
 	put := func(agent int, path string, want int) {
 		t.Helper()
 		status, body, err := c.Agents[agent].Ask(http.MethodPut, path)
@@ -282,58 +283,59 @@
 		}
 	}
 	put(0, "/api/sites/nowhere/lost", http.StatusNotFound)
-	for i := range everyone {
+	for i := range broadcast {
 		put(i, "/api/sites/b/lost", http.StatusOK)
 		put(i, "/api/sites/b/lost", http.StatusOK)
 	}
-	holds(t, c, everyone, "b", "lost")
+	waitForState(t, c, broadcast, "b", "lost")
 	put(0, "/api/sites/c/lost", http.StatusOK)
 	put(0, "/api/sites/a/lost", http.StatusConflict)
 	put(0, "/api/sites/c/well", http.StatusOK)
-	// An agent that is started anew knows only what it is told again: it serves meanwhile.
-	must(t, c.Agents[5].Term()) // killed, it would owe its clients answers
+	// A restarted agent has lost the manual state and uses the site until the state is set again.
+	must(t, c.Agents[5].Term()) // SIGTERM: killed, it would leave requests unanswered
 	must(t, c.Agents[5].Start())
 	must(t, c.Ready(patience))
-	holds(t, c, []int{5}, "b", "well")
-	for i := range everyone {
+	waitForState(t, c, []int{5}, "b", "well")
+	for i := range broadcast {
 		put(i, "/api/sites/b/well", http.StatusOK)
 	}
-	holds(t, c, everyone, "b", "well")
-	holds(t, c, everyone, "c", "well")
+	waitForState(t, c, broadcast, "b", "well")
+	waitForState(t, c, broadcast, "c", "well")
 }
 
-// A site that comes back and goes again: each loss counts, each return is slower, and it ends well.
-func TestASiteThatFlaps(t *testing.T) {
+// A flapping site is held for lost each time, returns more slowly each time, and is well in the end.
+func TestFlappingSite(t *testing.T) {
 	t.Parallel()
-	c := sitesRig(t)
+	c := startSitesCluster(t)
 	for range 2 {
-		end := harm(t, c, standin.FaultSpec{What: "reset_before", Size: 1, Nodes: nb})
-		holds(t, c, everyone, "b", "lost")
+		end := beginFault(t, c, standin.FaultSpec{What: "reset_before", Size: 1, Nodes: siteBNodes})
+		waitForState(t, c, broadcast, "b", "lost")
 		end()
-		holds(t, c, everyone, "b", "returning", "well")
+		waitForState(t, c, broadcast, "b", "returning", "well")
 	}
 	until(t, c, "two losses or more", func(r *driver.Report) bool { return r.Sites[1].Losses >= 2 })
-	holds(t, c, everyone, "b", "well")
+	waitForState(t, c, broadcast, "b", "well")
 }
 
-// With discovery down, and an agent started anew in the midst of it.
-func TestALossWhileOtherThingsFail(t *testing.T) {
+// A site is lost while discovery is down and an agent is restarted.
+func TestSiteLossWithDiscoveryDown(t *testing.T) {
 	t.Parallel()
-	c := sitesRig(t)
-	up := harm(t, c, standin.FaultSpec{What: "discovery_down"})
-	end := harm(t, c, standin.FaultSpec{What: "silent", Nodes: nb})
+	c := startSitesCluster(t)
+	up := beginFault(t, c, standin.FaultSpec{What: "discovery_down"})
+	end := beginFault(t, c, standin.FaultSpec{What: "silent", Nodes: siteBNodes})
 	must(t, c.Agents[2].Term())
 	must(t, c.Agents[2].Start())
-	holds(t, c, everyone, "b", "lost", "cut")
+	waitForState(t, c, broadcast, "b", "lost", "cut")
 	up()
 	end()
-	holds(t, c, everyone, "b", "well")
+	waitForState(t, c, broadcast, "b", "well")
 }
 
-// One agent paces the return for all: its word stands in the table while a site is away, and changes as it comes back.
-func TestTheReturnIsPacedByOne(t *testing.T) {
+// One agent paces the return of a site for all: its duty's state names the site while it is lost, and is empty
+// after the return.
+func TestOneAgentPacesReturn(t *testing.T) {
 	t.Parallel()
-	c := sitesRigOf(t, "act_ms = 100\ntick_ms = 20\ndrift = 0.05\n[[duty]]\nname = \"pace\"\nlease_ms = 1200\n", 3)
+	c := startSitesClusterWith(t, "act_ms = 100\ntick_ms = 20\ndrift = 0.05\n[[duty]]\nname = \"pace\"\nlease_ms = 1200\n", 3)
 	told := func(so func(state string) bool) func() error {
 		return func() error {
 			r, err := c.Agents[4].Duties()
@@ -345,14 +347,14 @@
 					return nil
 				}
 			}
-			return fmt.Errorf("not told yet: %+v", r.Duties)
+			return fmt.Errorf("the state has not arrived yet: %+v", r.Duties)
 		}
 	}
 	must(t, c.Until(patience, told(func(s string) bool { return s == "{}" })))
-	end := harm(t, c, standin.FaultSpec{What: "reset_before", Size: 1, Nodes: nb})
-	holds(t, c, everyone, "b", "lost")
+	end := beginFault(t, c, standin.FaultSpec{What: "reset_before", Size: 1, Nodes: siteBNodes})
+	waitForState(t, c, broadcast, "b", "lost")
 	must(t, c.Until(patience, told(func(s string) bool { return s == `{"b":0}` })))
 	end()
-	holds(t, c, everyone, "b", "well")
+	waitForState(t, c, broadcast, "b", "well")
 	must(t, c.Until(patience, told(func(s string) bool { return s == "{}" })))
 }
--- a/internal/cluster/tcplinks.go
+++ b/internal/cluster/tcplinks.go
@@ -11,16 +11,17 @@
 	"lemonrail/internal/standin"
 )
 
-// TCP links lead from each agent to each seat of the duties. They obey what Link says of the two, each way for itself: a
-// cut or a stall holds bytes back without closing, as a network does; a delay is one of each piece; a lost piece comes
-// a fifth of a second late.
+// TCP links connect each agent to each seat of the duties. They follow the faults of the UDP links between the
+// two agents, each direction separately. A cut or a stall holds bytes back without closing the connection, as
+// a network does. A delay applies to each chunk, and a lost chunk arrives tcpLossDelay late, as after a
+// retransmission.
 const (
-	tcpLost  = 200 * time.Millisecond
-	tcpPoll  = 5 * time.Millisecond
-	tcpPiece = 32 << 10
+	tcpLossDelay  = 200 * time.Millisecond
+	pollInterval  = 5 * time.Millisecond
+	tcpChunkBytes = 32 << 10
 )
 
-// tcpLink is one.
+// tcpLink carries the connections from one agent to one seat.
 type tcpLink struct {
 	c        *Cluster
 	from, to int
@@ -30,15 +31,15 @@
 	closed   bool
 }
 
-// openSeats reserves the seats' own addresses and opens the links to them.
+// openSeats reserves the addresses of the seats and opens the links to them.
 func (c *Cluster) openSeats(seats int) error {
 	for i := range seats {
 		fd, at, err := standin.Reserve()
 		if err != nil {
 			return err
 		}
-		c.Agents[i].fds = append(c.Agents[i].fds, fd)
-		c.seats = append(c.seats, at)
+		c.Agents[i].reservedFDs = append(c.Agents[i].reservedFDs, fd)
+		c.seatAddrs = append(c.seatAddrs, at)
 	}
 	for i := range c.Agents {
 		var row []*tcpLink
@@ -53,16 +54,16 @@
 			}
 			row = append(row, l)
 		}
-		c.tcp = append(c.tcp, row)
+		c.tcpLinks = append(c.tcpLinks, row)
 	}
 	return nil
 }
 
-// seatsText is the [[seat]] tables of an agent's file on duties.
+// seatsText returns the [[seat]] tables of an agent's duties file.
 func (c *Cluster) seatsText(agent int) string {
 	var b strings.Builder
-	for j, at := range c.seats {
-		if l := c.tcp[agent][j]; l.ln != nil {
+	for j, at := range c.seatAddrs {
+		if l := c.tcpLinks[agent][j]; l.ln != nil {
 			at = l.ln.Addr().String()
 		}
 		fmt.Fprintf(&b, "[[seat]]\nname = %q\naddress = %q\n", c.Agents[j].Name, at)
@@ -77,14 +78,15 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(tcpPoll)
+			time.Sleep(pollInterval)
 			continue
 		}
-		l.c.tasks.Go(func() { l.carry(conn) })
+		l.c.tasks.Go(func() { l.proxy(conn) })
 	}
 }
 
-// track keeps a connection, to be closed at the end; false: it has come.
+// track registers connections to be closed by close. It reports false, and closes them, if the link is closed
+// already.
 func (l *tcpLink) track(conns ...net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,8 +109,8 @@
 	}
 }
 
-func (l *tcpLink) carry(in net.Conn) {
-	out, err := net.DialTimeout("tcp", l.c.seats[l.to], time.Second)
+func (l *tcpLink) proxy(in net.Conn) {
+	out, err := net.DialTimeout("tcp", l.c.seatAddrs[l.to], time.Second)
 	if err != nil {
 		in.Close()
 		return
@@ -119,7 +121,7 @@
 	}
 	var both sync.WaitGroup
 	pump := func(from, to net.Conn, i, j int) {
-		defer func() { // what came is there; the other side hears of the end
+		defer func() { // bytes read so far were written; pass the end on to the other side
 			if t, ok := to.(*net.TCPConn); ok {
 				t.CloseWrite()
 			}
@@ -127,10 +129,10 @@
 				t.CloseRead()
 			}
 		}()
-		buf := make([]byte, tcpPiece)
+		buf := make([]byte, tcpChunkBytes)
 		for {
 			n, err := from.Read(buf)
-			if n > 0 && !l.pass(i, j) {
+			if n > 0 && !l.waitForFaults(i, j) {
 				return
 			}
 			if n > 0 {
@@ -148,25 +150,26 @@
 	both.Wait()
 }
 
-// pass waits until a piece may go on; false: the rig ends.
-func (l *tcpLink) pass(i, j int) bool {
+// waitForFaults waits until a chunk may be sent on from agent i to agent j. It reports false if the cluster is
+// closing.
+func (l *tcpLink) waitForFaults(i, j int) bool {
 	r := l.c.links[i][j]
 	r.mu.Lock()
 	f := r.fault
-	late := time.Duration(0)
+	delay := time.Duration(0)
 	if f.Delay[1] > 0 {
-		late = f.Delay[0] + time.Duration(r.rng.Float64()*float64(f.Delay[1]-f.Delay[0]))
+		delay = f.Delay[0] + time.Duration(r.rng.Float64()*float64(f.Delay[1]-f.Delay[0]))
 	}
 	if r.rng.Float64() < f.Loss {
-		late += tcpLost
+		delay += tcpLossDelay
 	}
 	r.mu.Unlock()
-	until := time.Now().Add(late)
-	for f.Cut || f.Stall || time.Now().Before(until) {
+	sendAt := time.Now().Add(delay)
+	for f.Cut || f.Stall || time.Now().Before(sendAt) {
 		select {
-		case <-l.c.stopAt:
+		case <-l.c.stop:
 			return false
-		case <-time.After(tcpPoll):
+		case <-time.After(pollInterval):
 		}
 		r.mu.Lock()
 		f = r.fault
@@ -187,15 +190,15 @@
 	}
 }
 
-// Seat is the real address of an agent's seat, to talk to it past the links.
-func (c *Cluster) Seat(agent int) string { return c.seats[agent] }
+// Seat returns the real address of an agent's seat, which bypasses the links.
+func (c *Cluster) Seat(agent int) string { return c.seatAddrs[agent] }
 
-// FileLimit bounds what the agent's process may write to any one file from its next start on, in bytes; 0: as ever. A
-// disk that is full looks so.
+// FileLimit limits the size of any file that the agent's process writes, from its next start on, in bytes, to
+// simulate a full disk. 0 removes the limit.
 func (a *Agent) FileLimit(bytes uint64) { a.fileLimit = bytes }
 
-// limited is a shell's way to set it: the limit holds over exec.
-func (a *Agent) limited(program string, args []string) (string, []string) {
+// withFileLimit wraps the command in a shell that sets the limit, which persists over exec.
+func (a *Agent) withFileLimit(program string, args []string) (string, []string) {
 	if a.fileLimit == 0 {
 		return program, args
 	}
--- a/internal/cluster/timetable.go
+++ b/internal/cluster/timetable.go
@@ -15,61 +15,62 @@
 	"lemonrail/internal/strict"
 )
 
-// Timetable is what goes wrong, and when.
+// Timetable schedules faults of links and processes.
 type Timetable struct {
 	Name    string  `toml:"name"`
 	Seed    uint64  `toml:"seed"`
-	Seconds float64 `toml:"seconds"` // how long it is; all faults of links end then
+	Seconds float64 `toml:"seconds"` // duration; all faults of links end with it
 	Agents  int     `toml:"agents"`
 	Zones   int     `toml:"zones"`
 	Events  []Event `toml:"event"`
 }
 
-// Event is one fault. Agents are named n0, n1, …, zone:a, all, or any:N for N that the seed chooses.
+// Event is one fault. Agents are named n0, n1 and so on, zone:a, all, or any:N for N agents that the seed
+// picks.
 type Event struct {
 	AtS  float64  `toml:"at_s"`
-	ForS float64  `toml:"for_s"` // 0: to the end
-	What string   `toml:"what"`  // see Whats
-	From []string `toml:"from"`  // of links: who sends
-	To   []string `toml:"to"`    // and who is to get it
-	Both bool     `toml:"both"`  // the same the other way
-	Who  []string `toml:"who"`   // of processes
+	ForS float64  `toml:"for_s"` // 0: to the end of the timetable
+	What string   `toml:"what"`  // key of Whats
+	From []string `toml:"from"`  // faults of links: senders
+	To   []string `toml:"to"`    // faults of links: receivers
+	Both bool     `toml:"both"`  // faults of links: also in the other direction
+	Who  []string `toml:"who"`   // faults of processes: agents
 	Size float64  `toml:"size"`
 }
 
-// Whats are the faults, and what their size means.
+// Whats describes the faults and the meaning of their size.
 var Whats = map[string]string{
-	"cut":    "links carry nothing",
+	"cut":    "links drop everything",
 	"loss":   "links lose this share",
 	"double": "links carry this share twice",
 	"delay":  "links take up to this many ms, so that the order changes",
-	"stall":  "links keep what comes, and let it go at the end",
-	"stop":   "processes are stopped (SIGSTOP), and go on at the end",
-	"kill":   "processes are killed, and started again at the end where it has one",
-	"wipe":   "the same, with an empty folder",
-	"vanish": "the same, and their machines say nothing meanwhile",
-	"term":   "processes are asked to stop (SIGTERM), and started again at the end where it has one",
+	"stall":  "links hold datagrams, and deliver them at the end",
+	"stop":   "processes are stopped (SIGSTOP), and continued at the end",
+	"kill":   "processes are killed, and started again at the end if there is one",
+	"wipe":   "as kill, with an empty folder at the restart",
+	"vanish": "as kill, and their machines neither answer nor refuse meanwhile",
+	"term":   "processes are asked to stop (SIGTERM), and started again at the end if there is one",
 	"slow":   "processes get this share of a core",
 }
 
 var linkFaults = map[string]func(f *Fault, on bool, size float64){
 	"cut":    func(f *Fault, on bool, _ float64) { f.Cut = on },
-	"loss":   func(f *Fault, on bool, size float64) { f.Loss = give(on, size) },
-	"double": func(f *Fault, on bool, size float64) { f.Double = give(on, size) },
+	"loss":   func(f *Fault, on bool, size float64) { f.Loss = sizeIf(on, size) },
+	"double": func(f *Fault, on bool, size float64) { f.Double = sizeIf(on, size) },
 	"delay": func(f *Fault, on bool, size float64) {
-		f.Delay = [2]time.Duration{0, time.Duration(give(on, size) * float64(time.Millisecond))}
+		f.Delay = [2]time.Duration{0, time.Duration(sizeIf(on, size) * float64(time.Millisecond))}
 	},
 	"stall": func(f *Fault, on bool, _ float64) { f.Stall = on },
 }
 
-func give(on bool, size float64) float64 {
+func sizeIf(on bool, size float64) float64 {
 	if on {
 		return size
 	}
 	return 0
 }
 
-// ReadTimetable reads and checks a file.
+// ReadTimetable reads and checks a timetable file.
 func ReadTimetable(path string) (*Timetable, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -78,7 +79,7 @@
 	return ParseTimetable(path, raw)
 }
 
-// ParseTimetable is ReadTimetable for text; file is what errors call it.
+// ParseTimetable decodes and checks a timetable; file is its name in errors.
 func ParseTimetable(file string, raw []byte) (*Timetable, error) {
 	t := &Timetable{}
 	if err := strict.Decode(file, raw, t); err != nil {
@@ -95,7 +96,7 @@
 	}
 	for i, e := range t.Events {
 		bad := func(key string, v any) error {
-			return fmt.Errorf("%s: line %d: event.%s: %v makes no sense", file, strict.Table(raw, "event", i), key, v)
+			return fmt.Errorf("%s: line %d: event.%s: invalid value: %v", file, strict.Table(raw, "event", i), key, v)
 		}
 		_, links := linkFaults[e.What]
 		switch {
@@ -113,7 +114,7 @@
 			return nil, bad("who", "a fault of processes without it, or with from and to")
 		}
 		for _, names := range [][]string{e.From, e.To, e.Who} {
-			if _, err := t.pick(names, rand.New(rand.NewPCG(0, 0))); err != nil {
+			if _, err := t.agentsNamed(names, rand.New(rand.NewPCG(0, 0))); err != nil {
 				return nil, bad("from, to, who", err)
 			}
 		}
@@ -121,8 +122,8 @@
 	return t, nil
 }
 
-// pick is the agents that names stand for, in order.
-func (t *Timetable) pick(names []string, rng *rand.Rand) (who []int, err error) {
+// agentsNamed returns the numbers of the agents that names stand for, sorted.
+func (t *Timetable) agentsNamed(names []string, rng *rand.Rand) (who []int, err error) {
 	for _, name := range names {
 		var n int
 		kind, rest, _ := strings.Cut(name, ":")
@@ -142,7 +143,7 @@
 			who = append(who, rng.Perm(t.Agents)[:n]...)
 		default:
 			if _, err := fmt.Sscanf(name, "n%d", &n); err != nil || n < 0 || n >= t.Agents || name != fmt.Sprintf("n%d", n) {
-				return nil, fmt.Errorf("%q is none of n0 to n%d, zone:a, all, any:N", name, t.Agents-1)
+				return nil, fmt.Errorf("%q is not one of n0 to n%d, zone:a, all, any:N", name, t.Agents-1)
 			}
 			who = append(who, n)
 		}
@@ -151,29 +152,30 @@
 	return slices.Compact(who), nil
 }
 
-// step is one half of an event: it begins or ends.
+// step is the beginning or the end of an event.
 type step struct {
-	at    time.Duration
-	event *Event
-	on    bool
-	who   [3][]int // from, to, who
+	at     time.Duration
+	event  *Event
+	on     bool
+	agents [3][]int // from, to, who
 }
 
-// steps are in the order of their times. What the seed chooses is the same each time.
+// steps returns the timetable's steps in the order of their times. The agents that the seed picks are the same
+// at each call.
 func (t *Timetable) steps() (all []step) {
 	rng := rand.New(rand.NewPCG(t.Seed, 11))
 	for i := range t.Events {
 		e := &t.Events[i]
 		s := step{at: time.Duration(e.AtS * float64(time.Second)), event: e, on: true}
 		for k, names := range [][]string{e.From, e.To, e.Who} {
-			s.who[k], _ = t.pick(names, rng) // checked before
+			s.agents[k], _ = t.agentsNamed(names, rng) // checked by ParseTimetable
 		}
 		all = append(all, s)
 		_, links := linkFaults[e.What]
 		end := e.AtS + e.ForS
 		if e.ForS == 0 {
 			if !links && e.What != "stop" && e.What != "slow" {
-				continue // they stay away
+				continue // killed processes are not started again
 			}
 			end = t.Seconds
 		}
@@ -184,13 +186,13 @@
 	return all
 }
 
-// Happening is what was done to the rig.
+// Happening is a step that was carried out.
 type Happening struct {
 	At   time.Duration
 	Text string
 }
 
-// Play does what a timetable says, and returns once its time is over. did may be nil.
+// Play carries out a timetable and returns at its end. did, if not nil, is called before each step.
 func (c *Cluster) Play(ctx context.Context, t *Timetable, did func(Happening)) error {
 	begun := time.Now()
 	var errs []error
@@ -201,7 +203,7 @@
 		if did != nil {
 			did(Happening{time.Since(begun), s.String()})
 		}
-		if err := c.do(&s); err != nil {
+		if err := c.applyStep(&s); err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", s.String(), err))
 		}
 	}
@@ -237,39 +239,39 @@
 	if s.event.Size > 0 {
 		what += fmt.Sprintf(" (%g)", s.event.Size)
 	}
-	if len(s.who[2]) > 0 {
-		return what + ": " + names(s.who[2])
+	if len(s.agents[2]) > 0 {
+		return what + ": " + names(s.agents[2])
 	}
 	arrow := " to "
 	if s.event.Both {
 		arrow = " and "
 	}
-	return what + ": " + names(s.who[0]) + arrow + names(s.who[1])
+	return what + ": " + names(s.agents[0]) + arrow + names(s.agents[1])
 }
 
-func (c *Cluster) do(s *step) error {
+func (c *Cluster) applyStep(s *step) error {
 	e := s.event
 	if set := linkFaults[e.What]; set != nil {
 		change := func(f *Fault) { set(f, s.on, e.Size) }
-		c.Link(s.who[0], s.who[1], change)
+		c.Link(s.agents[0], s.agents[1], change)
 		if e.Both {
-			c.Link(s.who[1], s.who[0], change)
+			c.Link(s.agents[1], s.agents[0], change)
 		}
 		return nil
 	}
-	errs := make([]error, len(s.who[2]))
-	var all sync.WaitGroup // they are not to wait for each other's end
-	for k, i := range s.who[2] {
-		all.Go(func() { errs[k] = c.Agents[i].do(e, s.on) })
+	errs := make([]error, len(s.agents[2]))
+	var all sync.WaitGroup // ends of processes are waited for concurrently
+	for k, i := range s.agents[2] {
+		all.Go(func() { errs[k] = c.Agents[i].applyFault(e, s.on) })
 	}
 	all.Wait()
 	return errors.Join(errs...)
 }
 
-// do begins or ends a fault of one process.
-func (a *Agent) do(e *Event, on bool) error {
-	others := make([]int, 0, len(a.c.Agents))
-	for i := range a.c.Agents {
+// applyFault begins or ends a fault of one process.
+func (a *Agent) applyFault(e *Event, on bool) error {
+	others := make([]int, 0, len(a.cluster.Agents))
+	for i := range a.cluster.Agents {
 		others = append(others, i)
 	}
 	switch {
@@ -283,16 +285,16 @@
 		a.Slow(1)
 	case e.What == "term" && on:
 		return a.Term()
-	case e.What == "vanish" && on: // links first: nobody hears its machine
-		a.c.Link(others, []int{a.number}, func(f *Fault) { f.Cut = true })
-		a.c.Link([]int{a.number}, others, func(f *Fault) { f.Cut = true })
+	case e.What == "vanish" && on: // links first, so that no peer learns of the exit from a refused datagram
+		a.cluster.Link(others, []int{a.index}, func(f *Fault) { f.Cut = true })
+		a.cluster.Link([]int{a.index}, others, func(f *Fault) { f.Cut = true })
 		err := a.Kill()
-		return errors.Join(err, a.c.refuse(a.number, false))
+		return errors.Join(err, a.cluster.setRefusing(a.index, false))
 	case on:
 		return a.Kill()
 	case e.What == "vanish":
-		a.c.Link(others, []int{a.number}, func(f *Fault) { f.Cut = false })
-		a.c.Link([]int{a.number}, others, func(f *Fault) { f.Cut = false })
+		a.cluster.Link(others, []int{a.index}, func(f *Fault) { f.Cut = false })
+		a.cluster.Link([]int{a.index}, others, func(f *Fault) { f.Cut = false })
 		return a.Start()
 	case e.What == "wipe":
 		return errors.Join(a.Wipe(), a.Start())
@@ -302,7 +304,7 @@
 	return nil
 }
 
-// Random is a timetable that a seed makes: a few faults of links and of processes, which may overlap.
+// Random returns a timetable drawn from a seed, with a few faults of links and processes, which may overlap.
 func Random(seed uint64, agents, zones int, seconds float64) *Timetable {
 	rng := rand.New(rand.NewPCG(seed, 12))
 	t := &Timetable{Name: fmt.Sprintf("seed %d", seed), Seed: seed, Seconds: seconds, Agents: agents, Zones: zones}
--- a/internal/cluster/usage.go
+++ b/internal/cluster/usage.go
@@ -13,37 +13,37 @@
 	"lemonrail/internal/standin"
 )
 
-// Usage is what a process has used, as the kernel counts it.
+// Usage is what a process has used so far, as counted by the kernel.
 type Usage struct {
 	CPU         time.Duration
 	ResidentKB  int64
 	Descriptors int // open files and sockets
 }
 
-// Usage reads it; an error where no process runs.
+// Usage returns the usage of the agent's process, or an error if none is running.
 func (a *Agent) Usage() (u Usage, err error) {
 	a.mu.Lock()
-	if !a.up() {
+	if !a.running() {
 		a.mu.Unlock()
-		return u, fmt.Errorf("%s isn't up", a.Name)
+		return u, fmt.Errorf("%s is not running", a.Name)
 	}
 	pid := a.cmd.Process.Pid
 	a.mu.Unlock()
 	return ProcessUsage(pid)
 }
 
-// ProcessUsage reads what a process of this machine has used.
+// ProcessUsage returns the usage of a process of this machine.
 func ProcessUsage(pid int) (u Usage, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u, err
 	}
-	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:])) // from the third on
+	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:])) // from the third field on
 	if len(fields) < 22 {
-		return u, errors.New("what the kernel counts can't be read")
+		return u, errors.New("unexpected format of /proc/PID/stat")
 	}
 	var ticks, pages int64
-	for _, i := range []int{11, 12} { // user and system, in hundredths of a second
+	for _, i := range []int{11, 12} { // user and system time, in hundredths of a second
 		n, err := strconv.ParseInt(fields[i], 10, 64)
 		if err != nil {
 			return u, err
@@ -60,30 +60,30 @@
 	return Usage{time.Duration(ticks) * 10 * time.Millisecond, pages * int64(os.Getpagesize()) / 1024, len(open)}, nil
 }
 
-// Rest is a fleet that does nothing, and what its duties cost.
+// Rest is an experiment that measures what duties cost an idle fleet.
 type Rest struct {
 	Program string
 	Dir     string
 	Agents  int
-	Seats   int // 0: no duties at all, to compare with
+	Seats   int // 0: no duties at all, for comparison
 	LeaseMs int
 	Members string
 	For     time.Duration
 }
 
-// RestResult is what came of it, in the middle of the agents of a kind.
+// RestResult holds the medians over the agents with a seat and over those without.
 type RestResult struct {
 	Agents      int     `json:"agents"`
 	Seats       int     `json:"seats"`
-	SeatCPU     float64 `json:"seat_core_share"`  // share of a core, of an agent with a seat
-	OtherCPU    float64 `json:"other_core_share"` // and of one without
+	SeatCPU     float64 `json:"seat_core_share"`  // share of a core used by an agent with a seat
+	OtherCPU    float64 `json:"other_core_share"` // share of a core used by an agent without a seat
 	SeatKB      int64   `json:"seat_resident_kb"`
 	OtherKB     int64   `json:"other_resident_kb"`
-	WrittenPerS float64 `json:"written_bytes_a_second"` // of a seat, to its disk
+	WrittenPerS float64 `json:"written_bytes_a_second"` // by a seat, to disk
 	SyncsPerS   float64 `json:"syncs_a_second"`
 }
 
-// Run measures it.
+// Run runs the experiment.
 func (o Rest) Run(ctx context.Context) (out *RestResult, err error) {
 	sc, err := standin.ParseScenario("the rig's site", []byte(SiteText(o.Agents, 2)))
 	if err != nil {
@@ -108,7 +108,7 @@
 		if err := c.Until(60*time.Second, func() error {
 			r, err := c.Agents[0].Duties()
 			if err == nil && (len(r.Duties) == 0 || r.Duties[0].Holder == "") {
-				err = errors.New("nobody holds the duty")
+				err = errors.New("no agent holds the duty")
 			}
 			return err
 		}); err != nil {
@@ -164,13 +164,13 @@
 		cpu[kind] = append(cpu[kind], (after[i].CPU-before[i].CPU).Seconds()/span)
 		kb[kind] = append(kb[kind], after[i].ResidentKB)
 	}
-	out.SeatCPU, out.OtherCPU = middle(cpu[0]), middle(cpu[1])
-	out.SeatKB, out.OtherKB = middle(kb[0]), middle(kb[1])
-	out.WrittenPerS, out.SyncsPerS = middle(written), middle(syncs)
+	out.SeatCPU, out.OtherCPU = median(cpu[0]), median(cpu[1])
+	out.SeatKB, out.OtherKB = median(kb[0]), median(kb[1])
+	out.WrittenPerS, out.SyncsPerS = median(written), median(syncs)
 	return out, nil
 }
 
-func middle[T int64 | float64](all []T) (m T) {
+func median[T int64 | float64](all []T) (m T) {
 	if len(all) == 0 {
 		return m
 	}
