--- a/internal/scale/calltree/backend.go
+++ b/internal/scale/calltree/backend.go
@@ -6,102 +6,103 @@
 	"lemonrail/balance"
 )
 
-// answerMargin is how many network ways before its own deadline a backend has its children end.
-const answerMargin = 4
+// answerMarginHops is the time between the deadline of a backend's child calls and its own deadline, in one-way network
+// delays.
+const answerMarginHops = 4
 
-// receive takes an attempt at its backend.
+// receive handles an attempt that reaches its backend: it is rejected as full, executed or queued.
 func (s *simulation) receive(a *attempt) {
 	t := a.server
-	if a.closed && s.c.Cancel { // withdrawn on its way
+	if a.closed && s.config.Cancel { // withdrawn in transit
 		return
 	}
-	if len(t.waiting) >= s.c.Queue && t.busy >= s.c.Cores {
-		s.reply(a, outcome{result: balance.Full, load: t.load()})
+	if len(t.waiting) >= s.config.Queue && t.busy >= s.config.Cores {
+		s.reject(a, outcome{result: balance.Full, load: t.load()})
 		return
 	}
-	run := &execution{attempt: a, server: t, work: s.draw()}
+	run := &execution{attempt: a, server: t, work: s.drawWork()}
 	a.run = run
-	t.held++
+	t.outstanding++
 	n := a.call.node
-	run.repeated = n.runs > 0
-	n.runs++
-	s.counting.executed(run)
+	run.repeated = n.executions > 0
+	n.executions++
+	s.statistics.executed(run)
 	if s.leafFails(n) {
 		s.answer(run, outcome{result: balance.Errored})
 		return
 	}
-	if t.busy < s.c.Cores {
-		s.workOn(run)
+	if t.busy < s.config.Cores {
+		s.startWork(run)
 		return
 	}
 	t.waiting = append(t.waiting, run)
 }
 
-// draw is the work of an execution.
-func (s *simulation) draw() time.Duration {
-	return max(1, time.Duration(s.work.ExpFloat64()*float64(s.c.Work)))
+// drawWork draws the core time of an execution.
+func (s *simulation) drawWork() time.Duration {
+	return max(1, time.Duration(s.work.ExpFloat64()*float64(s.config.Work)))
 }
 
-// leafFails reports whether an execution fails at once.
+// leafFails reports whether an execution fails immediately because of a leaf fault.
 func (s *simulation) leafFails(n *node) bool {
-	if len(n.children) > 0 || !s.faulty() {
+	if len(n.children) > 0 || !s.faultsActive() {
 		return false
 	}
-	switch s.c.Fault {
+	switch s.config.Fault {
 	case FaultLeafAttempts:
-		return s.faults.Float64() < s.c.FailShare
+		return s.faults.Float64() < s.config.FailShare
 	case FaultLeafCalls:
-		return n.poisoned
+		return n.alwaysFails
 	}
 	return false
 }
 
-// workOn puts an execution on a core.
-func (s *simulation) workOn(run *execution) {
+// startWork starts an execution on a core.
+func (s *simulation) startWork(run *execution) {
 	run.server.busy++
-	s.schedule(run.work, event{kind: eventDone, run: run})
+	s.schedule(run.work, event{kind: eventWorkDone, run: run})
 }
 
-// worked takes an execution off its core, has the next one begin, and goes on to the children.
-func (s *simulation) worked(run *execution) {
+// finishWork ends the core time of an execution, starts the next queued one and makes the child calls.
+func (s *simulation) finishWork(run *execution) {
 	t := run.server
 	t.busy--
-	s.counting.worked(run, s.now)
-	s.next(t)
-	if run.gone || run.answered {
+	s.statistics.worked(run, s.now)
+	s.startNext(t)
+	if run.cancelled || run.answered {
 		return
 	}
-	if s.struck(t) && s.c.Fault == FaultSlow {
-		late := max(0, run.attempt.call.deadline+pastDeadline-s.now)
+	if s.faultActiveAt(t) && s.config.Fault == FaultSlow {
+		late := max(0, run.attempt.call.deadline+slowAnswerDelay-s.now)
 		s.answerAfter(run, outcome{result: balance.OK}, late)
 		return
 	}
 	s.callChildren(run)
 }
 
-// next takes the next execution that somebody may still wait for onto a core. What is past its deadline is dropped.
-func (s *simulation) next(t *server) {
+// startNext starts the first queued execution that is neither cancelled nor past its deadline, and drops those before it.
+func (s *simulation) startNext(t *server) {
 	for len(t.waiting) > 0 {
 		run := t.waiting[0]
 		t.waiting = t.waiting[1:]
 		switch {
-		case run.gone:
+		case run.cancelled:
 		case s.now >= run.attempt.call.deadline:
 			s.answer(run, outcome{result: balance.Errored})
 		default:
-			s.workOn(run)
+			s.startWork(run)
 			return
 		}
 	}
 }
 
-// callChildren begins all the children of an execution. A backend leaves the time to answer in.
+// callChildren starts all child calls of an execution, with a deadline that leaves the backend time to answer.
 func (s *simulation) callChildren(run *execution) {
 	c := run.attempt.call
 	n := c.node
-	deadline := c.deadline - answerMargin*s.c.Network
+	deadline := c.deadline - answerMarginHops*s.config.Network
 	if len(n.children) == 0 {
-		s.answer(run, s.served())
+		s.answer(run, s.servedOutcome())
 		return
 	}
 	if s.now >= deadline {
@@ -110,81 +111,81 @@
 	}
 	run.pending = len(n.children)
 	for _, child := range n.children {
-		a := run.server.agents[s.place(run.server.service, child.service)]
-		run.children = append(run.children, s.begin(a, child, c.try, run, deadline))
+		a := run.server.agents[s.agentIndex(run.server.service, child.service)]
+		run.children = append(run.children, s.startCall(a, child, c.try, run, deadline))
 	}
 }
 
-// childEnded answers an execution once its children have ended, or one has failed.
+// childEnded handles the end of a child call. It answers the execution when all children were served or one was not.
 func (s *simulation) childEnded(run *execution, child *call) {
 	run.pending--
-	if run.answered || run.gone {
+	if run.answered || run.cancelled {
 		return
 	}
 	if child.ending != endedServed {
-		s.answer(run, outcome{result: balance.Errored, marked: s.c.DontRetryMark})
-		if s.c.Cancel {
+		s.answer(run, outcome{result: balance.Errored, marked: s.config.DontRetryMark})
+		if s.config.Cancel {
 			s.abandonChildren(run)
 		}
 		return
 	}
 	if run.pending == 0 {
-		s.answer(run, s.served())
+		s.answer(run, s.servedOutcome())
 	}
 }
 
-// served is the outcome of an execution whose work and children are done: an error where answers fail.
-func (s *simulation) served() outcome {
-	if s.c.Fault == FaultAnswers && s.faulty() && s.faults.Float64() < s.c.FailShare {
+// servedOutcome returns the outcome of an execution whose work and children are done; under FaultAnswers it may be an error.
+func (s *simulation) servedOutcome() outcome {
+	if s.config.Fault == FaultAnswers && s.faultsActive() && s.faults.Float64() < s.config.FailShare {
 		return outcome{result: balance.Errored}
 	}
 	return outcome{result: balance.OK}
 }
 
-// answer sends an execution's outcome back.
+// answer sends the outcome of an execution back to its agent.
 func (s *simulation) answer(run *execution, o outcome) { s.answerAfter(run, o, 0) }
 
-// answerAfter sends an execution's outcome back after a while.
+// answerAfter sends the outcome of an execution back after a wait.
 func (s *simulation) answerAfter(run *execution, o outcome, wait time.Duration) {
 	run.answered = true
 	o.load = run.server.load()
-	run.server.held--
-	s.schedule(wait+s.c.Network, event{kind: eventOutcome, attempt: run.attempt, outcome: o})
+	run.server.outstanding--
+	s.schedule(wait+s.config.Network, event{kind: eventOutcome, attempt: run.attempt, outcome: o})
 }
 
-// reply sends the outcome of an attempt that the backend did not take.
-func (s *simulation) reply(a *attempt, o outcome) {
-	s.schedule(s.c.Network, event{kind: eventOutcome, attempt: a, outcome: o})
+// reject sends the outcome of an attempt that the backend rejected.
+func (s *simulation) reject(a *attempt, o outcome) {
+	s.schedule(s.config.Network, event{kind: eventOutcome, attempt: a, outcome: o})
 }
 
-// cancel has a backend learn that nobody waits for an execution.
+// cancel stops an execution whose caller no longer waits for it.
 func (s *simulation) cancel(run *execution) {
-	if run.answered || run.gone {
+	if run.answered || run.cancelled {
 		return
 	}
-	run.gone = true
-	run.server.held--
+	run.cancelled = true
+	run.server.outstanding--
 	s.abandonChildren(run)
 }
 
-// abandonChildren gives up the calls that an execution still has out.
+// abandonChildren abandons the open child calls of an execution.
 func (s *simulation) abandonChildren(run *execution) {
 	for _, c := range run.children {
 		if c.ended {
 			continue
 		}
 		s.step(c.agent, balance.Abandoned{Request: c.id})
-		s.end(c, endedGone)
+		s.end(c, endedAbandoned)
 		s.withdraw(c, balance.Cancelled)
 		s.forget(c)
 	}
 }
 
-// load is what a backend reports of itself.
+// load returns the load report of a backend.
 func (t *server) load() balance.Load {
 	l := balance.NoLoad()
 	l.Valid = true
-	l.Outstanding = float64(t.held)
+	l.Outstanding = float64(t.outstanding)
 	l.Queue = float64(len(t.waiting))
 	return l
 }
--- a/internal/scale/calltree/bench_test.go
+++ b/internal/scale/calltree/bench_test.go
@@ -18,7 +18,7 @@
 	fullSeed = flag.Uint64("seed", 1, "seed of BenchmarkFullSize")
 )
 
-// fullVariants are what the full size is played with.
+// fullVariants are the changes to the default configuration that BenchmarkFullSize runs.
 var fullVariants = []struct {
 	name string
 	set  func(*Config)
@@ -32,7 +32,7 @@
 	{"cancel", func(c *Config) { c.Cancel = true }},
 }
 
-// BenchmarkFullSize plays the default configuration once for each fault and variant.
+// BenchmarkFullSize runs the default configuration with each fault and variant.
 func BenchmarkFullSize(b *testing.B) {
 	for _, s := range []scenario{
 		{FaultNone, 0},
@@ -52,15 +52,15 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					keep(b, s.String()+"-"+v.name, r)
+					recordResult(b, s.String()+"-"+v.name, r)
 				}
 			})
 		}
 	}
 }
 
-// keep writes a result where it is asked for, and reports the main figures.
-func keep(b *testing.B, name string, r Result) {
+// recordResult reports the main figures of a result and writes it to the -out folder, if one is set.
+func recordResult(b *testing.B, name string, r Result) {
 	b.ReportMetric(float64(r.Attempts)/float64(r.Roots.Calls), "attempts/root")
 	b.ReportMetric(float64(r.LeafAttempts)/float64(r.Roots.Calls), "leaf-attempts/root")
 	b.ReportMetric(float64(r.Roots.Served)/float64(r.Roots.Calls), "served")
@@ -76,8 +76,8 @@
 	}
 }
 
-// listOf is a list of so many backends.
-func listOf(backends int) balance.List {
+// fullList returns a full list with the given number of backends.
+func fullList(backends int) balance.List {
 	l := balance.List{Kind: balance.ListFull}
 	for i := range backends {
 		l.Backends = append(l.Backends, balance.Backend{ID: fmt.Sprint("10.0.", i/250, ".", i%250, ":8080"), Zone: i % 8, Weight: 1})
@@ -85,8 +85,8 @@
 	return l
 }
 
-// one is a balancer that knows so many backends and classes.
-func one(b *testing.B, backends, classes int) (*balance.Balancer, time.Duration) {
+// newBalancer creates a balancer with the given numbers of backends and classes.
+func newBalancer(b *testing.B, backends, classes int) (*balance.Balancer, time.Duration) {
 	s := balance.Settings{Balancers: 13, MaxAttempts: 4, Peers: true, Reports: balance.ReportsInline,
 		RampTime: 5 * time.Second, ColdShare: 0.3, FallMultiple: 2, FallWindow: 500 * time.Millisecond}
 	for range classes {
@@ -96,12 +96,12 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	lb.Step(epoch, []balance.Event{listOf(backends)})
+	lb.Step(epoch, []balance.Event{fullList(backends)})
 	return lb, epoch
 }
 
-// begin hands a balancer a request and returns the attempt's backend, if it is sent at once.
-func begin(lb *balance.Balancer, now time.Duration, id string) string {
+// startRequest passes a request to a balancer and returns the backend, or "" if the request isn't sent immediately.
+func startRequest(lb *balance.Balancer, now time.Duration, id string) string {
 	for _, a := range lb.Step(now, []balance.Event{balance.Request{ID: id, Left: time.Hour}}) {
 		if send, ok := a.(balance.Send); ok {
 			return send.Backend
@@ -110,45 +110,45 @@
 	return ""
 }
 
-// serve has an attempt end served.
-func serve(lb *balance.Balancer, now time.Duration, id, backend string) {
+// finishRequest ends an attempt as served.
+func finishRequest(lb *balance.Balancer, now time.Duration, id, backend string) {
 	lb.Step(now, []balance.Event{balance.Outcome{Request: id, Backend: backend, Latency: 4 * time.Millisecond, Done: true, Load: balance.NoLoad()}})
 }
 
-// warmUp serves calls, two for each backend where there are few.
+// warmUp serves two calls per backend, up to a maximum, and returns the time after the last one.
 func warmUp(lb *balance.Balancer, now time.Duration, backends int) time.Duration {
-	const most = 2000
-	for i := range min(2*backends, most) {
+	const maxCalls = 2000
+	for i := range min(2*backends, maxCalls) {
 		now += time.Millisecond
 		id := fmt.Sprint("w", i)
-		if t := begin(lb, now, id); t != "" {
-			serve(lb, now+4*time.Millisecond, id, t)
+		if t := startRequest(lb, now, id); t != "" {
+			finishRequest(lb, now+4*time.Millisecond, id, t)
 		}
 	}
 	return now
 }
 
-// BenchmarkCall plays a served call, which is two steps, beside others in flight, and lets each backend answer before.
+// BenchmarkCall measures a served call, which is two steps, with other calls in flight, after a warm-up of the backends.
 func BenchmarkCall(b *testing.B) {
 	for _, backends := range []int{10, 100, 450, 2000, 10000} {
 		for _, flight := range []int{0, 10, 100, 1000} {
 			if flight > 5*backends {
-				continue // the limit holds them back: another case
+				continue // the concurrency limit would hold requests back
 			}
 			b.Run(fmt.Sprintf("backends=%d/flight=%d", backends, flight), func(b *testing.B) {
-				lb, now := one(b, backends, 1)
+				lb, now := newBalancer(b, backends, 1)
 				now = warmUp(lb, now, backends)
 				sent := 0
 				for i := range flight {
-					if begin(lb, now, fmt.Sprint("f", i)) != "" {
+					if startRequest(lb, now, fmt.Sprint("f", i)) != "" {
 						sent++
 					}
 				}
 				b.ReportAllocs()
 				for b.Loop() {
 					now += time.Millisecond
-					if t := begin(lb, now, "x"); t != "" {
-						serve(lb, now+4*time.Millisecond, "x", t)
+					if t := startRequest(lb, now, "x"); t != "" {
+						finishRequest(lb, now+4*time.Millisecond, "x", t)
 					}
 				}
 				b.ReportMetric(float64(sent), "sent-in-flight")
@@ -157,11 +157,11 @@
 	}
 }
 
-// BenchmarkTimer plays the step that decides nothing: what each step costs.
+// BenchmarkTimer measures a step without a decision, which is the fixed cost of each step.
 func BenchmarkTimer(b *testing.B) {
 	for _, backends := range []int{10, 100, 450, 2000, 10000} {
 		b.Run(fmt.Sprintf("backends=%d", backends), func(b *testing.B) {
-			lb, now := one(b, backends, 1)
+			lb, now := newBalancer(b, backends, 1)
 			for b.Loop() {
 				now += time.Microsecond
 				lb.Step(now, []balance.Event{balance.TimerFired{}})
@@ -170,13 +170,13 @@
 	}
 }
 
-// BenchmarkList plays a whole list that changes nothing, and a change of one backend.
+// BenchmarkList measures a full list without changes and a delta with one backend.
 func BenchmarkList(b *testing.B) {
 	for _, backends := range []int{10, 100, 450, 2000, 10000} {
 		for _, kind := range []string{"whole", "delta"} {
 			b.Run(fmt.Sprintf("%s/backends=%d", kind, backends), func(b *testing.B) {
-				lb, now := one(b, backends, 1)
-				list := listOf(backends)
+				lb, now := newBalancer(b, backends, 1)
+				list := fullList(backends)
 				if kind == "delta" {
 					list.Kind, list.Backends = balance.ListDelta, list.Backends[:1]
 				}
@@ -190,8 +190,8 @@
 	}
 }
 
-// heap is what is held, after a collection.
-func heap() float64 {
+// liveHeapBytes returns the bytes of live heap objects after a garbage collection.
+func liveHeapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -199,9 +199,9 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkMemory reports the bytes that balancers of a size hold, each after calls to all backends.
+// BenchmarkMemory reports the heap bytes per balancer, each after calls to all backends.
 func BenchmarkMemory(b *testing.B) {
-	const listed = 9000 // backends over all copies
+	const listed = 9000 // backends in the lists of all balancers together
 	for _, size := range []struct{ backends, classes, flight int }{
 		{10, 1, 0}, {100, 1, 0}, {450, 1, 0}, {2000, 1, 0}, {10000, 1, 0},
 		{450, 4, 0}, {450, 16, 0}, {450, 64, 0}, {450, 1, 100}, {450, 1, 1000},
@@ -209,18 +209,18 @@
 		b.Run(fmt.Sprintf("backends=%d/classes=%d/flight=%d", size.backends, size.classes, size.flight), func(b *testing.B) {
 			copies := max(1, listed/size.backends)
 			for b.Loop() {
-				before := heap()
-				var kept []*balance.Balancer
+				before := liveHeapBytes()
+				var balancers []*balance.Balancer
 				for range copies {
-					lb, now := one(b, size.backends, size.classes)
+					lb, now := newBalancer(b, size.backends, size.classes)
 					now = warmUp(lb, now, size.backends)
 					for i := range size.flight {
-						begin(lb, now, fmt.Sprint("f", i))
+						startRequest(lb, now, fmt.Sprint("f", i))
 					}
-					kept = append(kept, lb)
+					balancers = append(balancers, lb)
 				}
-				b.ReportMetric((heap()-before)/float64(copies), "B/balancer")
-				runtime.KeepAlive(kept)
+				b.ReportMetric((liveHeapBytes()-before)/float64(copies), "B/balancer")
+				runtime.KeepAlive(balancers)
 			}
 		})
 	}
--- a/internal/scale/calltree/calltree_test.go
+++ b/internal/scale/calltree/calltree_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// small is a run that takes a fraction of a second: its shape is that of the full size.
+// small returns a scaled-down configuration that runs in a fraction of a second.
 func small(seed uint64) Config {
 	c := DefaultConfig()
 	c.Seed, c.Services, c.Backends, c.Depth, c.Gateways, c.Rate = seed, 18, 60, 9, 3, 2500
@@ -18,7 +18,7 @@
 	return c
 }
 
-// scenario is a fault with its share.
+// scenario is a fault with its failure probability.
 type scenario struct {
 	fault Fault
 	share float64
@@ -26,7 +26,7 @@
 
 func (s scenario) String() string { return fmt.Sprintf("%s-%g", s.fault, s.share) }
 
-func (s scenario) of(c Config) Config {
+func (s scenario) apply(c Config) Config {
 	c.Fault, c.FailShare = s.fault, s.share
 	return c
 }
@@ -36,7 +36,7 @@
 	{FaultAnswers, 0.17}, {FaultSlow, 0}, {FaultRefused, 0}, {FaultSilent, 0},
 }
 
-func play(t *testing.T, c Config) Result {
+func mustRun(t *testing.T, c Config) Result {
 	t.Helper()
 	r, err := Run(c)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return r
 }
 
-// replay is how a failing case is played again.
+// replay returns the command that reruns a failing test.
 func replay(t *testing.T) string {
 	return fmt.Sprintf("replay: go test ./internal/scale/calltree -run '^%s$' -count 1", t.Name())
 }
@@ -54,7 +54,7 @@
 	for _, s := range []scenario{{FaultNone, 0}, {FaultLeafAttempts, 0.17}, {FaultSlow, 0}} {
 		t.Run(s.String(), func(t *testing.T) {
 			encode := func(seed uint64) string {
-				r := play(t, s.of(small(seed)))
+				r := mustRun(t, s.apply(small(seed)))
 				r.Config.Seed = 0
 				text, err := json.Marshal(r)
 				if err != nil {
@@ -63,7 +63,7 @@
 				return string(text)
 			}
 			first := encode(7)
-			if again := encode(7); again != first {
+			if second := encode(7); second != first {
 				t.Errorf("two runs of one seed differ; %s", replay(t))
 			}
 			if other := encode(8); other == first {
@@ -73,15 +73,15 @@
 	}
 }
 
-// Each call ends once, each attempt has one outcome, and what may run once runs once.
+// Each call ends once, each attempt has one outcome, and no unsafe call is executed twice.
 func TestCallsAreConserved(t *testing.T) {
 	for _, s := range scenarios {
 		for _, variant := range []string{"plain", "cancel", "mark", "untold"} {
 			t.Run(s.String()+"/"+variant, func(t *testing.T) {
-				c := s.of(small(11))
+				c := s.apply(small(11))
 				c.Cancel, c.DontRetryMark = variant == "cancel", variant == "mark"
 				c.TellLeft = variant != "untold"
-				r := play(t, c)
+				r := mustRun(t, c)
 				k := r.Checks
 				if k.Started != k.Ended || k.EndedTwice != 0 || k.Open != 0 || k.NoOutcome != 0 || k.UnsafeTwice != 0 {
 					t.Errorf("%+v; %s", k, replay(t))
@@ -99,59 +99,59 @@
 	}
 }
 
-// A bucket holds 100 tokens, a retry costs five at the least, and a served attempt brings one back.
+// A token bucket holds 100 tokens, a retry costs at least five, and a served attempt adds one.
 func TestRetriesStayWithinTheBuckets(t *testing.T) {
 	for _, s := range scenarios {
 		t.Run(s.String(), func(t *testing.T) {
-			r := play(t, s.of(small(3)))
-			if most := 20*r.Balancers + r.Checks.Served/5; r.Checks.Retries > most {
-				t.Errorf("%d retries where buckets pay for %d; %s", r.Checks.Retries, most, replay(t))
+			r := mustRun(t, s.apply(small(3)))
+			if maxRetries := 20*r.Balancers + r.Checks.Served/5; r.Checks.Retries > maxRetries {
+				t.Errorf("%d retries where buckets pay for %d; %s", r.Checks.Retries, maxRetries, replay(t))
 			}
 		})
 	}
 }
 
 func TestNothingFailsWithoutAFault(t *testing.T) {
-	r := play(t, small(5))
+	r := mustRun(t, small(5))
 	if r.Retries != 0 || r.Roots.Served != r.Roots.Calls || r.ClientTries != r.Roots.Calls {
 		t.Errorf("retries %d, roots %+v, tries %d; %s", r.Retries, r.Roots, r.ClientTries, replay(t))
 	}
 }
 
-func TestNoRetriesWhereTheyAreOff(t *testing.T) {
-	c := scenario{FaultLeafAttempts, 0.4}.of(small(5))
+func TestNoRetriesWhenDisabled(t *testing.T) {
+	c := scenario{FaultLeafAttempts, 0.4}.apply(small(5))
 	c.MaxAttempts, c.ClientRetry = 1, false
-	r := play(t, c)
+	r := mustRun(t, c)
 	if r.Retries != 0 || r.ClientTries != r.Roots.Calls {
 		t.Errorf("%d retries, %d tries of %d roots; %s", r.Retries, r.ClientTries, r.Roots.Calls, replay(t))
 	}
-	base := play(t, small(5))
+	base := mustRun(t, small(5))
 	if a := Compare(base, r); a.Leaves > 1 || a.All > 1 {
 		t.Errorf("more attempts than without failures: %+v; %s", a, replay(t))
 	}
 }
 
-// Without retries a fault fails the roots that it is to fail: what is touched for good is not served at all.
-func TestEachFaultFailsItsRoots(t *testing.T) {
+// Without retries each fault fails some roots, and a lasting fault fails every root whose tree contains it.
+func TestEachFaultFailsAffectedRoots(t *testing.T) {
 	for _, s := range scenarios[1:] {
-		c := s.of(small(9))
+		c := s.apply(small(9))
 		c.MaxAttempts, c.ClientRetry = 1, false
-		r := play(t, c)
-		if most := float64(r.Roots.Calls) * 0.97; float64(r.Roots.Served) > most {
+		r := mustRun(t, c)
+		if maxServed := float64(r.Roots.Calls) * 0.97; float64(r.Roots.Served) > maxServed {
 			t.Errorf("%s: %d of %d roots served; %s", s, r.Roots.Served, r.Roots.Calls, replay(t))
 		}
-		lasting := c.faultsService() || c.Fault == FaultLeafCalls
+		lasting := c.hasServiceFault() || c.Fault == FaultLeafCalls
 		if lasting && (r.Roots.Served != r.Untouched.Served || r.Untouched.Calls == r.Roots.Calls) {
 			t.Errorf("%s: roots %+v, untouched %+v; %s", s, r.Roots, r.Untouched, replay(t))
 		}
 	}
 }
 
-// Scenarios of one seed play the same trees.
-func TestFaultsChangeNoTree(t *testing.T) {
-	base := play(t, small(9))
+// Scenarios with the same seed generate the same trees.
+func TestFaultsDoNotChangeTrees(t *testing.T) {
+	base := mustRun(t, small(9))
 	for _, s := range scenarios[1:] {
-		r := play(t, s.of(small(9)))
+		r := mustRun(t, s.apply(small(9)))
 		if r.Roots.Calls != base.Roots.Calls {
 			t.Errorf("%s: %d roots, %d without it; %s", s, r.Roots.Calls, base.Roots.Calls, replay(t))
 		}
@@ -163,13 +163,13 @@
 	}
 }
 
-// Calls grow as the traffic does, and decisions for a call don't.
-func TestCallsAreLinearAndStepsFlat(t *testing.T) {
+// Attempts grow linearly with the traffic, and balancer steps per attempt stay constant.
+func TestAttemptsScaleLinearlyAndStepsPerAttemptStayConstant(t *testing.T) {
 	c := small(13)
-	c.Rate, c.Measure = 6000, 3*time.Second // enough trees for a mean
-	one := play(t, c)
+	c.Rate, c.Measure = 6000, 3*time.Second // enough trees for a stable mean
+	one := mustRun(t, c)
 	c.Rate, c.Backends, c.Services = 2*c.Rate, 2*c.Backends, 2*c.Services
-	two := play(t, c)
+	two := mustRun(t, c)
 	if ratio := float64(two.Attempts) / float64(one.Attempts); math.Abs(ratio-2) > 0.2 {
 		t.Errorf("twice the traffic makes %.2f times the attempts; %s", ratio, replay(t))
 	}
@@ -185,38 +185,38 @@
 	}
 }
 
-// With the mark only the agents next to a failing leaf retry.
-func TestTheMarkStopsRetriesAbove(t *testing.T) {
-	c := scenario{FaultLeafCalls, 0.17}.of(small(17))
+// With DontRetryMark only the direct callers of a failing leaf retry.
+func TestDontRetryMarkStopsRetriesAboveTheFailure(t *testing.T) {
+	c := scenario{FaultLeafCalls, 0.17}.apply(small(17))
 	c.ClientRetry, c.Branch = false, 0
-	plain := play(t, c)
+	plain := mustRun(t, c)
 	c.DontRetryMark = true
-	marked := play(t, c)
+	marked := mustRun(t, c)
 	inner := func(r Result) (n int) {
 		for _, l := range r.Layers {
 			n += l.Attempts - l.Leaf
 		}
 		return n
 	}
-	again := func(r Result) int { // attempts of calls with children, beyond one for each such call of a tree
+	repeatedInner := func(r Result) int { // attempts of calls with children, beyond the first of each call
 		n := inner(r)
 		for _, d := range r.Depths {
 			n -= d.Ending.Calls * (d.Depth - 1)
 		}
 		return n
 	}
-	if again(plain) <= 0 || again(marked) > 0 {
-		t.Errorf("repeated above leaves: %d, with the mark %d; %s", again(plain), again(marked), replay(t))
+	if repeatedInner(plain) <= 0 || repeatedInner(marked) > 0 {
+		t.Errorf("repeated above leaves: %d, with the mark %d; %s", repeatedInner(plain), repeatedInner(marked), replay(t))
 	}
 }
 
-func TestTreesKeepToTheirBounds(t *testing.T) {
+func TestTreesStayWithinBounds(t *testing.T) {
 	c := DefaultConfig()
 	c.Fault, c.FaultService = FaultSlow, 20
 	l, shape := plan(&c)
-	f := forest{c: &c, layout: l, shape: source(1, sourceShape), poison: source(1, sourcePoison)}
+	f := treeGenerator{config: &c, layout: l, shape: newSource(1, sourceShape), leafFaults: newSource(1, sourceLeafFaults)}
 	for range 5000 {
-		tr := f.draw()
+		tr := f.generate()
 		touched := false
 		var walk func(n *node) int
 		walk = func(n *node) int {
@@ -233,8 +233,8 @@
 			}
 			return count
 		}
-		if n := walk(tr.root); n != tr.calls || n > mostCalls+c.Depth*c.Depth || touched != tr.touched {
-			t.Fatalf("%d calls, said to be %d; touched %v, said to be %v", n, tr.calls, touched, tr.touched)
+		if n := walk(tr.root); n != tr.calls || n > maxTreeCalls+c.Depth*c.Depth || touched != tr.affected {
+			t.Fatalf("%d calls, said to be %d; touched %v, said to be %v", n, tr.calls, touched, tr.affected)
 		}
 	}
 	backends := 0
@@ -246,8 +246,8 @@
 	}
 }
 
-func TestQueueKeepsTimeThenOrder(t *testing.T) {
-	r := source(1, 1)
+func TestQueueOrdersByTimeThenScheduling(t *testing.T) {
+	r := newSource(1, 1)
 	var q queue
 	for i := range 2000 {
 		q.push(time.Duration(r.IntN(50)), event{token: int64(i)})
@@ -266,8 +266,8 @@
 	}
 }
 
-func TestConfigErrorsNameTheField(t *testing.T) {
-	for field, spoil := range map[string]func(*Config){
+func TestConfigErrorsNameTheInvalidField(t *testing.T) {
+	for field, invalidate := range map[string]func(*Config){
 		"Depth":        func(c *Config) { c.Depth = 0 },
 		"Services":     func(c *Config) { c.Services = 3 },
 		"Backends":     func(c *Config) { c.Backends = 3 },
@@ -278,7 +278,7 @@
 		"Fault":        func(c *Config) { c.Fault = "rain" },
 	} {
 		c := small(1)
-		spoil(&c)
+		invalidate(&c)
 		if _, err := Run(c); err == nil || !strings.Contains(err.Error(), field+" ") {
 			t.Errorf("%s: %v", field, err)
 		}
--- a/internal/scale/calltree/config.go
+++ b/internal/scale/calltree/config.go
@@ -1,21 +1,23 @@
-// Package calltree plays calls as trees over many services in simulated time. Each hop of a tree is decided by a
-// balance.Balancer as it stands: each backend calls its children's services through balancers of its own, so that the
-// retries of all layers meet.
+// Package calltree simulates calls that fan out as trees over many services. Each hop of a tree is decided by an
+// unmodified balance.Balancer: each backend calls the services of its child calls through its own balancers, so that
+// the retries of all layers interact.
 //
 // # Model
 //
-// Services stand in layers, as many as a call may be deep. A service calls two services of the next layer. Roots
-// arrive as a Poisson stream; each draws its depth from a truncated geometric distribution, has one chain of that
-// depth, and further branches on the way (Config.Continue, Config.Branch). The tree is drawn when the root arrives, from
-// a source of its own, so that scenarios of one seed differ in what happens to the calls and not in the calls.
+// Services are arranged in layers; the number of layers is the maximum depth of a call. A service calls up to two
+// services of the next layer. Root calls arrive as a Poisson process. Each root draws its depth from a truncated
+// geometric distribution, has one chain of that depth, and may have further branches (Config.Continue,
+// Config.Branch). The tree is drawn when the root arrives, from a random source of its own, so that scenarios with the
+// same seed have the same calls and differ only in how the calls end.
 //
-// A backend has cores and a bounded queue. A call is served by work on a core, then by calls to all children at once;
-// the first child that fails fails it. The deadline is told downwards: a child's call ends before its parent's does.
+// A backend has cores and a bounded queue. It serves a call by working on a core and then calling all children at
+// once; the call fails when the first child fails. Deadlines propagate down the tree: a child's deadline is before its
+// parent's.
 //
 // # Determinism
 //
-// A run is one goroutine, one queue of events in order of time and then of scheduling, and random sources that come
-// from the seed. Nothing depends on the order of a map or on the machine's time.
+// A run uses one goroutine, one event queue ordered by time and then by scheduling order, and random sources derived
+// from the seed. Nothing depends on map iteration order or on the wall clock.
 package calltree
 
 import (
@@ -23,62 +25,62 @@
 	"time"
 )
 
-// Fault says what is wrong during a run. Faults begin at the end of the warm-up and last to the end.
+// Fault is the kind of failure injected into a run. Faults start at the end of the warm-up and last until the run ends.
 type Fault string
 
 // The faults.
 const (
 	FaultNone         Fault = "none"
-	FaultLeafAttempts Fault = "leaf-attempts" // each attempt at a leaf fails by chance, at once: a retry may help
-	FaultLeafCalls    Fault = "leaf-calls"    // some leaves of trees fail whenever they are tried: no retry helps
-	FaultAnswers      Fault = "answers"       // at each layer, answers fail by chance when all below has been served
+	FaultLeafAttempts Fault = "leaf-attempts" // each attempt at a leaf fails at random, immediately: a retry may succeed
+	FaultLeafCalls    Fault = "leaf-calls"    // some leaves of trees fail on every attempt: no retry succeeds
+	FaultAnswers      Fault = "answers"       // at each layer, a call fails at random after all its children were served
 	FaultSlow         Fault = "slow"          // one service answers after the deadline
-	FaultRefused      Fault = "refused"       // one service is dead, and connections to it are refused
-	FaultSilent       Fault = "silent"        // one service is dead, and says nothing until the deadline
+	FaultRefused      Fault = "refused"       // one service is down, and connections to it are refused
+	FaultSilent       Fault = "silent"        // one service is down, and attempts at it time out
 )
 
-// Config describes a run. DefaultConfig has the full size.
+// Config describes a run. DefaultConfig returns the full size.
 type Config struct {
 	Seed uint64
 
-	Services int     // stand in layers, evenly
-	Backends int     // over all services, by their load
-	Depth    int     // layers, and the depth of the deepest call
+	Services int     // spread evenly over the layers
+	Backends int     // of all services, allocated by load
+	Depth    int     // number of layers, and maximum depth of a call
 	Gateways int     // agents through which clients reach the first layer
-	Rate     float64 // calls a second over all layers, where nothing fails
+	Rate     float64 // calls per second over all layers when nothing fails
 
-	Continue float64 // chance that a tree, or a branch, goes one layer deeper
-	Branch   float64 // chance that a call on the way has a second child
-	Unsafe   float64 // share of trees whose deepest chain may not be repeated
+	Continue float64 // probability that a chain continues one layer deeper
+	Branch   float64 // probability that a call with a child has a second one
+	Unsafe   float64 // share of trees whose main chain must not be executed twice
 
-	Warm    time.Duration // simulated time before faults and counting begin
-	Measure time.Duration // simulated time in which roots are counted
+	Warm    time.Duration // simulated time before faults and measurement start
+	Measure time.Duration // simulated time in which arriving roots are measured
 
-	Work     time.Duration // mean work of a call on a core, without its children; exponential
-	Cores    int           // of a backend
-	Queue    int           // calls that wait at a backend beyond those on cores
-	Network  time.Duration // one way between an agent and a backend
-	Aim      time.Duration // of a root; a service's aim shrinks evenly with the layers below it
-	Deadline time.Duration // of a root, over the client's tries
-	Patience time.Duration // of the client's first try
+	Work     time.Duration // mean time of a call on a core without its children, exponentially distributed
+	Cores    int           // per backend
+	Queue    int           // maximum number of calls that wait for a core at a backend
+	Network  time.Duration // one-way delay between an agent and a backend
+	Aim      time.Duration // of a root; a service's aim is proportional to the number of layers from its own down
+	Deadline time.Duration // of a root, over all tries of its client
+	Patience time.Duration // deadline of the client's first try
 
-	ClientRetry bool // the client tries once more by itself
-	MaxAttempts int  // of a balancer for one call; 1: no retries
-	Peers       bool // balancers of one service tell each other what they want
-	Reports     bool // answers carry what the backend holds
-	TellLeft    bool // balancers are told the time that a call has left; else the root's deadline, always
-	Cancel      bool // what nobody waits for any longer is cancelled, down the tree
+	ClientRetry bool // the client makes a second try if the first is not served
+	MaxAttempts int  // attempts of a balancer per call; 1: no retries
+	Peers       bool // balancers of one service exchange peer messages
+	Reports     bool // answers carry load reports
+	TellLeft    bool // balancers get the time left for each call; otherwise always the root's whole deadline
+	Cancel      bool // work for abandoned attempts is cancelled, down the tree
 
 	Fault        Fault
-	FailShare    float64 // of FaultLeafAttempts, FaultLeafCalls and FaultAnswers
-	FaultService int     // of the other faults
+	FailShare    float64 // failure probability of FaultLeafAttempts, FaultLeafCalls and FaultAnswers
+	FaultService int     // service affected by the other faults
 
-	// DontRetryMark tries a mechanism that isn't built: a failure of a call that its own agent has dealt with is marked
-	// on its way up, and no agent above retries it.
+	// DontRetryMark simulates a mechanism that the balancer doesn't have: a failure that the agent of the failed call has
+	// already handled is marked on its way up the tree, and no agent above retries it.
 	DontRetryMark bool
 }
 
-// DefaultConfig is the size to design for: 450 backends, 68 services, 76,000 calls a second, 17 deep.
+// DefaultConfig returns the design size: 450 backends, 68 services, 76,000 calls per second, 17 layers.
 func DefaultConfig() Config {
 	const ms = time.Millisecond
 	return Config{
@@ -92,7 +94,7 @@
 	}
 }
 
-// check names the first field that makes no sense.
+// check returns an error that names the first field with an invalid value.
 func (c *Config) check() error {
 	for _, f := range []struct {
 		field string
@@ -117,16 +119,16 @@
 		{"Patience", c.Patience > 0 && c.Patience <= c.Deadline},
 		{"MaxAttempts", c.MaxAttempts >= 1},
 		{"FailShare", c.FailShare >= 0 && c.FailShare <= 1},
-		{"FaultService", !c.faultsService() || c.FaultService >= 0 && c.FaultService < c.Services},
+		{"FaultService", !c.hasServiceFault() || c.FaultService >= 0 && c.FaultService < c.Services},
 		{"Fault", c.Fault == FaultNone || c.Fault == FaultAnswers || c.Fault == FaultLeafAttempts || c.Fault == FaultLeafCalls ||
 			c.Fault == FaultSlow || c.Fault == FaultRefused || c.Fault == FaultSilent},
 	} {
 		if !f.ok {
-			return fmt.Errorf("calltree: %s makes no sense", f.field)
+			return fmt.Errorf("calltree: %s is invalid", f.field)
 		}
 	}
 	return nil
 }
 
-// maxDepth bounds the layers of a run.
+// maxDepth is the maximum number of layers of a run.
 const maxDepth = 64
--- a/internal/scale/calltree/count.go
+++ b/internal/scale/calltree/count.go
@@ -6,25 +6,25 @@
 	"lemonrail/balance"
 )
 
-// counting keeps what a run counts. Only roots that arrive in the measured time count, but for the checks, which are
-// over all.
-type counting struct {
-	c       Config
-	result  Result
-	left    [][]int // by layer and millisecond, calls that began with so much time left
-	leftSum []time.Duration
-	holds   []time.Duration
-	backoff []time.Duration
-	open    int // attempts without an outcome
+// statistics collects the statistics of a run. They cover the roots that arrive in the measured period, except for
+// Result.Checks, which cover the whole run.
+type statistics struct {
+	config      Config
+	result      Result
+	timeLeft    [][]int // by layer: histogram of the time left when calls start, in milliseconds
+	timeLeftSum []time.Duration
+	holdTime    []time.Duration
+	backoffTime []time.Duration
+	open        int // attempts without an outcome
 }
 
-// newCounting prepares the counts.
-func newCounting(c Config, shape Shape) counting {
-	n := counting{c: c, result: Result{Config: c, Shape: shape}, left: make([][]int, c.Depth),
-		leftSum: make([]time.Duration, c.Depth), holds: make([]time.Duration, c.Depth),
-		backoff: make([]time.Duration, c.Depth)}
+// newStatistics returns empty statistics.
+func newStatistics(c Config, shape Shape) statistics {
+	n := statistics{config: c, result: Result{Config: c, Shape: shape}, timeLeft: make([][]int, c.Depth),
+		timeLeftSum: make([]time.Duration, c.Depth), holdTime: make([]time.Duration, c.Depth),
+		backoffTime: make([]time.Duration, c.Depth)}
 	for layer := range c.Depth {
-		n.left[layer] = make([]int, c.Deadline/time.Millisecond+2)
+		n.timeLeft[layer] = make([]int, c.Deadline/time.Millisecond+2)
 		n.result.Layers = append(n.result.Layers, Layer{Depth: layer + 1, Reasons: map[string]int{}})
 		n.result.Depths = append(n.result.Depths, DepthClass{Depth: layer + 1})
 	}
@@ -32,8 +32,8 @@
 	return n
 }
 
-// callBegan counts a call that an agent has been handed.
-func (n *counting) callBegan(c *call) {
+// callBegan counts a call that has been passed to an agent.
+func (n *statistics) callBegan(c *call) {
 	n.result.Checks.Started++
 	if !c.try.root.measured {
 		return
@@ -43,13 +43,13 @@
 	if c.parent == nil {
 		n.result.ClientTries++
 	}
-	left := c.deadline - c.came
-	n.left[layer][left/time.Millisecond]++
-	n.leftSum[layer] += left
+	left := c.deadline - c.started
+	n.timeLeft[layer][left/time.Millisecond]++
+	n.timeLeftSum[layer] += left
 }
 
-// sent counts an attempt and the wait before it.
-func (n *counting) sent(a *attempt, waited time.Duration) {
+// sent counts an attempt and the time that the call waited for it.
+func (n *statistics) sent(a *attempt, waited time.Duration) {
 	n.open++
 	if a.number > 0 {
 		n.result.Checks.Retries++
@@ -65,11 +65,11 @@
 	r.attempts++
 	if a.number > 0 {
 		n.result.Retries++
-		n.backoff[node.layer] += waited
+		n.backoffTime[node.layer] += waited
 	} else {
-		n.holds[node.layer] += waited
+		n.holdTime[node.layer] += waited
 	}
-	second := &n.result.Seconds[(r.came-epoch-n.c.Warm)/time.Second]
+	second := &n.result.Seconds[(r.arrived-epoch-n.config.Warm)/time.Second]
 	second.Attempts++
 	if len(node.children) == 0 {
 		layer.Leaf++
@@ -77,21 +77,21 @@
 		second.LeafAttempts++
 		r.leafAttempts++
 	}
-	if node.layer == n.c.Depth-1 {
+	if node.layer == n.config.Depth-1 {
 		r.deepAttempts++
 	}
 }
 
-// outcome counts an attempt's.
-func (n *counting) outcome(o outcome) {
+// outcome counts the outcome of an attempt.
+func (n *statistics) outcome(o outcome) {
 	n.open--
 	if o.result == balance.OK {
 		n.result.Checks.Served++
 	}
 }
 
-// executed counts an attempt that a backend took, and looks for one that must not have come.
-func (n *counting) executed(run *execution) {
+// executed counts an attempt that a backend accepted, and detects repeated executions of unsafe calls.
+func (n *statistics) executed(run *execution) {
 	c := run.attempt.call
 	if c.node.unsafe && run.repeated {
 		n.result.Checks.UnsafeTwice++
@@ -101,10 +101,10 @@
 	}
 }
 
-// worked counts the work of an execution.
-func (n *counting) worked(run *execution, now time.Duration) {
-	if from := epoch + n.c.Warm; now >= from && now < from+n.c.Measure {
-		run.server.spent += run.work
+// worked counts the core time of an execution.
+func (n *statistics) worked(run *execution, now time.Duration) {
+	if from := epoch + n.config.Warm; now >= from && now < from+n.config.Measure {
+		run.server.worked += run.work
 	}
 	t := run.attempt.call.try
 	if !t.root.measured {
@@ -122,54 +122,54 @@
 		n.result.Work.Unserved += work
 	}
 	if !t.ended {
-		t.spent += run.work
+		t.worked += run.work
 	}
 }
 
-// tryEnded counts what a try that was not served had spent.
-func (n *counting) tryEnded(t *try) {
+// tryEnded counts the core time of a try that was not served.
+func (n *statistics) tryEnded(t *try) {
 	if t.root.measured && !t.served {
-		n.result.Work.Unserved += t.spent.Seconds()
+		n.result.Work.Unserved += t.worked.Seconds()
 	}
 }
 
-// callEnded counts a call's ending.
-func (n *counting) callEnded(c *call, now time.Duration) {
+// callEnded counts the ending of a call.
+func (n *statistics) callEnded(c *call, now time.Duration) {
 	n.result.Checks.Ended++
 	if !c.try.root.measured {
 		return
 	}
 	layer := &n.result.Layers[c.node.layer]
-	layer.Ending.add(c.ending, now-c.came, n.c.Aim*time.Duration(n.c.Depth-c.node.layer)/time.Duration(n.c.Depth))
+	layer.Ending.add(c.ending, now-c.started, n.config.Aim*time.Duration(n.config.Depth-c.node.layer)/time.Duration(n.config.Depth))
 	if c.ending == endedRefused || c.ending == endedFailed {
-		layer.Reasons[reason(c)]++
+		layer.Reasons[reasonText(c)]++
 	}
 }
 
-// reason names why a call ended unserved.
-func reason(c *call) string {
-	if c.why == balance.NoReason {
+// reasonText returns the reason for which a call was not served.
+func reasonText(c *call) string {
+	if c.reason == balance.NoReason {
 		return "deadline-or-mark"
 	}
-	return c.why.String()
+	return c.reason.String()
 }
 
-// rootEnded counts a whole call.
-func (n *counting) rootEnded(r *root, how ending, took time.Duration) {
+// rootEnded counts the ending of a root.
+func (n *statistics) rootEnded(r *root, how ending, took time.Duration) {
 	if !r.measured {
 		return
 	}
-	n.result.Roots.add(how, took, n.c.Aim)
-	if !r.tree.touched {
-		n.result.Untouched.add(how, took, n.c.Aim)
+	n.result.Roots.add(how, took, n.config.Aim)
+	if !r.tree.affected {
+		n.result.Untouched.add(how, took, n.config.Aim)
 	}
 	d := &n.result.Depths[r.tree.deepest]
-	d.Ending.add(how, took, n.c.Aim)
-	d.DeepCalls += r.tree.deep
+	d.Ending.add(how, took, n.config.Aim)
+	d.DeepCalls += r.tree.lastLayerCalls
 	if how == endedServed {
 		d.LatencyMs += ms(took)
 	}
-	second := &n.result.Seconds[(r.came-epoch-n.c.Warm)/time.Second]
+	second := &n.result.Seconds[(r.arrived-epoch-n.config.Warm)/time.Second]
 	second.Roots++
 	if how == endedServed {
 		second.Served++
@@ -194,24 +194,24 @@
 	e.Worth = (float64(e.InAim) + lateWorth*float64(e.Served-e.InAim)) / float64(e.Calls)
 }
 
-// stepped counts a decision in the measured time.
-func (n *counting) stepped(now time.Duration, layer int) {
-	if from := epoch + n.c.Warm; now >= from && now < from+n.c.Measure {
+// stepped counts a balancer step in the measured period.
+func (n *statistics) stepped(now time.Duration, layer int) {
+	if from := epoch + n.config.Warm; now >= from && now < from+n.config.Measure {
 		n.result.Steps++
 		n.result.Layers[layer].Steps++
 	}
 }
 
-// finish works out means and spreads.
-func (n *counting) finish(servers [][]*server) {
+// finish computes means and distributions.
+func (n *statistics) finish(servers [][]*server) {
 	n.result.Checks.NoOutcome = n.open
-	n.result.Shape.CallersMean = float64(n.result.Balancers) / float64(n.c.Services)
+	n.result.Shape.CallersMean = float64(n.result.Balancers) / float64(n.config.Services)
 	for i := range n.result.Layers {
 		l := &n.result.Layers[i]
 		calls := float64(max(l.Calls, 1))
-		l.LeftMs = spread(n.left[i], ms(n.leftSum[i]))
-		l.HoldMs = ms(n.holds[i]) / calls
-		l.BackoffMs = ms(n.backoff[i]) / calls
+		l.LeftMs = summarize(n.timeLeft[i], ms(n.timeLeftSum[i]))
+		l.HoldMs = ms(n.holdTime[i]) / calls
+		l.BackoffMs = ms(n.backoffTime[i]) / calls
 	}
 	for i := range n.result.Depths {
 		n.result.Depths[i].finish()
@@ -219,7 +219,7 @@
 	n.utilization(servers)
 }
 
-// finish sums up the roots of one depth, whose late attempts have all been counted by now.
+// finish sums the attempts of all roots of one depth. It runs after the last event, so that late attempts are included.
 func (d *DepthClass) finish() {
 	for _, r := range d.roots {
 		d.Attempts += r.attempts
@@ -231,13 +231,13 @@
 	d.LatencyMs /= float64(max(d.Ending.Served, 1))
 }
 
-// utilization works out how busy cores were.
-func (n *counting) utilization(servers [][]*server) {
-	each := float64(n.c.Cores) * n.c.Measure.Seconds()
+// utilization computes the mean and highest utilization of backends' cores.
+func (n *statistics) utilization(servers [][]*server) {
+	perBackend := float64(n.config.Cores) * n.config.Measure.Seconds()
 	sum, backends := 0.0, 0
 	for _, of := range servers {
 		for _, t := range of {
-			u := t.spent.Seconds() / each
+			u := t.worked.Seconds() / perBackend
 			sum += u
 			backends++
 			n.result.Shape.UtilizationHighest = max(n.result.Shape.UtilizationHighest, u)
@@ -246,8 +246,8 @@
 	n.result.Shape.UtilizationMean = sum / float64(max(backends, 1))
 }
 
-// spread sums a histogram of milliseconds up.
-func spread(counts []int, sum float64) Spread {
+// summarize summarizes a histogram with one-millisecond buckets.
+func summarize(counts []int, sum float64) Spread {
 	total := 0
 	for _, count := range counts {
 		total += count
@@ -272,5 +272,5 @@
 	return s
 }
 
-// ms is a duration in milliseconds.
+// ms converts a duration to milliseconds.
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/scale/calltree/entities.go
+++ b/internal/scale/calltree/entities.go
@@ -6,37 +6,38 @@
 	"lemonrail/balance"
 )
 
-// outcome is how an attempt or an execution ended. Marked goes with a failure that no agent above is to retry.
+// outcome is the result of an attempt or an execution. A marked outcome is a failure that no agent above may retry
+// (Config.DontRetryMark).
 type outcome struct {
 	result balance.Result
 	marked bool
-	load   balance.Load // as the backend reported it
+	load   balance.Load // reported by the backend
 }
 
-// agent is one balancer: that of a caller for one service.
+// agent is the balancer of one caller for one service.
 type agent struct {
 	balancer *balance.Balancer
 	service  int
-	self     int
-	calls    map[string]*call // open ones; never walked
+	index    int
+	calls    map[string]*call // open calls by ID; never iterated, since map order is random
 }
 
 // server is one backend.
 type server struct {
-	id      string
-	service int
-	agents  []*agent // for the services that it calls, by their place among the service's children
-	busy    int      // cores at work
-	held    int      // executions taken and not answered
-	waiting []*execution
-	spent   time.Duration // work in the measured time
+	id          string
+	service     int
+	agents      []*agent // one per service that this backend calls, in the order of service.children
+	busy        int      // busy cores
+	outstanding int      // executions accepted and not yet answered
+	waiting     []*execution
+	worked      time.Duration // core time spent in the measured period
 }
 
-// root is a client's call, with its tries.
+// root is a client's call, over all its tries.
 type root struct {
 	tree     *tree
 	gateway  int
-	came     time.Duration
+	arrived  time.Duration
 	deadline time.Duration
 	tries    int
 	measured bool
@@ -44,61 +45,61 @@
 	attempts, leafAttempts, deepAttempts, steps int
 }
 
-// try is one try of a client; all executions of its tree belong to it.
+// try is one try of a client, with all executions of the tree that it caused.
 type try struct {
 	root   *root
-	call   *call // the root of the tree
+	call   *call // the call at the root of the tree
 	ended  bool
 	served bool
-	spent  time.Duration // work of its executions
+	worked time.Duration // core time of its executions
 }
 
-// call is one call to a service, decided by one agent. Its attempts follow one another.
+// call is one call to a service, decided by one agent. Its attempts are sequential.
 type call struct {
-	id       string
-	agent    *agent
-	node     *node
-	try      *try
-	parent   *execution // nil: the client waits for it
-	came     time.Duration
-	deadline time.Duration
-	attempts []*attempt
-	waitFrom time.Duration // since when it waits for its next attempt
-	ending   ending
-	why      balance.Reason // it ended unserved, as its balancer says
-	advice   time.Duration  // after which to come again, where it was refused
-	ended    bool
+	id           string
+	agent        *agent
+	node         *node
+	try          *try
+	parent       *execution // nil: made by the client
+	started      time.Duration
+	deadline     time.Duration
+	attempts     []*attempt
+	waitingSince time.Duration // start of the wait for the next attempt
+	ending       ending
+	reason       balance.Reason // the balancer's reason for refusing or failing the call
+	retryAfter   time.Duration  // Retry-After of a refusal
+	ended        bool
 }
 
-// attempt is one sending of a call to a backend.
+// attempt is one attempt of a call at a backend.
 type attempt struct {
 	call   *call
 	number int
 	server *server
 	sent   time.Duration
 	run    *execution
-	closed bool // its outcome is in
+	closed bool // the outcome has been handled
 }
 
-// execution is what a backend does for one attempt.
+// execution is a backend's processing of one attempt.
 type execution struct {
-	attempt  *attempt
-	server   *server
-	work     time.Duration
-	repeated bool // an execution of the same node went before
-	pending  int  // children not yet ended
-	children []*call
-	answered bool
-	gone     bool // cancelled
+	attempt   *attempt
+	server    *server
+	work      time.Duration
+	repeated  bool // the same node was executed before
+	pending   int  // child calls that have not ended
+	children  []*call
+	answered  bool
+	cancelled bool // cancelled
 }
 
-// ending is how a call ended.
+// ending is the way a call ended.
 type ending uint8
 
 const (
-	endedNot ending = iota
+	notEnded ending = iota
 	endedServed
 	endedRefused
 	endedFailed
-	endedGone // nobody waited any longer
+	endedAbandoned // abandoned by the caller
 )
--- a/internal/scale/calltree/layout.go
+++ b/internal/scale/calltree/layout.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	firstChild   = 0.6   // chance that a call goes to the first of the two services below
-	sampledTrees = 20000 // by which services are given backends
-	loadPower    = 0.85  // backends grow a little slower than load, since small services have more to spare
+	firstChildShare = 0.6   // probability that a call goes to the first of the two child services
+	sampledTrees    = 20000 // trees sampled to estimate the load of each service
+	loadExponent    = 0.85  // below 1, since services with little load keep relatively more spare capacity
 )
 
-// layout says which services there are, which calls which, and how many backends each has.
+// layout holds the services, their call graph and the number of backends of each.
 type layout struct {
 	services []service
-	layers   [][]int // services by layer
+	layers   [][]int // service indexes by layer
 }
 
-// service is one service as the layout knows it.
+// service is one service of a layout.
 type service struct {
 	layer    int
-	children []int // services that it calls, the more usual one first
+	children []int // services that this one calls, the more frequent one first
 	backends int
 }
 
-// newLayout places the services in layers. Backends come with allot.
+// newLayout places the services in layers. Their backends are set by allot.
 func newLayout(c *Config) *layout {
 	l := &layout{services: make([]service, c.Services), layers: make([][]int, c.Depth)}
 	for s := range l.services {
@@ -47,28 +47,28 @@
 	return l
 }
 
-// entry draws the service that a root calls, the first ones more often.
-func (l *layout) entry(r *rand.Rand) int {
+// drawEntry draws the service of the first layer that a root calls, with a bias towards lower indexes.
+func (l *layout) drawEntry(r *rand.Rand) int {
 	entries := l.layers[0]
 	u := r.Float64()
 	return entries[int(u*u*float64(len(entries)))]
 }
 
-// child draws the service that a service's call goes to.
-func (l *layout) child(s int, r *rand.Rand) int {
+// drawChild draws the service that a child call of service s goes to.
+func (l *layout) drawChild(s int, r *rand.Rand) int {
 	children := l.services[s].children
-	if len(children) == 1 || r.Float64() < firstChild {
+	if len(children) == 1 || r.Float64() < firstChildShare {
 		return children[0]
 	}
 	return children[1]
 }
 
-// allot shares the backends out by the load that sampled trees bring: one each, and the others by largest
-// remainders.
-func (l *layout) allot(c *Config, load []int) {
+// allocateBackends allocates the backends to services by their load in the sampled trees: one backend each, and the
+// rest by the largest remainder method.
+func (l *layout) allocateBackends(c *Config, load []int) {
 	weights, sum := make([]float64, len(load)), 0.0
 	for s, n := range load {
-		weights[s] = math.Pow(float64(n)+1, loadPower)
+		weights[s] = math.Pow(float64(n)+1, loadExponent)
 		sum += weights[s]
 	}
 	spare := c.Backends - len(load)
@@ -99,15 +99,15 @@
 	}
 }
 
-// plan makes the layout and measures the shape of the trees by a sample of its own.
+// plan creates the layout and measures the shape of the trees on a sample with its own random source.
 func plan(c *Config) (*layout, Shape) {
 	l := newLayout(c)
-	f := forest{c: c, layout: l, shape: source(c.Seed, sourceSample), poison: source(c.Seed, sourceSample+1)}
+	f := treeGenerator{config: c, layout: l, shape: newSource(c.Seed, sourceSample), leafFaults: newSource(c.Seed, sourceSample+1)}
 	load := make([]int, c.Services)
 	calls, leaves, parents, depth, deepest := 0, 0, 0, 0, 0
 	for range sampledTrees {
-		t := f.draw()
-		count(t.root, load)
+		t := f.generate()
+		addLoad(t.root, load)
 		calls += t.calls
 		leaves += t.leaves
 		parents += t.parents
@@ -116,7 +116,7 @@
 			deepest++
 		}
 	}
-	l.allot(c, load)
+	l.allocateBackends(c, load)
 	shape := Shape{
 		MeanCalls:    float64(calls) / sampledTrees,
 		MeanLeaves:   float64(leaves) / sampledTrees,
@@ -133,25 +133,25 @@
 	return l, shape
 }
 
-// count adds a tree's calls to the load of its services.
-func count(n *node, load []int) {
+// addLoad adds the calls of the tree below n to the load of their services.
+func addLoad(n *node, load []int) {
 	load[n.service]++
 	for _, child := range n.children {
-		count(child, load)
+		addLoad(child, load)
 	}
 }
 
-// The random sources of a run, by what they are for.
+// The random sources of a run, by purpose.
 const (
 	sourceShape = iota + 1
 	sourceArrivals
 	sourceWork
 	sourceFaults
-	sourcePoison
+	sourceLeafFaults
 	sourceGateways
 	sourceBalancers
 	sourceSample = 100
 )
 
-// source returns a run's random source for one purpose.
-func source(seed, purpose uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, purpose)) }
+// newSource returns the random source of a run for one purpose.
+func newSource(seed, purpose uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, purpose)) }
--- a/internal/scale/calltree/queue.go
+++ b/internal/scale/calltree/queue.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// eventKind says what an event is about.
+// eventKind is the kind of a simulation event.
 type eventKind uint8
 
 const (
-	eventRoot     eventKind = iota // a root arrives
-	eventArrive                    // an attempt reaches its backend
-	eventDone                      // a core has finished an execution's work
-	eventOutcome                   // an attempt's outcome reaches its agent
-	eventTimer                     // a balancer's timer comes due
-	eventDeadline                  // a call's time is over
-	eventEnded                     // a call's ending reaches who made it
-	eventCancel                    // nobody waits for an execution any longer
-	eventPeers                     // a balancer's message reaches the others
-	eventRetry                     // a client tries again
+	eventRoot        eventKind = iota // a root arrives
+	eventAttempt                      // an attempt reaches its backend
+	eventWorkDone                     // a core has finished an execution's work
+	eventOutcome                      // an attempt's outcome reaches its agent
+	eventTimer                        // a balancer's timer fires
+	eventDeadline                     // a call's deadline expires
+	eventCallEnded                    // a call's ending reaches its caller
+	eventCancel                       // the cancellation of an execution reaches its backend
+	eventPeerMessage                  // a balancer's message reaches its peers
+	eventClientRetry                  // a client starts its second try
 )
 
-// event is something that will happen. Which fields are set follows from its kind.
+// event is a scheduled event of the simulation. Its kind determines which fields are set.
 type event struct {
 	kind    eventKind
 	outcome outcome
@@ -31,36 +31,36 @@
 	data    []byte
 }
 
-// entry is an event's place in the queue.
+// entry is an element of the heap; it refers to an event by slot.
 type entry struct {
 	at    time.Duration
-	order uint64 // of scheduling, which decides between events of one time
-	slot  int    // of the event
+	order uint64 // scheduling order, breaks ties between events at the same time
+	slot  int    // index in queue.events
 }
 
-// queue is a binary heap of entries, the earliest first. Events lie apart, so that the heap moves little.
+// queue is a binary heap of entries, earliest first. Events are stored separately, so that the heap moves small values.
 type queue struct {
 	entries []entry
 	events  []event
-	free    []int // slots
+	free    []int // unused slots of events
 	order   uint64
 }
 
-// before orders entries by time, then by scheduling.
-func (q *queue) before(i, j int) bool {
+// less orders entries by time, then by scheduling order.
+func (q *queue) less(i, j int) bool {
 	if q.entries[i].at != q.entries[j].at {
 		return q.entries[i].at < q.entries[j].at
 	}
 	return q.entries[i].order < q.entries[j].order
 }
 
-// push adds an event.
+// push schedules an event at a time.
 func (q *queue) push(at time.Duration, e event) {
 	q.order++
 	q.entries = append(q.entries, entry{at: at, order: q.order, slot: q.store(e)})
 	for i := len(q.entries) - 1; i > 0; {
 		parent := (i - 1) / 2
-		if !q.before(i, parent) {
+		if !q.less(i, parent) {
 			return
 		}
 		q.entries[i], q.entries[parent] = q.entries[parent], q.entries[i]
@@ -68,7 +68,7 @@
 	}
 }
 
-// store puts an event into a slot.
+// store puts an event into a free slot and returns the slot.
 func (q *queue) store(e event) int {
 	if last := len(q.free) - 1; last >= 0 {
 		slot := q.free[last]
@@ -80,25 +80,25 @@
 	return len(q.events) - 1
 }
 
-// pop takes the earliest event off; there must be one.
+// pop removes and returns the earliest event. The queue must not be empty.
 func (q *queue) pop() (time.Duration, event) {
 	first := q.entries[0]
 	last := len(q.entries) - 1
 	q.entries[0] = q.entries[last]
 	q.entries = q.entries[:last]
-	q.sink()
+	q.siftDown()
 	e := q.events[first.slot]
-	q.events[first.slot] = event{} // keeps nothing alive
+	q.events[first.slot] = event{} // release references for the garbage collector
 	q.free = append(q.free, first.slot)
 	return first.at, e
 }
 
-// sink moves the first entry down to its place.
-func (q *queue) sink() {
+// siftDown restores the heap order by moving the first entry down.
+func (q *queue) siftDown() {
 	for i := 0; ; {
 		least := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(q.entries); child++ {
-			if q.before(child, least) {
+			if q.less(child, least) {
 				least = child
 			}
 		}
--- a/internal/scale/calltree/result.go
+++ b/internal/scale/calltree/result.go
@@ -1,13 +1,13 @@
 package calltree
 
-// Result is what became of the roots that arrived while a run measured, with all calls of their trees.
+// Result holds the statistics of the roots that arrived in the measured period, with all calls of their trees.
 type Result struct {
 	Config Config
 
 	Shape     Shape
-	Roots     Ending       // whole calls, as clients saw them
-	Untouched Ending       // of these, the roots whose trees don't meet the faulty service or a leaf that fails for good
-	Layers    []Layer      // from the first one down
+	Roots     Ending       // root calls, as seen by clients
+	Untouched Ending       // roots whose trees have neither the faulty service nor a leaf that always fails
+	Layers    []Layer      // from the first layer down
 	Depths    []DepthClass // by depth of the root's tree, from 1
 	Seconds   []Second     // by the second in which the root arrived
 	Work      Work
@@ -15,98 +15,98 @@
 
 	Attempts     int // over all layers
 	LeafAttempts int // at the leaves of trees
-	Retries      int // attempts of a call after its first, by balancers
-	ClientTries  int // that clients made, first ones included
-	Steps        int // decisions of balancers, for counted calls
-	Events       int // of the simulation, over the whole run
-	Balancers    int // that decided
+	Retries      int // attempts of balancers after the first one of a call
+	ClientTries  int // tries of clients, including first tries
+	Steps        int // balancer steps in the measured period
+	Events       int // simulation events of the whole run
+	Balancers    int // all balancers of the run
 }
 
-// Shape is what the trees and the services look like.
+// Shape describes the trees and the services.
 type Shape struct {
 	RootsPerSecond     float64
-	MeanCalls          float64 // in a tree
+	MeanCalls          float64 // per tree
 	MeanLeaves         float64
 	MeanFanOut         float64 // children of a call that has any
 	MeanDepth          float64
-	DeepestShare       float64 // of trees as deep as possible
-	LeastBackends      int     // of a service
+	DeepestShare       float64 // share of trees with the maximum depth
+	LeastBackends      int     // fewest backends of a service
 	MostBackends       int
-	CallersMean        float64 // balancers that share a service's backends
-	UtilizationMean    float64 // of cores, measured
+	CallersMean        float64 // mean number of balancers per service
+	UtilizationMean    float64 // of backends' cores, in the measured period
 	UtilizationHighest float64
 }
 
 // Ending counts calls by how they ended.
 type Ending struct {
 	Calls, Served, InAim, Refused, Failed int
-	Worth                                 float64 // in the mean: 1 within the aim, lateWorth after it
+	Worth                                 float64 // mean per call: 1 if served within the aim, lateWorth if served later
 }
 
-// Layer is what happened to calls at one depth.
+// Layer holds the statistics of the calls at one depth.
 type Layer struct {
 	Depth      int
-	Calls      int // that balancers were asked for
+	Calls      int // calls passed to balancers
 	Attempts   int
-	Executions int // attempts that a backend began to work on
+	Executions int // attempts that a backend accepted
 	Leaf       int // attempts at leaves of trees
 	Ending     Ending
-	Reasons    map[string]int // why balancers ended calls unserved
-	LeftMs     Spread         // time left as the call began
-	HoldMs     float64        // mean wait for room before the first attempt
-	BackoffMs  float64        // mean wait before further attempts, over all calls
+	Reasons    map[string]int // calls refused or failed, by reason
+	LeftMs     Spread         // time left until the deadline when the call started
+	HoldMs     float64        // mean wait for a free slot before the first attempt
+	BackoffMs  float64        // wait before retries, averaged over all calls
 	Steps      int
 }
 
-// Spread is a distribution.
+// Spread summarizes a distribution.
 type Spread struct{ Least, P1, P50, Mean float64 }
 
-// DepthClass is the roots whose trees are equally deep.
+// DepthClass holds the statistics of the roots whose trees have the same depth.
 type DepthClass struct {
 	Depth        int
 	Ending       Ending
 	Attempts     int
 	LeafAttempts int
-	DeepAttempts int // at the tree's last layer
-	DeepCalls    int // nodes there, by the trees drawn
+	DeepAttempts int // attempts at the last layer of all, Config.Depth
+	DeepCalls    int // calls at that layer in the generated trees
 	Steps        int
-	LatencyMs    float64 // mean of the served
+	LatencyMs    float64 // mean over served roots
 
-	roots []*root // until the end of the run
+	roots []*root // cleared at the end of the run
 }
 
-// Second is the roots that arrived in one second.
+// Second holds the statistics of the roots that arrived in one second.
 type Second struct {
 	Roots, Served, Attempts, LeafAttempts int
 }
 
-// Work is where the backends' time went, in seconds of cores.
+// Work is the core time that backends spent on measured roots, in seconds.
 type Work struct {
 	Total       float64
-	Unserved    float64 // in tries that were not served in the end
-	AfterAnswer float64 // after the client's try had ended
-	Repeated    float64 // executions of a node of a tree after its first
+	Unserved    float64 // in tries that were not served
+	AfterAnswer float64 // after the client's try ended
+	Repeated    float64 // in executions of a call after its first execution
 }
 
-// Checks are over the whole run, warm-up included. Started and Ended have to be equal; Retries may be no more than a
-// fifth of Served and what full buckets pay for; the others have to be nought.
+// Checks cover the whole run, including the warm-up. Started and Ended must be equal; Retries must not exceed a fifth of
+// Served plus the retries that full token buckets pay for; all others must be zero.
 type Checks struct {
 	Started, Ended  int // calls
 	Retries, Served int // attempts
 	EndedTwice      int // calls
-	UnsafeTwice     int // executions of a call that may run once, after the first
-	Open            int // calls left when the run was over
-	NoOutcome       int // attempts without one
+	UnsafeTwice     int // repeated executions of unsafe calls
+	Open            int // calls still open at the end of the run
+	NoOutcome       int // attempts without an outcome
 }
 
-// Amplification is attempts for each root call over those of a baseline without failures.
+// Amplification is the number of attempts per root call, relative to a baseline without failures.
 type Amplification struct {
 	All, Leaves float64
 	Layers      []float64
-	Deepest     float64 // attempts at the last layer by roots as deep as possible
+	Deepest     float64 // attempts at the last layer by roots with the maximum depth
 }
 
-// Compare says how many times more attempts a run made for each root than the baseline did.
+// Compare returns the attempts per root of a run relative to those of the baseline.
 func Compare(baseline, run Result) Amplification {
 	per := func(of func(Result) (count, roots int)) float64 {
 		n, roots := of(run)
--- a/internal/scale/calltree/run.go
+++ b/internal/scale/calltree/run.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	epoch        = time.Hour // the run's clock starts here: balancers take nought for never
-	pastDeadline = 20 * time.Millisecond
-	clientPause  = 20 * time.Millisecond // before a client's second try, without advice
-	lateWorth    = 0.3                   // of an answer after the aim
+	epoch            = time.Hour             // start of the simulated clock, nonzero since balancers treat zero as never
+	slowAnswerDelay  = 20 * time.Millisecond // delay after the deadline of answers under FaultSlow
+	clientRetryDelay = 20 * time.Millisecond // before a client's second try, if a refusal carried no Retry-After
+	lateWorth        = 0.3                   // worth of an answer after the aim
 )
 
-// The classes that each balancer has.
+// The indexes of the classes in each balancer's settings.
 const (
 	classSafe = iota
 	classUnsafe
 )
 
-// simulation is a run under way.
+// simulation is the state of a run.
 type simulation struct {
-	c      Config
+	config Config
 	now    time.Duration
 	queue  queue
-	forest forest
+	trees  treeGenerator
 	layout *layout
 
 	servers  [][]*server // by service
-	gateways []*server   // which clients call
-	agents   [][]*agent  // by the service that they call
+	gateways []*server   // callers of the first layer, on behalf of clients
+	agents   [][]*agent  // by called service
 
-	arrivals, work, faults, entries *rand.Rand
+	arrivals, work, faults, gatewayChoice *rand.Rand
 
-	calls    int // for identifiers
-	counting counting
+	calls      int // calls started so far, for call IDs
+	statistics statistics
 }
 
-// Run plays one configuration to its end. The same configuration gives the same result.
+// Run simulates one configuration to its end. The same configuration gives the same result.
 func Run(c Config) (Result, error) {
 	if err := c.check(); err != nil {
 		return Result{}, err
@@ -48,52 +48,52 @@
 	if err != nil {
 		return Result{}, err
 	}
-	s.schedule(s.gap(), event{kind: eventRoot})
+	s.schedule(s.drawArrivalGap(), event{kind: eventRoot})
 	for len(s.queue.entries) > 0 {
 		var e event
 		s.now, e = s.queue.pop()
-		s.counting.result.Events++
+		s.statistics.result.Events++
 		s.handle(e)
 	}
 	s.finish()
-	return s.counting.result, nil
+	return s.statistics.result, nil
 }
 
-// newSimulation builds services, backends and balancers.
+// newSimulation creates the services, backends and balancers.
 func newSimulation(c Config) (*simulation, error) {
 	layout, shape := plan(&c)
-	s := &simulation{c: c, now: epoch, layout: layout,
-		arrivals: source(c.Seed, sourceArrivals), work: source(c.Seed, sourceWork),
-		faults: source(c.Seed, sourceFaults), entries: source(c.Seed, sourceGateways)}
-	s.forest = forest{c: &s.c, layout: layout, shape: source(c.Seed, sourceShape), poison: source(c.Seed, sourcePoison)}
-	s.counting = newCounting(c, shape)
+	s := &simulation{config: c, now: epoch, layout: layout,
+		arrivals: newSource(c.Seed, sourceArrivals), work: newSource(c.Seed, sourceWork),
+		faults: newSource(c.Seed, sourceFaults), gatewayChoice: newSource(c.Seed, sourceGateways)}
+	s.trees = treeGenerator{config: &s.config, layout: layout, shape: newSource(c.Seed, sourceShape), leafFaults: newSource(c.Seed, sourceLeafFaults)}
+	s.statistics = newStatistics(c, shape)
 	if err := s.build(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// build makes the backends, then for each the balancers through which it calls.
+// build creates all backends, then the balancers through which gateways and backends call.
 func (s *simulation) build() error {
-	s.servers = make([][]*server, s.c.Services)
-	s.agents = make([][]*agent, s.c.Services)
+	s.servers = make([][]*server, s.config.Services)
+	s.agents = make([][]*agent, s.config.Services)
 	for id, service := range s.layout.services {
 		for range service.backends {
 			name := "s" + strconv.Itoa(id) + "-" + strconv.Itoa(len(s.servers[id]))
 			s.servers[id] = append(s.servers[id], &server{id: name, service: id})
 		}
 	}
-	for range s.c.Gateways {
+	for range s.config.Gateways {
 		s.gateways = append(s.gateways, &server{service: -1})
 	}
 	s.connect(s.gateways, s.layout.layers[0])
 	for id, service := range s.layout.services {
 		s.connect(s.servers[id], service.children)
 	}
-	seeds := source(s.c.Seed, sourceBalancers)
+	seeds := newSource(s.config.Seed, sourceBalancers)
 	for _, callers := range s.agents {
 		for _, a := range callers {
-			if err := s.start(a, len(callers), seeds.Uint64()); err != nil {
+			if err := s.startBalancer(a, len(callers), seeds.Uint64()); err != nil {
 				return err
 			}
 		}
@@ -105,15 +105,15 @@
 func (s *simulation) connect(callers []*server, services []int) {
 	for _, caller := range callers {
 		for _, service := range services {
-			a := &agent{service: service, self: len(s.agents[service]), calls: map[string]*call{}}
+			a := &agent{service: service, index: len(s.agents[service]), calls: map[string]*call{}}
 			s.agents[service] = append(s.agents[service], a)
 			caller.agents = append(caller.agents, a)
 		}
 	}
 }
 
-// start makes an agent's balancer, and tells it the list.
-func (s *simulation) start(a *agent, callers int, seed uint64) error {
+// startBalancer creates an agent's balancer and gives it the list of backends.
+func (s *simulation) startBalancer(a *agent, callers int, seed uint64) error {
 	var err error
 	if a.balancer, err = balance.New(s.settings(a, callers), seed); err != nil {
 		return err
@@ -123,7 +123,7 @@
 			return
 		}
 		if c := a.calls[n.Request]; c != nil {
-			c.why = n.Why
+			c.reason = n.Why
 		}
 	})
 	list := balance.List{Kind: balance.ListFull}
@@ -131,118 +131,118 @@
 		list.Backends = append(list.Backends, balance.Backend{ID: t.id, Weight: 1})
 	}
 	a.balancer.Step(s.now, []balance.Event{list})
-	s.counting.result.Balancers++
+	s.statistics.result.Balancers++
 	return nil
 }
 
-// settings are an agent's: the aim shrinks with the layers that remain.
+// settings returns the balancer settings of an agent. The aim is proportional to the number of layers that remain.
 func (s *simulation) settings(a *agent, callers int) balance.Settings {
-	remaining := s.c.Depth - s.layout.services[a.service].layer
-	aim := s.c.Aim * time.Duration(remaining) / time.Duration(s.c.Depth)
-	class := balance.Class{Aim: aim, Deadline: s.c.Deadline, Worth: 1, LateWorth: lateWorth}
+	remaining := s.config.Depth - s.layout.services[a.service].layer
+	aim := s.config.Aim * time.Duration(remaining) / time.Duration(s.config.Depth)
+	class := balance.Class{Aim: aim, Deadline: s.config.Deadline, Worth: 1, LateWorth: lateWorth}
 	unsafe := class
 	unsafe.Effect = balance.Unsafe
 	settings := balance.Settings{
-		Balancers: callers, Self: a.self, Classes: []balance.Class{classSafe: class, classUnsafe: unsafe},
-		MaxAttempts: s.c.MaxAttempts, Peers: s.c.Peers, RetryAfter: true, MaxRetryAfter: 200 * time.Millisecond,
+		Balancers: callers, Self: a.index, Classes: []balance.Class{classSafe: class, classUnsafe: unsafe},
+		MaxAttempts: s.config.MaxAttempts, Peers: s.config.Peers, RetryAfter: true, MaxRetryAfter: 200 * time.Millisecond,
 		ConnectTimeout: 100 * time.Millisecond, IdleClose: 5 * time.Second, AskWithin: time.Second,
 		ColdShare: 0.3, RampTime: 5 * time.Second, FallMultiple: 2, FallWindow: 500 * time.Millisecond,
 	}
-	if s.c.Reports {
+	if s.config.Reports {
 		settings.Reports = balance.ReportsInline
 		settings.Fields = balance.ReportFields{Outstanding: true, Queue: true}
 	}
 	return settings
 }
 
-// schedule queues an event for later.
+// schedule queues an event after a delay.
 func (s *simulation) schedule(after time.Duration, e event) { s.queue.push(s.now+after, e) }
 
-// gap draws the time to the next root.
-func (s *simulation) gap() time.Duration {
-	return time.Duration(s.arrivals.ExpFloat64() / s.counting.result.Shape.RootsPerSecond * float64(time.Second))
+// drawArrivalGap draws the time until the next root arrives.
+func (s *simulation) drawArrivalGap() time.Duration {
+	return time.Duration(s.arrivals.ExpFloat64() / s.statistics.result.Shape.RootsPerSecond * float64(time.Second))
 }
 
-// faulty reports whether faults have begun.
-func (s *simulation) faulty() bool { return s.now >= epoch+s.c.Warm }
+// faultsActive reports whether the faults have started.
+func (s *simulation) faultsActive() bool { return s.now >= epoch+s.config.Warm }
 
-// struck reports whether the fault is that of a backend's service, and has begun.
-func (s *simulation) struck(t *server) bool {
-	return s.c.faultsService() && t.service == s.c.FaultService && s.faulty()
+// faultActiveAt reports whether an active fault affects the service of backend t.
+func (s *simulation) faultActiveAt(t *server) bool {
+	return s.config.hasServiceFault() && t.service == s.config.FaultService && s.faultsActive()
 }
 
-// handle carries one event out.
+// handle processes one event.
 func (s *simulation) handle(e event) {
 	switch e.kind {
 	case eventRoot:
 		s.arrive()
-	case eventArrive:
+	case eventAttempt:
 		s.receive(e.attempt)
-	case eventDone:
-		s.worked(e.run)
+	case eventWorkDone:
+		s.finishWork(e.run)
 	case eventOutcome:
-		s.outcome(e.attempt, e.outcome)
+		s.handleOutcome(e.attempt, e.outcome)
 	case eventTimer:
 		s.step(e.agent, balance.TimerFired{Token: e.token})
 	case eventDeadline:
 		s.expire(e.call)
-	case eventEnded:
-		s.tell(e.call)
+	case eventCallEnded:
+		s.notifyCaller(e.call)
 	case eventCancel:
 		s.cancel(e.run)
-	case eventPeers:
-		s.spread(e.agent, e.data)
-	case eventRetry:
-		s.try(e.root)
+	case eventPeerMessage:
+		s.broadcast(e.agent, e.data)
+	case eventClientRetry:
+		s.startTry(e.root)
 	}
 }
 
 // ---- Clients ----
 
-// arrive starts a root and schedules the next. Roots go on for a while after the measured ones, which shall end
-// under the same load.
+// arrive starts a root and schedules the next one. Roots keep arriving for one deadline after the measured period, so
+// that the measured roots end under the same load.
 func (s *simulation) arrive() {
-	if s.now >= epoch+s.c.Warm+s.c.Measure+s.c.Deadline {
+	if s.now >= epoch+s.config.Warm+s.config.Measure+s.config.Deadline {
 		return
 	}
-	s.schedule(s.gap(), event{kind: eventRoot})
-	r := &root{tree: s.forest.draw(), came: s.now, deadline: s.now + s.c.Deadline,
-		gateway: s.entries.IntN(len(s.gateways))}
-	r.measured = s.faulty() && s.now < epoch+s.c.Warm+s.c.Measure
-	s.try(r)
+	s.schedule(s.drawArrivalGap(), event{kind: eventRoot})
+	r := &root{tree: s.trees.generate(), arrived: s.now, deadline: s.now + s.config.Deadline,
+		gateway: s.gatewayChoice.IntN(len(s.gateways))}
+	r.measured = s.faultsActive() && s.now < epoch+s.config.Warm+s.config.Measure
+	s.startTry(r)
 }
 
-// try starts a client's first or second try.
-func (s *simulation) try(r *root) {
+// startTry starts the next try of a client, which is its first or second.
+func (s *simulation) startTry(r *root) {
 	deadline := r.deadline
 	if r.tries == 0 {
-		deadline = r.came + s.c.Patience
+		deadline = r.arrived + s.config.Patience
 	}
 	r.tries++
 	t := &try{root: r}
-	t.call = s.begin(s.gateways[r.gateway].agents[s.place(-1, r.tree.root.service)], r.tree.root, t, nil, deadline)
+	t.call = s.startCall(s.gateways[r.gateway].agents[s.agentIndex(-1, r.tree.root.service)], r.tree.root, t, nil, deadline)
 }
 
-// clientHears ends a client's try, and the root unless the client tries again.
-func (s *simulation) clientHears(c *call) {
+// endTry ends a client's try, and ends the root unless the client tries again.
+func (s *simulation) endTry(c *call) {
 	t := c.try
 	t.ended, t.served = true, c.ending == endedServed
-	s.counting.tryEnded(t)
+	s.statistics.tryEnded(t)
 	r := t.root
-	again := s.c.ClientRetry && r.tries == 1 && !t.served && (c.ending == endedRefused || !c.node.unsafe)
-	wait := clientPause
-	if c.advice > 0 {
-		wait = c.advice
+	retry := s.config.ClientRetry && r.tries == 1 && !t.served && (c.ending == endedRefused || !c.node.unsafe)
+	wait := clientRetryDelay
+	if c.retryAfter > 0 {
+		wait = c.retryAfter
 	}
-	if again && s.now+wait < r.deadline {
-		s.schedule(wait, event{kind: eventRetry, root: r})
+	if retry && s.now+wait < r.deadline {
+		s.schedule(wait, event{kind: eventClientRetry, root: r})
 		return
 	}
-	s.counting.rootEnded(r, c.ending, s.now-r.came)
+	s.statistics.rootEnded(r, c.ending, s.now-r.arrived)
 }
 
-// place is where a caller keeps its agent for a service; caller -1 is a gateway.
-func (s *simulation) place(caller, service int) int {
+// agentIndex returns the index of a caller's agent for a service; caller -1 is a gateway.
+func (s *simulation) agentIndex(caller, service int) int {
 	children := s.layout.layers[0]
 	if caller >= 0 {
 		children = s.layout.services[caller].children
@@ -257,20 +257,20 @@
 
 // ---- Agents ----
 
-// begin hands a call to an agent.
-func (s *simulation) begin(a *agent, n *node, t *try, parent *execution, deadline time.Duration) *call {
+// startCall starts a call through an agent.
+func (s *simulation) startCall(a *agent, n *node, t *try, parent *execution, deadline time.Duration) *call {
 	s.calls++
-	c := &call{id: strconv.Itoa(s.calls), agent: a, node: n, try: t, parent: parent, came: s.now, waitFrom: s.now,
+	c := &call{id: strconv.Itoa(s.calls), agent: a, node: n, try: t, parent: parent, started: s.now, waitingSince: s.now,
 		deadline: deadline}
 	a.calls[c.id] = c
-	s.counting.callBegan(c)
+	s.statistics.callBegan(c)
 	s.queue.push(deadline, event{kind: eventDeadline, call: c})
 	class := classSafe
 	if n.unsafe {
 		class = classUnsafe
 	}
-	left := s.c.Deadline
-	if s.c.TellLeft {
+	left := s.config.Deadline
+	if s.config.TellLeft {
 		left = deadline - s.now
 	}
 	t.root.steps++
@@ -279,54 +279,54 @@
 	return c
 }
 
-// step has a balancer decide, and carries out what it decided.
+// step passes an event to a balancer and carries out the actions that the balancer returns.
 func (s *simulation) step(a *agent, e balance.Event) {
-	s.counting.stepped(s.now, s.layout.services[a.service].layer)
+	s.statistics.stepped(s.now, s.layout.services[a.service].layer)
 	for _, action := range a.balancer.Step(s.now, []balance.Event{e}) {
 		switch action := action.(type) {
 		case balance.Send:
 			s.send(a.calls[action.Request], action.Backend)
 		case balance.Refuse:
 			c := a.calls[action.Request]
-			c.advice = action.RetryAfter
+			c.retryAfter = action.RetryAfter
 			s.end(c, endedRefused)
 		case balance.Fail:
 			s.end(a.calls[action.Request], endedFailed)
 		case balance.SetTimer:
 			s.schedule(action.After, event{kind: eventTimer, agent: a, token: action.Token})
 		case balance.TellPeer:
-			s.schedule(2*s.c.Network, event{kind: eventPeers, agent: a, data: action.Data})
+			s.schedule(2*s.config.Network, event{kind: eventPeerMessage, agent: a, data: action.Data})
 		}
 	}
 }
 
-// spread takes a balancer's message to the others that call the same service.
-func (s *simulation) spread(from *agent, data []byte) {
+// broadcast delivers a balancer's message to all other balancers of the same service.
+func (s *simulation) broadcast(from *agent, data []byte) {
 	for _, a := range s.agents[from.service] {
 		if a != from {
-			s.step(a, balance.PeerMessage{From: from.self, Data: data})
+			s.step(a, balance.PeerMessage{From: from.index, Data: data})
 		}
 	}
 }
 
 // send starts an attempt.
 func (s *simulation) send(c *call, backend string) {
-	t := s.find(c.agent.service, backend)
+	t := s.findBackend(c.agent.service, backend)
 	a := &attempt{call: c, number: len(c.attempts), server: t, sent: s.now}
 	c.attempts = append(c.attempts, a)
-	s.counting.sent(a, s.now-c.waitFrom)
+	s.statistics.sent(a, s.now-c.waitingSince)
 	switch {
-	case s.struck(t) && s.c.Fault == FaultRefused:
-		s.schedule(2*s.c.Network, event{kind: eventOutcome, attempt: a,
+	case s.faultActiveAt(t) && s.config.Fault == FaultRefused:
+		s.schedule(2*s.config.Network, event{kind: eventOutcome, attempt: a,
 			outcome: outcome{result: balance.ConnectFailed, load: balance.NoLoad()}})
-	case s.struck(t) && s.c.Fault == FaultSilent: // its deadline ends it
+	case s.faultActiveAt(t) && s.config.Fault == FaultSilent: // no answer: the attempt ends at the deadline
 	default:
-		s.schedule(s.c.Network, event{kind: eventArrive, attempt: a})
+		s.schedule(s.config.Network, event{kind: eventAttempt, attempt: a})
 	}
 }
 
-// find is the backend of a name, which ends in its number.
-func (s *simulation) find(service int, name string) *server {
+// findBackend returns the backend of a service by ID.
+func (s *simulation) findBackend(service int, name string) *server {
 	for _, t := range s.servers[service] {
 		if t.id == name {
 			return t
@@ -335,15 +335,15 @@
 	panic("calltree: an attempt to a backend that isn't listed")
 }
 
-// outcome hands an attempt's outcome to its agent, unless the attempt has one.
-func (s *simulation) outcome(a *attempt, o outcome) {
+// handleOutcome passes an attempt's outcome to its agent, unless the attempt already has an outcome.
+func (s *simulation) handleOutcome(a *attempt, o outcome) {
 	if a.closed {
 		return
 	}
 	a.closed = true
-	s.counting.outcome(o)
+	s.statistics.outcome(o)
 	c := a.call
-	c.waitFrom = s.now
+	c.waitingSince = s.now
 	served := o.result == balance.OK && !c.ended
 	if served {
 		s.end(c, endedServed)
@@ -356,7 +356,7 @@
 	s.forget(c)
 }
 
-// expire ends what a call still has out at its deadline, and the call.
+// expire ends a call and its open attempts at the call's deadline.
 func (s *simulation) expire(c *call) {
 	if c.ended {
 		return
@@ -369,32 +369,32 @@
 	}
 }
 
-// withdraw gives a call's open attempts an outcome.
+// withdraw ends the open attempts of a call with a result.
 func (s *simulation) withdraw(c *call, result balance.Result) {
 	for _, a := range c.attempts {
 		if a.closed {
 			continue
 		}
-		if s.c.Cancel && a.run != nil {
-			s.schedule(s.c.Network, event{kind: eventCancel, run: a.run})
+		if s.config.Cancel && a.run != nil {
+			s.schedule(s.config.Network, event{kind: eventCancel, run: a.run})
 		}
-		s.outcome(a, outcome{result: result, load: balance.NoLoad()})
+		s.handleOutcome(a, outcome{result: result, load: balance.NoLoad()})
 	}
 }
 
-// end gives a call its ending, once, and has who made it hear of it.
+// end records the ending of a call and schedules the notification of its caller. A second ending is counted as an error.
 func (s *simulation) end(c *call, how ending) {
 	if c.ended {
-		s.counting.result.Checks.EndedTwice++
+		s.statistics.result.Checks.EndedTwice++
 		return
 	}
 	c.ended, c.ending = true, how
-	s.counting.callEnded(c, s.now)
-	s.schedule(0, event{kind: eventEnded, call: c})
+	s.statistics.callEnded(c, s.now)
+	s.schedule(0, event{kind: eventCallEnded, call: c})
 	s.forget(c)
 }
 
-// forget lets go of a call that has ended and has all its outcomes.
+// forget removes a call from its agent once the call has ended and all its attempts have outcomes.
 func (s *simulation) forget(c *call) {
 	if !c.ended {
 		return
@@ -407,16 +407,16 @@
 	delete(c.agent.calls, c.id)
 }
 
-// tell has a call's maker hear how it ended.
-func (s *simulation) tell(c *call) {
+// notifyCaller notifies the caller of a call that has ended.
+func (s *simulation) notifyCaller(c *call) {
 	if c.parent == nil {
-		s.clientHears(c)
+		s.endTry(c)
 		return
 	}
 	s.childEnded(c.parent, c)
 }
 
-// finish checks what is left when nothing more happens.
+// finish counts the calls that are still open after the last event and computes the final statistics.
 func (s *simulation) finish() {
 	open := 0
 	for _, callers := range s.agents {
@@ -424,6 +424,6 @@
 			open += len(a.calls)
 		}
 	}
-	s.counting.result.Checks.Open = open
-	s.counting.finish(s.servers)
+	s.statistics.result.Checks.Open = open
+	s.statistics.finish(s.servers)
 }
--- a/internal/scale/calltree/tree.go
+++ b/internal/scale/calltree/tree.go
@@ -2,86 +2,86 @@
 
 import "math/rand/v2"
 
-// mostCalls bounds the calls of one tree.
-const mostCalls = 256
+// maxTreeCalls is the number of calls from which on a tree gets no more branches.
+const maxTreeCalls = 256
 
-// node is one call of a tree as it was drawn. All tries and attempts of it share the node.
+// node is one call of a generated tree. All tries and attempts of the call share the node.
 type node struct {
-	layer    int // from 0
-	service  int
-	unsafe   bool // may run once
-	poisoned bool // fails whenever it is tried, where leaves do
-	runs     int  // executions so far
-	children []*node
+	layer       int // from 0
+	service     int
+	unsafe      bool // must not be executed twice
+	alwaysFails bool // under FaultLeafCalls: every execution fails, if the node is a leaf
+	executions  int  // executions started so far
+	children    []*node
 }
 
-// tree is what a root asks for.
+// tree is the call tree of one root.
 type tree struct {
-	root    *node
-	deepest int // layer of the deepest call, from 0
-	calls   int
-	leaves  int
-	deep    int  // calls at the last layer of all
-	parents int  // calls with children
-	touched bool // meets the faulty service, or a leaf that fails for good
+	root           *node
+	deepest        int // layer of the deepest call, from 0
+	calls          int
+	leaves         int
+	lastLayerCalls int  // calls at the last layer, Config.Depth-1
+	parents        int  // calls with children
+	affected       bool // calls the faulty service or has a leaf that always fails
 }
 
-// forest draws trees.
-type forest struct {
-	c       *Config
-	layout  *layout
-	shape   *rand.Rand
-	poison  *rand.Rand // apart, so that it changes no tree
-	growing *tree
+// treeGenerator generates random trees.
+type treeGenerator struct {
+	config     *Config
+	layout     *layout
+	shape      *rand.Rand
+	leafFaults *rand.Rand // separate, so that the fault settings don't change the trees
+	current    *tree
 }
 
-// draw makes one tree.
-func (f *forest) draw() *tree {
+// generate generates one tree.
+func (f *treeGenerator) generate() *tree {
 	t := &tree{}
-	f.growing = t
-	depth := f.depth(0)
+	f.current = t
+	depth := f.drawDepth(0)
 	t.deepest = depth
-	unsafe := f.shape.Float64() < f.c.Unsafe
-	t.root = f.node(0, depth, f.layout.entry(f.shape), unsafe)
+	unsafe := f.shape.Float64() < f.config.Unsafe
+	t.root = f.generateNode(0, depth, f.layout.drawEntry(f.shape), unsafe)
 	return t
 }
 
-// depth draws how deep a chain goes that has come to a layer.
-func (f *forest) depth(layer int) int {
-	for layer < f.c.Depth-1 && f.shape.Float64() < f.c.Continue {
+// drawDepth draws the last layer of a chain that has reached the given layer.
+func (f *treeGenerator) drawDepth(layer int) int {
+	for layer < f.config.Depth-1 && f.shape.Float64() < f.config.Continue {
 		layer++
 	}
 	return layer
 }
 
-// node draws a call whose chain goes down to a layer, with all below it.
-func (f *forest) node(layer, down, service int, unsafe bool) *node {
-	t := f.growing
+// generateNode generates a call whose chain ends at layer down, with its whole subtree.
+func (f *treeGenerator) generateNode(layer, down, service int, unsafe bool) *node {
+	t := f.current
 	t.calls++
 	n := &node{layer: layer, service: service, unsafe: unsafe}
-	if layer == f.c.Depth-1 {
-		t.deep++
+	if layer == f.config.Depth-1 {
+		t.lastLayerCalls++
 	}
-	n.poisoned = f.poison.Float64() < f.c.FailShare
-	if f.c.faultsService() && service == f.c.FaultService {
-		t.touched = true
+	n.alwaysFails = f.leafFaults.Float64() < f.config.FailShare
+	if f.config.hasServiceFault() && service == f.config.FaultService {
+		t.affected = true
 	}
 	if layer == down {
 		t.leaves++
-		if f.c.Fault == FaultLeafCalls && n.poisoned {
-			t.touched = true
+		if f.config.Fault == FaultLeafCalls && n.alwaysFails {
+			t.affected = true
 		}
 		return n
 	}
 	t.parents++
-	n.children = append(n.children, f.node(layer+1, down, f.layout.child(service, f.shape), unsafe))
-	if f.shape.Float64() < f.c.Branch && t.calls < mostCalls {
-		n.children = append(n.children, f.node(layer+1, f.depth(layer+1), f.layout.child(service, f.shape), false))
+	n.children = append(n.children, f.generateNode(layer+1, down, f.layout.drawChild(service, f.shape), unsafe))
+	if f.shape.Float64() < f.config.Branch && t.calls < maxTreeCalls {
+		n.children = append(n.children, f.generateNode(layer+1, f.drawDepth(layer+1), f.layout.drawChild(service, f.shape), false))
 	}
 	return n
 }
 
-// faultsService reports whether the fault is that of one service.
-func (c *Config) faultsService() bool {
+// hasServiceFault reports whether the configured fault affects one service.
+func (c *Config) hasServiceFault() bool {
 	return c.Fault == FaultSlow || c.Fault == FaultRefused || c.Fault == FaultSilent
 }
