--- a/internal/scale/coldstart/backend.go
+++ b/internal/scale/coldstart/backend.go
@@ -6,79 +6,81 @@
 	"lemonrail/balance"
 )
 
-// backend serves in turn on a few cores, as fast as its warmth allows.
+// backend serves requests in order of arrival on a few cores, at a speed that grows after a cold start.
 type backend struct {
-	fleet    *fleet
-	id       string
-	zone     int
-	kind     int
-	size     float64 // capacity over the usual one
-	cold     bool    // starts cold in this run
-	down     bool
-	started  time.Duration // 0: long ago
-	life     int           // counts its processes
-	busy     int
-	queue    []*attempt
-	keys     map[string]time.Duration // when each key was last served
-	arrivals []Arrival                // since its start, where it starts in this run
-	got      time.Duration            // work that arrived since Start
+	fleet        *fleet
+	id           string
+	zone         int
+	kind         int
+	size         float64 // capacity relative to a normal backend
+	cold         bool    // starts during this run
+	down         bool
+	started      time.Duration // time of the start; 0: before the run
+	process      int           // incremented at each crash, to ignore completions of earlier processes
+	busy         int
+	queue        []*attempt
+	keys         map[string]time.Duration // time at which each key was last served
+	arrivals     []Arrival                // attempts since the start, if it starts during this run
+	receivedWork time.Duration            // work that arrived since coldStart
 }
 
-// attempt is one Send on its way.
+// attempt is one attempt of a request, from the balance.Send to its outcome.
 type attempt struct {
-	agent   *agent
-	request *request
-	number  int
-	backend *backend
-	sent    time.Duration
-	told    bool
-	ended   bool
+	agent    *agent
+	request  *request
+	number   int
+	backend  *backend
+	sent     time.Duration
+	notified bool
+	ended    bool
 }
 
-// keyMemory is how long a backend remembers a key, and warmKeyWork what is left of the work then.
+// A request with a key that its backend served within keyMemory needs warmKeyWork of the normal work.
 const (
 	keyMemory   = 5 * time.Second
 	warmKeyWork = 0.4
 )
 
-// take accepts an attempt that has arrived, or turns it away; both add to what it got.
-func (b *backend) take(t *attempt) {
+// receive handles an attempt that arrives: it is served, queued or rejected. Rejected attempts count as received, too,
+// unless the backend is down.
+func (b *backend) receive(t *attempt) {
 	if b.down {
-		b.fleet.outcome(t, balance.ConnectFailed)
+		b.fleet.endAttempt(t, balance.ConnectFailed)
 		return
 	}
-	if b.fleet.now >= start {
-		b.got += t.request.work
+	if b.fleet.now >= coldStart {
+		b.receivedWork += t.request.work
 	}
 	if b.started > 0 {
-		b.arrivals = append(b.arrivals, Arrival{At: b.fleet.now - b.started, Work: t.request.work, Told: t.told})
+		b.arrivals = append(b.arrivals, Arrival{Age: b.fleet.now - b.started, Work: t.request.work, Notified: t.notified})
 	}
 	f := b.fleet
 	switch {
 	case b.cold && f.ColdFails && f.rng.IntN(2) == 0:
-		f.outcome(t, balance.Errored)
+		f.endAttempt(t, balance.Errored)
 	case b.busy < cores:
 		b.serve(t)
-	case len(b.queue) < f.queueRoom():
+	case len(b.queue) < f.maxQueue():
 		b.queue = append(b.queue, t)
 	default:
-		f.outcome(t, balance.Full)
+		f.endAttempt(t, balance.Full)
 	}
 }
 
+// serve starts the work on an attempt on a free core and schedules its completion.
 func (b *backend) serve(t *attempt) {
 	b.busy++
-	f, life := b.fleet, b.life
+	f, life := b.fleet, b.process
 	work := float64(t.request.work) / b.size
 	if b.started > 0 {
-		work /= f.ability(f.now - b.started)
+		work /= f.actualCapacity(f.now - b.started)
 	}
 	if at, met := b.keys[t.request.key]; t.request.key != "" && met && f.now-at < keyMemory {
 		work *= warmKeyWork
 	}
 	b.keys[t.request.key] = f.now
-	f.at(f.now+time.Duration(work), func() {
-		if b.life != life {
+	f.scheduleAt(f.now+time.Duration(work), func() {
+		if b.process != life {
 			return
 		}
 		b.busy--
@@ -87,18 +89,18 @@
 			b.queue = b.queue[1:]
 			b.serve(next)
 		}
-		if f.rng.Float64() < f.Errors {
-			f.outcome(t, balance.Errored)
+		if f.rng.Float64() < f.ErrorShare {
+			f.endAttempt(t, balance.Errored)
 		} else {
-			f.outcome(t, balance.OK)
+			f.endAttempt(t, balance.OK)
 		}
 	})
 }
 
-// fail ends the backend's process. What it holds gets no answer.
-func (b *backend) fail() {
+// crash crashes the backend. Attempts that it holds get no answer.
+func (b *backend) crash() {
 	b.down, b.busy = true, 0
-	b.life++
+	b.process++
 	b.queue = nil
 	clear(b.keys)
 }
--- a/internal/scale/coldstart/budget.go
+++ b/internal/scale/coldstart/budget.go
@@ -5,59 +5,62 @@
 	"time"
 )
 
-// Arrival is one attempt that reached a backend while it was cold.
+// Arrival is one attempt that reached a backend after the backend's cold start.
 type Arrival struct {
-	At   time.Duration // since the backend's start
-	Work time.Duration // on one core of a warm backend
-	Told bool          // its agent had been told of the start
+	Age      time.Duration // time since the backend's start
+	Work     time.Duration // core time on a warm backend
+	Notified bool          // the sending agent had been notified of the start
 }
 
-// Bound is what the users put down to chance: a backend falls when it gets more than this.
+// Bound returns the number of requests in a window above which a backend fails: N + 2 sqrt(N) + 2, where N is the
+// allowed number. The margin is what the users accept as chance.
 func Bound(allowed float64) float64 { return allowed + 2*math.Sqrt(allowed) + 2 }
 
-// warmth is the share of its capacity that a backend has at an age, by the settings.
-func warmth(age time.Duration) float64 {
+// assumedCapacity returns the share of its full capacity that the settings assume for a backend of the given age.
+func assumedCapacity(age time.Duration) float64 {
 	return min(1, coldShare+(1-coldShare)*float64(age)/float64(rampTime))
 }
 
-// allowed is N: how many requests of mean work the settings allow a backend within one fall window, reckoned from its capacity at an age.
+// allowed returns N, the number of requests of mean work that the settings allow a backend of the given age within
+// one fall window. perSecond is the rate at which a warm backend serves such requests.
 func allowed(perSecond float64, age time.Duration) float64 {
-	return fallMultiple * perSecond * warmth(age) * fallWindow.Seconds()
+	return fallMultiple * perSecond * assumedCapacity(age) * fallWindow.Seconds()
 }
 
-// Peak is the most that a cold backend got in any window, in requests of mean work.
+// Peak describes the highest load of a cold backend in any window, in requests of mean work.
 type Peak struct {
-	Share     float64 // of N at the window's begin
-	Bound     float64 // of N + 2 sqrt(N) + 2, N as at the window's begin: the strictest reading
-	BoundThen float64 // the same, N as at the last arrival: "what it can do at that moment"
-	Broken    bool    // a window over the bound, by BoundThen, of which over two thirds came from agents that had been told
+	ShareOfN          float64 // requests relative to N at the window's beginning
+	ShareOfBound      float64 // relative to N + 2 sqrt(N) + 2, N as at the window's beginning: the strictest interpretation
+	ShareOfFinalBound float64 // the same, N as at the last arrival: the backend's capacity "at that moment"
+	Violated          bool    // a window had ShareOfFinalBound over 1 and over two thirds of its requests from notified agents
 }
 
 func (p *Peak) merge(o Peak) {
-	p.Share, p.Bound = max(p.Share, o.Share), max(p.Bound, o.Bound)
-	p.BoundThen, p.Broken = max(p.BoundThen, o.BoundThen), p.Broken || o.Broken
+	p.ShareOfN, p.ShareOfBound = max(p.ShareOfN, o.ShareOfN), max(p.ShareOfBound, o.ShareOfBound)
+	p.ShareOfFinalBound, p.Violated = max(p.ShareOfFinalBound, o.ShareOfFinalBound), p.Violated || o.Violated
 }
 
-// heaviest looks at each window that ends with an arrival. Arrivals are in order of time; weigh gives what one counts for.
-func heaviest(arrivals []Arrival, perSecond float64, weigh func(Arrival) float64) (p Peak) {
+// peakLoad returns the peak over all windows that end with an arrival. Arrivals must be in order of time; weigh returns
+// the weight of one arrival in requests of mean work.
+func peakLoad(arrivals []Arrival, perSecond float64, weigh func(Arrival) float64) (p Peak) {
 	first, sum, told := 0, 0.0, 0.0
 	for _, a := range arrivals {
-		if a.At >= rampTime {
+		if a.Age >= rampTime {
 			break
 		}
 		sum += weigh(a)
-		if a.Told {
+		if a.Notified {
 			told += weigh(a)
 		}
-		for ; arrivals[first].At <= a.At-fallWindow; first++ {
+		for ; arrivals[first].Age <= a.Age-fallWindow; first++ {
 			sum -= weigh(arrivals[first])
-			if arrivals[first].Told {
+			if arrivals[first].Notified {
 				told -= weigh(arrivals[first])
 			}
 		}
-		n := allowed(perSecond, arrivals[first].At)
-		then := sum / Bound(allowed(perSecond, a.At))
-		p.merge(Peak{Share: sum / n, Bound: sum / Bound(n), BoundThen: then, Broken: then > 1 && told > sum*2/3})
+		n := allowed(perSecond, arrivals[first].Age)
+		then := sum / Bound(allowed(perSecond, a.Age))
+		p.merge(Peak{ShareOfN: sum / n, ShareOfBound: sum / Bound(n), ShareOfFinalBound: then, Violated: then > 1 && told > sum*2/3})
 	}
 	return p
 }
--- a/internal/scale/coldstart/case.go
+++ b/internal/scale/coldstart/case.go
@@ -6,46 +6,47 @@
 	"lemonrail/balance"
 )
 
-// Case is one situation in which backends start cold under the load of a whole fleet. Every agent is one balancer of package balance.
+// Case is one scenario in which backends start cold under the load of a whole fleet. Each agent is one balancer of
+// package balance.
 type Case struct {
 	Name   string
-	Agents int // processes that share the backends
-	Warm   int // backends that were up long before
-	Cold   int // backends that start cold at Start
-
-	Load  float64 // offered work over what the warm backends can do
-	Burst float64 // Load is multiplied by it from BurstAt on, for burstLength; 0: no burst
-	Idle  bool    // next to no traffic until the burst: agents have time to save up unused budget
-	Late  bool    // the burst begins when the ramp is half over
-	Skew  float64 // standard deviation of the logarithm of an agent's traffic; 0: all agents alike
-
-	ToldWithin time.Duration // each agent is told of the start at a random moment within this time
-	CameBack   bool          // the cold backends ran before, under the same names, and were down for downTime
-	Zones      int           // zones over which agents and backends are spread; the cold backends are all in zone 1
-	ColdSize   float64       // capacity of a cold backend over that of a warm one; 0: 1
-	Sizes      bool          // backends of several sizes: 0.7, 0.8 and 1.8 of the usual one
-
-	Restarted     float64       // share of the agents that are replaced by new processes, spread over restartSpan
-	RestartedFrom time.Duration // when the restarts begin, from Start on
-	Dead          float64       // share of the agents that die at Start; their clients go to the others
-
-	BelievedAgents int  // fleet size that the agents are told, by settings and Fleet events; 0: the true one
-	NoColdStart    bool // the agents are told that no backend is ever cold
-
-	Keys        bool    // requests carry keys, and a backend that met a key lately needs less work
-	Unequal     bool    // one class of little work and one of twenty times as much
-	Hints       bool    // requests tell their work
-	Errors      float64 // share of answers that are errors
-	ColdFails   bool    // a cold backend answers half of what it gets with an error, at once
-	ShortQueues bool    // backends turn away what finds no free core and one place to wait
-	SlowConns   float64 // share of attempts whose connection comes up late, up to a second
-	Peers       bool    // agents tell each other what they want
-	Inline      bool    // answers carry load reports
-	Leavers     float64 // share of the clients that leave before their time
+	Agents int // agents that share the backends
+	Warm   int // backends that have been up for a long time
+	Cold   int // backends that start cold at coldStart
+
+	Load             float64 // offered work relative to the capacity of the warm backends
+	Burst            float64 // factor on Load for burstLength, from coldStart on or later (LateBurst); 0: no burst
+	QuietBeforeBurst bool    // a tenth of Load before the burst, so that agents accumulate unused budget
+	LateBurst        bool    // the burst begins halfway through the ramp
+	Skew             float64 // standard deviation of the logarithm of an agent's traffic; 0: all agents have equal traffic
+
+	NotifyWithin time.Duration // each agent is notified of the start after a random delay of up to this time
+	Returned     bool          // the cold backends ran before under the same IDs and were down for downTime
+	Zones        int           // number of zones of agents and backends; all cold backends are in zone 1
+	ColdSize     float64       // capacity of a cold backend relative to a normal warm one; 0: 1
+	MixedSizes   bool          // backends have 0.7, 0.8 or 1.8 times the normal capacity; ColdSize overrides this
+
+	RestartedShare float64       // share of the agents that restart, at random times within restartSpan
+	RestartedFrom  time.Duration // beginning of the restarts, relative to coldStart
+	DeadShare      float64       // share of the agents that die at coldStart; their clients use the other agents
+
+	BelievedAgents int  // fleet size in the agents' settings and Fleet events; 0: the true one
+	NoColdStart    bool // the agents' settings say that no backend is ever cold
+
+	Keys          bool    // requests carry keys, and a backend that served a key recently needs less work for it
+	UnequalWork   bool    // one class with little work and one with twenty times as much
+	WorkHints     bool    // requests carry their work
+	ErrorShare    float64 // share of error answers
+	ColdFails     bool    // a cold backend immediately answers half of its requests with an error
+	ShortQueues   bool    // backends queue at most one request
+	SlowConnShare float64 // share of attempts whose connection takes up to a second longer
+	Peers         bool    // agents exchange peer messages
+	InlineReports bool    // answers carry load reports
+	LeaverShare   float64 // share of the clients that may leave before their deadline
 }
 
-// What backends bear by the settings is the same in every case. What a cold one can do in fact is drawn by the seed, from the least that the
-// settings promise up to all that a warm one does.
+// The cold-start settings are the same in every case. The real initial capacity of cold backends is random, between
+// coldShare, which the settings assume, and the capacity of a warm backend.
 const (
 	coldShare    = 0.3
 	rampTime     = 6 * time.Second
@@ -53,26 +54,26 @@
 	fallWindow   = 1500 * time.Millisecond
 
 	cores        = 4.0
-	queuePerCore = 16 // requests that a backend holds per core; beyond that it turns requests away
+	queuePerCore = 16 // maximum queue length per core; further requests are rejected
 	warmUp       = 3 * time.Second
 	downTime     = 2 * time.Second
 	burstLength  = 4 * time.Second
 	restartSpan  = time.Second
 
-	connectTimeout = 150 * time.Millisecond
-	begin          = time.Hour // the simulated clock's first moment
-	start          = begin + warmUp
-	end            = start + rampTime
+	connectTimeout  = 150 * time.Millisecond
+	simulationStart = time.Hour // beginning of the simulated time
+	coldStart       = simulationStart + warmUp
+	simulationEnd   = coldStart + rampTime
 )
 
-// class is a balance.Class and the work of its requests.
+// class is a balance.Class with the share and work of its requests.
 type class struct {
 	balance.Class
-	share float64       // of all requests
-	work  time.Duration // mean, on one core of a warm backend
+	share float64       // share of all requests
+	work  time.Duration // mean core time on a warm backend
 }
 
-var usualClasses = []class{
+var defaultClasses = []class{
 	{balance.Class{Aim: 300 * time.Millisecond, Deadline: 600 * time.Millisecond, Worth: 2, LateWorth: .25}, .6, 60 * time.Millisecond},
 	{balance.Class{Aim: 750 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 10, LateWorth: .25,
 		Effect: balance.Keyed, Group: balance.GroupZone, Window: time.Second}, .4, 160 * time.Millisecond},
@@ -84,13 +85,13 @@
 }
 
 func (c *Case) classes() []class {
-	if c.Unequal {
+	if c.UnequalWork {
 		return unequalClasses
 	}
-	return usualClasses
+	return defaultClasses
 }
 
-// meanWork is the mean work of a request, over the classes.
+// meanWork returns the mean work of a request over all classes.
 func (c *Case) meanWork() (mean time.Duration) {
 	for _, k := range c.classes() {
 		mean += time.Duration(k.share * float64(k.work))
@@ -98,7 +99,7 @@
 	return mean
 }
 
-// settings are what one agent is told.
+// settings returns the balancer settings of one agent.
 func (c *Case) settings(agent int) balance.Settings {
 	s := balance.Settings{
 		Balancers: c.believedAgents(), Zone: agent % max(c.Zones, 1), Zones: c.Zones, MaxAttempts: 5, SecondCopies: true,
@@ -111,7 +112,7 @@
 	if c.NoColdStart {
 		s.ColdShare, s.RampTime, s.FallMultiple = 1, 0, 0
 	}
-	if c.Inline {
+	if c.InlineReports {
 		s.Reports = balance.ReportsInline
 	}
 	for _, k := range c.classes() {
@@ -120,6 +121,7 @@
 	return s
 }
 
+// believedAgents returns the fleet size in the agents' settings.
 func (c *Case) believedAgents() int {
 	if c.BelievedAgents > 0 {
 		return c.BelievedAgents
--- a/internal/scale/coldstart/coldstart.go
+++ b/internal/scale/coldstart/coldstart.go
@@ -1,24 +1,25 @@
-// Package coldstart measures whether the ramp of cold backends holds for a whole fleet. It plays many balancers of package balance, unchanged,
-// on a simulated clock over backends of which some have just started, and counts what each of these gets from all agents together, in every
-// window of the length that the settings name, against what the settings allow it. A run is determined by its Case and its seed.
+// Package coldstart measures whether a fleet of agents together respects the ramp of cold backends. It runs many
+// unmodified balancers of package balance on a simulated clock, with backends of which some have just started. For
+// every fall window it compares the requests that a cold backend gets from all agents together with the number that
+// the settings allow. A run is determined by its Case and its seed.
 package coldstart
 
 import "fmt"
 
-// Result is what one run came to. Peaks are over all its cold backends.
+// Result holds the measurements of one run. Peaks are maxima over all cold backends of the run.
 type Result struct {
-	Seed   uint64
-	Count  Peak    // each request counts as one of mean work
-	Work   Peak    // each counts by its own work
-	Got    float64 // work that cold backends got over what they could have done, from their start to the ramp's end
-	Warm   float64 // load of the warm backends in that time, likewise
-	Served float64 // share of all requests
+	Seed     uint64
+	Count    Peak    // every request counted as one of mean work
+	Work     Peak    // every request counted by its own work
+	ColdLoad float64 // work that cold backends received during the ramp, relative to their capacity by the settings
+	WarmLoad float64 // work that the warm backends received in that time, relative to their capacity
+	Served   float64 // share of all requests that were served
 
 	LeftWaiting    int // clients that left while their request was held or waited for a retry
 	SentAfterLeave int // attempts that began after their client had left
 }
 
-// Run plays a case with one seed.
+// Run simulates a case with one seed.
 func Run(c Case, seed uint64) (Result, error) {
 	f := newFleet(c, seed)
 	f.run()
@@ -29,63 +30,63 @@
 	mean := c.meanWork()
 	could, got, warmGot := 0.0, 0.0, 0.0
 	for _, b := range f.backends[:c.Warm] {
-		warmGot += b.got.Seconds() / (cores * b.size * rampTime.Seconds()) / float64(c.Warm)
+		warmGot += b.receivedWork.Seconds() / (cores * b.size * rampTime.Seconds()) / float64(c.Warm)
 	}
 	for _, b := range f.backends[c.Warm:] {
 		perSecond := cores * b.size / mean.Seconds()
-		r.Count.merge(heaviest(b.arrivals, perSecond, func(Arrival) float64 { return 1 }))
-		r.Work.merge(heaviest(b.arrivals, perSecond, func(a Arrival) float64 { return float64(a.Work) / float64(mean) }))
+		r.Count.merge(peakLoad(b.arrivals, perSecond, func(Arrival) float64 { return 1 }))
+		r.Work.merge(peakLoad(b.arrivals, perSecond, func(a Arrival) float64 { return float64(a.Work) / float64(mean) }))
 		could += cores * b.size * rampTime.Seconds() * (1 + coldShare) / 2
-		got += b.got.Seconds()
+		got += b.receivedWork.Seconds()
 	}
-	r.Got, r.Warm = got/could, warmGot
+	r.ColdLoad, r.WarmLoad = got/could, warmGot
 	return r, nil
 }
 
-// Summary is what many runs of a case came to.
+// Summary aggregates runs of a case with different seeds.
 type Summary struct {
-	Case              Case
-	Runs              int
-	OverN             int // runs with a window of more than N requests, as counted
-	OverBound         int // more than N + 2 sqrt(N) + 2, N as at the window's begin
-	Broken            int // the same, N as at its end, over two thirds from agents that had been told
-	OverBoundByWork   int
-	WorstShare        float64 // of N, most over all runs
-	WorstBound        float64 // of N + 2 sqrt(N) + 2, N as at the window's begin
-	WorstBoundByWork  float64
-	WorstSeed         uint64
-	Got, Warm, Served float64 // means
-	LeftWaiting       int
-	SentAfterLeave    int
+	Case                       Case
+	Runs                       int
+	OverN                      int     // runs with a window of more than N requests (see allowed), N as at the window's beginning
+	OverBound                  int     // runs with a window of more than Bound(N) requests, N as at the window's beginning
+	Violated                   int     // runs with Peak.Violated
+	OverBoundByWork            int     // OverBound with requests counted by their work
+	MaxShareOfN                float64 // highest Peak.ShareOfN of all runs
+	MaxShareOfBound            float64 // highest Peak.ShareOfBound of all runs
+	MaxShareOfBoundByWork      float64 // highest Peak.ShareOfBound with requests counted by their work
+	WorstSeed                  uint64  // seed of the run with MaxShareOfBound
+	ColdLoad, WarmLoad, Served float64 // means over the runs
+	LeftWaiting                int
+	SentAfterLeave             int
 }
 
-// Add takes a run into account.
+// Add adds a run to the summary.
 func (s *Summary) Add(r Result) {
 	s.Runs++
-	s.OverN += count(r.Count.Share > 1)
-	s.OverBound += count(r.Count.Bound > 1)
-	s.Broken += count(r.Count.Broken)
-	s.OverBoundByWork += count(r.Work.Bound > 1)
-	s.WorstShare = max(s.WorstShare, r.Count.Share)
-	s.WorstBoundByWork = max(s.WorstBoundByWork, r.Work.Bound)
-	if r.Count.Bound > s.WorstBound {
-		s.WorstBound, s.WorstSeed = r.Count.Bound, r.Seed
+	s.OverN += boolToInt(r.Count.ShareOfN > 1)
+	s.OverBound += boolToInt(r.Count.ShareOfBound > 1)
+	s.Violated += boolToInt(r.Count.Violated)
+	s.OverBoundByWork += boolToInt(r.Work.ShareOfBound > 1)
+	s.MaxShareOfN = max(s.MaxShareOfN, r.Count.ShareOfN)
+	s.MaxShareOfBoundByWork = max(s.MaxShareOfBoundByWork, r.Work.ShareOfBound)
+	if r.Count.ShareOfBound > s.MaxShareOfBound {
+		s.MaxShareOfBound, s.WorstSeed = r.Count.ShareOfBound, r.Seed
 	}
-	s.Got += (r.Got - s.Got) / float64(s.Runs)
-	s.Warm += (r.Warm - s.Warm) / float64(s.Runs)
+	s.ColdLoad += (r.ColdLoad - s.ColdLoad) / float64(s.Runs)
+	s.WarmLoad += (r.WarmLoad - s.WarmLoad) / float64(s.Runs)
 	s.Served += (r.Served - s.Served) / float64(s.Runs)
 	s.LeftWaiting += r.LeftWaiting
 	s.SentAfterLeave += r.SentAfterLeave
 }
 
-func count(yes bool) int {
+func boolToInt(yes bool) int {
 	if yes {
 		return 1
 	}
 	return 0
 }
 
-// Sweep plays a case with so many seeds from the first on.
+// Sweep runs a case with the given number of consecutive seeds, starting at first.
 func Sweep(c Case, first uint64, seeds int) (Summary, error) {
 	s := Summary{Case: c}
 	for i := range seeds {
@@ -98,12 +99,13 @@
 	return s, nil
 }
 
-// Head is the head of a table of summaries in Markdown; each Summary is a row of it.
-const Head = `| case | agents, warm, cold | runs | over N | over the bound | broken | by work over the bound | worst of N | worst of the bound (by work) | got | warm ones got | served |
+// TableHeader is the header of a Markdown table of which Summary.String returns the rows.
+const TableHeader = `| case | agents, warm, cold | runs | over N | over the bound | broken | by work over the bound | worst of N | worst of the bound (by work) | got | warm ones got | served |
 | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |`
 
+// String returns the summary as a row of the Markdown table with header TableHeader.
 func (s Summary) String() string {
 	part := func(n int) string { return fmt.Sprintf("%.1f %%", 100*float64(n)/float64(max(s.Runs, 1))) }
 	return fmt.Sprintf("| %s | %d, %d, %d | %d | %s | %s | %s | %s | %.2f | %.2f (%.2f) | %.2f | %.2f | %.2f |", s.Case.Name, s.Case.Agents, s.Case.Warm, s.Case.Cold, s.Runs, part(s.OverN),
-		part(s.OverBound), part(s.Broken), part(s.OverBoundByWork), s.WorstShare, s.WorstBound, s.WorstBoundByWork, s.Got, s.Warm, s.Served)
+		part(s.OverBound), part(s.Violated), part(s.OverBoundByWork), s.MaxShareOfN, s.MaxShareOfBound, s.MaxShareOfBoundByWork, s.ColdLoad, s.WarmLoad, s.Served)
 }
--- a/internal/scale/coldstart/coldstart_test.go
+++ b/internal/scale/coldstart/coldstart_test.go
@@ -9,19 +9,19 @@
 	"lemonrail/internal/scale/coldstart"
 )
 
-// The defaults are what runs with all tests; docs/measurements/cold-start.md names the seeds and fleets of its figures.
+// The defaults apply to a normal test run; docs/measurements/cold-start.md names the seeds and fleets of its figures.
 var (
-	seeds = flag.Int("seeds", 2, "how many seeds each case is played with")
-	first = flag.Uint64("first", 1, "the first of them")
-	large = flag.Bool("large", false, "play fleets of 300 agents and 200 backends as well")
+	seeds = flag.Int("seeds", 2, "number of seeds to run each case with")
+	first = flag.Uint64("first", 1, "first seed")
+	large = flag.Bool("large", false, "also run fleets of 300 agents and 200 backends")
 )
 
-// size is a fleet's: how many agents share how many warm backends.
+// size is the size of a fleet: the numbers of agents and of warm backends.
 type size struct{ agents, warm int }
 
 func (s size) String() string { return fmt.Sprintf("%d agents, %d backends", s.agents, s.warm) }
 
-// sizes are a few agents, and many with much and with little traffic each.
+// sizes returns fleets with few agents, and with many agents that have much or little traffic each.
 func sizes() []size {
 	all := []size{{5, 6}, {30, 6}, {30, 20}, {300, 12}}
 	if *large {
@@ -30,7 +30,7 @@
 	return all
 }
 
-// sweep plays a case and logs its row of the table.
+// sweep runs a case with all seeds and logs its row of the table.
 func sweep(t *testing.T, c coldstart.Case) coldstart.Summary {
 	t.Helper()
 	s, err := coldstart.Sweep(c, *first, *seeds)
@@ -41,12 +41,13 @@
 	return s
 }
 
-// within fails the test where the sum of what all agents send goes beyond N + 2 sqrt(N) + 2 in any window, by number or by work.
-func within(t *testing.T, s coldstart.Summary) {
+// checkWithinBound fails the test if all agents together sent a cold backend more than N + 2 sqrt(N) + 2 in any window,
+// counted by requests or by work.
+func checkWithinBound(t *testing.T, s coldstart.Summary) {
 	t.Helper()
 	if s.OverBound+s.OverBoundByWork > 0 {
 		t.Errorf("of %d runs %d go over the bound, by work %d; the worst, with seed %d, gets %.2f of it (%.2f by work): %s", s.Runs, s.OverBound,
-			s.OverBoundByWork, s.WorstSeed, s.WorstBound, s.WorstBoundByWork, replay(t, s.WorstSeed))
+			s.OverBoundByWork, s.WorstSeed, s.MaxShareOfBound, s.MaxShareOfBoundByWork, replay(t, s.WorstSeed))
 	}
 }
 
@@ -54,40 +55,40 @@
 	return fmt.Sprintf("go test ./internal/scale/coldstart -v -run '^%s$' -first %d -seeds 1 -large", strings.ReplaceAll(t.Name(), "/", "$/^"), seed)
 }
 
-// Told rightly, no fleet pushes a cold backend over.
+// No fleet with right settings overloads a cold backend.
 func TestRampHoldsForTheFleet(t *testing.T) {
 	for _, f := range sizes() {
 		for _, c := range coldstart.Cases(f.agents, f.warm) {
 			t.Run(f.String()+"/"+c.Name, func(t *testing.T) {
 				t.Parallel()
-				within(t, sweep(t, c))
+				checkWithinBound(t, sweep(t, c))
 			})
 		}
 	}
 }
 
-// Agents that are told a wrong size of the fleet, or of which some have died, push none over while any backend is warm: the budget rests on
-// what warm backends serve, not on the number of agents.
+// Agents with a wrong fleet size, or of which some have died, don't overload a cold backend while any backend is warm:
+// the budget depends on what warm backends serve, not on the number of agents.
 func TestWrongFleetSizes(t *testing.T) {
 	for _, f := range sizes() {
-		for _, c := range coldstart.WrongCases(f.agents, f.warm) {
+		for _, c := range coldstart.WrongFleetSizeCases(f.agents, f.warm) {
 			t.Run(f.String()+"/"+c.Name, func(t *testing.T) {
 				t.Parallel()
 				s := sweep(t, c)
 				if c.Warm > 0 {
-					within(t, s)
+					checkWithinBound(t, s)
 				}
 			})
 		}
 	}
 }
 
-// The count sees faults that push backends over.
-func TestPlantedFaultsAreSeen(t *testing.T) {
+// The measurement detects faults that overload backends.
+func TestFaultyCasesAreDetected(t *testing.T) {
 	for _, f := range []size{{30, 6}, {300, 12}} {
-		faults := coldstart.Planted(f.agents, f.warm)
-		if f.agents == 300 { // fewer that believe to be alone stay near the bound
-			faults = append(faults, coldstart.Alone(f.agents, f.warm))
+		faults := coldstart.FaultyCases(f.agents, f.warm)
+		if f.agents == 300 { // smaller fleets whose agents assume a fleet of one stay near the bound
+			faults = append(faults, coldstart.LoneAgentsCase(f.agents, f.warm))
 		}
 		for _, c := range faults {
 			t.Run(f.String()+"/"+c.Name, func(t *testing.T) {
@@ -100,12 +101,12 @@
 	}
 }
 
-// No attempt begins for a client that has left: not out of a hold, a backoff or a retry.
-func TestNothingIsSentForThoseWhoLeft(t *testing.T) {
+// No attempt starts for a client that has left, neither after a hold nor after a backoff nor as a retry.
+func TestNoAttemptsForClientsThatLeft(t *testing.T) {
 	for _, f := range sizes()[:3] {
 		t.Run(f.String(), func(t *testing.T) {
 			t.Parallel()
-			s := sweep(t, coldstart.Leavers(f.agents, f.warm))
+			s := sweep(t, coldstart.LeaversCase(f.agents, f.warm))
 			if s.SentAfterLeave > 0 {
 				t.Errorf("%d attempts began after their client had left: %s", s.SentAfterLeave, replay(t, *first))
 			}
--- a/internal/scale/coldstart/fleet.go
+++ b/internal/scale/coldstart/fleet.go
@@ -11,48 +11,48 @@
 	"lemonrail/balance"
 )
 
-// fleet is one run of a Case: agents, backends and clients on a simulated clock.
+// fleet is the state of one run of a Case: agents, backends and clients on a simulated clock.
 type fleet struct {
 	Case
-	now      time.Duration
-	rng      *rand.Rand
-	queue    eventQueue
-	seq      int
-	seed     uint64
-	agents   []*agent
-	traffic  []float64 // of each agent, as a running sum
-	backends []*backend
-	share    float64 // of its capacity that a backend really starts with: the settings' share or more
-	byID     map[string]*backend
+	now               time.Duration
+	rng               *rand.Rand
+	queue             eventQueue
+	seq               int
+	seed              uint64
+	agents            []*agent
+	cumulativeTraffic []float64 // cumulative traffic weights of the agents
+	backends          []*backend
+	initialShare      float64 // real share of its capacity that a cold backend starts with, at least coldShare
+	byID              map[string]*backend
 
 	requests, served, refused, failed int
-	leftWaiting                       int // clients that left while their request was held or waited for a retry
-	sentAfterLeave                    int // attempts that began after their client had left
+	leftWaiting                       int // clients that left while their request had no attempt in flight
+	sentAfterLeave                    int // attempts that started after their client had left
 	err                               error
 }
 
-// agent is one process: a balancer, what it was told, and its open requests.
+// agent is one agent process with its balancer and open requests.
 type agent struct {
 	number int
 	*balance.Balancer
-	open  map[string]*request
-	told  bool // of the cold backends' start
-	ended bool // replaced or dead: what comes for it is lost
+	open     map[string]*request
+	notified bool // notified of the start of the cold backends
+	ended    bool // replaced or dead: it ignores all events
 }
 
 type request struct {
-	id       string
-	class    int
-	key      string
-	deadline time.Duration
-	work     time.Duration
-	attempts int
-	out      int // of these, on their way or at a backend
-	done     bool
-	left     bool // its client has gone, and the balancer knows
+	id        string
+	class     int
+	key       string
+	deadline  time.Duration
+	work      time.Duration
+	attempts  int
+	inFlight  int // attempts in flight
+	done      bool
+	abandoned bool // the client has left, and the balancer has been notified
 }
 
-// scheduled is something that happens at a time; those of one time happen in the order in which they were scheduled.
+// scheduled is an event of the simulation. Events at the same time run in the order in which they were scheduled.
 type scheduled struct {
 	at  time.Duration
 	seq int
@@ -73,13 +73,15 @@
 	return x
 }
 
-func (f *fleet) at(t time.Duration, do func()) {
+// scheduleAt schedules a function at a time, or now if the time has passed.
+func (f *fleet) scheduleAt(t time.Duration, do func()) {
 	f.seq++
 	heap.Push(&f.queue, scheduled{max(t, f.now), f.seq, do})
 }
 
+// run processes events until the end of the run or the first error.
 func (f *fleet) run() {
-	for len(f.queue) > 0 && f.err == nil && f.queue[0].at <= end {
+	for len(f.queue) > 0 && f.err == nil && f.queue[0].at <= simulationEnd {
 		next := heap.Pop(&f.queue).(scheduled)
 		f.now = next.at
 		next.do()
@@ -87,16 +89,16 @@
 }
 
 func newFleet(c Case, seed uint64) *fleet {
-	f := &fleet{Case: c, now: begin, seed: seed, rng: rand.New(rand.NewPCG(seed, 0)), byID: map[string]*backend{}}
-	f.share = coldShare + (1-coldShare)*f.rng.Float64()
+	f := &fleet{Case: c, now: simulationStart, seed: seed, rng: rand.New(rand.NewPCG(seed, 0)), byID: map[string]*backend{}}
+	f.initialShare = coldShare + (1-coldShare)*f.rng.Float64()
 	f.addBackends()
 	sum := 0.0
 	for i := range c.Agents {
 		f.agents = append(f.agents, f.newAgent(i, seed))
 		sum += math.Exp(c.Skew * f.rng.NormFloat64())
-		f.traffic = append(f.traffic, sum)
+		f.cumulativeTraffic = append(f.cumulativeTraffic, sum)
 	}
-	f.schedule()
+	f.setUp()
 	return f
 }
 
@@ -104,11 +106,11 @@
 	sizes := []float64{1.8, .7, .8}
 	for i := range f.Warm + f.Cold {
 		b := &backend{fleet: f, id: fmt.Sprint("b", i), size: 1, zone: i % max(f.Zones, 1), keys: map[string]time.Duration{}}
-		if f.Sizes {
+		if f.MixedSizes {
 			b.size, b.kind = sizes[i%len(sizes)], i%len(sizes)
 		}
 		if i >= f.Warm {
-			b.cold, b.down, b.zone = true, !f.CameBack, min(1, max(f.Zones-1, 0))
+			b.cold, b.down, b.zone = true, !f.Returned, min(1, max(f.Zones-1, 0))
 			if f.ColdSize > 0 {
 				b.size, b.kind = f.ColdSize, 9
 			}
@@ -118,66 +120,70 @@
 	}
 }
 
-// schedule lays out the day: a start from cold, who is told when, bursts, restarts and deaths.
-func (f *fleet) schedule() {
+// setUp passes the initial lists to the agents and schedules the events of the case: the cold start, its
+// notifications, restarts, deaths and the arrival of clients.
+func (f *fleet) setUp() {
 	for _, a := range f.agents {
-		f.step(a, balance.List{Kind: balance.ListFull, Backends: f.list(f.CameBack, false)})
+		f.step(a, balance.List{Kind: balance.ListFull, Backends: f.list(f.Returned, false)})
 		if f.BelievedAgents > 0 {
 			f.step(a, balance.Fleet{Living: f.BelievedAgents, Possible: f.BelievedAgents})
 		}
 	}
-	if f.CameBack {
-		f.at(start-downTime, func() {
+	if f.Returned {
+		f.scheduleAt(coldStart-downTime, func() {
 			for _, b := range f.backends[f.Warm:] {
-				b.fail()
+				b.crash()
 			}
 		})
 	}
-	f.at(start, func() {
+	f.scheduleAt(coldStart, func() {
 		for _, b := range f.backends[f.Warm:] {
 			b.down, b.started = false, f.now
 		}
-		f.die()
+		f.killAgents()
 		for _, a := range f.agents {
-			f.tellLater(a)
+			f.notifyLater(a)
 		}
 	})
 	for i := range f.agents {
-		if f.rng.Float64() < f.Restarted {
-			f.at(start+f.RestartedFrom+f.within(restartSpan), func() { f.restart(i) })
+		if f.rng.Float64() < f.RestartedShare {
+			f.scheduleAt(coldStart+f.RestartedFrom+f.randomDelay(restartSpan), func() { f.restart(i) })
 		}
 	}
-	f.at(begin, f.arrive)
+	f.scheduleAt(simulationStart, f.handleArrival)
 }
 
-// ability is the share of its capacity that a backend really has at an age. The more it starts with, the less its queue holds agents back.
-func (f *fleet) ability(age time.Duration) float64 {
-	return min(1, f.share+(1-f.share)*float64(age)/float64(rampTime))
+// actualCapacity returns the real share of its capacity that a cold backend has at an age. Its initial value is random
+// (fleet.initialShare): the higher it is, the less the backend's queue limits the agents.
+func (f *fleet) actualCapacity(age time.Duration) float64 {
+	return min(1, f.initialShare+(1-f.initialShare)*float64(age)/float64(rampTime))
 }
 
-func (f *fleet) queueRoom() int {
+// maxQueue returns the maximum queue length of a backend.
+func (f *fleet) maxQueue() int {
 	if f.ShortQueues {
 		return 1
 	}
 	return queuePerCore * cores
 }
 
-func (f *fleet) within(d time.Duration) time.Duration {
+// randomDelay returns a random duration between 0 and d.
+func (f *fleet) randomDelay(d time.Duration) time.Duration {
 	return time.Duration(f.rng.Float64() * float64(d))
 }
 
-// tellLater tells an agent of the start, some time from now.
-func (f *fleet) tellLater(a *agent) {
-	f.at(f.now+f.within(f.ToldWithin), func() {
+// notifyLater notifies an agent of the start of the cold backends after a random delay.
+func (f *fleet) notifyLater(a *agent) {
+	f.scheduleAt(f.now+f.randomDelay(f.NotifyWithin), func() {
 		if a.ended {
 			return
 		}
-		a.told = true
+		a.notified = true
 		f.step(a, balance.List{Kind: balance.ListDelta, Backends: f.list(true, true)[f.Warm:]})
 	})
 }
 
-// list is what discovery has: with the cold backends or without, and whether their start is told.
+// list returns the list of discovery, with or without the cold backends and their start times.
 func (f *fleet) list(withCold, startTold bool) (list []balance.Backend) {
 	for _, b := range f.backends {
 		if b.cold && !withCold {
@@ -201,33 +207,34 @@
 	return &agent{number: number, Balancer: b, open: map[string]*request{}}
 }
 
-// restart puts a process that knows nothing in an agent's place. It starts from the list that was stored before the backends' start, and is
-// told of that start, where it has been, as late as the others.
+// restart replaces an agent with a new process. The new process starts from the list that was stored before the cold
+// start. If that start has already happened, the process is notified of it with the same random delay as the others.
 func (f *fleet) restart(number int) {
 	f.agents[number].ended = true
 	a := f.newAgent(number, f.seed+uint64(f.now))
 	f.agents[number] = a
-	f.step(a, balance.List{Kind: balance.ListCached, Backends: f.list(f.CameBack, false)})
-	if f.now >= start { // else it is told with the others
-		f.tellLater(a)
+	f.step(a, balance.List{Kind: balance.ListCached, Backends: f.list(f.Returned, false)})
+	if f.now >= coldStart { // otherwise the process is notified with the others
+		f.notifyLater(a)
 	}
 }
 
-// die ends some agents for good; those that live aren't told. The first one always lives, so that clients have somewhere to go.
-func (f *fleet) die() {
+// killAgents permanently ends some agents. The other agents are not notified. The first agent always survives, so that
+// clients have an agent to use.
+func (f *fleet) killAgents() {
 	for _, a := range f.agents[1:] {
-		a.ended = a.ended || f.rng.Float64() < f.Dead
+		a.ended = a.ended || f.rng.Float64() < f.DeadShare
 	}
 }
 
-// arrive lets one client come and schedules the next one.
-func (f *fleet) arrive() {
-	f.client()
-	perSecond := f.load() * f.capacity() / f.meanWork().Seconds()
-	f.at(f.now+time.Duration(f.rng.ExpFloat64()/perSecond*float64(time.Second)), f.arrive)
+// handleArrival starts one client and schedules the next one.
+func (f *fleet) handleArrival() {
+	f.startRequest()
+	perSecond := f.offeredLoad() * f.capacity() / f.meanWork().Seconds()
+	f.scheduleAt(f.now+time.Duration(f.rng.ExpFloat64()/perSecond*float64(time.Second)), f.handleArrival)
 }
 
-// capacity is what the warm backends do together, in cores; where none is warm, what the cold ones will do.
+// capacity returns the total capacity of the warm backends in cores, or of all backends if none is warm.
 func (f *fleet) capacity() (sum float64) {
 	for _, b := range f.backends {
 		if !b.cold || f.Warm == 0 {
@@ -237,24 +244,26 @@
 	return sum
 }
 
-func (f *fleet) load() float64 {
-	from := start
-	if f.Late {
+// offeredLoad returns the current offered load, relative to capacity.
+func (f *fleet) offeredLoad() float64 {
+	from := coldStart
+	if f.LateBurst {
 		from += rampTime / 2
 	}
 	burst := f.now >= from && f.now < from+burstLength
 	switch {
 	case burst && f.Burst > 0:
 		return f.Load * f.Burst
-	case f.Idle && f.now < from && f.now > start-warmUp/2:
+	case f.QuietBeforeBurst && f.now < from && f.now > coldStart-warmUp/2:
 		return f.Load / 10
 	}
 	return f.Load
 }
 
-func (f *fleet) client() {
-	number, x := 0, f.rng.Float64()*f.traffic[len(f.traffic)-1]
-	for f.traffic[number] < x {
+// startRequest starts one client request at a random agent.
+func (f *fleet) startRequest() {
+	number, x := 0, f.rng.Float64()*f.cumulativeTraffic[len(f.cumulativeTraffic)-1]
+	for f.cumulativeTraffic[number] < x {
 		number++
 	}
 	a := f.agents[number]
@@ -264,17 +273,17 @@
 	f.requests++
 	r := &request{id: strconv.Itoa(f.requests), class: f.drawClass()}
 	k := f.classes()[r.class]
-	r.work = time.Duration(float64(k.work) * math.Exp(.83*f.rng.NormFloat64()-.83*.83/2)) // its deviation is about its mean
+	r.work = time.Duration(float64(k.work) * math.Exp(.83*f.rng.NormFloat64()-.83*.83/2)) // lognormal; the standard deviation is about the mean
 	r.deadline = f.now + k.Deadline
 	if f.Keys {
-		r.key = strconv.Itoa(int(200 * math.Pow(f.rng.Float64(), 3))) // some keys come far more often
+		r.key = strconv.Itoa(int(200 * math.Pow(f.rng.Float64(), 3))) // uneven key frequencies
 	}
 	a.open[r.id] = r
-	if f.rng.Float64() < f.Leavers {
-		f.at(f.now+f.within(k.Deadline), func() { f.leave(a, r) })
+	if f.rng.Float64() < f.LeaverShare {
+		f.scheduleAt(f.now+f.randomDelay(k.Deadline), func() { f.abandon(a, r) })
 	}
 	event := balance.Request{ID: r.id, Class: r.class, Key: r.key, Left: k.Deadline}
-	if f.Hints {
+	if f.WorkHints {
 		event.Work = r.work
 	}
 	f.step(a, event)
@@ -290,16 +299,17 @@
 	return 0
 }
 
-// leave has a client go; its balancer learns of it in this step.
-func (f *fleet) leave(a *agent, r *request) {
+// abandon abandons a request because its client has left, and notifies the balancer.
+func (f *fleet) abandon(a *agent, r *request) {
 	if a.ended || a.open[r.id] == nil {
 		return
 	}
-	r.left = true
-	f.leftWaiting += count(r.out == 0)
+	r.abandoned = true
+	f.leftWaiting += boolToInt(r.inFlight == 0)
 	f.step(a, balance.Abandoned{Request: r.id})
 }
 
+// step passes events to an agent's balancer and carries out the resulting actions.
 func (f *fleet) step(a *agent, events ...balance.Event) {
 	if a == nil || a.ended {
 		return
@@ -309,13 +319,13 @@
 		case balance.Send:
 			f.send(a, action)
 		case balance.SetTimer:
-			f.at(f.now+action.After, func() { f.step(a, balance.TimerFired{Token: action.Token}) })
+			f.scheduleAt(f.now+action.After, func() { f.step(a, balance.TimerFired{Token: action.Token}) })
 		case balance.Refuse:
-			f.answer(a, action.Request, &f.refused)
+			f.endUnserved(a, action.Request, &f.refused)
 		case balance.Fail:
-			f.answer(a, action.Request, &f.failed)
+			f.endUnserved(a, action.Request, &f.failed)
 		case balance.TellPeer:
-			f.at(f.now+5*time.Millisecond, func() { f.tellPeers(a, action) })
+			f.scheduleAt(f.now+5*time.Millisecond, func() { f.tellPeers(a, action) })
 		}
 	}
 }
@@ -328,7 +338,8 @@
 	}
 }
 
-func (f *fleet) answer(a *agent, id string, count *int) {
+// endUnserved ends a request that was refused or failed, and increments the counter.
+func (f *fleet) endUnserved(a *agent, id string, count *int) {
 	r := a.open[id]
 	if r == nil || r.done {
 		f.err = fmt.Errorf("agent %d answers request %s twice", a.number, id)
@@ -339,51 +350,51 @@
 	delete(a.open, id)
 }
 
-// send carries an attempt to its backend: over the network, and where its connection comes up late, later.
+// send starts an attempt, with a network delay and, for some, a slow connection.
 func (f *fleet) send(a *agent, s balance.Send) {
 	r, b := a.open[s.Request], f.byID[s.Backend]
 	if r == nil || b == nil {
 		f.err = fmt.Errorf("agent %d sends request %s, which has ended, to %s", a.number, s.Request, s.Backend)
 		return
 	}
-	if r.left {
+	if r.abandoned {
 		f.sentAfterLeave++
 	}
-	t := &attempt{agent: a, request: r, number: r.attempts, backend: b, sent: f.now, told: a.told}
+	t := &attempt{agent: a, request: r, number: r.attempts, backend: b, sent: f.now, notified: a.notified}
 	r.attempts++
-	r.out++
-	delay := time.Millisecond + f.within(2*time.Millisecond)
-	if f.rng.Float64() < f.SlowConns {
-		delay += f.within(time.Second)
+	r.inFlight++
+	delay := time.Millisecond + f.randomDelay(2*time.Millisecond)
+	if f.rng.Float64() < f.SlowConnShare {
+		delay += f.randomDelay(time.Second)
 	}
 	switch {
 	case delay > connectTimeout || b.down:
-		f.at(f.now+min(delay, connectTimeout), func() { f.outcome(t, balance.ConnectFailed) })
+		f.scheduleAt(f.now+min(delay, connectTimeout), func() { f.endAttempt(t, balance.ConnectFailed) })
 	case s.By > 0 && f.now+delay > s.By:
-		f.at(f.now+delay, func() { f.outcome(t, balance.Withdrawn) })
+		f.scheduleAt(f.now+delay, func() { f.endAttempt(t, balance.Withdrawn) })
 	default:
-		f.at(f.now+delay, func() { b.take(t) })
-		f.at(r.deadline, func() { f.outcome(t, balance.TimedOut) })
+		f.scheduleAt(f.now+delay, func() { b.receive(t) })
+		f.scheduleAt(r.deadline, func() { f.endAttempt(t, balance.TimedOut) })
 	}
 }
 
-// outcome ends an attempt, once.
-func (f *fleet) outcome(t *attempt, result balance.Result) {
+// endAttempt ends an attempt, unless it has already ended, and passes the outcome to its agent.
+func (f *fleet) endAttempt(t *attempt, result balance.Result) {
 	if t.ended {
 		return
 	}
 	t.ended = true
 	r := t.request
-	r.out--
-	if result == balance.OK && !r.done && !r.left {
+	r.inFlight--
+	if result == balance.OK && !r.done && !r.abandoned {
 		r.done = true
 		f.served++
 		delete(t.agent.open, r.id)
 	}
 	load := balance.NoLoad()
-	if f.Inline && (result == balance.OK || result == balance.Full) {
+	if f.InlineReports && (result == balance.OK || result == balance.Full) {
 		load.Valid, load.Outstanding, load.Queue = true, float64(t.backend.busy+len(t.backend.queue)+1), float64(len(t.backend.queue))
 	}
 	f.step(t.agent, balance.Outcome{Request: r.id, Attempt: t.number, Backend: t.backend.id, Result: result, Latency: f.now - t.sent,
-		Done: r.done || r.left, Standing: !t.backend.down, Load: load})
+		Done: r.done || r.abandoned, Standing: !t.backend.down, Load: load})
 }
