--- a/internal/scale/hollowconfiguration.go
+++ b/internal/scale/hollowconfiguration.go
@@ -175,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	r.set.spread("all start at once: settings in force", r.x, took)
+	r.set.addDurations("all start at once: settings in force", r.x, took)
 	r.set.add("all start at once: bytes to an agent", "B", r.x, float64(usage.received)/r.x)
 	r.set.add("all start at once: bytes from an agent", "B", r.x, float64(usage.sent)/r.x)
 	r.set.add("all start at once: processor time an agent", "ms", r.x, milliseconds(usage.cpu)/r.x)
@@ -184,8 +184,8 @@
 	return nil
 }
 
-// waitEverywhere waits until the control machines report that a revision is in force everywhere, and adds the time since
-// then to a series.
+// waitEverywhere waits until the control machines report that a revision is in force everywhere, and adds the time that
+// has passed since the given start to the series with the given name.
 func (r *configurationRun) waitEverywhere(ctx context.Context, name string, scope configuration.Scope, revision uint64, since time.Time) error {
 	status, err := r.operators.Wait(ctx, scope, revision)
 	if err != nil {
@@ -236,8 +236,8 @@
 		return err
 	}
 	n := float64(max(1, r.Changes))
-	r.set.spread("a change, from the call to in force", r.x, summarize(all))
-	r.set.spread("a change, until control says everywhere", r.x, summarize(known))
+	r.set.addDurations("a change, from the call to in force", r.x, summarize(all))
+	r.set.addDurations("a change, until control says everywhere", r.x, summarize(known))
 	r.set.add("a change, bytes to and from an agent", "B", r.x, float64(usage.received+usage.sent)/r.x/n)
 	r.set.add("a change, processor time an agent", "ms", r.x, milliseconds(usage.cpu)/r.x/n)
 	r.set.add("a change, processor time of the busiest machine", "ms", r.x, milliseconds(usage.busiest)/n)
@@ -257,7 +257,7 @@
 	if err == nil && !status.Everywhere {
 		err = errors.New("the change is not in force everywhere")
 	}
-	for _, d := range arrived.took {
+	for _, d := range arrived.durations {
 		took = append(took, d)
 	}
 	return took, time.Since(arrived.started), err
@@ -284,7 +284,7 @@
 	if err != nil {
 		return err
 	}
-	r.set.spread("a change each 100 ms, the last from the call to in force", r.x, took)
+	r.set.addDurations("a change each 100 ms, the last from the call to in force", r.x, took)
 	return r.waitEverywhere(ctx, "a change each 100 ms, the last until control says everywhere", configuration.Fleet, r.bases[configuration.Fleet], last.started)
 }
 
--- a/internal/scale/hollowconfigurationfaults.go
+++ b/internal/scale/hollowconfigurationfaults.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	r.set.spread("a control machine is killed: a change in force", r.x, took)
+	r.set.addDurations("a control machine is killed: a change in force", r.x, took)
 	if err := leader.Start(); err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	r.set.spread("regions apart: a change of region "+region+"'s in force there", r.x, took)
+	r.set.addDurations("regions apart: a change of region "+region+"'s in force there", r.x, took)
 	return nil
 }
 
@@ -131,6 +131,6 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	r.set.spread(name+" in force", r.x, took)
+	r.set.addDurations(name+" in force", r.x, took)
 	return r.waitEverywhere(ctx, name+": control says everywhere", configuration.Fleet, r.bases[configuration.Fleet], arrived.started)
 }
--- a/internal/scale/hollowduties.go
+++ b/internal/scale/hollowduties.go
@@ -85,7 +85,7 @@
 		running.Go(func() { s.Run(inner) })
 	}
 	for i := range agents {
-		c := seat.NewClient(seat.ClientOptions{Settings: settings, Name: fmt.Sprintf("agent-%d", i), Tasks: map[string]seat.Task{dutyName: &dutyTask{f, i}},
+		c := seat.NewClient(seat.ClientOptions{Settings: settings, Name: fmt.Sprintf("agent-%d", i), Tasks: map[string]seat.Task{dutyName: &notificationRecorder{f, i}},
 			Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(o.Seed, uint64(i)))})
 		f.clients = append(f.clients, c)
 		running.Go(func() { c.Run(inner) })
@@ -104,12 +104,12 @@
 	if err != nil {
 		return err
 	}
-	set.spread("the first holder known to all, from its grant", x, took)
-	u := startUsageSpan(&f.traffic)
+	set.addDurations("the first holder known to all, from its grant", x, took)
+	usage := startUsageSpan(&f.traffic)
 	if err := pause(ctx, o.Rest); err != nil {
 		return err
 	}
-	spent, err := u.end()
+	spent, err := usage.end()
 	if err != nil {
 		return err
 	}
@@ -148,12 +148,12 @@
 		if _, err := arrived.wait(ctx); err != nil {
 			return err
 		}
-		for _, d := range arrived.took {
+		for _, d := range arrived.durations {
 			all = append(all, arrived.started.Sub(began)+d)
 		}
 		epoch = next
 	}
-	set.spread("a released duty's next holder known to all", float64(f.agents), summarize(all))
+	set.addDurations("a released duty's next holder known to all", float64(f.agents), summarize(all))
 	return nil
 }
 
@@ -250,14 +250,14 @@
 	}
 }
 
-// dutyTask is the task of an agent. It does no work and only records notifications.
-type dutyTask struct {
+// notificationRecorder is the task of an agent. It does no work and only records notifications.
+type notificationRecorder struct {
 	fleet *dutyFleet
 	agent int
 }
 
 // Step implements seat.Task.
-func (w *dutyTask) Step(time.Time, duty.Permit, []byte) ([]byte, bool) { return nil, false }
+func (w *notificationRecorder) Step(time.Time, duty.Permit, []byte) ([]byte, bool) { return nil, false }
 
 // Heard implements seat.Task.
-func (w *dutyTask) Heard(_ time.Time, d duty.Duty) { w.fleet.recordHolder(w.agent, d) }
+func (w *notificationRecorder) Heard(_ time.Time, d duty.Duty) { w.fleet.recordHolder(w.agent, d) }
--- a/internal/scale/hollowlists.go
+++ b/internal/scale/hollowlists.go
@@ -55,13 +55,13 @@
 	defer func() {
 		cancel()
 		clients.Wait()
-		if closing := server.close(); err == nil {
-			err = closing
+		if closeErr := server.close(); err == nil {
+			err = closeErr
 		}
 	}()
 	f := &listFleet{server: server, agents: agents, waiting: map[int64]*arrivals{}}
 	heapBefore := heapBytes()
-	u := startUsageSpan(&server.traffic)
+	usage := startUsageSpan(&server.traffic)
 	first := f.expect(1)
 	for i := range agents {
 		c, err := f.client(inner, i)
@@ -75,11 +75,11 @@
 		return err
 	}
 	x := float64(agents)
-	spent, err := u.end()
+	spent, err := usage.end()
 	if err != nil {
 		return err
 	}
-	set.spread("whole list to all at once", x, took)
+	set.addDurations("whole list to all at once", x, took)
 	set.add("whole list, bytes an agent", "B", x, float64(spent.sent)/x)
 	set.add("whole list, processor time an agent (agent and server)", "ms", x, milliseconds(spent.cpu)/x)
 	set.add("list watch, memory an agent (agent and server)", "KB", x, heapGrowthKB(heapBefore)/x)
@@ -89,11 +89,11 @@
 // measureAfterStart measures the costs at rest, changes and an outage, after each agent has received the list.
 func (o HollowLists) measureAfterStart(ctx context.Context, set *seriesSet, f *listFleet) error {
 	x := float64(f.agents)
-	u := startUsageSpan(&f.server.traffic)
+	usage := startUsageSpan(&f.server.traffic)
 	if err := pause(ctx, o.Rest); err != nil {
 		return err
 	}
-	spent, err := u.end()
+	spent, err := usage.end()
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 	set.add("list watch at rest, bytes an agent-second", "B/s", x, float64(spent.sent)/x/seconds)
 	set.add("list watch at rest, share of a core an agent (agent and server)", "%", x, 100*spent.cpu.Seconds()/x/seconds)
 
-	u = startUsageSpan(&f.server.traffic)
+	usage = startUsageSpan(&f.server.traffic)
 	var all []time.Duration
 	for n := range o.Changes {
 		arrived, err := f.change(n)
@@ -111,18 +111,18 @@
 		if _, err := arrived.wait(ctx); err != nil {
 			return err
 		}
-		for _, d := range arrived.took {
+		for _, d := range arrived.durations {
 			all = append(all, d)
 		}
 		if err := pause(ctx, o.Gap); err != nil {
 			return err
 		}
 	}
-	if spent, err = u.end(); err != nil {
+	if spent, err = usage.end(); err != nil {
 		return err
 	}
 	changes := float64(max(1, o.Changes))
-	set.spread("a change of the list known to all", x, summarize(all))
+	set.addDurations("a change of the list known to all", x, summarize(all))
 	set.add("a change, bytes an agent", "B", x, float64(spent.sent)/x/changes)
 	set.add("a change, processor time an agent (agent and server)", "ms", x, milliseconds(spent.cpu)/x/changes)
 	return o.measureOutage(ctx, set, f)
@@ -151,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	set.spread("discovery back, a change made meanwhile known to all", x, durationSummary{took.p50 - back, took.p99 - back, took.worst - back})
+	set.addDurations("discovery back, a change made meanwhile known to all", x, durationSummary{took.p50 - back, took.p99 - back, took.worst - back})
 	return nil
 }
 
@@ -181,7 +181,7 @@
 	if err != nil {
 		return nil, err
 	}
-	told := func(l balance.List, _ map[string]string) {
+	onList := func(l balance.List, _ map[string]string) {
 		f.mu.Lock()
 		a := f.waiting[l.Version]
 		f.mu.Unlock()
@@ -190,5 +190,5 @@
 		}
 	}
 	names := wire.Names{Zones: siteNames, Kinds: []string{hostKind}}
-	return roster.New(ctx, roster.Config{Service: service, Names: names}, told, slog.New(slog.DiscardHandler)), nil
+	return roster.New(ctx, roster.Config{Service: service, Names: names}, onList, slog.New(slog.DiscardHandler)), nil
 }
--- a/internal/scale/hollowmembers.go
+++ b/internal/scale/hollowmembers.go
@@ -112,14 +112,14 @@
 		if _, err := arrived.wait(ctx); err != nil {
 			return fmt.Errorf("leave of member %d: %w", n.number, err)
 		}
-		for _, d := range arrived.took {
+		for _, d := range arrived.durations {
 			all = append(all, d)
 		}
 		if err := n.conn.Close(); err != nil {
 			return err
 		}
 	}
-	set.spread("a member's leave known to all", float64(agents), summarize(all))
+	set.addDurations("a member's leave known to all", float64(agents), summarize(all))
 	return nil
 }
 
@@ -162,7 +162,7 @@
 	n.living.Store(int64(c.Living))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.arrived != nil && c.Living == f.living && n.number < f.arrived.want {
+	if f.arrived != nil && c.Living == f.living && n.number < f.arrived.count {
 		f.arrived.record(n.number)
 	}
 }
--- a/internal/scale/layers_test.go
+++ b/internal/scale/layers_test.go
@@ -151,14 +151,14 @@
 		}
 		return all
 	}
-	first, again := run(1), run(1)
+	first, second := run(1), run(1)
 	for _, name := range []string{"all is well", "30 % lost"} {
 		wantAll(t, seriesNamed(t, first, name+", false deaths"), 0)
 		wantUnder(t, seriesNamed(t, first, name+", datagrams a member-second"), 40)
 	}
 	wantUnder(t, seriesNamed(t, first, "two regions apart for 30s, datagrams a member-second"), 40)
 	for _, name := range []string{"30 % lost, bytes a member-second", "two regions apart for 30s, false deaths", "two regions apart for 30s, changes a member-minute"} {
-		a, b := seriesNamed(t, first, name), seriesNamed(t, again, name)
+		a, b := seriesNamed(t, first, name), seriesNamed(t, second, name)
 		for i := range a.Points {
 			if a.Points[i] != b.Points[i] {
 				t.Errorf("%s: %v, then %v with the same seed", name, a.Points, b.Points)
--- a/internal/scale/seriesset.go
+++ b/internal/scale/seriesset.go
@@ -34,8 +34,8 @@
 	series.Add(x, y)
 }
 
-// spread appends the median, the 99th percentile and the maximum of durations, as three series.
-func (s *seriesSet) spread(name string, x float64, took durationSummary) {
+// addDurations appends the median, the 99th percentile and the maximum of durations, as three series.
+func (s *seriesSet) addDurations(name string, x float64, took durationSummary) {
 	s.add(name+", p50", "ms", x, milliseconds(took.p50))
 	s.add(name+", p99", "ms", x, milliseconds(took.p99))
 	s.add(name+", worst", "ms", x, milliseconds(took.worst))
--- a/internal/scale/spread.go
+++ b/internal/scale/spread.go
@@ -26,24 +26,24 @@
 	started time.Time
 	done    chan struct{} // closed when all receivers have the item
 
-	mu   sync.Mutex
-	took map[int]time.Duration
-	want int
+	mu        sync.Mutex
+	durations map[int]time.Duration
+	count     int
 }
 
 func newArrivals(n int) *arrivals {
-	return &arrivals{started: time.Now(), done: make(chan struct{}), took: map[int]time.Duration{}, want: n}
+	return &arrivals{started: time.Now(), done: make(chan struct{}), durations: map[int]time.Duration{}, count: n}
 }
 
 // record records that a receiver has the item. Repeated calls for a receiver are ignored.
 func (a *arrivals) record(receiver int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if _, again := a.took[receiver]; again {
+	if _, known := a.durations[receiver]; known {
 		return
 	}
-	a.took[receiver] = time.Since(a.started)
-	if len(a.took) == a.want {
+	a.durations[receiver] = time.Since(a.started)
+	if len(a.durations) == a.count {
 		close(a.done)
 	}
 }
@@ -55,12 +55,12 @@
 	case <-ctx.Done():
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		return durationSummary{}, fmt.Errorf("only %d of %d received it: %w", len(a.took), a.want, context.Cause(ctx))
+		return durationSummary{}, fmt.Errorf("only %d of %d received it: %w", len(a.durations), a.count, context.Cause(ctx))
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var took []time.Duration
-	for _, d := range a.took {
+	for _, d := range a.durations {
 		took = append(took, d)
 	}
 	return summarize(took), nil
--- a/internal/scale/wholelist.go
+++ b/internal/scale/wholelist.go
@@ -39,8 +39,8 @@
 		return err
 	}
 	defer func() {
-		if closing := server.close(); err == nil {
-			err = closing
+		if closeErr := server.close(); err == nil {
+			err = closeErr
 		}
 	}()
 	raw, err := json.Marshal(server.fullList())
@@ -70,13 +70,13 @@
 	limited, cancel := context.WithTimeout(ctx, o.Patience)
 	defer cancel()
 	arrived := make(chan struct{}, 1)
-	told := func(balance.List, map[string]string) {
+	onList := func(balance.List, map[string]string) {
 		select {
 		case arrived <- struct{}{}:
 		default:
 		}
 	}
-	c := roster.New(limited, roster.Config{Service: service, Names: wire.Names{Zones: siteNames, Kinds: []string{hostKind}}}, told, slog.New(slog.DiscardHandler))
+	c := roster.New(limited, roster.Config{Service: service, Names: wire.Names{Zones: siteNames, Kinds: []string{hostKind}}}, onList, slog.New(slog.DiscardHandler))
 	ended := make(chan struct{})
 	began := time.Now()
 	go func() {
