--- a/balance/api.go
+++ b/balance/api.go
@@ -173,22 +173,22 @@
 type (
 	// List carries the backends, or the failure to get them.
 	List struct {
-		Kind     ListKind
-		Version  int64 // of the list; unused
-		Backends []Backend
-		Within   time.Duration // with ListFailed: maximum time to the next Subscribe; 0: as AskWithin says
+		Kind        ListKind
+		Version     int64 // of the list; unused
+		Backends    []Backend
+		RetryWithin time.Duration // with ListFailed: maximum time to the next Subscribe; 0: as AskWithin says
 	}
 	// Request is a client's request. The balancer owes it one final answer.
 	Request struct {
-		ID     string
-		Class  int
-		Tenant int           // index in Settings.Tenants; 0 if there are none
-		Key    string        // subject; with WarmKeys, one backend is preferred for each; may be empty
-		Left   time.Duration // until this client stops waiting
-		Work   time.Duration // expected work; 0: unknown
-		Repeat bool          // the client says that this is a repeat
-		Write  bool          // unused
-		Only   string        // the ID of the only backend that may get the request; empty: any
+		ID          string
+		Class       int
+		Tenant      int           // index in Settings.Tenants; 0 if there are none
+		Key         string        // subject; with WarmKeys, one backend is preferred for each; may be empty
+		TimeLeft    time.Duration // until this client stops waiting
+		Work        time.Duration // expected work; 0: unknown
+		Repeat      bool          // the client says that this is a repeat
+		Write       bool          // unused
+		OnlyBackend string        // the ID of the only backend that may get the request; empty: any
 	}
 	// Outcome ends one attempt. The agent passes on exactly one Outcome for each Send.
 	Outcome struct {
@@ -200,8 +200,8 @@
 		Done    bool          // the request has its final answer, by this outcome or an earlier one
 		// With Reset and ConnectFailed: other connections to the backend, made earlier, are still open, so
 		// its process goes on. false: none is open, or it is not known.
-		Standing bool
-		Load     Load
+		OtherConnectionsOpen bool
+		Load                 Load
 	}
 	// StreamStarted says that the answer of an attempt has begun to reach the client.
 	StreamStarted struct {
@@ -220,30 +220,30 @@
 	}
 	// TimerFired says that the timer of a SetTimer is due.
 	TimerFired struct{ Token int64 }
-	// Part is the share of this agent's limit and retry tokens that this process may use, while one process
+	// ProcessShare is the share of this agent's limit and retry tokens that this process may use, while one process
 	// replaces another and both serve. Of is above 0, and 1 if the process is the only one.
-	Part struct{ Of float64 }
+	ProcessShare struct{ Share float64 }
 	// Sites says how zones are treated of which one is lost or returns. internal/site decides it, and the
 	// Balancer follows it with each request. The latest event holds; the zero value means that all zones are
 	// well.
 	Sites struct {
-		// Share is the weight of a zone's backends in picks, by zone. At 0 they get trial requests only and
+		// ZoneWeights is the weight of a zone's backends in picks, by zone. At 0 they get trial requests only and
 		// don't count in the limit. A zone beyond the end has the weight 1.
-		Share   []float64
-		Planned bool // Share plans where load goes, so that picks ignore the price of crossing zones
-		// Admit is the share of a class, by class, that waits for room if there is none at once. The rest is
+		ZoneWeights    []float64
+		WeightsPlanned bool // Share plans where load goes, so that picks ignore the price of crossing zones
+		// AdmitShares is the share of a class, by class, that waits for room if there is none at once. The rest is
 		// refused at once while admitted requests wait. A class beyond the end is admitted in full. If a
 		// class is admitted in part, clients' repeats are the first to be refused.
-		Admit []float64
-		Trial []bool // by zone: one request that may be repeated is to try it
-		// Gentle bars, by zone, the first attempts of requests that are not Safe: they would lose most if
+		AdmitShares []float64
+		TrialZones  []bool // by zone: one request that may be repeated is to try it
+		// SafeOnlyZones bars, by zone, the first attempts of requests that are not Safe: they would lose most if
 		// the zone failed again.
-		Gentle []bool
-		// Back returns the wait that a client whose request of a class is refused now is advised to make;
+		SafeOnlyZones []bool
+		// RetryAfter returns the wait that a client whose request of a class is refused now is advised to make;
 		// nil: the Balancer computes it.
-		Back func(class int) time.Duration
+		RetryAfter func(class int) time.Duration
 	}
-	// Reconfigure replaces the settings that may change during the life of a Balancer. Settings.CanBecome
+	// Reconfigure replaces the settings that may change during the life of a Balancer. Settings.CheckChange
 	// must have accepted them. They apply to requests that come later; a request keeps the settings that it
 	// came with. What the Balancer has learned stays.
 	Reconfigure struct{ Settings Settings }
@@ -251,8 +251,8 @@
 	// the number that counts as sending requests, Possible the maximum that may be alive, and Away the
 	// numbers of those that have left or died, whose demand is dropped.
 	Fleet struct {
-		Living, Possible int
-		Away             []int
+		Alive, MaxAlive int
+		Departed        []int
 	}
 	// PeerMessage carries bytes from another agent.
 	PeerMessage struct {
@@ -290,14 +290,14 @@
 	Reset                       // the connection broke; may have run
 	Cancelled                   // cancelled by the agent; may have run
 	NotSent                     // the agent could not send it; never ran
-	// Withdrawn: the agent dropped the attempt before sending it, since its backend takes no new requests,
+	// DroppedUnsent: the agent dropped the attempt before sending it, since its backend takes no new requests,
 	// time ran out or the client left. It never ran, and the backend is not at fault.
-	Withdrawn
+	DroppedUnsent
 )
 
 // NeverRan reports whether the result proves that the attempt had no effect.
 func (r Result) NeverRan() bool {
-	return r == Full || r == ConnectFailed || r == NotSent || r == Withdrawn
+	return r == Full || r == ConnectFailed || r == NotSent || r == DroppedUnsent
 }
 
 // EveryPeer as TellPeer.To addresses all other agents.
@@ -312,7 +312,7 @@
 	Send struct {
 		Request, Backend string
 		Timeout          time.Duration
-		By               time.Duration // it may not be written after this time; 0: no bound
+		WriteBy          time.Duration // it may not be written after this time; 0: no bound
 	}
 	// Cancel cancels an attempt; its Outcome still comes.
 	Cancel struct {
@@ -358,7 +358,7 @@
 func (ProbeResult) event()   {}
 func (TimerFired) event()    {}
 func (PeerMessage) event()   {}
-func (Part) event()          {}
+func (ProcessShare) event()  {}
 func (Reconfigure) event()   {}
 func (Fleet) event()         {}
 func (Sites) event()         {}
--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -25,11 +25,11 @@
 	send := Send{Request: r.id, Backend: t.ID}
 	if b.siteWeight(t) == 0 && r.onlyBackend == "" { // a trial of a lost site: leave time for another attempt
 		send.Timeout = r.terms.Aim / 2
-		b.sites.Trial[t.Zone] = false
+		b.sites.TrialZones[t.Zone] = false
 	}
 	// A connection may take long to come up: the attempt must not be written once backends forgot the key.
 	if c := r.terms; c.Effect == Keyed && r.anchor != a {
-		send.By = r.anchor.sentAt + c.Window
+		send.WriteBy = r.anchor.sentAt + c.Window
 	}
 	b.actions = append(b.actions, send)
 }
@@ -60,8 +60,8 @@
 	if !b.settings.RetryAfter {
 		return 0
 	}
-	if b.sites.Back != nil { // a site comes back along a planned ramp
-		return min(b.sites.Back(r.class), r.terms.maxRetryAfter)
+	if b.sites.RetryAfter != nil { // a site comes back along a planned ramp
+		return min(b.sites.RetryAfter(r.class), r.terms.maxRetryAfter)
 	}
 	wait := max(b.classes[r.class].meanLatency, minRetryAfterAims*float64(r.terms.Aim))
 	return min(time.Duration(wait*(0.5+b.auxRNG.Float64())), r.terms.maxRetryAfter)
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -114,12 +114,12 @@
 		case Fleet:
 			b.onFleet(e)
 		case Sites:
-			b.sites, b.sites.Trial = e, slices.Clone(e.Trial)
+			b.sites, b.sites.TrialZones = e, slices.Clone(e.TrialZones)
 			b.updateCapacity()
 		case Reconfigure:
 			b.reconfigure(e.Settings)
-		case Part:
-			b.processShare = min(max(e.Of, minProcessShare), 1)
+		case ProcessShare:
+			b.processShare = min(max(e.Share, minProcessShare), 1)
 			b.retryTokens = min(b.retryTokens, maxRetryTokens*b.processShare)
 		case List:
 			b.onList(e)
@@ -147,17 +147,17 @@
 	}
 	c := &b.classes[e.Class]
 	r := &request{id: e.ID, class: e.Class, terms: c.terms, arrivedAt: b.now,
-		aimAt:    b.now + min(c.Aim, e.Left),
-		deadline: b.now + e.Left, repeat: e.Repeat, onlyBackend: e.Only}
+		aimAt:    b.now + min(c.Aim, e.TimeLeft),
+		deadline: b.now + e.TimeLeft, repeat: e.Repeat, onlyBackend: e.OnlyBackend}
 	// A client gives each try the same time, but its last try only what is left of its deadline. A try with
 	// an unusual time left is therefore a repeat, and the time left tells when the client began.
-	c.usualTimeLeft = cmp.Or(c.usualTimeLeft, e.Left)
-	off := e.Left - c.usualTimeLeft
+	c.usualTimeLeft = cmp.Or(c.usualTimeLeft, e.TimeLeft)
+	off := e.TimeLeft - c.usualTimeLeft
 	// Without a minimum gap between steps (Tick) the network's and the machine's delays still vary the time
 	// left.
 	if odd := max(2*b.settings.Tick, c.Aim/64); off > odd || off < -odd {
 		r.repeat = true
-		r.aimAt -= max(0, c.Deadline-e.Left)
+		r.aimAt -= max(0, c.Deadline-e.TimeLeft)
 	}
 	if !e.Repeat {
 		c.usualTimeLeft += min(max(off, -b.settings.Tick/4), b.settings.Tick/4) // moves towards the median
@@ -170,7 +170,7 @@
 	}
 	// While a site is lost, part of a class may not be admitted. Those requests are refused at once unless
 	// there is room; repeats are the first not to be admitted.
-	if a := b.sites.Admit; e.Class < len(a) && a[e.Class] < 1 {
+	if a := b.sites.AdmitShares; e.Class < len(a) && a[e.Class] < 1 {
 		r.shedWithoutRoom = r.repeat || b.auxRNG.Float64() >= a[e.Class]
 	}
 	b.requests[e.ID] = r
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -114,7 +114,7 @@
 }
 
 func (r *rig) request(id string, class int) []balance.Action {
-	return r.step(balance.Request{ID: id, Class: class, Left: 2000 * ms})
+	return r.step(balance.Request{ID: id, Class: class, TimeLeft: 2000 * ms})
 }
 
 // outcome ends the latest attempt of a request.
@@ -786,7 +786,7 @@
 	list := backends(3)
 	r := newRig(t, settings(), 9, list)
 	send := func(id string, work time.Duration) {
-		r.step(balance.Request{ID: id, Class: safe, Left: 2000 * ms, Work: work})
+		r.step(balance.Request{ID: id, Class: safe, TimeLeft: 2000 * ms, Work: work})
 		r.now += 20 * ms
 		r.outcome(id, balance.OK, 20*ms)
 	}
@@ -921,7 +921,7 @@
 	if want := 7; out < want || out > want+1 {
 		t.Errorf("%d in flight, want this agent's share of 6.25 per backend, %d, and at most one from saved time", out, want)
 	}
-	repeat := r.step(balance.Request{ID: "again", Class: safe, Left: 2000 * ms, Repeat: true})
+	repeat := r.step(balance.Request{ID: "again", Class: safe, TimeLeft: 2000 * ms, Repeat: true})
 	if final("again", repeat) != "" {
 		t.Errorf("a client's repeat: %v, want it held", repeat)
 	}
@@ -1186,7 +1186,7 @@
 func TestShortTimeLeftMarksRepeat(t *testing.T) {
 	r := newRig(t, settings(), 1, backends(1))
 	submit := func(id string, left time.Duration) []balance.Action {
-		return r.step(balance.Request{ID: id, Class: safe, Left: left})
+		return r.step(balance.Request{ID: id, Class: safe, TimeLeft: left})
 	}
 	for i := range 20 { // about the usual time left
 		submit(fmt.Sprint("f", i), 900*ms+time.Duration(i%3)*ms)
@@ -1254,9 +1254,9 @@
 		balance.StreamStarted{Request: "never"},
 		balance.ProbeResult{Backend: "zz"},
 		balance.PeerMessage{From: 44, Data: []byte{1}},
-		balance.Request{ID: "bad", Class: 17, Left: time.Second},
-		balance.Request{ID: "bad", Class: -1, Left: time.Second},
-		balance.Request{ID: "open", Class: safe, Left: time.Second},
+		balance.Request{ID: "bad", Class: 17, TimeLeft: time.Second},
+		balance.Request{ID: "bad", Class: -1, TimeLeft: time.Second},
+		balance.Request{ID: "open", Class: safe, TimeLeft: time.Second},
 	}
 	for _, e := range stray {
 		if acts := r.step(e); len(acts) != 0 {
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -34,7 +34,7 @@
 // playOne plays request i to its end and moves now.
 func playOne(lb *balance.Balancer, now *time.Duration, i int) {
 	id := fmt.Sprint("q", i)
-	events := []balance.Event{balance.Request{ID: id, Class: safe, Left: time.Second}}
+	events := []balance.Event{balance.Request{ID: id, Class: safe, TimeLeft: time.Second}}
 	for n := 0; len(events) > 0; {
 		acts := lb.Step(*now, events)
 		events = nil
--- a/balance/dropped_attempt_test.go
+++ b/balance/dropped_attempt_test.go
@@ -18,7 +18,7 @@
 		first := r.sent["q"][0]
 		other := map[string]string{"a": "b", "b": "a"}[first]
 		r.step(balance.List{Kind: balance.ListDelta, Backends: []balance.Backend{{ID: first, State: balance.Draining}}},
-			balance.Outcome{Request: "q", Attempt: 0, Backend: first, Result: balance.Withdrawn, Load: balance.NoLoad()})
+			balance.Outcome{Request: "q", Attempt: 0, Backend: first, Result: balance.DroppedUnsent, Load: balance.NoLoad()})
 		if got := r.sent["q"]; len(got) != 2 || got[1] != other {
 			t.Errorf("class %d: sent to %v", class, got)
 		}
@@ -44,7 +44,7 @@
 		case 2:
 			r.request("early", safe)
 			r.step(balance.Abandoned{Request: "early"}, balance.Outcome{Request: "early", Attempt: 0, Backend: r.sent["early"][0],
-				Result: balance.Withdrawn, Done: true, Load: balance.NoLoad()}, balance.Abandoned{Request: "backoff"})
+				Result: balance.DroppedUnsent, Done: true, Load: balance.NoLoad()}, balance.Abandoned{Request: "backoff"})
 		case 3:
 			r.request("unsafe", unsafe)
 			r.step(balance.Outcome{Request: "unsafe", Attempt: 0, Backend: r.sent["unsafe"][0], Result: balance.Full, Load: balance.NoLoad()},
@@ -90,7 +90,7 @@
 			s.Balancers, s.Subscribe = agents, true
 			r := newRig(t, s, seed, backends(2))
 			for _, within := range []time.Duration{time.Second, time.Second, 0} {
-				for _, a := range r.step(balance.List{Kind: balance.ListFailed, Within: within}) {
+				for _, a := range r.step(balance.List{Kind: balance.ListFailed, RetryWithin: within}) {
 					if set, ok := a.(balance.SetTimer); ok && within > 0 && set.After > within {
 						t.Errorf("%d agents: subscribes again after %v", agents, set.After)
 					} else if ok && within == 0 {
@@ -120,8 +120,8 @@
 			}
 			return s
 		}
-		if s := send(); s.By != 0 {
-			t.Errorf("class %d: the first attempt is bound to %v", class, s.By)
+		if s := send(); s.WriteBy != 0 {
+			t.Errorf("class %d: the first attempt is bound to %v", class, s.WriteBy)
 		}
 		res := balance.Reset
 		if class == unsafe {
@@ -138,7 +138,7 @@
 		if c.Effect == balance.Keyed {
 			want = first + c.Window
 		}
-		if again.Request != "q" || again.By != want {
+		if again.Request != "q" || again.WriteBy != want {
 			t.Errorf("class %d: sent again %+v, want by %v", class, again, want)
 			continue
 		}
@@ -146,7 +146,7 @@
 			continue
 		}
 		r.now = first + c.Window // the connection has not come up by then; the request must fail at once
-		got := r.step(balance.Outcome{Request: "q", Attempt: 1, Backend: again.Backend, Result: balance.Withdrawn, Load: balance.NoLoad()})
+		got := r.step(balance.Outcome{Request: "q", Attempt: 1, Backend: again.Backend, Result: balance.DroppedUnsent, Load: balance.NoLoad()})
 		if len(got) != 1 || got[0] != (balance.Fail{Request: "q"}) {
 			t.Errorf("class %d: got %v", class, got)
 		}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -41,7 +41,7 @@
 		}
 	}
 	step(balance.List{Kind: balance.ListFull, Backends: []balance.Backend{{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"}}})
-	step(balance.Request{ID: "r1", Class: 0, Left: time.Second})
+	step(balance.Request{ID: "r1", Class: 0, TimeLeft: time.Second})
 
 	first := backend
 	now += 3 * time.Millisecond
--- a/balance/explain.go
+++ b/balance/explain.go
@@ -6,15 +6,15 @@
 type Reason uint8
 
 const (
-	NoReason     Reason = iota
-	RepeatNoRoom        // a client's repeat found no room and is not held
-	TooLate             // held for room until an answer within the aim was out of reach
-	NoBackend           // there was room, but no backend that may take the request in time
-	NoTokens            // the retry bucket can't pay for another attempt
-	NoTime              // the wait before the next attempt would outlast the time left
-	NoAttempt           // no further attempt is allowed by number, group or window
-	NeverSent           // the agent could not send the attempt
-	SiteLost            // a site is lost, the request is not admitted by Sites.Admit, and there was no room
+	NoReason         Reason = iota
+	RepeatNoRoom            // a client's repeat found no room and is not held
+	TooLate                 // held for room until an answer within the aim was out of reach
+	NoBackend               // there was room, but no backend that may take the request in time
+	NoTokens                // the retry bucket can't pay for another attempt
+	NoTime                  // the wait before the next attempt would outlast the time left
+	NoAttemptAllowed        // no further attempt is allowed by number, group or window
+	NeverSent               // the agent could not send the attempt
+	SiteLost                // a site is lost, the request is not admitted by Sites.Admit, and there was no room
 )
 
 var reasonNames = [...]string{"", "repeat-no-room", "too-late", "no-backend", "no-tokens", "no-time", "no-attempt", "never-sent", "site-lost"}
@@ -31,10 +31,10 @@
 type NoteKind uint8
 
 const (
-	NoteState   NoteKind = iota // the state of the balancer, at intervals
-	NoteRefused                 // a request was refused
-	NoteFailed                  // a request was failed
-	NoteCut                     // the limit on attempts in flight was cut
+	NoteState    NoteKind = iota // the state of the balancer, at intervals
+	NoteRefused                  // a request was refused
+	NoteFailed                   // a request was failed
+	NoteLimitCut                 // the limit on attempts in flight was cut
 )
 
 var noteKindNames = [...]string{"state", "refused", "failed", "cut"}
@@ -55,45 +55,45 @@
 	// The request that was refused or failed.
 	Request  string
 	Class    int
-	Why      Reason
+	Reason   Reason
 	Waited   time.Duration // since the request came
-	Left     time.Duration // until its client stops waiting
-	Aim      time.Duration // until an answer earns less; negative: in the past
+	TimeLeft time.Duration // until its client stops waiting
+	AimLeft  time.Duration // until an answer earns less; negative: in the past
 	Repeat   bool          // it counts as a client's repeat
 	Attempts int           // attempts made for it
 
 	// The limit on attempts in flight and its inputs.
-	PerBackend float64       // attempts that all agents may have in flight, per backend in use
-	Part       float64       // this agent's limit, before rounding
-	Fraction   float64       // this agent's share of the limit of all agents
-	InFlight   int           // attempts in flight
-	Stuck      int           // of these, those at backends out of use, and overdue ones
-	Overdue    int           // of the stuck ones, those at backends in use
-	Held       int           // requests that wait for room
-	Up, Used   int           // backends that are up by the list; of these, those neither ejected nor down
-	Idle       int           // backends in use where this agent has no attempt
-	Capacity   float64       // backends in use, each counted by its warmth
-	Delay      float64       // running mean of latency over aim
-	Base       float64       // the low of Delay: the delay without queues
-	Aimed      float64       // the target that the limit keeps Delay to
-	Usual      time.Duration // mean latency over the classes
-	Spare      time.Duration // saved attempt time below the limit
-	Errors     float64       // recent share of errors over all backends
-	Tokens     float64       // tokens in the retry bucket
-	Free       int           // backends that could take an attempt now, by their strikes and their own bound
+	PerBackend  float64       // attempts that all agents may have in flight, per backend in use
+	Limit       float64       // this agent's limit, before rounding
+	LimitShare  float64       // this agent's share of the limit of all agents
+	InFlight    int           // attempts in flight
+	Stuck       int           // of these, those at backends out of use, and overdue ones
+	Overdue     int           // of the stuck ones, those at backends in use
+	Held        int           // requests that wait for room
+	Up, InUse   int           // backends that are up by the list; of these, those neither ejected nor down
+	Idle        int           // backends in use where this agent has no attempt
+	Capacity    float64       // backends in use, each counted by its warmth
+	MeanDelay   float64       // running mean of latency over aim
+	BaseDelay   float64       // the low of Delay: the delay without queues
+	TargetDelay float64       // the target that the limit keeps Delay to
+	MeanLatency time.Duration // mean latency over the classes
+	SavedTime   time.Duration // saved attempt time below the limit
+	ErrorShare  float64       // recent share of errors over all backends
+	RetryTokens float64       // tokens in the retry bucket
+	Available   int           // backends that could take an attempt now, by their strikes and their own bound
 
 	Backends []BackendNote // with NoteState only
 }
 
 // BackendNote is the state of one backend that is up by the list.
 type BackendNote struct {
-	ID      string
-	Out     int           // this agent's attempts there
-	Down    bool          // its process looks gone
-	Ejected time.Duration // remaining time of its ejection; 0: it is not ejected
-	Strikes float64       // count of recent ejections, reduced by served attempts
-	Warmth  float64       // share of its full capacity that it has by now at least
-	Slow    float64       // latency over the mean of all backends; 0: no answer yet
+	ID         string
+	InFlight   int           // this agent's attempts there
+	Down       bool          // its process looks gone
+	EjectedFor time.Duration // remaining time of its ejection; 0: it is not ejected
+	Strikes    float64       // count of recent ejections, reduced by served attempts
+	Warmth     float64       // share of its full capacity that it has by now at least
+	SlowRatio  float64       // latency over the mean of all backends; 0: no answer yet
 }
 
 // stateNoteInterval is the minimum time between two notes of kind NoteState.
@@ -105,23 +105,23 @@
 
 // emitNote completes n with the current state and passes it on.
 func (b *Balancer) emitNote(n Note) {
-	n.At, n.PerBackend, n.Part, n.InFlight, n.Stuck, n.Held = b.now, b.perBackend, b.limitPart(), b.inFlight, b.stuck, len(b.held)
-	n.Fraction = b.limitShare
-	n.Up, n.Capacity, n.Delay, n.Base, n.Aimed = b.up, b.capacity, b.meanDelay, b.baseDelay, b.targetDelay()
-	n.Usual, n.Spare, n.Errors, n.Tokens = time.Duration(b.meanLatency()), time.Duration(b.savedTime), b.usualErrorShare(nil), b.retryTokens
+	n.At, n.PerBackend, n.Limit, n.InFlight, n.Stuck, n.Held = b.now, b.perBackend, b.limitPart(), b.inFlight, b.stuck, len(b.held)
+	n.LimitShare = b.limitShare
+	n.Up, n.Capacity, n.MeanDelay, n.BaseDelay, n.TargetDelay = b.up, b.capacity, b.meanDelay, b.baseDelay, b.targetDelay()
+	n.MeanLatency, n.SavedTime, n.ErrorShare, n.RetryTokens = time.Duration(b.meanLatency()), time.Duration(b.savedTime), b.usualErrorShare(nil), b.retryTokens
 	n.Overdue = b.stuck
 	for _, t := range b.backends {
 		if n.Kind == NoteState && t.State == Up {
-			n.Backends = append(n.Backends, BackendNote{ID: t.ID, Out: len(t.inFlight), Down: t.down, Ejected: max(0, t.ejectedUntil-b.now),
-				Strikes: t.strikes, Warmth: b.warmth(t), Slow: t.slowRatio})
+			n.Backends = append(n.Backends, BackendNote{ID: t.ID, InFlight: len(t.inFlight), Down: t.down, EjectedFor: max(0, t.ejectedUntil-b.now),
+				Strikes: t.strikes, Warmth: b.warmth(t), SlowRatio: t.slowRatio})
 		}
 		if t.State == Up && !t.down && b.now >= t.ejectedUntil {
-			n.Used++
+			n.InUse++
 			if len(t.inFlight) == 0 {
 				n.Idle++
 			}
 			if !(t.strikes > 0 && len(t.inFlight) > 0) && float64(len(t.inFlight)) < b.maxPerBackend() {
-				n.Free++
+				n.Available++
 			}
 		} else {
 			n.Overdue -= len(t.inFlight)
@@ -141,8 +141,8 @@
 // emitEndNote emits a note on a request that ended without an answer.
 func (b *Balancer) emitEndNote(r *request, kind NoteKind, reason Reason) {
 	if b.onNote != nil {
-		b.emitNote(Note{Kind: kind, Request: r.id, Class: r.class, Why: reason, Waited: b.now - r.arrivedAt, Left: r.deadline - b.now,
-			Aim: r.aimAt - b.now, Repeat: r.repeat, Attempts: len(r.attempts)})
+		b.emitNote(Note{Kind: kind, Request: r.id, Class: r.class, Reason: reason, Waited: b.now - r.arrivedAt, TimeLeft: r.deadline - b.now,
+			AimLeft: r.aimAt - b.now, Repeat: r.repeat, Attempts: len(r.attempts)})
 	}
 }
 
--- a/balance/health.go
+++ b/balance/health.go
@@ -59,7 +59,7 @@
 		odd := b.recordErrors(t, 1)
 		// A process that ends takes all its connections with it. While others are open, a broken connection
 		// is an error like any other.
-		broke := e.Result != Errored && !e.Standing
+		broke := e.Result != Errored && !e.OtherConnectionsOpen
 		refused := broke && e.Result == ConnectFailed
 		// If connections break often, a broken one is no sign of a restart, but two failures to connect in a
 		// row are a sign that the process is gone.
--- a/balance/key_affinity_test.go
+++ b/balance/key_affinity_test.go
@@ -16,7 +16,7 @@
 	got := map[string]map[string]int{}
 	for i := range rounds * keys {
 		id, key := fmt.Sprint("q", i), fmt.Sprint("k", i%keys)
-		r.step(balance.Request{ID: id, Class: safe, Key: key, Left: 2000 * ms})
+		r.step(balance.Request{ID: id, Class: safe, Key: key, TimeLeft: 2000 * ms})
 		if len(r.sent[id]) != 1 {
 			t.Fatalf("request %d of an idle site was sent %d times", i, len(r.sent[id]))
 		}
@@ -83,7 +83,7 @@
 	out := map[string]int{}
 	for i := range 16 {
 		id := fmt.Sprint("q", i)
-		r.step(balance.Request{ID: id, Class: safe, Key: "one", Left: 2000 * ms})
+		r.step(balance.Request{ID: id, Class: safe, Key: "one", TimeLeft: 2000 * ms})
 		for _, to := range r.sent[id] {
 			out[to]++
 		}
@@ -105,7 +105,7 @@
 	r := newRig(t, s, 5, backends(2))
 	ask := func(i int, key string) string {
 		id := fmt.Sprint("q", i)
-		r.step(balance.Request{ID: id, Class: safe, Key: key, Left: 2000 * ms})
+		r.step(balance.Request{ID: id, Class: safe, Key: key, TimeLeft: 2000 * ms})
 		to := r.sent[id][0]
 		r.now += 2 * ms
 		r.step(balance.Outcome{Request: id, Backend: to, Result: balance.OK, Latency: 2 * ms, Done: true})
@@ -136,7 +136,7 @@
 		s.WarmKeys = warm
 		r := newRig(t, s, 1, backends(1))
 		ask := func(id, key string) {
-			r.step(balance.Request{ID: id, Class: safe, Key: key, Left: 2000 * ms})
+			r.step(balance.Request{ID: id, Class: safe, Key: key, TimeLeft: 2000 * ms})
 			r.now += ms
 		}
 		for i := range 50 {
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -53,7 +53,7 @@
 		b.perBackend = max(minimum, cut)
 		b.cutAt = b.now
 		if b.onNote != nil {
-			b.emitNote(Note{Kind: NoteCut})
+			b.emitNote(Note{Kind: NoteLimitCut})
 		}
 	case b.meanDelay < target && binds:
 		b.perBackend += limitGrowth / b.limit()
--- a/balance/limit_share.go
+++ b/balance/limit_share.go
@@ -66,8 +66,8 @@
 // alive; what all together may send to a fleet without a warm backend follows those that may be. The demand
 // of agents that have left is dropped.
 func (b *Balancer) onFleet(e Fleet) {
-	b.settings.Balancers, b.maxBalancers = max(1, e.Living), max(1, e.Living, e.Possible)
-	for _, i := range e.Away {
+	b.settings.Balancers, b.maxBalancers = max(1, e.Alive), max(1, e.Alive, e.MaxAlive)
+	for _, i := range e.Departed {
 		if i >= 0 && i < len(b.peerDemands) {
 			b.peerDemands[i] = demand{}
 		}
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -156,7 +156,7 @@
 	d.seq++
 	id := fmt.Sprint("q", d.seq)
 	d.open[id] = &simRequest{agent: agent, arrivedAt: d.now}
-	d.step(agent, balance.Request{ID: id, Left: simTimeLeft})
+	d.step(agent, balance.Request{ID: id, TimeLeft: simTimeLeft})
 }
 
 func (d *simulation) send(agent int, a balance.Send) {
@@ -181,7 +181,7 @@
 			d.end(a.Request, &d.served)
 		}
 		d.step(agent, balance.Outcome{Request: a.Request, Attempt: attempt, Backend: a.Backend, Result: res, Latency: d.now - sent,
-			Done: d.open[a.Request] == nil, Standing: standing, Load: balance.Load{Outstanding: -1, Queue: -1}})
+			Done: d.open[a.Request] == nil, OtherConnectionsOpen: standing, Load: balance.Load{Outstanding: -1, Queue: -1}})
 	}
 	if n.down {
 		d.at(d.now+time.Millisecond, func() { outcome(balance.ConnectFailed, false) })
@@ -396,8 +396,8 @@
 				if n.PerBackend < 4*(1-1e-9) {
 					rt.Fatalf("limit of %v per backend, want 4 at least", n.PerBackend)
 				}
-				if n.Fraction < 0.25/float64(agents) || n.Fraction > 1+1e-9 {
-					rt.Fatalf("fraction %v among %d", n.Fraction, agents)
+				if n.LimitShare < 0.25/float64(agents) || n.LimitShare > 1+1e-9 {
+					rt.Fatalf("fraction %v among %d", n.LimitShare, agents)
 				}
 			})
 		}
@@ -427,7 +427,7 @@
 			ids := make([]string, 4*n)
 			for j := range ids {
 				ids[j] = fmt.Sprint("s", latency, i, "-", j)
-				r.step(balance.Request{ID: ids[j], Class: safe, Left: 2000 * ms, Work: works[j%len(works)]})
+				r.step(balance.Request{ID: ids[j], Class: safe, TimeLeft: 2000 * ms, Work: works[j%len(works)]})
 			}
 			r.now += latency
 			for _, id := range ids {
@@ -441,7 +441,7 @@
 	serve(40, 20*ms)
 	serve(8, 390*ms) // of an aim of 400 ms
 	for i := range 100 {
-		r.step(balance.Request{ID: fmt.Sprint("q", i), Class: safe, Left: 2000 * ms, Work: 40 * ms})
+		r.step(balance.Request{ID: fmt.Sprint("q", i), Class: safe, TimeLeft: 2000 * ms, Work: 40 * ms})
 	}
 	refused := 0
 	for _, a := range r.advance(400 * ms) {
--- a/balance/list.go
+++ b/balance/list.go
@@ -14,7 +14,7 @@
 		}
 		// Tries again after an exponential, fully jittered wait.
 		b.subscribeFailures++
-		b.scheduleSubscribe(min(b.subscribeFailures, 4), e.Within)
+		b.scheduleSubscribe(min(b.subscribeFailures, 4), e.RetryWithin)
 		return
 	}
 	if e.Kind == ListCached && b.settings.Subscribe {
--- a/balance/live_agents_test.go
+++ b/balance/live_agents_test.go
@@ -43,7 +43,7 @@
 	for self := range left {
 		b := newSettledBalancer(t, agents, self, 5)
 		before += b.limitShare
-		b.Step(3*time.Millisecond, []Event{Fleet{Living: left, Possible: left, Away: away}})
+		b.Step(3*time.Millisecond, []Event{Fleet{Alive: left, MaxAlive: left, Departed: away}})
 		after += b.limitShare
 		b.Step(4*time.Millisecond, []Event{PeerMessage{From: agents - 1, Data: []byte{demandTag, 0, 0, 5, 0}}})
 		spoken += b.limitShare
@@ -58,11 +58,11 @@
 func TestUnseenAgentsCountAsAlive(t *testing.T) {
 	b := newSettledBalancer(t, 10, 0, 5)
 	was := b.limitShare
-	b.Step(3*time.Millisecond, []Event{Fleet{Living: 10, Possible: 10}})
+	b.Step(3*time.Millisecond, []Event{Fleet{Alive: 10, MaxAlive: 10}})
 	if math.Abs(b.limitShare-was) > 0.01*was {
 		t.Errorf("limit share %v, was %v", b.limitShare, was)
 	}
-	b.Step(4*time.Millisecond, []Event{Fleet{Living: 6, Possible: 10, Away: []int{9, 77, -1}}})
+	b.Step(4*time.Millisecond, []Event{Fleet{Alive: 6, MaxAlive: 10, Departed: []int{9, 77, -1}}})
 	if b.maxBalancers != 10 || b.settings.Balancers != 6 {
 		t.Errorf("%d agents may be alive, %d are", b.maxBalancers, b.settings.Balancers)
 	}
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -58,7 +58,7 @@
 			// Crossing zones gets less likely with its price. Overload in the agent's own zone shows as
 			// slowness there and then outweighs the price. This may harm if clients' home zones are very
 			// uneven in load.
-			if t.Zone != b.settings.Zone && !b.sites.Planned {
+			if t.Zone != b.settings.Zone && !b.sites.WeightsPlanned {
 				weight /= 1 + crossZoneWeight*b.settings.Prices.CrossZone
 			}
 			// An agent with little traffic that picked evenly would open a connection for most requests.
@@ -99,22 +99,22 @@
 
 // siteWeight returns the weight of a backend in picks, by the state of its site; 0: the site is lost.
 func (b *Balancer) siteWeight(t *backend) float64 {
-	if t.Zone >= 0 && t.Zone < len(b.sites.Share) {
-		return b.sites.Share[t.Zone]
+	if t.Zone >= 0 && t.Zone < len(b.sites.ZoneWeights) {
+		return b.sites.ZoneWeights[t.Zone]
 	}
 	return 1
 }
 
 // siteBarsRequest reports whether r may not begin at t since its site has just come back (see Sites.Gentle).
 func (b *Balancer) siteBarsRequest(t *backend, r *request) bool {
-	return t.Zone >= 0 && t.Zone < len(b.sites.Gentle) && b.sites.Gentle[t.Zone] &&
+	return t.Zone >= 0 && t.Zone < len(b.sites.SafeOnlyZones) && b.sites.SafeOnlyZones[t.Zone] &&
 		r.terms.Effect != Safe && len(r.attempts) == 0 && r.onlyBackend == ""
 }
 
 // mayTrySite reports whether r may be the trial request of t's site (see Sites.Trial). Only a safe first try
 // may.
 func (b *Balancer) mayTrySite(t *backend, r *request) bool {
-	return t.Zone < len(b.sites.Trial) && b.sites.Trial[t.Zone] && r.terms.Effect == Safe &&
+	return t.Zone < len(b.sites.TrialZones) && b.sites.TrialZones[t.Zone] && r.terms.Effect == Safe &&
 		len(r.attempts) == 0 && !r.repeat
 }
 
--- a/balance/process_share_test.go
+++ b/balance/process_share_test.go
@@ -33,12 +33,12 @@
 		}
 		events := []balance.Event{balance.List{Kind: balance.ListFull, Backends: list}}
 		for _, p := range parts {
-			events = append(events, balance.Part{Of: p})
+			events = append(events, balance.ProcessShare{Share: p})
 		}
 		b.Step(time.Second, events)
 		events = nil
 		for i := range 200 {
-			events = append(events, balance.Request{ID: fmt.Sprint("r", i), Left: 2 * time.Second})
+			events = append(events, balance.Request{ID: fmt.Sprint("r", i), TimeLeft: 2 * time.Second})
 		}
 		return sends(b.Step(time.Second+time.Millisecond, events))
 	}
@@ -66,12 +66,12 @@
 			t.Fatal(err)
 		}
 		now := time.Second
-		b.Step(now, []balance.Event{balance.Part{Of: part}, balance.List{Kind: balance.ListFull,
+		b.Step(now, []balance.Event{balance.ProcessShare{Share: part}, balance.List{Kind: balance.ListFull,
 			Backends: []balance.Backend{{ID: "a"}, {ID: "b"}}}})
 		for i := range 100 { // each fails once; a retry shows as the timer of its backoff
 			now += time.Millisecond
 			id := fmt.Sprint("r", i)
-			for _, a := range b.Step(now, []balance.Event{balance.Request{ID: id, Left: 20 * time.Second}}) {
+			for _, a := range b.Step(now, []balance.Event{balance.Request{ID: id, TimeLeft: 20 * time.Second}}) {
 				s, ok := a.(balance.Send)
 				if !ok {
 					continue
--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -26,10 +26,10 @@
 	s.FallMultiple, s.FallWindow = next.FallMultiple, next.FallWindow
 }
 
-// CanBecome returns nil if a Balancer that was made with s accepts next by Reconfigure. Otherwise the error
+// CheckChange returns nil if a Balancer that was made with s accepts next by Reconfigure. Otherwise the error
 // names the field that is invalid or may not change. Deadlines may not exceed the longest one of s, since a
 // planned stop waits no longer than that.
-func (s *Settings) CanBecome(next *Settings) error {
+func (s *Settings) CheckChange(next *Settings) error {
 	if err := next.check(); err != nil {
 		return err
 	}
--- a/balance/reconfigure_test.go
+++ b/balance/reconfigure_test.go
@@ -66,7 +66,7 @@
 		next := fullSettings()
 		_, values := leafFields(reflect.ValueOf(&next).Elem(), "")
 		alter(values[i])
-		err := start.CanBecome(&next)
+		err := start.CheckChange(&next)
 		if slices.Contains(changeable, name) {
 			allowed++
 			if err != nil {
@@ -102,7 +102,7 @@
 	} {
 		start, next := fullSettings(), fullSettings()
 		tt.change(&next)
-		if err := start.CanBecome(&next); err == nil || !strings.Contains(err.Error(), " "+tt.field+": ") {
+		if err := start.CheckChange(&next); err == nil || !strings.Contains(err.Error(), " "+tt.field+": ") {
 			t.Errorf("%s: %v", tt.field, err)
 		}
 	}
@@ -187,9 +187,9 @@
 		r.b.Explain(func(n balance.Note) { last = n })
 		r.now += time.Second
 		r.step()
-		return last.Fraction
+		return last.LimitShare
 	}
-	counted := balance.Fleet{Living: 3, Possible: 3}
+	counted := balance.Fleet{Alive: 3, MaxAlive: 3}
 	if got, want := part(counted, balance.Reconfigure{Settings: s}), part(counted); got != want {
 		t.Errorf("limit share %v, %v without the change", got, want)
 	}
@@ -288,8 +288,8 @@
 	n := settings()
 	n.MaxAttempts = 1
 	r := newRig(t, s, 1, backends(6))
-	r.step(balance.Request{ID: "old", Class: safe, Left: 2000 * ms}, balance.Reconfigure{Settings: n},
-		balance.Request{ID: "new", Class: safe, Left: 2000 * ms})
+	r.step(balance.Request{ID: "old", Class: safe, TimeLeft: 2000 * ms}, balance.Reconfigure{Settings: n},
+		balance.Request{ID: "new", Class: safe, TimeLeft: 2000 * ms})
 	r.outcome("old", balance.Errored, 5*ms)
 	r.outcome("new", balance.Errored, 5*ms)
 	r.advance(500 * ms)
@@ -315,7 +315,7 @@
 	if len(notes) != 2 || !reflect.DeepEqual(notes[0], notes[1]) {
 		t.Errorf("before and after:\n%+v", notes)
 	}
-	if notes[0].Tokens >= 100 || notes[0].Backends[0].Slow == 0 {
+	if notes[0].RetryTokens >= 100 || notes[0].Backends[0].SlowRatio == 0 {
 		t.Errorf("nothing was learned: %+v", notes[0])
 	}
 }
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -23,8 +23,8 @@
 	case res == NotSent:
 		reason = NeverSent
 	case !possible:
-		reason = NoAttempt
-	case res == Withdrawn: // costs no tokens, since no backend has seen the attempt
+		reason = NoAttemptAllowed
+	case res == DroppedUnsent: // costs no tokens, since no backend has seen the attempt
 		b.hold(r)
 		return
 	case b.retryTokens < cost:
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -75,7 +75,7 @@
 	switch e := e.(type) {
 	case balance.Request:
 		if e.Class >= 0 && e.Class < len(a.s.Classes) && a.requests[e.ID] == nil {
-			a.requests[e.ID] = &auditedRequest{class: a.s.Classes[e.Class], deadline: a.now + e.Left,
+			a.requests[e.ID] = &auditedRequest{class: a.s.Classes[e.Class], deadline: a.now + e.TimeLeft,
 				maxAttempts: max(1, a.s.MaxAttempts), secondCopies: a.s.SecondCopies}
 		}
 	case balance.Reconfigure:
@@ -316,7 +316,7 @@
 			id := fmt.Sprint("q", next)
 			left := time.Duration(1+rng.IntN(1500)) * ms
 			due[id] = a.now + left
-			events = append(events, balance.Request{ID: id, Class: rng.IntN(len(s.Classes)), Left: left,
+			events = append(events, balance.Request{ID: id, Class: rng.IntN(len(s.Classes)), TimeLeft: left,
 				Work: time.Duration(rng.IntN(3)*rng.IntN(200)) * ms, Repeat: rng.IntN(5) == 0})
 		}
 		// Every attempt ends when its request's time is over; some end earlier, with any result.
@@ -418,7 +418,7 @@
 	empty := balance.List{Kind: balance.ListFull}
 	cold := balance.List{Kind: balance.ListDelta, Backends: []balance.Backend{{ID: "a", Started: time.Hour}}}
 	sendAs := func(id, b string) balance.Action { return balance.Send{Request: id, Backend: b} }
-	another := balance.Event(balance.Request{ID: "p", Class: safe, Left: 2000 * ms})
+	another := balance.Event(balance.Request{ID: "p", Class: safe, TimeLeft: 2000 * ms})
 	allCold := balance.List{Kind: balance.ListFull, Backends: []balance.Backend{{ID: "a", Started: time.Hour}}}
 	tests := []struct {
 		name  string
@@ -456,7 +456,7 @@
 			a := newAuditor(settings())
 			a.now = time.Hour
 			a.event(balance.List{Kind: balance.ListFull, Backends: backends(4)})
-			a.event(balance.Request{ID: "q", Class: tt.class, Left: 2000 * ms})
+			a.event(balance.Request{ID: "q", Class: tt.class, TimeLeft: 2000 * ms})
 			for _, p := range tt.play {
 				switch p := p.(type) {
 				case time.Duration:
@@ -484,7 +484,7 @@
 	for i := range 40 {
 		r := newRig(t, settings(), uint64(i), list)
 		id := fmt.Sprint("q", i)
-		r.step(balance.Request{ID: id, Class: safe, Left: 2000 * ms, Only: "b"})
+		r.step(balance.Request{ID: id, Class: safe, TimeLeft: 2000 * ms, OnlyBackend: "b"})
 		r.outcome(id, balance.Errored, 10*ms)
 		r.advance(1000 * ms)
 		if len(r.sent[id]) > 1 {
@@ -502,7 +502,7 @@
 	}
 	r := newRig(t, settings(), 1, list)
 	for _, missing := range []string{"d", "unknown"} { // one that drains and one that is not listed
-		if end := final(missing, r.step(balance.Request{ID: missing, Class: safe, Left: 2000 * ms, Only: missing})); end != "refuse" {
+		if end := final(missing, r.step(balance.Request{ID: missing, Class: safe, TimeLeft: 2000 * ms, OnlyBackend: missing})); end != "refuse" {
 			t.Errorf("request for %s only: %q", missing, end)
 		}
 	}
--- a/balance/sites_test.go
+++ b/balance/sites_test.go
@@ -38,13 +38,13 @@
 
 func TestLostSiteGetsOnlyTrials(t *testing.T) {
 	r := newThreeSitesRig(t, 1)
-	r.step(balance.Sites{Share: []float64{1, 0, 1}})
+	r.step(balance.Sites{ZoneWeights: []float64{1, 0, 1}})
 	if by := r.zones(400, 0); by['b'] != 0 || by['a'] == 0 || by['c'] == 0 {
 		t.Fatalf("sent %v with b lost", by)
 	}
 	// One safe request tries the lost site, with time left for another attempt; the next only after another
 	// Trial.
-	r.step(balance.Sites{Share: []float64{1, 0, 1}, Trial: []bool{false, true}})
+	r.step(balance.Sites{ZoneWeights: []float64{1, 0, 1}, TrialZones: []bool{false, true}})
 	if by := r.zones(20, 1); by['b'] != 0 {
 		t.Errorf("a keyed request tried a lost site: %v", by)
 	}
@@ -73,13 +73,13 @@
 
 func TestSiteWeightsSteerPicks(t *testing.T) {
 	r := newThreeSitesRig(t, 2)
-	r.step(balance.Sites{Share: []float64{0, 1, 0.25}, Planned: true})
+	r.step(balance.Sites{ZoneWeights: []float64{0, 1, 0.25}, WeightsPlanned: true})
 	by := r.zones(2000, 0)
 	if part := float64(by['c']) / 2000; by['a'] != 0 || part < 0.15 || part > 0.25 {
 		t.Errorf("sent %v, want four to b for each to c", by)
 	}
 	// A zone beyond the end has the weight 1.
-	r.step(balance.Sites{Share: []float64{0}})
+	r.step(balance.Sites{ZoneWeights: []float64{0}})
 	if by := r.zones(400, 0); by['a'] != 0 || by['b'] == 0 || by['c'] == 0 {
 		t.Errorf("sent %v", by)
 	}
@@ -89,7 +89,7 @@
 // admitted are refused at once, and admitted ones wait.
 func TestUnadmittedClassIsRefusedOnlyAtLimit(t *testing.T) {
 	r := newThreeSitesRig(t, 3)
-	r.step(balance.Sites{Share: []float64{1, 0, 1}, Planned: true, Admit: []float64{0, 1}})
+	r.step(balance.Sites{ZoneWeights: []float64{1, 0, 1}, WeightsPlanned: true, AdmitShares: []float64{0, 1}})
 	if by := r.zones(400, 0); by['a']+by['c'] != 400 {
 		t.Fatalf("served %v of 400 with room at all backends", by)
 	}
@@ -124,7 +124,7 @@
 
 func TestShareOfClassIsRefused(t *testing.T) {
 	r := newThreeSitesRig(t, 4)
-	r.step(balance.Sites{Share: []float64{1, 0, 1}, Planned: true, Admit: []float64{0.5}})
+	r.step(balance.Sites{ZoneWeights: []float64{1, 0, 1}, WeightsPlanned: true, AdmitShares: []float64{0.5}})
 	refused, asked := 0, 0
 	for i := range 1000 {
 		for _, a := range r.request(fmt.Sprint("crowd", i), 0) {
@@ -142,7 +142,7 @@
 // If no admitted request waits, those that are not admitted wait like any other and take the room that comes.
 func TestUnadmittedRequestsUseSpareRoom(t *testing.T) {
 	r := newThreeSitesRig(t, 6)
-	r.step(balance.Sites{Share: []float64{1, 0, 1}, Planned: true, Admit: []float64{0}})
+	r.step(balance.Sites{ZoneWeights: []float64{1, 0, 1}, WeightsPlanned: true, AdmitShares: []float64{0}})
 	var out []string
 	for i := 0; len(out) == i; i++ {
 		id := fmt.Sprint("r", i)
@@ -160,14 +160,14 @@
 // A site that has just come back gets safe requests, but no first attempts of others.
 func TestReturningSiteGetsOnlySafeRequests(t *testing.T) {
 	r := newThreeSitesRig(t, 7)
-	r.step(balance.Sites{Share: []float64{1, 1, 1}, Gentle: []bool{false, true}})
+	r.step(balance.Sites{ZoneWeights: []float64{1, 1, 1}, SafeOnlyZones: []bool{false, true}})
 	if by := r.zones(300, 1); by['b'] != 0 {
 		t.Errorf("keyed requests went %v", by)
 	}
 	if by := r.zones(300, 0); by['b'] == 0 {
 		t.Errorf("safe requests went %v", by)
 	}
-	r.step(balance.Sites{Share: []float64{1, 1, 1}})
+	r.step(balance.Sites{ZoneWeights: []float64{1, 1, 1}})
 	if by := r.zones(300, 1); by['b'] == 0 {
 		t.Errorf("keyed requests went %v afterwards", by)
 	}
@@ -177,7 +177,7 @@
 func TestLimitFollowsSites(t *testing.T) {
 	fill := func(share []float64) (n int) {
 		r := newThreeSitesRig(t, 5)
-		r.step(balance.Sites{Share: share})
+		r.step(balance.Sites{ZoneWeights: share})
 		for i := range 400 {
 			n += sends(r.request(fmt.Sprint("r", i), 1))
 		}
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -190,8 +190,8 @@
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
 	}
-	if e := nextEvent[balance.Request](t, bal); e.Left <= 0 {
-		t.Errorf("left %v", e.Left)
+	if e := nextEvent[balance.Request](t, bal); e.TimeLeft <= 0 {
+		t.Errorf("left %v", e.TimeLeft)
 	}
 	await(t, seen)
 }
--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := c.cfg.Settings.CanBecome(&next); err != nil {
+	if err := c.cfg.Settings.CheckChange(&next); err != nil {
 		return nil, err
 	}
 	if err := c.cfg.checkDeadlines(&next); err != nil {
--- a/internal/agent/members.go
+++ b/internal/agent/members.go
@@ -37,9 +37,9 @@
 	m, err := link.New(link.Options{Settings: cfg.members, Name: cfg.Name, Zone: zone, Self: self, Peers: cfg.Peers, Seed: cfg.Seed,
 		Send: p.send, Log: log,
 		Counted: func(c member.Count) {
-			e := balance.Fleet{Living: c.Living, Possible: c.Possible}
+			e := balance.Fleet{Alive: c.Living, MaxAlive: c.Possible}
 			for _, id := range c.Away {
-				e.Away = append(e.Away, int(id))
+				e.Departed = append(e.Departed, int(id))
 			}
 			l.Post(func() { l.Event(e) })
 		}})
--- a/internal/agent/processgroup.go
+++ b/internal/agent/processgroup.go
@@ -164,7 +164,7 @@
 		}
 		if share := v.Part(active); share != h.budgetShare {
 			h.budgetShare = share
-			h.loop.Post(func() { h.loop.Event(balance.Part{Of: share}) })
+			h.loop.Post(func() { h.loop.Event(balance.ProcessShare{Share: share}) })
 		}
 		select {
 		case <-tick.C:
--- a/internal/agent/races_test.go
+++ b/internal/agent/races_test.go
@@ -34,7 +34,7 @@
 	nextEvent[balance.Request](t, bal)
 	leave()
 	nextEvent[balance.Abandoned](t, bal)
-	if e := nextEvent[balance.Outcome](t, bal); e.Result != balance.Withdrawn || !e.Done {
+	if e := nextEvent[balance.Outcome](t, bal); e.Result != balance.DroppedUnsent || !e.Done {
 		t.Errorf("got %+v", e)
 	}
 }
@@ -51,7 +51,7 @@
 			dialled <- struct{}{}
 			return []balance.Action{balance.Send{Request: e.ID, Backend: "h0"}}
 		case balance.Outcome:
-			if e.Result == balance.Withdrawn {
+			if e.Result == balance.DroppedUnsent {
 				return []balance.Action{balance.Send{Request: e.Request, Backend: "h1"}}
 			}
 		}
@@ -71,7 +71,7 @@
 	}()
 	await(t, dialled)
 	service.push <- roster.List{Seq: 42, Hosts: []roster.Host{{Host: "h0", Dial: cfg.Known.Hosts[0].Dial, Site: "a", Class: "m1", Health: "draining"}}}
-	if e := nextEvent[balance.Outcome](t, bal); e.Result != balance.Withdrawn || e.Backend != "h0" {
+	if e := nextEvent[balance.Outcome](t, bal); e.Result != balance.DroppedUnsent || e.Backend != "h0" {
 		t.Errorf("got %+v", e)
 	}
 	if status := await(t, got); status != http.StatusOK {
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -60,7 +60,7 @@
 				t.Errorf("got %d %q, Retry-After %q", resp.StatusCode, body, resp.Header.Get("Retry-After"))
 			}
 			e := nextEvent[balance.Request](t, bal)
-			if e.Key != "7f" || e.Left <= 0 || e.Left > 10*time.Second {
+			if e.Key != "7f" || e.TimeLeft <= 0 || e.TimeLeft > 10*time.Second {
 				t.Errorf("the balancer received %+v", e)
 			}
 		})
--- a/internal/backend/diameter/backend.go
+++ b/internal/backend/diameter/backend.go
@@ -145,7 +145,7 @@
 	}
 	revoked := make(chan struct{})
 	if !p.Await(func() { close(revoked) }) {
-		return core.Response{Result: balance.Withdrawn}
+		return core.Response{Result: balance.DroppedUnsent}
 	}
 	var expired <-chan time.Time
 	if by := p.By(); !by.IsZero() {
@@ -168,12 +168,12 @@
 			return s.abandon(ctx, a)
 		case <-revoked:
 			if s.withdraw(a) {
-				return core.Response{Result: balance.Withdrawn}
+				return core.Response{Result: balance.DroppedUnsent}
 			}
 			revoked = nil // its writing has begun
 		case <-expired:
 			if s.withdraw(a) {
-				return core.Response{Result: balance.Withdrawn}
+				return core.Response{Result: balance.DroppedUnsent}
 			}
 			expired = nil
 		}
@@ -213,9 +213,9 @@
 	case <-limit.C:
 		return balance.ConnectFailed, false
 	case <-revoked:
-		return balance.Withdrawn, false
+		return balance.DroppedUnsent, false
 	case <-expired:
-		return balance.Withdrawn, false
+		return balance.DroppedUnsent, false
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.Canceled) {
 			return balance.Cancelled, false
--- a/internal/backend/diameter/permit_test.go
+++ b/internal/backend/diameter/permit_test.go
@@ -17,7 +17,7 @@
 		p, back := &core.Permit{}, make(chan struct{})
 		p.Await(func() { close(back) })
 		take(p)
-		if res, ok := s.awaitOpen(context.Background(), back, nil); ok || res != balance.Withdrawn {
+		if res, ok := s.awaitOpen(context.Background(), back, nil); ok || res != balance.DroppedUnsent {
 			t.Errorf("%s while waiting for the server: got %v, %v", name, res, ok)
 		}
 		for _, state := range []itemState{queued, writing, written} {
--- a/internal/backend/http1/conn.go
+++ b/internal/backend/http1/conn.go
@@ -52,11 +52,11 @@
 		c.applyCancellation(ctx)
 	}
 	if !p.Begin(func() { c.SetDeadline(pastDeadline) }) {
-		return core.Response{Result: balance.Withdrawn}, true
+		return core.Response{Result: balance.DroppedUnsent}, true
 	}
 	if err := c.send(buf, out); err != nil {
 		if p.Taken() {
-			return core.Response{Result: balance.Withdrawn}, false
+			return core.Response{Result: balance.DroppedUnsent}, false
 		}
 		if ctx.Err() != nil {
 			return core.Response{Result: dialResult(ctx, err)}, false
--- a/internal/backend/http1/permit_test.go
+++ b/internal/backend/http1/permit_test.go
@@ -69,7 +69,7 @@
 				if connects {
 					goOn <- struct{}{}
 				}
-				if r := await(t, done); r.Result != balance.Withdrawn {
+				if r := await(t, done); r.Result != balance.DroppedUnsent {
 					t.Fatalf("%s, connects %v: got %v", name, connects, r.Result)
 				}
 				for u.Evict() { // otherwise the next attempt needs no dial
@@ -99,7 +99,7 @@
 			u.mu.Lock()
 			c.idleSince = c.idleSince.Add(-reuseDelay)
 			u.mu.Unlock()
-			if r := await(t, exchange(t, u, p, addr, readRequest)); r.Result != balance.Withdrawn {
+			if r := await(t, exchange(t, u, p, addr, readRequest)); r.Result != balance.DroppedUnsent {
 				t.Fatalf("%s: got %v", name, r.Result)
 			}
 		}
@@ -141,7 +141,7 @@
 		await(t, began)
 		want := balance.OK
 		if dropped {
-			want = balance.Withdrawn
+			want = balance.DroppedUnsent
 			if p.Drop() {
 				t.Error("Drop reports that nothing was written")
 			}
@@ -211,14 +211,14 @@
 		return real(context.Background(), network, addr) // it comes up as the deadline passes
 	}
 	for range 50 {
-		if r := await(t, exchange(t, u, core.NewPermit(time.Now().Add(time.Millisecond)), addr, readRequest)); r.Result != balance.Withdrawn {
+		if r := await(t, exchange(t, u, core.NewPermit(time.Now().Add(time.Millisecond)), addr, readRequest)); r.Result != balance.DroppedUnsent {
 			t.Fatalf("got %v", r.Result)
 		}
 		for u.Evict() {
 		}
 	}
 	u.dialContext = real
-	if r := await(t, exchange(t, u, core.NewPermit(time.Now()), addr, readRequest)); r.Result != balance.Withdrawn {
+	if r := await(t, exchange(t, u, core.NewPermit(time.Now()), addr, readRequest)); r.Result != balance.DroppedUnsent {
 		t.Errorf("got %v", r.Result)
 	}
 	if r := await(t, exchange(t, u, core.NewPermit(time.Now().Add(testTimeout)), addr, readRequest)); r.Result != balance.OK {
@@ -243,7 +243,7 @@
 		return c, err
 	}
 	for left := 50 * time.Millisecond; !connected; left *= 2 { // on a slow machine the time may be over before the connection is up
-		if r := await(t, exchange(t, u, core.NewPermit(time.Now().Add(left)), slow, out)); r.Result != balance.Withdrawn {
+		if r := await(t, exchange(t, u, core.NewPermit(time.Now().Add(left)), slow, out)); r.Result != balance.DroppedUnsent {
 			t.Errorf("half written: got %v", r.Result)
 		}
 	}
--- a/internal/backend/http1/upstream.go
+++ b/internal/backend/http1/upstream.go
@@ -104,12 +104,12 @@
 		defer stop()
 	}
 	if !p.Await(stop) {
-		return core.Response{Result: balance.Withdrawn, Load: balance.NoLoad()}, false
+		return core.Response{Result: balance.DroppedUnsent, Load: balance.NoLoad()}, false
 	}
 	c, err := u.dial(wait, to.Addr)
 	if err != nil {
 		if p.Taken() {
-			return core.Response{Result: balance.Withdrawn, Load: balance.NoLoad()}, false
+			return core.Response{Result: balance.DroppedUnsent, Load: balance.NoLoad()}, false
 		}
 		return core.Response{Result: dialResult(ctx, err), Load: balance.NoLoad(), Refused: errors.Is(err, syscall.ECONNREFUSED)}, false
 	}
--- a/internal/core/client_left_test.go
+++ b/internal/core/client_left_test.go
@@ -17,7 +17,7 @@
 func (w writingBackend) Exchange(_ context.Context, p *Permit, _ Target, _ any) Response {
 	if !p.Begin(func() {}) {
 		w.began <- false
-		return Response{Result: balance.Withdrawn}
+		return Response{Result: balance.DroppedUnsent}
 	}
 	w.began <- true
 	return Response{Result: balance.Errored}
@@ -49,7 +49,7 @@
 		if len(l.events) != 2 || l.events[0] != (balance.Abandoned{Request: "d1"}) {
 			t.Fatalf("got %+v", l.events)
 		}
-		if o, ok := l.events[1].(balance.Outcome); !ok || o.Result != balance.Withdrawn || !o.Done {
+		if o, ok := l.events[1].(balance.Outcome); !ok || o.Result != balance.DroppedUnsent || !o.Done {
 			t.Errorf("got %+v", l.events[1])
 		}
 		if a := <-c.Reply; a.Kind != Abandoned || len(l.calls) != 0 {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -249,7 +249,7 @@
 func (l *Loop) Event(e balance.Event) { l.events = append(l.events, e) }
 
 // Reconfigure puts new settings in force between two steps, for the module and the loop alike. They apply to
-// calls that arrive afterwards. They must have passed balance.Settings.CanBecome and must not be modified any
+// calls that arrive afterwards. They must have passed balance.Settings.CheckChange and must not be modified any
 // more.
 func (l *Loop) Reconfigure(s *balance.Settings) {
 	l.settings = s
@@ -269,7 +269,7 @@
 		l.Watcher.Arrived(c.Event.Class, c.Event.Repeat)
 	}
 	e := c.Event
-	e.Left = time.Until(c.Deadline) - c.Upload
+	e.TimeLeft = time.Until(c.Deadline) - c.Upload
 	l.Event(e)
 	// Guarantees an answer: if the module still owes one when half of the grace is over, the call fails here
 	// and the module is told, as on the bench.
@@ -385,7 +385,7 @@
 	switch {
 	case r.Result == balance.OK:
 		l.answer(c, Answer{Kind: Served, Payload: r.Payload})
-	case r.Result == balance.Withdrawn && a.permit.ClientLeft():
+	case r.Result == balance.DroppedUnsent && a.permit.ClientLeft():
 		l.abandon(c)
 	}
 	sent := a.sent
@@ -396,7 +396,7 @@
 		l.Watcher.Ended(backend, r, time.Since(sent))
 	}
 	l.Event(balance.Outcome{Request: c.Event.ID, Attempt: n, Backend: backend, Result: r.Result,
-		Latency: time.Since(sent), Done: c.answered, Load: r.load(), Standing: r.Standing})
+		Latency: time.Since(sent), Done: c.answered, Load: r.load(), OtherConnectionsOpen: r.Standing})
 	l.forget(c)
 }
 
@@ -599,8 +599,8 @@
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	n := len(c.attempts)
 	var writeDeadline time.Time
-	if s.By > 0 {
-		writeDeadline = l.clock.time(s.By)
+	if s.WriteBy > 0 {
+		writeDeadline = l.clock.time(s.WriteBy)
 	}
 	permit := NewPermit(writeDeadline).RevokeIf(c.HungUp)
 	c.attempts = append(c.attempts, &attempt{backend: s.Backend, addr: addr, sent: now, cancel: cancel, permit: permit})
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -160,7 +160,7 @@
 	l.events = nil
 	l.execute(balance.Send{Request: "d1", Backend: "h0"})
 	t.Cleanup(func() { // the attempt's outcome still arrives
-		backend.results <- Response{Result: balance.Withdrawn}
+		backend.results <- Response{Result: balance.DroppedUnsent}
 		(<-l.inbox)()
 		if len(l.calls) != 0 && c.answered {
 			t.Error("an ended call is kept")
@@ -260,7 +260,7 @@
 		if past {
 			by = time.Now()
 		}
-		l.execute(balance.Send{Request: "d1", Backend: "h0", By: l.At(by)})
+		l.execute(balance.Send{Request: "d1", Backend: "h0", WriteBy: l.At(by)})
 		p := <-backend.permits
 		if !p.By().Equal(by) {
 			t.Errorf("by %v, want %v", p.By(), by)
@@ -268,7 +268,7 @@
 		if got := p.Begin(nil); got == past || p.Taken() != past {
 			t.Errorf("past %v: may begin %v, taken %v", past, got, p.Taken())
 		}
-		backend.results <- Response{Result: balance.Withdrawn}
+		backend.results <- Response{Result: balance.DroppedUnsent}
 		(<-l.inbox)()
 	}
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -95,16 +95,16 @@
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 func record(agent string, classes []string, n *balance.Note) Record {
-	r := Record{Agent: agent, At: millis(n.At), Kind: n.Kind.String(), Request: n.Request, Why: n.Why.String(),
-		Waited: millis(n.Waited), Left: millis(n.Left), Aim: millis(n.Aim), Repeat: n.Repeat, Attempts: n.Attempts,
-		PerBackend: n.PerBackend, Part: n.Part, Fraction: n.Fraction, InFlight: n.InFlight, Stuck: n.Stuck, Overdue: n.Overdue, Held: n.Held, Up: n.Up,
-		Used: n.Used, Idle: n.Idle, Free: n.Free, Capacity: n.Capacity, Delay: n.Delay, Base: n.Base, Aimed: n.Aimed,
-		Usual: millis(n.Usual), Spare: millis(n.Spare), Errors: n.Errors, Tokens: n.Tokens}
+	r := Record{Agent: agent, At: millis(n.At), Kind: n.Kind.String(), Request: n.Request, Why: n.Reason.String(),
+		Waited: millis(n.Waited), Left: millis(n.TimeLeft), Aim: millis(n.AimLeft), Repeat: n.Repeat, Attempts: n.Attempts,
+		PerBackend: n.PerBackend, Part: n.Limit, Fraction: n.LimitShare, InFlight: n.InFlight, Stuck: n.Stuck, Overdue: n.Overdue, Held: n.Held, Up: n.Up,
+		Used: n.InUse, Idle: n.Idle, Free: n.Available, Capacity: n.Capacity, Delay: n.MeanDelay, Base: n.BaseDelay, Aimed: n.TargetDelay,
+		Usual: millis(n.MeanLatency), Spare: millis(n.SavedTime), Errors: n.ErrorShare, Tokens: n.RetryTokens}
 	if n.Request != "" && n.Class >= 0 && n.Class < len(classes) {
 		r.Class = classes[n.Class]
 	}
 	for _, b := range n.Backends {
-		r.Backends = append(r.Backends, Backend{b.ID, b.Out, b.Down, millis(b.Ejected), b.Strikes, b.Warmth, b.Slow})
+		r.Backends = append(r.Backends, Backend{b.ID, b.InFlight, b.Down, millis(b.EjectedFor), b.Strikes, b.Warmth, b.SlowRatio})
 	}
 	return r
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -54,8 +54,8 @@
 		for len(w.notes) == queueCapacity { // the test queues notes faster than a disk takes them
 			time.Sleep(time.Millisecond)
 		}
-		w.Tell(balance.Note{At: time.Duration(i) * time.Millisecond, Kind: balance.NoteRefused, Why: balance.TooLate, Request: fmt.Sprint(i),
-			Waited: 3 * time.Millisecond, Part: 4.5, Backends: []balance.BackendNote{{ID: "a", Warmth: 1}}})
+		w.Tell(balance.Note{At: time.Duration(i) * time.Millisecond, Kind: balance.NoteRefused, Reason: balance.TooLate, Request: fmt.Sprint(i),
+			Waited: 3 * time.Millisecond, Limit: 4.5, Backends: []balance.BackendNote{{ID: "a", Warmth: 1}}})
 	}
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/front/diameter/front.go
+++ b/internal/front/diameter/front.go
@@ -476,7 +476,7 @@
 	class := f.cfg.Rules.Classify(m)
 	call := &core.Call{
 		// A new ID for each call: a client may resend a refused request with the same identifiers.
-		Event:    balance.Request{ID: fmt.Sprintf("diameter-%d", f.calls), Class: f.cfg.Offset + class, Only: only},
+		Event:    balance.Request{ID: fmt.Sprintf("diameter-%d", f.calls), Class: f.cfg.Offset + class, OnlyBackend: only},
 		Request:  &backend.Request{Message: m, From: c.name},
 		Deadline: time.Now().Add(f.cfg.Rules.Classes[class].Deadline),
 		Reply:    make(chan core.Answer, 1),
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -228,7 +228,7 @@
 		if !d.fellSilent.Load() {
 			retryWithin = max(retryAfterSilence, retryInterval-time.Since(lastReceived))
 		}
-		d.deliver(balance.List{Kind: balance.ListFailed, Within: retryWithin}, nil)
+		d.deliver(balance.List{Kind: balance.ListFailed, RetryWithin: retryWithin}, nil)
 	}
 }
 
--- a/internal/roster/watch_test.go
+++ b/internal/roster/watch_test.go
@@ -293,7 +293,7 @@
 		t.Helper()
 		got := await(t, lists)
 		shortest := min(longest, max(retryAfterSilence, retryInterval-time.Since(began)))
-		if got.list.Kind != balance.ListFailed || got.list.Within < shortest || got.list.Within > longest {
+		if got.list.Kind != balance.ListFailed || got.list.RetryWithin < shortest || got.list.RetryWithin > longest {
 			t.Errorf("got %+v, want Within between %v and %v", got, shortest, longest)
 		}
 	}
--- a/internal/scale/calltree/bench_test.go
+++ b/internal/scale/calltree/bench_test.go
@@ -102,7 +102,7 @@
 
 // startRequest passes a request to a balancer and returns the backend, or "" if the request isn't sent immediately.
 func startRequest(lb *balance.Balancer, now time.Duration, id string) string {
-	for _, a := range lb.Step(now, []balance.Event{balance.Request{ID: id, Left: time.Hour}}) {
+	for _, a := range lb.Step(now, []balance.Event{balance.Request{ID: id, TimeLeft: time.Hour}}) {
 		if send, ok := a.(balance.Send); ok {
 			return send.Backend
 		}
--- a/internal/scale/calltree/run.go
+++ b/internal/scale/calltree/run.go
@@ -123,7 +123,7 @@
 			return
 		}
 		if c := a.calls[n.Request]; c != nil {
-			c.reason = n.Why
+			c.reason = n.Reason
 		}
 	})
 	list := balance.List{Kind: balance.ListFull}
@@ -274,7 +274,7 @@
 		left = deadline - s.now
 	}
 	t.root.steps++
-	s.step(a, balance.Request{ID: c.id, Class: class, Left: left,
+	s.step(a, balance.Request{ID: c.id, Class: class, TimeLeft: left,
 		Repeat: parent == nil && t.root.tries > 1})
 	return c
 }
--- a/internal/scale/coldstart/fleet.go
+++ b/internal/scale/coldstart/fleet.go
@@ -126,7 +126,7 @@
 	for _, a := range f.agents {
 		f.step(a, balance.List{Kind: balance.ListFull, Backends: f.list(f.Returned, false)})
 		if f.BelievedAgents > 0 {
-			f.step(a, balance.Fleet{Living: f.BelievedAgents, Possible: f.BelievedAgents})
+			f.step(a, balance.Fleet{Alive: f.BelievedAgents, MaxAlive: f.BelievedAgents})
 		}
 	}
 	if f.Returned {
@@ -282,7 +282,7 @@
 	if f.rng.Float64() < f.LeaverShare {
 		f.scheduleAt(f.now+f.randomDelay(k.Deadline), func() { f.abandon(a, r) })
 	}
-	event := balance.Request{ID: r.id, Class: r.class, Key: r.key, Left: k.Deadline}
+	event := balance.Request{ID: r.id, Class: r.class, Key: r.key, TimeLeft: k.Deadline}
 	if f.WorkHints {
 		event.Work = r.work
 	}
@@ -370,8 +370,8 @@
 	switch {
 	case delay > connectTimeout || b.down:
 		f.scheduleAt(f.now+min(delay, connectTimeout), func() { f.endAttempt(t, balance.ConnectFailed) })
-	case s.By > 0 && f.now+delay > s.By:
-		f.scheduleAt(f.now+delay, func() { f.endAttempt(t, balance.Withdrawn) })
+	case s.WriteBy > 0 && f.now+delay > s.WriteBy:
+		f.scheduleAt(f.now+delay, func() { f.endAttempt(t, balance.DroppedUnsent) })
 	default:
 		f.scheduleAt(f.now+delay, func() { b.receive(t) })
 		f.scheduleAt(r.deadline, func() { f.endAttempt(t, balance.TimedOut) })
@@ -396,5 +396,5 @@
 		load.Valid, load.Outstanding, load.Queue = true, float64(t.backend.busy+len(t.backend.queue)+1), float64(len(t.backend.queue))
 	}
 	f.step(t.agent, balance.Outcome{Request: r.id, Attempt: t.number, Backend: t.backend.id, Result: result, Latency: f.now - t.sent,
-		Done: r.done || r.abandoned, Standing: !t.backend.down, Load: load})
+		Done: r.done || r.abandoned, OtherConnectionsOpen: !t.backend.down, Load: load})
 }
--- a/internal/scale/decisions.go
+++ b/internal/scale/decisions.go
@@ -117,7 +117,7 @@
 func (d *decisionDriver) call(n int) {
 	d.now += callInterval - callDuration
 	id := sprintf("r%d", n)
-	for _, action := range d.b.Step(d.now, []balance.Event{balance.Request{ID: id, Left: 600 * time.Millisecond}}) {
+	for _, action := range d.b.Step(d.now, []balance.Event{balance.Request{ID: id, TimeLeft: 600 * time.Millisecond}}) {
 		switch a := action.(type) {
 		case balance.Send:
 			d.sends++
--- a/internal/site/driver/driver.go
+++ b/internal/site/driver/driver.go
@@ -208,9 +208,9 @@
 	for _, zone := range o.Cold { // before the order, so that the order already applies to cold backends
 		d.loop.Restarted(zone)
 	}
-	sites := balance.Sites{Share: o.Share, Planned: o.Planned(), Admit: o.Admit, Trial: o.Trial, Gentle: o.RepeatableOnly}
+	sites := balance.Sites{ZoneWeights: o.Share, WeightsPlanned: o.Planned(), AdmitShares: o.Admit, TrialZones: o.Trial, SafeOnlyZones: o.RepeatableOnly}
 	if o.Planned() {
-		sites.Back = func(class int) time.Duration { return d.controller.ReturnAfter(d.loop.Now(), class) }
+		sites.RetryAfter = func(class int) time.Duration { return d.controller.ReturnAfter(d.loop.Now(), class) }
 	}
 	d.loop.Event(sites)
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -193,7 +193,7 @@
 			return errors.New("missing Job, TierClass or GraceMs")
 		}
 		q := balance.Request{ID: *m.Job, Class: *m.TierClass, Tenant: m.Project, Key: m.Item,
-			Left: Duration(*m.GraceMs), Repeat: m.StateBits&bitRepeat != 0, Write: m.StateBits&bitWrite != 0}
+			TimeLeft: Duration(*m.GraceMs), Repeat: m.StateBits&bitRepeat != 0, Write: m.StateBits&bitWrite != 0}
 		if m.StateBits&bitHintValid != 0 {
 			q.Work = Duration(m.WorkHintMs)
 		}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -31,10 +31,10 @@
 		want balance.Event
 	}{
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":1,"Project":2,"Item":"91f0","GraceMs":240.5,"WorkHintMs":12,"StateBits":7}`,
-			balance.Request{ID: "d0", Class: 1, Tenant: 2, Key: "91f0", Left: 240500 * time.Microsecond, Work: 12 * ms,
+			balance.Request{ID: "d0", Class: 1, Tenant: 2, Key: "91f0", TimeLeft: 240500 * time.Microsecond, Work: 12 * ms,
 				Repeat: true, Write: true}},
 		{`{"msg":"Submit","Agent":3,"Job":"d0","TierClass":0,"GraceMs":240,"WorkHintMs":12,"Later":{"x":1}}`,
-			balance.Request{ID: "d0", Left: 240 * ms}},
+			balance.Request{ID: "d0", TimeLeft: 240 * ms}},
 		{`{"msg":"Ended","Agent":3,"Job":"d0","Outcome":"pass","WaitTimeMs":18.5,"Backend":"b","SendNo":2,"Ended":true,"Usage":{"backlog":4,"recent_ms":7,"errors_per_s":0.5,"mood":"sour"}}`,
 			balance.Outcome{Request: "d0", Attempt: 2, Backend: "b", Latency: 18500 * time.Microsecond, Done: true,
 				Load: balance.Load{Valid: true, Queue: 4, Service: 7 * ms, ErrorsPerSec: 0.5,
