--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -181,7 +181,7 @@
 func loopPart(l *core.Loop) *part {
 	return &part{name: "loop",
 		start:     func(t *tasks) { t.Go(l.Run) },
-		beginStop: func(answerBy time.Time) { l.Post(func() { l.Stopping(answerBy) }) }}
+		beginStop: func(answerBy time.Time) { l.Post(func() { l.SetStopDeadline(answerBy) }) }}
 }
 
 func peersPart(p *peers, l *core.Loop) *part {
@@ -252,7 +252,7 @@
 				return nil
 			})
 			l.Post(func() { // runs after the loop has taken over the known list
-				l.Then(func() { s.Ready.Store(true) })
+				l.AfterStep(func() { s.Ready.Store(true) })
 			})
 		},
 		ready: s.Ready.Load,
@@ -280,9 +280,9 @@
 	var received atomic.Bool // discovery has sent a full list or a delta
 	src := newListSource(ctx, cfg, func(list balance.List, addrs map[string]string) {
 		l.Post(func() {
-			l.Listed(list, addrs)
+			l.ApplyList(list, addrs)
 			if list.Kind == balance.ListFull || list.Kind == balance.ListDelta {
-				l.Then(func() { received.Store(true) })
+				l.AfterStep(func() { received.Store(true) })
 			}
 		})
 	}, log)
@@ -300,7 +300,7 @@
 
 // listSource provides the list of backends.
 type listSource struct {
-	lists        core.Lists
+	lists        core.ListSource
 	publishKnown func()                 // delivers the list of the configuration
 	run          func()                 // follows the source until the agent ends
 	reloadOn     func(<-chan os.Signal) // reads the configuration of the source again on each signal
@@ -311,7 +311,7 @@
 func newListSource(ctx context.Context, cfg *Config, deliver func(balance.List, map[string]string), log *slog.Logger) listSource {
 	if cfg.serversFile != "" {
 		f := roster.NewFile(cfg.serversFile, cfg.Known, cfg.Names, deliver, log)
-		return listSource{lists: f, publishKnown: f.Tell, run: func() {}, reloadOn: func(hup <-chan os.Signal) {
+		return listSource{lists: f, publishKnown: f.Deliver, run: func() {}, reloadOn: func(hup <-chan os.Signal) {
 			for {
 				select {
 				case <-hup:
@@ -322,13 +322,13 @@
 			}
 		}}
 	}
-	d := roster.New(ctx, roster.Config{Service: cfg.Discovery, Ask: cfg.Settings.Subscribe, Names: cfg.Names, Seq: cfg.Known.Seq}, deliver, log)
+	d := roster.New(ctx, roster.Config{Service: cfg.Discovery, OnDemand: cfg.Settings.Subscribe, Names: cfg.Names, Seq: cfg.Known.Seq}, deliver, log)
 	var firstList <-chan struct{}
 	if !cfg.Settings.Subscribe { // with Subscribe the agent asks for lists, so a new process has not been sent any yet
 		firstList = d.FirstList()
 	}
-	return listSource{lists: d, publishKnown: func() { d.Tell(cfg.Known, balance.ListCached) }, run: d.Run, firstList: firstList,
-		reloadOn: func(hup <-chan os.Signal) { reloadOnSignal(ctx, hup, cfg.path, firstReloadWait, d.Move, log) }}
+	return listSource{lists: d, publishKnown: func() { d.Deliver(cfg.Known, balance.ListCached) }, run: d.Run, firstList: firstList,
+		reloadOn: func(hup <-chan os.Signal) { reloadOnSignal(ctx, hup, cfg.path, firstReloadWait, d.SetService, log) }}
 }
 
 // waitOrFailure waits for d, or until a part fails, whose error it returns. With d of 0 or less it returns at once.
--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -174,11 +174,11 @@
 		}
 		c.loop.Reconfigure(next)
 		c.server.Advise(next.MaxRetryAfter)
-		c.loop.Then(func() { close(done) })
+		c.loop.AfterStep(func() { close(done) })
 	})
 	select {
 	case <-done:
-	case <-c.loop.Dead:
+	case <-c.loop.Done:
 		return core.ErrEnded
 	case <-ctx.Done():
 		// Prevents settings from taking effect after apply has returned an error.
@@ -187,7 +187,7 @@
 		}
 		select {
 		case <-done:
-		case <-c.loop.Dead:
+		case <-c.loop.Done:
 			return core.ErrEnded
 		}
 	}
--- a/internal/agent/configuration_test.go
+++ b/internal/agent/configuration_test.go
@@ -174,7 +174,7 @@
 				return
 			}
 			now := time.Now()
-			id := req.Header.Get(http1.ID)
+			id := req.Header.Get(http1.HeaderCorrelationID)
 			ended := s.Began(ledger.Attempt{Request: id, Agent: "n0", Node: node, Zone: "a", First: now, Last: now})
 			mu.Lock()
 			chance, wait := rng.IntN(20), time.Duration(rng.IntN(2000))*time.Microsecond
@@ -214,9 +214,9 @@
 			t.Error(err)
 			return
 		}
-		req.Header.Set(http1.ID, id)
-		req.Header.Set(http1.TimeLeft, "10000m")
-		req.Header.Set(http1.Effect, "k"+id)
+		req.Header.Set(http1.HeaderCorrelationID, id)
+		req.Header.Set(http1.HeaderTimeLeft, "10000m")
+		req.Header.Set(http1.HeaderIdempotencyKey, "k"+id)
 		s.calls.Add(1)
 		s.Sent(id, class, "n0", time.Now(), 10*time.Second)
 		answer := ledger.Answer{}
--- a/internal/agent/controlapi.go
+++ b/internal/agent/controlapi.go
@@ -54,7 +54,7 @@
 	ctx, cancel := context.WithTimeout(ctx, countTimeout)
 	defer cancel()
 	s.runInLoop(ctx, func() error {
-		s.loop.Count(0)
+		s.loop.UpdateFigures(0)
 		return nil
 	})
 	return s.figures.Text(s.gauges...), nil
@@ -67,7 +67,7 @@
 		return false
 	}
 	select {
-	case <-s.loop.Dead:
+	case <-s.loop.Done:
 		return false
 	default:
 	}
@@ -88,7 +88,7 @@
 	}
 	checkKnown := func() error {
 		if !s.loop.Known(backend) {
-			return fmt.Errorf("%q: %w", backend, pool.ErrUnknown)
+			return fmt.Errorf("%q: %w", backend, pool.ErrUnknownBackend)
 		}
 		return nil
 	}
@@ -110,12 +110,12 @@
 	done := make(chan error, 1)
 	go s.loop.Post(func() { // Post blocks while the loop's inbox is full
 		err := do()
-		s.loop.Then(func() { done <- err })
+		s.loop.AfterStep(func() { done <- err })
 	})
 	select {
 	case err := <-done:
 		return err
-	case <-s.loop.Dead:
+	case <-s.loop.Done:
 		return core.ErrEnded
 	case <-ctx.Done():
 		return fmt.Errorf("the loop is busy: %w", ctx.Err())
--- a/internal/agent/diameter.go
+++ b/internal/agent/diameter.go
@@ -46,9 +46,9 @@
 
 func (b *protocolBackend) Probe(to core.Target) core.Response { return b.http1.Probe(to) }
 
-func (b *protocolBackend) Keep(wanted func(core.Target) bool) {
-	b.http1.Keep(wanted)
-	b.diameter.Keep(wanted)
+func (b *protocolBackend) CloseIdleExcept(wanted func(core.Target) bool) {
+	b.http1.CloseIdleExcept(wanted)
+	b.diameter.CloseIdleExcept(wanted)
 }
 
 // diameterPart adds Diameter to a loop that serves HTTP/1.1. It does nothing where the agent does not speak Diameter.
@@ -63,7 +63,7 @@
 	}
 	back := diameterback.New(diameterback.Config{Rules: cfg.diameter, Identity: c.Identity, Realm: c.Realm,
 		ConnectTimeout: cfg.Settings.ConnectTimeout, Window: c.Window, Peer: diameter.DefaultPeerConfig(), Log: log,
-		Leaves: func(id string, leaves bool) { l.Post(func() { l.Leaves(id, leaves) }) }})
+		Leaves: func(id string, leaves bool) { l.Post(func() { l.SetLeaving(id, leaves) }) }})
 	front, err := diameterfront.New(diameterfront.Config{Rules: cfg.diameter, Identity: c.Identity, Realm: c.Realm, Offset: cfg.diameterClassOffset,
 		Limits: relay.DefaultLimits(), Overload: overload.DefaultConfig(), Peer: diameter.DefaultPeerConfig(), Connections: c.Connections,
 		Named: back.Named, Hello: capabilitiesTimeout, Log: log}, l)
--- a/internal/agent/hostile_clients_test.go
+++ b/internal/agent/hostile_clients_test.go
@@ -55,7 +55,7 @@
 			if err != nil {
 				return
 			}
-			id := req.Header.Get(http1.ID)
+			id := req.Header.Get(http1.HeaderCorrelationID)
 			c.mu.Lock()
 			c.received[id]++
 			c.mu.Unlock()
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// Tell sends data to one agent or to all. It never blocks.
-func (p *peers) Tell(to int, data []byte) {
+// Send sends data to one agent or to all. It never blocks.
+func (p *peers) Send(to int, data []byte) {
 	addr := p.broadcast
 	if to != balance.EveryPeer {
 		if to < 0 || to >= len(p.addrs) {
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers_test.go
@@ -59,10 +59,10 @@
 	}
 
 	buf := make([]byte, 1000)
-	p.Tell(1, []byte(longest+"y")) // too long: never sent
-	p.Tell(7, []byte("nobody"))
-	p.Tell(1, []byte("to one"))
-	p.Tell(balance.EveryPeer, []byte("to all"))
+	p.Send(1, []byte(longest+"y")) // too long: never sent
+	p.Send(7, []byte("nobody"))
+	p.Send(1, []byte("to one"))
+	p.Send(balance.EveryPeer, []byte("to all"))
 	if n, from, err := other.ReadFromUDPAddrPort(buf); err != nil || string(buf[:n]) != "to one" || from != self {
 		t.Errorf("got %q from %v, %v", buf[:n], from, err)
 	}
--- a/internal/agent/processgroup.go
+++ b/internal/agent/processgroup.go
@@ -121,7 +121,7 @@
 func (h *processGroup) adopt(s takeover.State) {
 	if s.Version > h.adoptedVersion {
 		h.adoptedVersion = s.Version
-		h.loop.Adopt(s.Out, s.Back, s.Zones)
+		h.loop.ReplaceExcluded(s.Out, s.Back, s.Zones)
 	}
 }
 
--- a/internal/backend/diameter/backend.go
+++ b/internal/backend/diameter/backend.go
@@ -144,11 +144,11 @@
 		return core.Response{Result: balance.NotSent}
 	}
 	revoked := make(chan struct{})
-	if !p.Await(func() { close(revoked) }) {
+	if !p.BeginWait(func() { close(revoked) }) {
 		return core.Response{Result: balance.DroppedUnsent}
 	}
 	var expired <-chan time.Time
-	if by := p.By(); !by.IsZero() {
+	if by := p.WriteDeadline(); !by.IsZero() {
 		t := time.NewTimer(time.Until(by))
 		defer t.Stop()
 		expired = t.C
@@ -422,7 +422,7 @@
 			return
 		}
 		s.mu.Lock()
-		if it.state == queued && !it.permit.Begin(nil) {
+		if it.state == queued && !it.permit.BeginWrite(nil) {
 			it.state = dropped
 		}
 		skip := it.state == dropped
@@ -627,8 +627,8 @@
 	return core.Response{Result: balance.ConnectFailed}
 }
 
-// Keep disconnects from all servers that are not wanted.
-func (b *Backend) Keep(wanted func(core.Target) bool) {
+// CloseIdleExcept disconnects from all servers that are not wanted.
+func (b *Backend) CloseIdleExcept(wanted func(core.Target) bool) {
 	b.mu.Lock()
 	var leave []*server
 	for to, s := range b.servers {
--- a/internal/backend/diameter/backend_test.go
+++ b/internal/backend/diameter/backend_test.go
@@ -47,11 +47,11 @@
 	if r := b.Exchange(ctx, nil, listed, &Request{Message: m, From: "c"}); r.Result != balance.OK {
 		t.Fatalf("got %v", r.Result)
 	}
-	b.Keep(func(to core.Target) bool { return to == listed })
+	b.CloseIdleExcept(func(to core.Target) bool { return to == listed })
 	if len(b.servers) != 1 {
 		t.Error("a listed server was removed")
 	}
-	b.Keep(func(core.Target) bool { return false })
+	b.CloseIdleExcept(func(core.Target) bool { return false })
 	if len(b.servers) != 0 {
 		t.Error("a server that is no longer listed was kept")
 	}
--- a/internal/backend/diameter/permit_test.go
+++ b/internal/backend/diameter/permit_test.go
@@ -11,11 +11,11 @@
 
 // An attempt that has not begun to be written is withdrawn at once; one that has can't be withdrawn.
 func TestWithdraw(t *testing.T) {
-	for name, take := range map[string]func(*core.Permit){"dropped": func(p *core.Permit) { p.Drop() }, "withdrawn": (*core.Permit).Withdraw} {
+	for name, take := range map[string]func(*core.Permit){"dropped": func(p *core.Permit) { p.Abort() }, "withdrawn": (*core.Permit).Withdraw} {
 		s := &server{b: &Backend{}, opened: make(chan struct{}), window: relay.NewWindow(4, 1)}
 		s.b.cfg.ConnectTimeout = 1 << 40 // longer than the test: the server never opens
 		p, back := &core.Permit{}, make(chan struct{})
-		p.Await(func() { close(back) })
+		p.BeginWait(func() { close(back) })
 		take(p)
 		if res, ok := s.awaitOpen(context.Background(), back, nil); ok || res != balance.DroppedUnsent {
 			t.Errorf("%s while waiting for the server: got %v, %v", name, res, ok)
--- a/internal/backend/http1/conn.go
+++ b/internal/backend/http1/conn.go
@@ -39,34 +39,34 @@
 // roundTrip writes the request and reads its answer. A failure before the last byte is written proves that the
 // request never ran; after that it may have run.
 func (c *conn) roundTrip(ctx context.Context, p *core.Permit, out *http1.Request) (r core.Response, reusable bool) {
-	buf := make([]byte, 0, len(out.Head)+len(out.Rest)+len(http1.TimeLeft)+24+maxJoinedBody)
+	buf := make([]byte, 0, len(out.Head)+len(out.Rest)+len(http1.HeaderTimeLeft)+24+maxJoinedBody)
 	buf = append(buf, out.Head...)
 	if out.Stream != nil {
-		buf = fmt.Appendf(buf, "%s: %du\r\n", http1.TimeLeft, out.Stream.Left.Microseconds())
+		buf = fmt.Appendf(buf, "%s: %du\r\n", http1.HeaderTimeLeft, out.Stream.TimeLeft.Microseconds())
 	} else if deadline, ok := ctx.Deadline(); ok {
-		buf = fmt.Appendf(buf, "%s: %du\r\n", http1.TimeLeft, max(0, time.Until(deadline).Microseconds()))
+		buf = fmt.Appendf(buf, "%s: %du\r\n", http1.HeaderTimeLeft, max(0, time.Until(deadline).Microseconds()))
 	}
 	buf = append(buf, out.Rest...)
-	if by := p.By(); !by.IsZero() {
+	if by := p.WriteDeadline(); !by.IsZero() {
 		c.SetWriteDeadline(by)
 		c.applyCancellation(ctx)
 	}
-	if !p.Begin(func() { c.SetDeadline(pastDeadline) }) {
+	if !p.BeginWrite(func() { c.SetDeadline(pastDeadline) }) {
 		return core.Response{Result: balance.DroppedUnsent}, true
 	}
 	if err := c.send(buf, out); err != nil {
-		if p.Taken() {
+		if p.Revoked() {
 			return core.Response{Result: balance.DroppedUnsent}, false
 		}
 		if ctx.Err() != nil {
 			return core.Response{Result: dialResult(ctx, err)}, false
 		}
-		if errors.Is(err, http1.ErrTaken) || errors.Is(err, http1.ErrBody) {
+		if errors.Is(err, http1.ErrBodyTaken) || errors.Is(err, http1.ErrBodyIncomplete) {
 			return core.Response{Result: balance.NotSent}, false
 		}
 		return core.Response{Result: balance.ConnectFailed}, false
 	}
-	if p.Whole() { // the permit was revoked too late: the whole request is written and may run, so read its answer
+	if p.EndWrite() { // the permit was revoked too late: the whole request is written and may run, so read its answer
 		c.SetDeadline(time.Time{})
 		c.applyCancellation(ctx)
 	}
@@ -74,7 +74,7 @@
 	if out.Stream != nil { // its time left counts from here
 		sent = time.Now()
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, out.Stream.Left)
+		ctx, cancel = context.WithTimeout(ctx, out.Stream.TimeLeft)
 		defer cancel()
 		stop := context.AfterFunc(ctx, func() { c.SetDeadline(pastDeadline) })
 		defer func() {
@@ -82,7 +82,7 @@
 				reusable = false
 			}
 		}()
-		defer func() { r.Sent = sent }()
+		defer func() { r.SentAt = sent }()
 	}
 	c.attempts.Add(1)
 	resp, body, complete, err := c.readAnswer(ctx, out.Method)
@@ -103,7 +103,7 @@
 		a.Length, a.More = resp.ContentLength, &stream{conn: c, body: resp.Body, deadline: deadline, knownLong: resp.ContentLength >= 0, bytesRead: len(body)}
 	}
 	r = core.Response{Result: outcomeOf(resp), Payload: a}
-	if report := resp.Header[http1.Load]; len(report) == 1 {
+	if report := resp.Header[http1.HeaderLoad]; len(report) == 1 {
 		if l, err := wire.ParseLoad([]byte(report[0])); err == nil {
 			r.Load = l
 		}
@@ -134,8 +134,8 @@
 	if out.Stream == nil {
 		return nil
 	}
-	part := http1.TakePart()
-	defer http1.GivePart(part)
+	part := http1.GetBuffer()
+	defer http1.PutBuffer(part)
 	tail := ""
 	if chunked && len(out.Body) > 0 {
 		tail = "\r\n"
@@ -288,7 +288,7 @@
 	case http.StatusOK:
 		return balance.OK
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if resp.Header.Get(http1.NotRun) == "1" {
+		if resp.Header.Get(http1.HeaderNotProcessed) == "1" {
 			return balance.Full
 		}
 	}
--- a/internal/backend/http1/idle.go
+++ b/internal/backend/http1/idle.go
@@ -115,7 +115,7 @@
 
 // openAndEmpty reports whether an idle connection is open with nothing to read. A request on a connection that
 // the backend has closed would end as a reset, after which it can't be known whether the request ran.
-func (c *conn) openAndEmpty() bool { return peek.Look(c.Conn) == peek.Silent }
+func (c *conn) openAndEmpty() bool { return peek.Inspect(c.Conn) == peek.Idle }
 
 // Evict closes the connection that has been idle for longest. It reports whether there was one.
 func (u *Upstream) Evict() bool {
@@ -149,8 +149,8 @@
 	}
 }
 
-// Keep closes the idle connections to all backends for which wanted returns false.
-func (u *Upstream) Keep(wanted func(core.Target) bool) {
+// CloseIdleExcept closes the idle connections to all backends for which wanted returns false.
+func (u *Upstream) CloseIdleExcept(wanted func(core.Target) bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for to, list := range u.idle {
--- a/internal/backend/http1/permit_test.go
+++ b/internal/backend/http1/permit_test.go
@@ -45,7 +45,7 @@
 // the permit or the connection comes up at the same moment. The backend is not blamed, and no socket is
 // leaked.
 func TestPermitRevokedDuringDial(t *testing.T) {
-	revocations := map[string]func(*core.Permit){"dropped": func(p *core.Permit) { p.Drop() }, "withdrawn": (*core.Permit).Withdraw}
+	revocations := map[string]func(*core.Permit){"dropped": func(p *core.Permit) { p.Abort() }, "withdrawn": (*core.Permit).Withdraw}
 	for name, revoke := range revocations {
 		for _, connects := range []bool{false, true} {
 			addr, got := countingBackend(t)
@@ -85,7 +85,7 @@
 // When a write to a stale kept connection fails, the attempt moves to a new connection, unless its permit is
 // revoked at that moment.
 func TestPermitRevokedAfterStaleConnection(t *testing.T) {
-	for name, revoke := range map[string]func(*core.Permit){"dropped": func(p *core.Permit) { p.Drop() }, "withdrawn": (*core.Permit).Withdraw} {
+	for name, revoke := range map[string]func(*core.Permit){"dropped": func(p *core.Permit) { p.Abort() }, "withdrawn": (*core.Permit).Withdraw} {
 		addr, got := countingBackend(t)
 		u := newTestUpstream(t)
 		for range crossingRounds {
@@ -142,7 +142,7 @@
 		want := balance.OK
 		if dropped {
 			want = balance.DroppedUnsent
-			if p.Drop() {
+			if p.Abort() {
 				t.Error("Drop reports that nothing was written")
 			}
 			if r := await(t, done); r.Result != want {
@@ -172,7 +172,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Conn = &lateConn{TCPConn: c.Conn.(*net.TCPConn), written: func() { p.Drop() }}
+		c.Conn = &lateConn{TCPConn: c.Conn.(*net.TCPConn), written: func() { p.Abort() }}
 		u.putIdle(target(addr), c)
 		u.mu.Lock()
 		c.idleSince = c.idleSince.Add(-reuseDelay)
--- a/internal/backend/http1/upstream.go
+++ b/internal/backend/http1/upstream.go
@@ -99,16 +99,16 @@
 	// its client has disconnected meanwhile or its backend is draining.
 	wait, stop := context.WithCancel(ctx)
 	defer stop()
-	if writeBy := p.By(); !writeBy.IsZero() {
+	if writeBy := p.WriteDeadline(); !writeBy.IsZero() {
 		wait, stop = context.WithDeadline(wait, writeBy)
 		defer stop()
 	}
-	if !p.Await(stop) {
+	if !p.BeginWait(stop) {
 		return core.Response{Result: balance.DroppedUnsent, Load: balance.NoLoad()}, false
 	}
 	c, err := u.dial(wait, to.Addr)
 	if err != nil {
-		if p.Taken() {
+		if p.Revoked() {
 			return core.Response{Result: balance.DroppedUnsent, Load: balance.NoLoad()}, false
 		}
 		return core.Response{Result: dialResult(ctx, err), Load: balance.NoLoad(), Refused: errors.Is(err, syscall.ECONNREFUSED)}, false
--- a/internal/backend/http1/upstream_test.go
+++ b/internal/backend/http1/upstream_test.go
@@ -171,7 +171,7 @@
 	if n := conns.Load(); n != 1 {
 		t.Errorf("%d connections for three requests in turn", n)
 	}
-	u.Keep(func(core.Target) bool { return false })
+	u.CloseIdleExcept(func(core.Target) bool { return false })
 	exchangeRested(t, u, addr, readRequest)
 	if n := conns.Load(); n != 2 {
 		t.Errorf("%d connections after the idle one was closed", n)
@@ -343,7 +343,7 @@
 	u := newTestUpstream(t)
 	addr, conns, _, _ := scripted.Counting(t)
 	exchangeRested(t, u, addr, readRequest)
-	u.Keep(func(to core.Target) bool { return to == core.Target{ID: "h1", Addr: addr} })
+	u.CloseIdleExcept(func(to core.Target) bool { return to == core.Target{ID: "h1", Addr: addr} })
 	if n := u.sockets.Open.Load(); n != 0 {
 		t.Errorf("%d sockets", n)
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -67,7 +67,7 @@
 		case err == nil:
 			log.Info("operator changed a backend", "call", action, "backend", id)
 			fmt.Fprintln(w, "ok")
-		case errors.Is(err, pool.ErrUnknown):
+		case errors.Is(err, pool.ErrUnknownBackend):
 			http.Error(w, err.Error(), http.StatusNotFound)
 		default:
 			log.Warn("operator's change of a backend failed", "call", action, "backend", id, "err", err)
--- a/internal/core/client_left_test.go
+++ b/internal/core/client_left_test.go
@@ -15,7 +15,7 @@
 }
 
 func (w writingBackend) Exchange(_ context.Context, p *Permit, _ Target, _ any) Response {
-	if !p.Begin(func() {}) {
+	if !p.BeginWrite(func() {}) {
 		w.began <- false
 		return Response{Result: balance.DroppedUnsent}
 	}
@@ -31,8 +31,8 @@
 		l, c := newTestLoop(nil)
 		w := writingBackend{began: make(chan bool, 1)}
 		l.Backend = w
-		c.HungUp = func() bool { return left }
-		l.Listed(balance.List{Kind: balance.ListFull, Backends: []balance.Backend{{ID: "h0"}}}, map[string]string{"h0": "x"})
+		c.HasClientLeft = func() bool { return left }
+		l.ApplyList(balance.List{Kind: balance.ListFull, Backends: []balance.Backend{{ID: "h0"}}}, map[string]string{"h0": "x"})
 		l.Arrived(c)
 		l.events = nil
 		l.execute(balance.Send{Request: "d1", Backend: "h0"})
@@ -67,15 +67,15 @@
 func TestPermitChecksForTheClientOnce(t *testing.T) {
 	checks := 0
 	p := NewPermit(time.Time{}).RevokeIf(func() bool { checks++; return checks > 1 })
-	if !p.Await(func() {}) || !p.Begin(func() {}) || checks != 1 {
+	if !p.BeginWait(func() {}) || !p.BeginWrite(func() {}) || checks != 1 {
 		t.Errorf("checked %d times", checks)
 	}
-	if p.Whole(); p.Taken() || p.ClientLeft() {
+	if p.EndWrite(); p.Revoked() || p.ClientLeft() {
 		t.Error("the permit is revoked")
 	}
 	p = NewPermit(time.Time{}).RevokeIf(func() bool { return true })
 	p.Withdraw()
-	if p.Begin(func() {}) || p.ClientLeft() {
+	if p.BeginWrite(func() {}) || p.ClientLeft() {
 		t.Error("a permit withdrawn for its backend says that the client has left")
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -53,7 +53,7 @@
 	Standing bool         // with Reset and ConnectFailed: other connections to the backend are still open
 	Refused  bool         // with ConnectFailed: the backend's machine answered that nothing listens on the port
 	Payload  any          // with OK: the answer, for the front
-	Sent     time.Time    // when the last byte was written, if writing took long; zero: right after the Send
+	SentAt   time.Time    // when the last byte was written, if writing took long; zero: right after the Send
 }
 
 // ErrEnded is returned for operations that need the loop after it has ended.
@@ -64,18 +64,18 @@
 type Backend interface {
 	Exchange(ctx context.Context, p *Permit, to Target, request any) Response
 	Probe(to Target) Response
-	Keep(wanted func(Target) bool) // closes the idle connections to all targets for which wanted is false
+	CloseIdleExcept(wanted func(Target) bool) // closes the idle connections to all targets for which wanted is false
 }
 
-// Lists is the source of the list of backends.
-type Lists interface {
+// ListSource is the source of the list of backends.
+type ListSource interface {
 	Subscribe()
 	Unsubscribe()
 	Fetch()
 }
 
 // Peers sends data to one other agent or to all of them (balance.EveryPeer). Tell never blocks.
-type Peers interface{ Tell(to int, data []byte) }
+type Peers interface{ Send(to int, data []byte) }
 
 // Kind is the kind of an Answer.
 type Kind uint8
@@ -97,12 +97,12 @@
 
 // Call is a client's open request. The loop owns the fields below Reply.
 type Call struct {
-	Event    balance.Request // Left is filled in by the loop
-	Request  any             // the request as the Backend takes it
-	Deadline time.Time
-	Upload   time.Duration // part of the time until Deadline that is reserved for receiving the rest of the body
-	Reply    chan Answer   // buffered, with room for the one final answer
-	HungUp   func() bool   // reports whether the client has left, called from any goroutine; nil: only Left says so
+	Event           balance.Request // Left is filled in by the loop
+	Request         any             // the request as the Backend takes it
+	Deadline        time.Time
+	UploadAllowance time.Duration // part of the time until Deadline that is reserved for receiving the rest of the body
+	Reply           chan Answer   // buffered, with room for the one final answer
+	HasClientLeft   func() bool   // reports whether the client has left, called from any goroutine; nil: only Left says so
 
 	attempts []*attempt // in the order of their Sends
 	pending  int        // number of attempts that have not ended
@@ -120,8 +120,8 @@
 	mayHaveRun bool // set when ended: the backend may have executed the request
 }
 
-// Watcher observes the events of the loop. Its methods run on the loop's goroutine and must not block.
-type Watcher interface {
+// Observer observes the events of the loop. Its methods run on the loop's goroutine and must not block.
+type Observer interface {
 	Arrived(class int, repeat bool)
 	Listed(list balance.List) // as passed to the module
 	Ended(backend string, r Response, latency time.Duration)
@@ -142,12 +142,12 @@
 	clock clock
 	log   *slog.Logger
 	inbox chan func()
-	Dead  chan struct{} // closed when Run has returned
+	Done  chan struct{} // closed when Run has returned
 
 	Backend  Backend
-	Lists    Lists
-	Peers    Peers   // nil where agents don't exchange messages
-	Watcher  Watcher // nil: no observer
+	Lists    ListSource
+	Peers    Peers    // nil where agents don't exchange messages
+	Observer Observer // nil: no observer
 	Figures  *figures.Figures
 	settings *balance.Settings // in force; replaced by Reconfigure, never modified
 
@@ -188,7 +188,7 @@
 // New returns a loop. The caller sets Backend, Lists and Peers before Run.
 func New(bal Decider, s *balance.Settings, log *slog.Logger) *Loop {
 	return &Loop{bal: bal, settings: s, clock: clock{time.Now()}, log: log,
-		inbox: make(chan func(), inboxSize), Dead: make(chan struct{}),
+		inbox: make(chan func(), inboxSize), Done: make(chan struct{}),
 		calls: map[string]*Call{}, recent: newRecentIDs(), addrs: map[string]string{}, pool: pool.New()}
 }
 
@@ -196,14 +196,14 @@
 func (l *Loop) Post(f func()) {
 	select {
 	case l.inbox <- f:
-	case <-l.Dead:
+	case <-l.Done:
 	}
 }
 
 // Run processes events until ctx ends. A panic of the decision module is returned as an error, after all open
 // calls have been answered as failed.
 func (l *Loop) Run(ctx context.Context) (err error) {
-	defer close(l.Dead)
+	defer close(l.Done)
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic in the decision loop: %v\n%s", p, debug.Stack())
@@ -237,7 +237,7 @@
 			f()
 		}
 		l.afterStep = l.afterStep[:0]
-		l.Count(figuresInterval)
+		l.UpdateFigures(figuresInterval)
 		if len(l.timers) > 0 {
 			alarm.Reset(time.Until(l.timers[0].at))
 		}
@@ -265,11 +265,11 @@
 		return
 	}
 	l.calls[c.Event.ID] = c
-	if l.Watcher != nil {
-		l.Watcher.Arrived(c.Event.Class, c.Event.Repeat)
+	if l.Observer != nil {
+		l.Observer.Arrived(c.Event.Class, c.Event.Repeat)
 	}
 	e := c.Event
-	e.TimeLeft = time.Until(c.Deadline) - c.Upload
+	e.TimeLeft = time.Until(c.Deadline) - c.UploadAllowance
 	l.Event(e)
 	// Guarantees an answer: if the module still owes one when half of the grace is over, the call fails here
 	// and the module is told, as on the bench.
@@ -285,9 +285,9 @@
 	return at
 }
 
-// Stopping announces that the process ends: every open or new call is answered by the given time. Without
+// SetStopDeadline announces that the process ends: every open or new call is answered by the given time. Without
 // this, requests are lost when the platform kills the process.
-func (l *Loop) Stopping(by time.Time) {
+func (l *Loop) SetStopDeadline(by time.Time) {
 	l.stopDeadline = by
 	for _, c := range l.calls {
 		if !c.answered {
@@ -348,7 +348,7 @@
 	for _, a := range c.attempts {
 		if a.ended {
 			unsent = unsent && !a.mayHaveRun
-		} else if !a.permit.Drop() {
+		} else if !a.permit.Abort() {
 			unsent = false
 		}
 	}
@@ -389,19 +389,19 @@
 		l.abandon(c)
 	}
 	sent := a.sent
-	if r.Sent.After(sent) {
-		sent = r.Sent
+	if r.SentAt.After(sent) {
+		sent = r.SentAt
 	}
-	if l.Watcher != nil {
-		l.Watcher.Ended(backend, r, time.Since(sent))
+	if l.Observer != nil {
+		l.Observer.Ended(backend, r, time.Since(sent))
 	}
 	l.Event(balance.Outcome{Request: c.Event.ID, Attempt: n, Backend: backend, Result: r.Result,
 		Latency: time.Since(sent), Done: c.answered, Load: r.load(), OtherConnectionsOpen: r.Standing})
 	l.forget(c)
 }
 
-// Listed processes a list from discovery, or the failure to get one.
-func (l *Loop) Listed(list balance.List, addrs map[string]string) {
+// ApplyList processes a list from discovery, or the failure to get one.
+func (l *Loop) ApplyList(list balance.List, addrs map[string]string) {
 	if list.Kind == balance.ListFull || list.Kind == balance.ListCached {
 		clear(l.addrs)
 	}
@@ -413,13 +413,13 @@
 		}
 	}
 	// Connections to backends that are gone would hold sockets without any use.
-	l.Backend.Keep(func(to Target) bool { return l.addrs[to.ID] == to.Addr })
+	l.Backend.CloseIdleExcept(func(to Target) bool { return l.addrs[to.ID] == to.Addr })
 	l.publishList(l.pool.ApplyList(list))
 }
 
-// Leaves records that a backend announced that it accepts no new requests, or that it is back. The module
+// SetLeaving records that a backend announced that it accepts no new requests, or that it is back. The module
 // sees it as draining at once, although the list may still show it as up for seconds.
-func (l *Loop) Leaves(id string, leaving bool) {
+func (l *Loop) SetLeaving(id string, leaving bool) {
 	l.applyChange(l.pool.SetLeaving(id, leaving))
 }
 
@@ -434,13 +434,13 @@
 func (l *Loop) publishList(list balance.List) {
 	l.withdrawAttempts()
 	l.Event(list)
-	if l.Watcher != nil {
-		l.Watcher.Listed(list)
+	if l.Observer != nil {
+		l.Observer.Listed(list)
 	}
 }
 
-// Pending calls f for each attempt that has not ended, with the time of its Send.
-func (l *Loop) Pending(f func(backend string, sent time.Time)) {
+// EachPendingAttempt calls f for each attempt that has not ended, with the time of its Send.
+func (l *Loop) EachPendingAttempt(f func(backend string, sent time.Time)) {
 	for _, c := range l.calls {
 		for _, a := range c.attempts {
 			if !a.ended {
@@ -462,12 +462,14 @@
 	l.applyChange(l.pool.ExcludeZone(zone, exclude, l.clock.now()))
 }
 
-// ZonesOut lists the zones that are manually excluded.
-func (l *Loop) ZonesOut() []int { return l.pool.ExcludedZones() }
+// ExcludedZones lists the zones that are manually excluded.
+func (l *Loop) ExcludedZones() []int { return l.pool.ExcludedZones() }
 
-// Restarted makes a zone's backends count as started now, whatever the list says, because the whole zone was
+// MarkZoneRestarted makes a zone's backends count as started now, whatever the list says, because the whole zone was
 // away.
-func (l *Loop) Restarted(zone int) { l.applyChange(l.pool.MarkZoneRestarted(zone, l.clock.now())) }
+func (l *Loop) MarkZoneRestarted(zone int) {
+	l.applyChange(l.pool.MarkZoneRestarted(zone, l.clock.now()))
+}
 
 // Exclude excludes a backend manually: the module sees it as draining until Include.
 func (l *Loop) Exclude(id string) error {
@@ -486,9 +488,9 @@
 // Known reports whether a backend is listed or manually excluded.
 func (l *Loop) Known(id string) bool { return l.pool.Known(id) }
 
-// Adopt replaces the sets of manually excluded backends and zones. includedAt holds the times at which other
+// ReplaceExcluded replaces the sets of manually excluded backends and zones. includedAt holds the times at which other
 // backends were included again (Unix time, nanoseconds).
-func (l *Loop) Adopt(excluded []string, includedAt map[string]int64, zones []int) {
+func (l *Loop) ReplaceExcluded(excluded []string, includedAt map[string]int64, zones []int) {
 	at := map[string]time.Duration{}
 	for id, t := range includedAt {
 		at[id] = time.Duration(t)
@@ -497,15 +499,15 @@
 	l.applyChange(l.pool.ReplaceExcludedZones(zones, l.clock.now()))
 }
 
-// Then has f called once the module has processed all queued events and its actions have been executed. f
+// AfterStep has f called once the module has processed all queued events and its actions have been executed. f
 // must not block.
-func (l *Loop) Then(f func()) { l.afterStep = append(l.afterStep, f) }
+func (l *Loop) AfterStep(f func()) { l.afterStep = append(l.afterStep, f) }
 
 // figuresInterval is the maximum age of the loop's figures.
 const figuresInterval = 100 * time.Millisecond
 
-// Count updates the figures of the list if they are older than maxAge.
-func (l *Loop) Count(maxAge time.Duration) {
+// UpdateFigures updates the figures of the list if they are older than maxAge.
+func (l *Loop) UpdateFigures(maxAge time.Duration) {
 	now := time.Now()
 	if l.Figures == nil || now.Sub(l.figuresUpdated) < maxAge {
 		return
@@ -565,7 +567,7 @@
 		l.probe(a.Backend)
 	case balance.TellPeer:
 		if l.Peers != nil {
-			l.Peers.Tell(a.To, a.Data)
+			l.Peers.Send(a.To, a.Data)
 		}
 	case balance.Subscribe:
 		l.Lists.Subscribe()
@@ -574,7 +576,7 @@
 	case balance.FetchList:
 		l.Lists.Fetch()
 	case balance.CloseIdle:
-		l.Backend.Keep(func(to Target) bool { return to.ID != a.Backend })
+		l.Backend.CloseIdleExcept(func(to Target) bool { return to.ID != a.Backend })
 	case balance.Trace:
 		l.log.Info("module", "trace", a.Text)
 	default:
@@ -602,7 +604,7 @@
 	if s.WriteBy > 0 {
 		writeDeadline = l.clock.time(s.WriteBy)
 	}
-	permit := NewPermit(writeDeadline).RevokeIf(c.HungUp)
+	permit := NewPermit(writeDeadline).RevokeIf(c.HasClientLeft)
 	c.attempts = append(c.attempts, &attempt{backend: s.Backend, addr: addr, sent: now, cancel: cancel, permit: permit})
 	c.pending++
 	if c.answered || addr == "" || !until.After(now) {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -20,8 +20,8 @@
 func (unreachable) Exchange(context.Context, *Permit, Target, any) Response {
 	return Response{Result: balance.ConnectFailed}
 }
-func (unreachable) Probe(Target) Response  { return Response{Result: balance.ConnectFailed} }
-func (unreachable) Keep(func(Target) bool) {}
+func (unreachable) Probe(Target) Response             { return Response{Result: balance.ConnectFailed} }
+func (unreachable) CloseIdleExcept(func(Target) bool) {}
 
 // newTestLoop returns a loop without a goroutine, which the test drives step by step, and a call.
 func newTestLoop(bal Decider) (*Loop, *Call) {
@@ -111,24 +111,24 @@
 		return got
 	}
 	list := func(started time.Duration) {
-		l.Listed(balance.List{Kind: balance.ListFull, Backends: []balance.Backend{{ID: "a", Started: started}}}, map[string]string{"a": "x"})
+		l.ApplyList(balance.List{Kind: balance.ListFull, Backends: []balance.Backend{{ID: "a", Started: started}}}, map[string]string{"a": "x"})
 	}
 	list(1)
-	l.Leaves("unlisted", true)
-	l.Leaves("a", false)
-	l.Leaves("a", true)
-	l.Leaves("a", true)
+	l.SetLeaving("unlisted", true)
+	l.SetLeaving("a", false)
+	l.SetLeaving("a", true)
+	l.SetLeaving("a", true)
 	list(1)
 	if got := states(); got != "a0 a1 a1 " {
 		t.Errorf("states %q", got)
 	}
-	l.Leaves("a", false)
-	l.Leaves("a", true)
+	l.SetLeaving("a", false)
+	l.SetLeaving("a", true)
 	list(2)
 	if got := states(); got != "a0 a1 a0 " {
 		t.Errorf("states %q", got)
 	}
-	l.Listed(balance.List{Kind: balance.ListFull}, nil)
+	l.ApplyList(balance.List{Kind: balance.ListFull}, nil)
 	if l.pool.Size() != 0 {
 		t.Error("a backend that is no longer listed is kept")
 	}
@@ -153,7 +153,7 @@
 	backend := permitBackend{permits: make(chan *Permit, 1), results: make(chan Response, 1)}
 	l.Backend = backend
 	list = func(state balance.BackendState, addr string) {
-		l.Listed(balance.List{Backends: []balance.Backend{{ID: "h0", State: state}}}, map[string]string{"h0": addr})
+		l.ApplyList(balance.List{Backends: []balance.Backend{{ID: "h0", State: state}}}, map[string]string{"h0": addr})
 	}
 	list(balance.Up, "x")
 	l.Arrived(c)
@@ -186,21 +186,23 @@
 		"moved":    func(_ *Loop, _ *Call, list func(balance.BackendState, string)) { list(balance.Up, "y") },
 		"excluded": func(l *Loop, _ *Call, _ func(balance.BackendState, string)) { l.Exclude("h0") },
 		"zone out": func(l *Loop, _ *Call, _ func(balance.BackendState, string)) { l.ExcludeZone(0, true) },
-		"leave":    func(l *Loop, _ *Call, _ func(balance.BackendState, string)) { l.Leaves("h0", true) },
-		"adopted":  func(l *Loop, _ *Call, _ func(balance.BackendState, string)) { l.Adopt([]string{"h0"}, nil, nil) },
+		"leave":    func(l *Loop, _ *Call, _ func(balance.BackendState, string)) { l.SetLeaving("h0", true) },
+		"adopted": func(l *Loop, _ *Call, _ func(balance.BackendState, string)) {
+			l.ReplaceExcluded([]string{"h0"}, nil, nil)
+		},
 		"left out of a whole list": func(l *Loop, _ *Call, _ func(balance.BackendState, string)) {
-			l.Listed(balance.List{Kind: balance.ListFull}, nil)
+			l.ApplyList(balance.List{Kind: balance.ListFull}, nil)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, c, p, list := loopWithWaitingAttempt(t)
 			interrupted := false
-			if !p.Await(func() { interrupted = true }) {
+			if !p.BeginWait(func() { interrupted = true }) {
 				t.Fatal("the permit was revoked from the start")
 			}
 			act(l, c, list)
-			if !interrupted || p.Begin(nil) {
-				t.Errorf("wait interrupted: %v, may be written: %v", interrupted, p.Begin(nil))
+			if !interrupted || p.BeginWrite(nil) {
+				t.Errorf("wait interrupted: %v, may be written: %v", interrupted, p.BeginWrite(nil))
 			}
 		})
 	}
@@ -210,9 +212,9 @@
 func TestPermitSurvivesUnrelatedLists(t *testing.T) {
 	l, _, p, list := loopWithWaitingAttempt(t)
 	list(balance.Up, "x")
-	l.Listed(balance.List{Backends: []balance.Backend{{ID: "h1", State: balance.Draining}}}, map[string]string{"h1": "z"})
-	l.Listed(balance.List{Kind: balance.ListFailed}, nil)
-	if !p.Begin(nil) {
+	l.ApplyList(balance.List{Backends: []balance.Backend{{ID: "h1", State: balance.Draining}}}, map[string]string{"h1": "z"})
+	l.ApplyList(balance.List{Kind: balance.ListFailed}, nil)
+	if !p.BeginWrite(nil) {
 		t.Error("the attempt may not be written")
 	}
 }
@@ -222,11 +224,11 @@
 func TestStopRefusesUnsentCalls(t *testing.T) {
 	for _, written := range []bool{false, true} {
 		l, c, p, _ := loopWithWaitingAttempt(t)
-		l.Stopping(time.Now())
+		l.SetStopDeadline(time.Now())
 		want := Refused
 		if written {
-			p.Begin(nil)
-			p.Whole()
+			p.BeginWrite(nil)
+			p.EndWrite()
 			want = Failed
 		}
 		l.fireTimers(time.Now().Add(time.Second))
@@ -243,7 +245,7 @@
 	l.execute(balance.Send{Request: "d1", Backend: "h0"})
 	<-l.inbox // the test itself reports the end of the second attempt
 	l.attemptEnded(c, 1, "h0", Response{Result: balance.OK})
-	if p.Begin(nil) {
+	if p.BeginWrite(nil) {
 		t.Error("the other attempt may be written")
 	}
 }
@@ -254,7 +256,7 @@
 		l, c := newTestLoop(nil)
 		backend := permitBackend{permits: make(chan *Permit, 1), results: make(chan Response, 1)}
 		l.Backend = backend
-		l.Listed(balance.List{Backends: []balance.Backend{{ID: "h0"}}}, map[string]string{"h0": "x"})
+		l.ApplyList(balance.List{Backends: []balance.Backend{{ID: "h0"}}}, map[string]string{"h0": "x"})
 		l.Arrived(c)
 		by := time.Now().Add(time.Hour)
 		if past {
@@ -262,11 +264,11 @@
 		}
 		l.execute(balance.Send{Request: "d1", Backend: "h0", WriteBy: l.At(by)})
 		p := <-backend.permits
-		if !p.By().Equal(by) {
-			t.Errorf("by %v, want %v", p.By(), by)
+		if !p.WriteDeadline().Equal(by) {
+			t.Errorf("by %v, want %v", p.WriteDeadline(), by)
 		}
-		if got := p.Begin(nil); got == past || p.Taken() != past {
-			t.Errorf("past %v: may begin %v, taken %v", past, got, p.Taken())
+		if got := p.BeginWrite(nil); got == past || p.Revoked() != past {
+			t.Errorf("past %v: may begin %v, taken %v", past, got, p.Revoked())
 		}
 		backend.results <- Response{Result: balance.DroppedUnsent}
 		(<-l.inbox)()
--- a/internal/core/permit.go
+++ b/internal/core/permit.go
@@ -42,13 +42,13 @@
 	return p
 }
 
-// Await records that the attempt waits, and the function that ends the wait. It returns false if the attempt
+// BeginWait records that the attempt waits, and the function that ends the wait. It returns false if the attempt
 // must not be written.
-func (p *Permit) Await(interrupt func()) bool { return p.advance(stageWaiting, interrupt) }
+func (p *Permit) BeginWait(interrupt func()) bool { return p.advance(stageWaiting, interrupt) }
 
-// Begin records that the first byte is about to be written, and the function that interrupts the writing. It
+// BeginWrite records that the first byte is about to be written, and the function that interrupts the writing. It
 // returns false if the attempt must not be written.
-func (p *Permit) Begin(interrupt func()) bool { return p.advance(stageWriting, interrupt) }
+func (p *Permit) BeginWrite(interrupt func()) bool { return p.advance(stageWriting, interrupt) }
 
 // advance moves the attempt to stage s, with the function that interrupts it, unless the permit is revoked.
 func (p *Permit) advance(s stage, interrupt func()) bool {
@@ -68,9 +68,9 @@
 	return true
 }
 
-// Whole records that the last byte has been written, after which nothing is interrupted any more. It reports
+// EndWrite records that the last byte has been written, after which nothing is interrupted any more. It reports
 // whether the writing was interrupted before; the caller then undoes the effects of the interruption.
-func (p *Permit) Whole() (interrupted bool) {
+func (p *Permit) EndWrite() (interrupted bool) {
 	if p == nil {
 		return false
 	}
@@ -80,8 +80,8 @@
 	return p.interrupted
 }
 
-// Taken reports whether the permit has been revoked.
-func (p *Permit) Taken() bool {
+// Revoked reports whether the permit has been revoked.
+func (p *Permit) Revoked() bool {
 	if p == nil {
 		return false
 	}
@@ -98,10 +98,10 @@
 	return p.clientLeft
 }
 
-// By returns the time by which the last byte must have been written; zero: no limit. Without this limit, the
+// WriteDeadline returns the time by which the last byte must have been written; zero: no limit. Without this limit, the
 // repeat of a keyed request could be written, after waiting for its connection, when backends no longer know
 // the key.
-func (p *Permit) By() time.Time {
+func (p *Permit) WriteDeadline() time.Time {
 	if p == nil {
 		return time.Time{}
 	}
@@ -126,9 +126,9 @@
 	}
 }
 
-// Drop revokes the permit and also interrupts an attempt that is being written, since a request is not sent
+// Abort revokes the permit and also interrupts an attempt that is being written, since a request is not sent
 // before its last byte. It reports whether nothing of it has been or will be written.
-func (p *Permit) Drop() (unsent bool) {
+func (p *Permit) Abort() (unsent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.revoked = true
--- a/internal/front/diameter/front.go
+++ b/internal/front/diameter/front.go
@@ -486,7 +486,7 @@
 		var a core.Answer
 		select {
 		case a = <-call.Reply:
-		case <-f.loop.Dead:
+		case <-f.loop.Done:
 			select { // the loop may have answered before it ended
 			case a = <-call.Reply:
 			default:
--- a/internal/front/diameter/front_test.go
+++ b/internal/front/diameter/front_test.go
@@ -59,7 +59,7 @@
 	loop := core.New(bal, &s, log)
 	b := backend.New(backend.Config{Rules: rules, Identity: "relay.example.net", Realm: "example.net", ConnectTimeout: 5 * time.Second,
 		Window: window, Peer: diameter.DefaultPeerConfig(), Log: log,
-		Leaves: func(id string, leaves bool) { loop.Post(func() { loop.Leaves(id, leaves) }) }})
+		Leaves: func(id string, leaves bool) { loop.Post(func() { loop.SetLeaving(id, leaves) }) }})
 	loop.Backend = b
 	site := &relaySite{t: t, loop: loop, stopped: make(chan struct{}), stopLimit: 5 * time.Second}
 	for i, script := range scripts {
@@ -81,7 +81,7 @@
 			addrs[n.Identity] = n.Addr()
 		}
 		done := make(chan struct{})
-		loop.Post(func() { loop.Listed(l, addrs); close(done) })
+		loop.Post(func() { loop.ApplyList(l, addrs); close(done) })
 		scripted.Await(t, done)
 	}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -44,7 +44,7 @@
 )
 
 // singleValued are the headers that decide how a request is handled: two values would contradict each other.
-var singleValued = []string{http1.ID, http1.Tenant, http1.TimeLeft, http1.Repeat, http1.Work, http1.Effect, "Content-Length"}
+var singleValued = []string{http1.HeaderCorrelationID, http1.HeaderTenant, http1.HeaderTimeLeft, http1.HeaderRepeat, http1.HeaderWeightHint, http1.HeaderIdempotencyKey, "Content-Length"}
 
 // hopByHop headers apply to one connection and are not forwarded.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
@@ -99,12 +99,12 @@
 	}
 	s.Figures.Active.Add(1)
 	defer s.Figures.Active.Add(-1)
-	c.HungUp = conn.HungUp
+	c.HasClientLeft = conn.HungUp
 	s.Loop.Post(func() { s.Loop.Arrived(c) })
 	var a core.Answer
 	select {
 	case a = <-c.Reply:
-	case <-s.Loop.Dead:
+	case <-s.Loop.Done:
 		select { // the loop may have answered before it ended
 		case a = <-c.Reply:
 		default:
@@ -121,7 +121,7 @@
 		endAbandoned(conn, w, stream)
 		return
 	}
-	if stream != nil && !stream.Whole() {
+	if stream != nil && !stream.Finish() {
 		w.Header().Set("Connection", "close") // the rest of the body is not read
 	}
 	beginAnswer(conn, w)
@@ -144,7 +144,7 @@
 // endAbandoned ends a request whose client has disconnected.
 func endAbandoned(conn *admission.Conn, w http.ResponseWriter, stream *http1.Stream) {
 	if stream != nil {
-		stream.Whole() // marks the end of reading: nobody reads the body after this returns
+		stream.Finish() // marks the end of reading: nobody reads the body after this returns
 	}
 	// The client may have closed only its sending side. A handler that returns without writing would send it an
 	// empty 200 that no backend made.
@@ -250,27 +250,27 @@
 		w.Header().Set("Allow", method)
 		return nil, http.StatusMethodNotAllowed, fmt.Errorf("%s takes %s", name, method)
 	}
-	id := r.Header.Get(http1.ID)
+	id := r.Header.Get(http1.HeaderCorrelationID)
 	if id == "" || len(id) > maxIDBytes {
-		return nil, http.StatusBadRequest, errors.New(http1.ID + ": missing or too long")
+		return nil, http.StatusBadRequest, errors.New(http1.HeaderCorrelationID + ": missing or too long")
 	}
-	if effect == balance.Keyed && r.Header.Get(http1.Effect) == "" {
-		return nil, http.StatusBadRequest, errors.New(http1.Effect + ": missing")
+	if effect == balance.Keyed && r.Header.Get(http1.HeaderIdempotencyKey) == "" {
+		return nil, http.StatusBadRequest, errors.New(http1.HeaderIdempotencyKey + ": missing")
 	}
-	timeLeft, err := parseTimeLeft(r.Header.Get(http1.TimeLeft))
+	timeLeft, err := parseTimeLeft(r.Header.Get(http1.HeaderTimeLeft))
 	if err != nil {
 		return nil, http.StatusBadRequest, err
 	}
 	tenant := 0
 	if len(s.Names.Tenants) > 0 {
-		if tenant = slices.Index(s.Names.Tenants, r.Header.Get(http1.Tenant)); tenant < 0 {
-			return nil, http.StatusBadRequest, fmt.Errorf("%s: unknown tenant", http1.Tenant)
+		if tenant = slices.Index(s.Names.Tenants, r.Header.Get(http1.HeaderTenant)); tenant < 0 {
+			return nil, http.StatusBadRequest, fmt.Errorf("%s: unknown tenant", http1.HeaderTenant)
 		}
 	}
 	var work time.Duration
-	if workHint := r.Header.Get(http1.Work); workHint != "" {
+	if workHint := r.Header.Get(http1.HeaderWeightHint); workHint != "" {
 		if work, err = parseDecimal(workHint, time.Microsecond); err != nil {
-			return nil, http.StatusBadRequest, fmt.Errorf("%s: %w", http1.Work, err)
+			return nil, http.StatusBadRequest, fmt.Errorf("%s: %w", http1.HeaderWeightHint, err)
 		}
 	}
 	if r.ContentLength > MaxBodyBytes { // rejected before any of it is read
@@ -296,11 +296,11 @@
 	}
 	return &core.Call{
 		Event: balance.Request{ID: id, Class: class, Tenant: tenant, Key: query.Get("key"),
-			Work: work, Repeat: r.Header.Get(http1.Repeat) == "1"},
-		Request:  rendered,
-		Deadline: time.Now().Add(upload + timeLeft), // the time left counts from the body's last byte
-		Upload:   upload,
-		Reply:    make(chan core.Answer, 1),
+			Work: work, Repeat: r.Header.Get(http1.HeaderRepeat) == "1"},
+		Request:         rendered,
+		Deadline:        time.Now().Add(upload + timeLeft), // the time left counts from the body's last byte
+		UploadAllowance: upload,
+		Reply:           make(chan core.Answer, 1),
 	}, 0, nil
 }
 
@@ -398,7 +398,7 @@
 			header.Del(f)
 		}
 	}
-	for _, h := range append(hopByHop, http1.TimeLeft, "Content-Length") {
+	for _, h := range append(hopByHop, http1.HeaderTimeLeft, "Content-Length") {
 		header.Del(h)
 	}
 	return http1.Render(r.Method, requestTarget(r), r.Host, header, body, stream)
@@ -427,7 +427,7 @@
 		err = fmt.Errorf("%q has no unit, m (milliseconds) or u (microseconds)", text)
 	}
 	if err != nil {
-		return 0, fmt.Errorf("%s: %w", http1.TimeLeft, err)
+		return 0, fmt.Errorf("%s: %w", http1.HeaderTimeLeft, err)
 	}
 	return d, nil
 }
@@ -494,11 +494,11 @@
 	controller := http.NewResponseController(w)
 	part := a.Body
 	a.Body = nil // lets the first part be freed before the rest has arrived
-	buf := http1.TakePart()
-	defer http1.GivePart(buf)
+	buf := http1.GetBuffer()
+	defer http1.PutBuffer(buf)
 	for {
 		for len(part) > 0 {
-			n := min(len(part), http1.PartSize)
+			n := min(len(part), http1.BufferSize)
 			conn.SetWriteDeadline(time.Now().Add(partWriteTimeout))
 			if _, err := w.Write(part[:n]); err != nil {
 				return err
--- a/internal/http1/buffer.go
+++ b/internal/http1/buffer.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// PartSize is the size in bytes of the buffers that pass on the parts of a long request body or answer.
-const PartSize = 16 << 10
+// BufferSize is the size in bytes of the buffers that pass on the parts of a long request body or answer.
+const BufferSize = 16 << 10
 
-var bufferPool = sync.Pool{New: func() any { return new([PartSize]byte) }}
+var bufferPool = sync.Pool{New: func() any { return new([BufferSize]byte) }}
 
-// TakePart returns a buffer for one part. The caller returns it with GivePart.
-func TakePart() *[PartSize]byte { return bufferPool.Get().(*[PartSize]byte) }
+// GetBuffer returns a buffer for one part. The caller returns it with PutBuffer.
+func GetBuffer() *[BufferSize]byte { return bufferPool.Get().(*[BufferSize]byte) }
 
-// GivePart returns a buffer to the pool.
-func GivePart(part *[PartSize]byte) { bufferPool.Put(part) }
+// PutBuffer returns a buffer to the pool.
+func PutBuffer(part *[BufferSize]byte) { bufferPool.Put(part) }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -12,14 +12,14 @@
 
 // Header names of the protocol.
 const (
-	ID       = "X-Correlation-Id"
-	Tenant   = "X-Account"
-	TimeLeft = "X-Time-Left"
-	Repeat   = "X-Repeat"
-	Work     = "X-Weight-Hint"
-	Effect   = "Idempotency-Key"
-	Load     = "X-Backend-Load"
-	NotRun   = "X-Unprocessed"
+	HeaderCorrelationID  = "X-Correlation-Id"
+	HeaderTenant         = "X-Account"
+	HeaderTimeLeft       = "X-Time-Left"
+	HeaderRepeat         = "X-Repeat"
+	HeaderWeightHint     = "X-Weight-Hint"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderLoad           = "X-Backend-Load"
+	HeaderNotProcessed   = "X-Unprocessed"
 )
 
 // Answer is a backend's answer. A long one has two parts: Body is the data that has arrived, More reads the
--- a/internal/http1/stream.go
+++ b/internal/http1/stream.go
@@ -10,8 +10,8 @@
 // Stream is the part of a request's body that is not buffered. It can be read once, by one attempt. The front
 // that reads the body from its client creates it, and calls Whole before it answers.
 type Stream struct {
-	Length int64         // of the whole body; -1: unknown
-	Left   time.Duration // how long the client waits, counted from the body's last byte
+	Length   int64         // of the whole body; -1: unknown
+	TimeLeft time.Duration // how long the client waits, counted from the body's last byte
 
 	body  io.Reader
 	abort func() // unblocks a pending Read of body
@@ -32,23 +32,23 @@
 
 // Errors of a body that can't be read to its end.
 var (
-	ErrTaken = errors.New("another attempt has read the body") // at least a part of it
-	ErrBody  = errors.New("the client did not send all of its body")
+	ErrBodyTaken      = errors.New("another attempt has read the body") // at least a part of it
+	ErrBodyIncomplete = errors.New("the client did not send all of its body")
 )
 
 // NewStream returns a Stream that reads from body. abort must unblock a pending Read of body.
 func NewStream(body io.Reader, length int64, left time.Duration, abort func()) *Stream {
-	return &Stream{Length: length, Left: left, body: body, abort: abort, readerDone: make(chan struct{})}
+	return &Stream{Length: length, TimeLeft: left, body: body, abort: abort, readerDone: make(chan struct{})}
 }
 
-// Copy passes the body to one attempt's write, in parts of up to len(buf) bytes. It returns ErrTaken if
-// another attempt has begun to read the body, ErrBody if reading from the client failed, and otherwise the
+// Copy passes the body to one attempt's write, in parts of up to len(buf) bytes. It returns ErrBodyTaken if
+// another attempt has begun to read the body, ErrBodyIncomplete if reading from the client failed, and otherwise the
 // error of write.
 func (s *Stream) Copy(buf []byte, write func([]byte) error) error {
 	s.mu.Lock()
 	if s.state != streamUnread {
 		s.mu.Unlock()
-		return ErrTaken
+		return ErrBodyTaken
 	}
 	s.state = streamReading
 	s.mu.Unlock()
@@ -66,7 +66,7 @@
 			return nil
 		}
 		if err != nil {
-			return errors.Join(ErrBody, err)
+			return errors.Join(ErrBodyIncomplete, err)
 		}
 	}
 }
@@ -79,8 +79,8 @@
 	close(s.readerDone)
 }
 
-// Whole ends the reading and reports whether the body had been read to its end.
-func (s *Stream) Whole() bool {
+// Finish ends the reading and reports whether the body had been read to its end.
+func (s *Stream) Finish() bool {
 	s.mu.Lock()
 	was := s.state
 	if was == streamUnread {
--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -13,41 +13,41 @@
 type State uint8
 
 const (
-	Broken  State = iota // closed by the peer, or failed
-	Silent               // open, with nothing to read
-	Waiting              // open, with bytes to read
+	Closed   State = iota // closed by the peer, or failed
+	Idle                  // open, with nothing to read
+	Readable              // open, with bytes to read
 )
 
-// Look returns the state of an operating system connection. It never blocks and ignores deadlines.
-func Look(nc net.Conn) State {
+// Inspect returns the state of an operating system connection. It never blocks and ignores deadlines.
+func Inspect(nc net.Conn) State {
 	sys, ok := nc.(syscall.Conn)
 	if !ok {
-		return Broken
+		return Closed
 	}
 	raw, err := sys.SyscallConn()
 	if err != nil {
-		return Broken
+		return Closed
 	}
-	state := Broken
+	state := Closed
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err == nil && n > 0:
-			state = Waiting
+			state = Readable
 		case errors.Is(err, syscall.EAGAIN):
-			state = Silent
+			state = Idle
 		}
 	})
 	if err != nil {
-		return Broken
+		return Closed
 	}
 	return state
 }
 
-// HungUp reports whether the peer has closed its sending side, or the connection has failed, even if there
+// PeerClosed reports whether the peer has closed its sending side, or the connection has failed, even if there
 // are still bytes to read. It returns false if nc is not an operating system connection.
-func HungUp(nc net.Conn) (closed bool) {
+func PeerClosed(nc net.Conn) (closed bool) {
 	sys, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
@@ -65,9 +65,9 @@
 	return closed || err != nil
 }
 
-// Unsent returns the number of written bytes that the peer has not acknowledged yet, or 0 if the system can't
+// UnackedBytes returns the number of written bytes that the peer has not acknowledged yet, or 0 if the system can't
 // tell.
-func Unsent(nc net.Conn) (n int) {
+func UnackedBytes(nc net.Conn) (n int) {
 	sys, ok := nc.(syscall.Conn)
 	if !ok {
 		return 0
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -4,7 +4,7 @@
 // starts no goroutine; a Pool belongs to the owner of the decision module.
 //
 // Bounds: the state of a backend is kept while it is listed. Excluded backends are kept until they are
-// included again, at most MaxOut of them.
+// included again, at most MaxExcluded of them.
 package pool
 
 import (
@@ -18,13 +18,13 @@
 	"lemonrail/balance"
 )
 
-// MaxOut is the maximum number of backends that may be manually excluded at a time.
-const MaxOut = 1024
+// MaxExcluded is the maximum number of backends that may be manually excluded at a time.
+const MaxExcluded = 1024
 
 // Errors of Exclude and Include.
 var (
-	ErrUnknown = errors.New("unknown backend")
-	ErrTooMany = fmt.Errorf("more than %d backends are out", MaxOut)
+	ErrUnknownBackend  = errors.New("unknown backend")
+	ErrTooManyExcluded = fmt.Errorf("more than %d backends are out", MaxExcluded)
 )
 
 // Pool holds the listed backends and their overrides. It is not safe for concurrent use.
@@ -121,9 +121,9 @@
 	case p.excluded[id]:
 		return nil, nil
 	case !known:
-		return nil, fmt.Errorf("%q: %w", id, ErrUnknown)
-	case len(p.excluded) >= MaxOut:
-		return nil, ErrTooMany
+		return nil, fmt.Errorf("%q: %w", id, ErrUnknownBackend)
+	case len(p.excluded) >= MaxExcluded:
+		return nil, ErrTooManyExcluded
 	}
 	p.excluded[id] = true
 	return p.change(id), nil
@@ -141,7 +141,7 @@
 		}
 		return p.change(id), nil
 	case !known:
-		return nil, fmt.Errorf("%q: %w", id, ErrUnknown)
+		return nil, fmt.Errorf("%q: %w", id, ErrUnknownBackend)
 	}
 	return nil, nil
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -24,7 +24,7 @@
 func TestExcludedUntilIncluded(t *testing.T) {
 	p := New()
 	p.ApplyList(full(up("a", 0), up("b", 5)))
-	if _, err := p.Exclude("c"); !errors.Is(err, ErrUnknown) {
+	if _, err := p.Exclude("c"); !errors.Is(err, ErrUnknownBackend) {
 		t.Errorf("unknown: %v", err)
 	}
 	if c, err := p.Exclude("a"); err != nil || len(c) != 1 || c[0].State != balance.Draining {
@@ -62,7 +62,7 @@
 	if c, err := p.Include("a", 80); err != nil || c != nil {
 		t.Errorf("include again: %v, %v", c, err)
 	}
-	if _, err := p.Include("x", 80); !errors.Is(err, ErrUnknown) {
+	if _, err := p.Include("x", 80); !errors.Is(err, ErrUnknownBackend) {
 		t.Errorf("unknown: %v", err)
 	}
 }
@@ -86,10 +86,10 @@
 
 func TestMaxExcluded(t *testing.T) {
 	p := New()
-	for i := range MaxOut + 1 {
+	for i := range MaxExcluded + 1 {
 		id := fmt.Sprint(i)
 		p.ApplyList(balance.List{Kind: balance.ListDelta, Backends: []balance.Backend{up(id, 0)}})
-		if _, err := p.Exclude(id); (err != nil) != (i == MaxOut) {
+		if _, err := p.Exclude(id); (err != nil) != (i == MaxExcluded) {
 			t.Fatalf("%d: %v", i, err)
 		}
 	}
--- a/internal/roster/failures_test.go
+++ b/internal/roster/failures_test.go
@@ -250,7 +250,7 @@
 			service.responseDelay = time.Duration(rng.Int64N(int64(1900 * time.Millisecond)))
 		}
 		f := &follower{start: time.Now()}
-		f.d = New(ctx, Config{Service: netip.MustParseAddrPort("127.0.0.1:1"), Ask: agents > 0, Names: wire.Names{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}},
+		f.d = New(ctx, Config{Service: netip.MustParseAddrPort("127.0.0.1:1"), OnDemand: agents > 0, Names: wire.Names{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}},
 			func(l balance.List, _ map[string]string) { f.step(l) }, slog.New(slog.DiscardHandler))
 		f.d.http.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(ctx, f.d.currentOpenTimeout()) // like Client.dial
--- a/internal/roster/file.go
+++ b/internal/roster/file.go
@@ -123,8 +123,8 @@
 	return &File{path: path, names: names, deliver: deliver, log: log, list: list}
 }
 
-// Tell delivers the list.
-func (f *File) Tell() {
+// Deliver delivers the list.
+func (f *File) Deliver() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	deliverList(f.list, balance.ListFull, f.names, f.deliver, f.log)
@@ -142,15 +142,15 @@
 	n := len(f.list.Hosts)
 	f.mu.Unlock()
 	f.log.Info("list of servers reloaded", "servers", n)
-	f.Tell()
+	f.Deliver()
 }
 
 // Subscribe delivers the list once. It uses its own goroutine because delivering may block, and the loop
 // calls it.
-func (f *File) Subscribe() { go f.Tell() }
+func (f *File) Subscribe() { go f.Deliver() }
 
 // Fetch is the same as Subscribe, since the list is always whole.
-func (f *File) Fetch() { go f.Tell() }
+func (f *File) Fetch() { go f.Deliver() }
 
 // Unsubscribe does nothing, since there is no watch to end.
 func (f *File) Unsubscribe() {}
--- a/internal/roster/file_test.go
+++ b/internal/roster/file_test.go
@@ -108,7 +108,7 @@
 		}
 		delivered = append(delivered, l)
 	}, slog.New(slog.DiscardHandler))
-	f.Tell()
+	f.Deliver()
 	write("[[server")
 	f.Reload()
 	write(server("x") + server("y"))
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -132,19 +132,19 @@
 
 // Config configures a Client.
 type Config struct {
-	Service netip.AddrPort
-	Ask     bool // lists are requested by Subscribe and Fetch; otherwise Run keeps a watch open
-	Names   wire.Names
-	Seq     int64 // version of the list that is already known
+	Service  netip.AddrPort
+	OnDemand bool // lists are requested by Subscribe and Fetch; otherwise Run keeps a watch open
+	Names    wire.Names
+	Seq      int64 // version of the list that is already known
 }
 
 // New returns a client that passes lists, with the addresses of their backends, to deliver until ctx ends.
 func New(ctx context.Context, c Config, deliver func(balance.List, map[string]string), log *slog.Logger) *Client {
 	timeout := openTimeout
-	if c.Ask { // the service may hold a call before it responds
+	if c.OnDemand { // the service may hold a call before it responds
 		timeout = silenceTimeout
 	}
-	d := &Client{url: listURL(c.Service), firstList: make(chan struct{}), wake: make(chan struct{}, 1), onDemand: c.Ask,
+	d := &Client{url: listURL(c.Service), firstList: make(chan struct{}), wake: make(chan struct{}, 1), onDemand: c.OnDemand,
 		names: c.Names, deliver: deliver, log: log, ctx: ctx, seq: c.Seq, silenceTimeout: silenceTimeout, openTimeout: timeout, after: time.After}
 	d.http = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: d.dial}}
 	return d
@@ -160,8 +160,8 @@
 
 func listURL(service netip.AddrPort) string { return "http://" + service.String() + "/discovery/hosts" }
 
-// Move switches to another service. The list stays in force until the new service delivers one.
-func (d *Client) Move(service netip.AddrPort) {
+// SetService switches to another service. The list stays in force until the new service delivers one.
+func (d *Client) SetService(service netip.AddrPort) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	url := listURL(service)
@@ -194,9 +194,9 @@
 	moves         int
 }
 
-// Tell delivers a list. An invalid entry counts as gone: a backend that can't be parsed can't be used, and
+// Deliver delivers a list. An invalid entry counts as gone: a backend that can't be parsed can't be used, and
 // must not stay in use with its previous data.
-func (d *Client) Tell(l List, kind balance.ListKind) {
+func (d *Client) Deliver(l List, kind balance.ListKind) {
 	deliverList(l, kind, d.names, d.deliver, d.log)
 }
 
@@ -362,7 +362,7 @@
 		kind = balance.ListFull
 	}
 	d.fellSilent.Store(false)
-	d.Tell(l, kind)
+	d.Deliver(l, kind)
 	d.firstListDone()
 	return nil
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -172,7 +172,7 @@
 	first := await(t, one.calls)
 	first.lines <- listJSON(90, true, entryJSON("h1", "a", "m1", "ready"), entryJSON("h2", "a", "m1", "ready"))
 	await(t, lists)
-	d.Move(netip.MustParseAddrPort(two.srv.Listener.Addr().String()))
+	d.SetService(netip.MustParseAddrPort(two.srv.Listener.Addr().String()))
 	c := await(t, two.calls)
 	if c.query != "follow=1" {
 		t.Errorf("query %q", c.query)
--- a/internal/roster/watch_test.go
+++ b/internal/roster/watch_test.go
@@ -323,7 +323,7 @@
 	c := await(t, one.calls)
 	c.lines <- listJSON(42, false)
 	await(t, lists)
-	d.Move(netip.MustParseAddrPort(two.srv.Listener.Addr().String()))
+	d.SetService(netip.MustParseAddrPort(two.srv.Listener.Addr().String()))
 	c = await(t, two.calls)
 	c.lines <- listJSON(3, true)
 	if got := await(t, lists); got.list.Kind != balance.ListFull || c.query != "follow=1" {
@@ -342,7 +342,7 @@
 		to := services[(n+1)%2]
 		moved := make(chan struct{})
 		go func() {
-			d.Move(netip.MustParseAddrPort(to.srv.Listener.Addr().String()))
+			d.SetService(netip.MustParseAddrPort(to.srv.Listener.Addr().String()))
 			close(moved)
 		}()
 		switch n % 3 {
--- a/internal/site/driver/driver.go
+++ b/internal/site/driver/driver.go
@@ -86,7 +86,7 @@
 	}
 	d := &Driver{options: o, loop: l, controller: s, listed: map[string]balance.Backend{}, lateAttempts: make([][]site.LateAttempt, len(o.Controller.Watch.Sites)),
 		endedAttempts: make([]uint64, len(o.Controller.Watch.Sites))}
-	l.Watcher = d
+	l.Observer = d
 	return d, nil
 }
 
@@ -176,7 +176,7 @@
 	for i := range d.lateAttempts {
 		d.lateAttempts[i] = d.lateAttempts[i][:0]
 	}
-	d.loop.Pending(func(backend string, sent time.Time) {
+	d.loop.EachPendingAttempt(func(backend string, sent time.Time) {
 		if b, known := d.listed[backend]; known && b.Zone >= 0 && b.Zone < len(d.lateAttempts) {
 			if at := d.loop.At(sent); w.IsLate(now, at) {
 				d.lateAttempts[b.Zone] = append(d.lateAttempts[b.Zone], site.LateAttempt{Backend: backend, Sent: at})
@@ -206,7 +206,7 @@
 // applyOrder passes an order on to the decision module.
 func (d *Driver) applyOrder(o *site.Order) {
 	for _, zone := range o.Cold { // before the order, so that the order already applies to cold backends
-		d.loop.Restarted(zone)
+		d.loop.MarkZoneRestarted(zone)
 	}
 	sites := balance.Sites{ZoneWeights: o.Share, WeightsPlanned: o.Planned(), AdmitShares: o.Admit, TrialZones: o.Trial, SafeOnlyZones: o.RepeatableOnly}
 	if o.Planned() {
@@ -217,7 +217,7 @@
 
 // syncExclusions passes zones that operators excluded or included since the last call on to the Watch.
 func (d *Driver) syncExclusions(now time.Duration) {
-	out := d.loop.ZonesOut()
+	out := d.loop.ExcludedZones()
 	for i := range d.lateAttempts {
 		if was, is := slices.Contains(d.excluded, i), slices.Contains(out, i); was != is {
 			d.controller.Watch().SetManual(now, i, is)
--- a/internal/site/driver/routes.go
+++ b/internal/site/driver/routes.go
@@ -68,7 +68,7 @@
 	select {
 	case <-done:
 		return nil
-	case <-d.loop.Dead:
+	case <-d.loop.Done:
 		return core.ErrEnded
 	case <-ctx.Done():
 		return fmt.Errorf("the loop is busy: %w", ctx.Err())
--- a/internal/takeover/state.go
+++ b/internal/takeover/state.go
@@ -5,7 +5,7 @@
 // Files: NAME.state holds the state and is replaced atomically, under a lock on NAME.lock. The process of
 // generation N holds a lock on NAME.N.alive for as long as it lives.
 //
-// Bounds: the state holds at most pool.MaxOut excluded and pool.MaxOut restored backends. A restored backend is
+// Bounds: the state holds at most pool.MaxExcluded excluded and pool.MaxExcluded restored backends. A restored backend is
 // kept for maxRestoreAge.
 package takeover
 
@@ -72,9 +72,9 @@
 		return State{}, errors.New("state: negative version or generation")
 	case s.Ready < 0 || s.Ready > s.Generation:
 		return State{}, fmt.Errorf("state: ready is %d, must be from 0 to the generation %d", s.Ready, s.Generation)
-	case len(s.Zones) > pool.MaxOut || slices.ContainsFunc(s.Zones, func(z int) bool { return z < 0 }):
+	case len(s.Zones) > pool.MaxExcluded || slices.ContainsFunc(s.Zones, func(z int) bool { return z < 0 }):
 		return State{}, errors.New("state: too many zones, or a negative one")
-	case len(s.Out) > pool.MaxOut || len(s.Back) > pool.MaxOut:
+	case len(s.Out) > pool.MaxExcluded || len(s.Back) > pool.MaxExcluded:
 		return State{}, errors.New("state: too many excluded or restored backends")
 	}
 	for _, id := range s.Out {
@@ -85,13 +85,13 @@
 	return s, nil
 }
 
-// Exclude records that operators excluded a backend. It returns pool.ErrTooMany where the state has no place left.
+// Exclude records that operators excluded a backend. It returns pool.ErrTooManyExcluded where the state has no place left.
 func (s *State) Exclude(id string) error {
 	switch {
 	case slices.Contains(s.Out, id):
 		return nil
-	case len(s.Out) >= pool.MaxOut:
-		return pool.ErrTooMany
+	case len(s.Out) >= pool.MaxExcluded:
+		return pool.ErrTooManyExcluded
 	}
 	s.Out = append(s.Out, id)
 	slices.Sort(s.Out)
@@ -117,7 +117,7 @@
 			oldest = other
 		}
 	}
-	if len(s.Back) >= pool.MaxOut {
+	if len(s.Back) >= pool.MaxExcluded {
 		delete(s.Back, oldest)
 	}
 	s.Back[id] = now.UnixNano()
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -123,16 +123,16 @@
 	if len(s.Back) != 0 {
 		t.Errorf("a backend is both excluded and restored: %+v", s)
 	}
-	for i := range pool.MaxOut + 1 {
-		if err := s.Exclude(fmt.Sprint("n", i)); (err != nil) != (i >= pool.MaxOut-1) {
+	for i := range pool.MaxExcluded + 1 {
+		if err := s.Exclude(fmt.Sprint("n", i)); (err != nil) != (i >= pool.MaxExcluded-1) {
 			t.Fatalf("%d: %v", i, err)
 		}
 	}
-	for i := range 2 * pool.MaxOut {
+	for i := range 2 * pool.MaxExcluded {
 		s.Out = []string{fmt.Sprint("n", i)}
 		s.Include(s.Out[0], now.Add(time.Duration(i)))
 	}
-	if len(s.Back) > pool.MaxOut || s.Back[fmt.Sprint("n", 2*pool.MaxOut-1)] == 0 {
+	if len(s.Back) > pool.MaxExcluded || s.Back[fmt.Sprint("n", 2*pool.MaxExcluded-1)] == 0 {
 		t.Errorf("%d restored backends are kept", len(s.Back))
 	}
 }
@@ -156,7 +156,7 @@
 		if text2, err3 := again.Encode(); errors.Join(err, err2, err3) != nil || !bytes.Equal(text, text2) {
 			t.Errorf("%+v became %+v (%v, %v)", s, again, err, err2)
 		}
-		if s.Ready > s.Generation || s.Ready < 0 || len(s.Out) > pool.MaxOut || slices.Contains(s.Out, "") {
+		if s.Ready > s.Generation || s.Ready < 0 || len(s.Out) > pool.MaxExcluded || slices.Contains(s.Out, "") {
 			t.Errorf("%q makes %+v", raw, s)
 		}
 	})
