--- a/internal/admission/listener.go
+++ b/internal/admission/listener.go
@@ -54,9 +54,9 @@
 
 // Hooks notify the owner about descriptors. Each may be nil.
 type Hooks struct {
-	Opened func() // a connection was accepted
-	Closed func() // its descriptor has been closed
-	Room   func() // the process is out of descriptors: close connections that are kept only for reuse
+	Opened          func() // a connection was accepted
+	Closed          func() // its descriptor has been closed
+	FreeDescriptors func() // the process is out of descriptors: close connections that are kept only for reuse
 }
 
 // Listen wraps a listener with a Governor. Refused clients are told to retry after retryAfter; 0 omits the
@@ -76,8 +76,8 @@
 	if h.Closed != nil {
 		l.closed = h.Closed
 	}
-	if h.Room != nil {
-		l.freeDescriptors = h.Room
+	if h.FreeDescriptors != nil {
+		l.freeDescriptors = h.FreeDescriptors
 	}
 	return l, nil
 }
@@ -292,9 +292,9 @@
 	return l.Listener.Close()
 }
 
-// Leave stops accepting when another process accepts on the same address, and makes each answer end its
+// StopAccepting stops accepting when another process accepts on the same address, and makes each answer end its
 // connection. Accepted connections are served; idle connections stay open until Drain.
-func (l *Listener) Leave() {
+func (l *Listener) StopAccepting() {
 	l.mu.Lock()
 	l.governor.CloseAfterAnswers()
 	l.mu.Unlock()
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -127,7 +127,7 @@
 	up := upstream.New(&cfg.Settings, sockets, log)
 	l.Backend = up
 	l.Figures = figures.New(cfg.Names.Classes)
-	up.CountTries(&l.Figures.Tries)
+	up.CountAttempts(&l.Figures.Tries)
 
 	diameter, err := diameterPart(cfg, l, up, log)
 	if err != nil {
@@ -226,16 +226,16 @@
 func clientsPart(cfg *Config, l *core.Loop, up *upstream.Upstream, sockets *upstream.Sockets, ln net.Listener,
 	log *slog.Logger) (*part, *front.Server, *clientListener, error) {
 	s := &front.Server{Loop: l, Settings: &cfg.Settings, Names: cfg.Names, Figures: l.Figures, Memory: cfg.MemoryMB << 20}
-	admitted, err := admission.Listen(ln, admission.DefaultConfig(int(sockets.Limit), cfg.MemoryMB<<20), s.ComeBack(),
+	admitted, err := admission.Listen(ln, admission.DefaultConfig(int(sockets.Limit), cfg.MemoryMB<<20), s.RetryAfter(),
 		admission.Hooks{
 			Opened: func() {
 				sockets.Open.Add(1)
-				if sockets.Tight() { // keep a descriptor free for the next connection
-					up.Evict()
+				if sockets.NearLimit() { // keep a descriptor free for the next connection
+					up.EvictIdle()
 				}
 			},
-			Closed: func() { sockets.Open.Add(-1) },
-			Room:   func() { up.Evict() },
+			Closed:          func() { sockets.Open.Add(-1) },
+			FreeDescriptors: func() { up.EvictIdle() },
 		})
 	if err != nil {
 		return nil, nil, nil, err
@@ -259,7 +259,7 @@
 		beginStop: func(time.Time) {
 			if listener.processes.successorServes() {
 				log.Info("a successor serves: it accepts new connections")
-				admitted.Leave()
+				admitted.StopAccepting()
 			}
 		},
 		drain: admitted.Drain,
--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -114,7 +114,7 @@
 func TestReadLimitEndsWithTheRequest(t *testing.T) {
 	base, _, _ := startAgent(t, testConfig(t, backend(t, func(c net.Conn, r *bufio.Reader) {
 		receive(r)
-		time.Sleep(front.HeadLimit + 200*time.Millisecond)
+		time.Sleep(front.HeadTimeout + 200*time.Millisecond)
 		io.WriteString(c, hello)
 	})), newScripted(sendAll))
 	if resp, body, err := sendRead(newClient(t), base, "d1"); err != nil || resp.StatusCode != http.StatusOK || body != "hello" {
@@ -145,7 +145,7 @@
 	for _, c := range silent[:2] {
 		readRest(t, c)
 	}
-	if time.Since(begun) >= front.IdleLimit {
+	if time.Since(begun) >= front.IdleTimeout {
 		t.Error("silent connections are closed by their idle limit only")
 	}
 	close(release)
--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -173,7 +173,7 @@
 			return
 		}
 		c.loop.Reconfigure(next)
-		c.server.Advise(next.MaxRetryAfter)
+		c.server.SetMaxRetryAfter(next.MaxRetryAfter)
 		c.loop.AfterStep(func() { close(done) })
 	})
 	select {
--- a/internal/agent/configuration_test.go
+++ b/internal/agent/configuration_test.go
@@ -575,7 +575,7 @@
 	if e := nextEvent[balance.Reconfigure](t, bal); e.Settings.MaxAttempts != 3 {
 		t.Errorf("the balancer received %d attempts", e.Settings.MaxAttempts)
 	}
-	if got := c.server.ComeBack(); got != 70*time.Millisecond {
+	if got := c.server.RetryAfter(); got != 70*time.Millisecond {
 		t.Errorf("the front's retry advice is %v", got)
 	}
 	stop()
@@ -593,22 +593,22 @@
 // The retry advice that the front gives to clients that it turns away follows a change, from any goroutine.
 func TestRetryAfterFollowsChange(t *testing.T) {
 	s := &front.Server{Settings: &balance.Settings{RetryAfter: true, MaxRetryAfter: time.Second}}
-	if got := s.ComeBack(); got != time.Second {
+	if got := s.RetryAfter(); got != time.Second {
 		t.Errorf("at the start %v", got)
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		s.Advise(0)
+		s.SetMaxRetryAfter(0)
 	}()
-	s.ComeBack()
+	s.RetryAfter()
 	await(t, done)
-	if got := s.ComeBack(); got != 0 {
+	if got := s.RetryAfter(); got != 0 {
 		t.Errorf("after the change %v", got)
 	}
 	off := &front.Server{Settings: &balance.Settings{}}
-	off.Advise(time.Second)
-	if got := off.ComeBack(); got != 0 {
+	off.SetMaxRetryAfter(time.Second)
+	if got := off.RetryAfter(); got != 0 {
 		t.Errorf("without advice %v", got)
 	}
 }
--- a/internal/agent/processgroup.go
+++ b/internal/agent/processgroup.go
@@ -92,7 +92,7 @@
 			if err := listener.Resize(admission.DefaultConfig(connections, memory)); err != nil {
 				log.Error("connection and memory limits are unchanged", "err", err)
 			}
-			up.Room(connections)
+			up.SetIdleThreshold(connections)
 		}}
 }
 
--- a/internal/backend/http1/idle.go
+++ b/internal/backend/http1/idle.go
@@ -25,8 +25,8 @@
 // Full reports whether the limit is reached.
 func (s *Sockets) Full() bool { return s.Limit > 0 && s.Open.Load() >= s.Limit }
 
-// Tight reports whether idle connections are to be closed.
-func (s *Sockets) Tight() bool {
+// NearLimit reports whether idle connections are to be closed.
+func (s *Sockets) NearLimit() bool {
 	if room := s.idleThreshold.Load(); room > 0 && s.Open.Load() >= room {
 		return true
 	}
@@ -36,7 +36,7 @@
 // dial opens a connection. At the socket limit it first closes an idle one.
 func (u *Upstream) dial(ctx context.Context, addr string) (*conn, error) {
 	for u.sockets.Full() {
-		if !u.Evict() {
+		if !u.EvictIdle() {
 			return nil, errOutOfSockets
 		}
 	}
@@ -96,20 +96,20 @@
 	u.mu.Lock()
 	u.idle[to] = append(u.idle[to], c)
 	u.mu.Unlock()
-	if u.sockets.idleThreshold.Load() > 0 && u.sockets.Tight() {
-		u.Evict()
+	if u.sockets.idleThreshold.Load() > 0 && u.sockets.NearLimit() {
+		u.EvictIdle()
 	}
 }
 
-// Room sets the number of open connections from which idle ones are closed. At or above the socket limit, only
+// SetIdleThreshold sets the number of open connections from which idle ones are closed. At or above the socket limit, only
 // the limit applies.
-func (u *Upstream) Room(n int) {
+func (u *Upstream) SetIdleThreshold(n int) {
 	room := int64(n)
 	if room >= u.sockets.Limit {
 		room = 0
 	}
 	u.sockets.idleThreshold.Store(room)
-	for u.sockets.Tight() && u.Evict() {
+	for u.sockets.NearLimit() && u.EvictIdle() {
 	}
 }
 
@@ -117,8 +117,8 @@
 // the backend has closed would end as a reset, after which it can't be known whether the request ran.
 func (c *conn) openAndEmpty() bool { return peek.Inspect(c.Conn) == peek.Idle }
 
-// Evict closes the connection that has been idle for longest. It reports whether there was one.
-func (u *Upstream) Evict() bool {
+// EvictIdle closes the connection that has been idle for longest. It reports whether there was one.
+func (u *Upstream) EvictIdle() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var oldest core.Target
@@ -173,7 +173,7 @@
 		case <-tick.C:
 			u.closeStaleIdle()
 		case <-ctx.Done():
-			for u.Evict() {
+			for u.EvictIdle() {
 			}
 			return
 		}
--- a/internal/backend/http1/permit_test.go
+++ b/internal/backend/http1/permit_test.go
@@ -72,7 +72,7 @@
 				if r := await(t, done); r.Result != balance.DroppedUnsent {
 					t.Fatalf("%s, connects %v: got %v", name, connects, r.Result)
 				}
-				for u.Evict() { // otherwise the next attempt needs no dial
+				for u.EvictIdle() { // otherwise the next attempt needs no dial
 				}
 			}
 			if n := len(got); n != 0 {
@@ -180,7 +180,7 @@
 		if r := await(t, exchange(t, u, p, addr, readRequest)); r.Result != balance.OK {
 			t.Fatalf("got %v", r.Result)
 		}
-		for u.Evict() {
+		for u.EvictIdle() {
 		}
 	}
 	if n := len(got); n != crossingRounds {
@@ -214,7 +214,7 @@
 		if r := await(t, exchange(t, u, core.NewPermit(time.Now().Add(time.Millisecond)), addr, readRequest)); r.Result != balance.DroppedUnsent {
 			t.Fatalf("got %v", r.Result)
 		}
-		for u.Evict() {
+		for u.EvictIdle() {
 		}
 	}
 	u.dialContext = real
--- a/internal/backend/http1/upstream.go
+++ b/internal/backend/http1/upstream.go
@@ -72,8 +72,8 @@
 		attempts: new(atomic.Int64), idle: map[core.Target][]*conn{}, busy: map[core.Target]int{}}
 }
 
-// CountTries makes n count the attempts whose request was written whole.
-func (u *Upstream) CountTries(n *atomic.Int64) { u.attempts = n }
+// CountAttempts makes n count the attempts whose request was written whole.
+func (u *Upstream) CountAttempts(n *atomic.Int64) { u.attempts = n }
 
 // Exchange makes one attempt: it writes request (an *http1.Request) once, on one connection.
 func (u *Upstream) Exchange(ctx context.Context, p *core.Permit, to core.Target, request any) core.Response {
--- a/internal/backend/http1/upstream_test.go
+++ b/internal/backend/http1/upstream_test.go
@@ -22,7 +22,7 @@
 func newTestUpstream(t *testing.T) *Upstream {
 	u := New(&balance.Settings{ConnectTimeout: testTimeout, IdleClose: time.Minute}, &Sockets{}, discardLog)
 	t.Cleanup(func() {
-		for u.Evict() {
+		for u.EvictIdle() {
 		}
 		if n := u.sockets.Open.Load(); n != 0 {
 			t.Errorf("%d sockets are leaked", n)
@@ -267,7 +267,7 @@
 		}
 	}
 	u.sockets.Open.Add(1) // a client's socket; no idle connection is left after Evict
-	u.Evict()
+	u.EvictIdle()
 	if r := exchangeRested(t, u, two, readRequest); r.Result != balance.NotSent { // not the backend's fault
 		t.Errorf("got %v with no socket available", r.Result)
 	}
--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -27,8 +27,8 @@
 
 // Limits on what a client may use.
 const (
-	HeadLimit          = 2600 * time.Millisecond // for a request's head; the protocol allows 3 s for an unfinished one
-	IdleLimit          = 2200 * time.Millisecond // for an idle connection; the protocol grants it 2 s
+	HeadTimeout        = 2600 * time.Millisecond // for a request's head; the protocol allows 3 s for an unfinished one
+	IdleTimeout        = 2200 * time.Millisecond // for an idle connection; the protocol grants it 2 s
 	answerWriteTimeout = 2 * time.Second         // for writing an answer to a client that does not read
 	maxTimeLeft        = time.Hour               // a longer time left is taken for a client's error
 	maxHeadBytes       = 16 << 10
@@ -64,7 +64,7 @@
 // HTTP returns the server of client connections. Its timeouts protect against clients that connect and send
 // nothing, send incomplete requests, or don't read.
 func (s *Server) HTTP(log *slog.Logger) *http.Server {
-	return &http.Server{Handler: s, ReadHeaderTimeout: HeadLimit, IdleTimeout: IdleLimit, MaxHeaderBytes: maxHeadBytes,
+	return &http.Server{Handler: s, ReadHeaderTimeout: HeadTimeout, IdleTimeout: IdleTimeout, MaxHeaderBytes: maxHeadBytes,
 		ErrorLog:    slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ConnContext: admission.ConnContext, ConnState: admission.StateChanged}
 }
@@ -278,7 +278,7 @@
 	}
 	body, stream, status, err := s.readBody(conn, r, timeLeft)
 	if status == http.StatusServiceUnavailable { // nothing was processed, so the client may retry
-		if retryAfter := s.ComeBack(); retryAfter > 0 {
+		if retryAfter := s.RetryAfter(); retryAfter > 0 {
 			w.Header().Set("Retry-After", formatSeconds(retryAfter))
 		}
 		s.Figures.Ended(class, figures.Shed)
@@ -435,9 +435,9 @@
 // formatSeconds formats a duration for the Retry-After header.
 func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// ComeBack returns the Retry-After for requests that the front end refuses itself; 0 if the settings disable
+// RetryAfter returns the Retry-After for requests that the front end refuses itself; 0 if the settings disable
 // the header.
-func (s *Server) ComeBack() time.Duration {
+func (s *Server) RetryAfter() time.Duration {
 	if !s.Settings.RetryAfter {
 		return 0
 	}
@@ -447,9 +447,9 @@
 	return s.Settings.MaxRetryAfter
 }
 
-// Advise replaces the longest Retry-After. It is safe for concurrent use. The other settings that the server
+// SetMaxRetryAfter replaces the longest Retry-After. It is safe for concurrent use. The other settings that the server
 // reads can't change while it runs.
-func (s *Server) Advise(longest time.Duration) { s.maxRetryAfter.Store(int64(longest) + 1) }
+func (s *Server) SetMaxRetryAfter(longest time.Duration) { s.maxRetryAfter.Store(int64(longest) + 1) }
 
 // failureStatuses maps the kind of an answer that was not served to its HTTP status.
 var failureStatuses = map[core.Kind]int{
