--- a/cmd/lemonrail/main.go
+++ b/cmd/lemonrail/main.go
@@ -57,7 +57,7 @@
 	}
 	read := agent.ReadConfig
 	if paths.servers != "" {
-		read = func(path string) (*agent.Config, error) { return agent.ReadListedConfig(path, paths.servers) }
+		read = func(path string) (*agent.Config, error) { return agent.ReadConfigWithServers(path, paths.servers) }
 	}
 	cfg, err := read(path)
 	if err != nil {
@@ -125,7 +125,7 @@
 		}
 	}
 	if cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(agent.CollectAt(cfg.MemoryMB << 20))
+		debug.SetMemoryLimit(agent.SoftMemoryLimit(cfg.MemoryMB << 20))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -38,17 +38,17 @@
 		if err != nil {
 			return err
 		}
-		return RunOn(ctx, ln, cfg, hup, log)
+		return RunWithListener(ctx, ln, cfg, hup, log)
 	}
 	ln, err := net.Listen("tcp", cfg.Listen.String())
 	if err != nil {
 		return fmt.Errorf("clients: %w", err)
 	}
-	return RunOn(ctx, ln, cfg, hup, log)
+	return RunWithListener(ctx, ln, cfg, hup, log)
 }
 
-// RunOn is Run with an existing listener, which it closes.
-func RunOn(ctx context.Context, ln net.Listener, cfg *Config, hup <-chan os.Signal, log *slog.Logger) error {
+// RunWithListener is Run with an existing listener, which it closes.
+func RunWithListener(ctx context.Context, ln net.Listener, cfg *Config, hup <-chan os.Signal, log *slog.Logger) error {
 	defer ln.Close()
 	bal, err := balance.New(cfg.Settings, cfg.Seed)
 	if err != nil {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -71,8 +71,8 @@
 	return cfg, nil
 }
 
-// ReadListedConfig is ReadConfig for an agent whose backends are listed in the file servers; discovery is not required.
-func ReadListedConfig(path, servers string) (*Config, error) {
+// ReadConfigWithServers is ReadConfig for an agent whose backends are listed in the file servers; discovery is not required.
+func ReadConfigWithServers(path, servers string) (*Config, error) {
 	cfg, err := readConfig(path)
 	if err != nil {
 		return nil, err
--- a/internal/agent/processgroup.go
+++ b/internal/agent/processgroup.go
@@ -193,7 +193,7 @@
 // setMemoryLimit applies this process's share of the agent's memory.
 func (h *processGroup) setMemoryLimit(alone bool) {
 	if h.memory > 0 {
-		debug.SetMemoryLimit(CollectAt(h.memoryShare(alone)))
+		debug.SetMemoryLimit(SoftMemoryLimit(h.memoryShare(alone)))
 	}
 }
 
@@ -213,8 +213,8 @@
 	return v.Room(max(h.maxConnections-reservedSockets, reservedSockets))
 }
 
-// CollectAt returns the soft memory limit for the garbage collector; the rest is for memory that it doesn't count.
-func CollectAt(memory int64) int64 { return memory * 3 / 4 }
+// SoftMemoryLimit returns the soft memory limit for the garbage collector; the rest is for memory that it doesn't count.
+func SoftMemoryLimit(memory int64) int64 { return memory * 3 / 4 }
 
 // successorServes reports whether a successor serves.
 func (h *processGroup) successorServes() bool { return h != nil && h.claim.View().Plan().Successor }
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -128,7 +128,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	hup, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() {
-		ended <- agent.RunOn(ctx, ln, cfg, hup, slog.New(slog.NewTextHandler(log, nil)).With("agent", name))
+		ended <- agent.RunWithListener(ctx, ln, cfg, hup, slog.New(slog.NewTextHandler(log, nil)).With("agent", name))
 	}()
 	a.stops = append(a.stops, func() error {
 		cancel()
