--- a/cmd/lemonctl/cluster.go
+++ b/cmd/lemonctl/cluster.go
@@ -92,7 +92,7 @@
 	changes := map[string]uint64{}
 	for _, a := range rig.Agents {
 		if r, err := a.Members(); err == nil {
-			changes[a.Name] = r.Moved
+			changes[a.Name] = r.Changes
 		}
 	}
 	out["changes"] = changes
--- a/cmd/lemonctl/members.go
+++ b/cmd/lemonctl/members.go
@@ -135,7 +135,7 @@
 		if len(exceptions) > 6 {
 			exceptions = append(exceptions[:6], fmt.Sprintf("and %d more", len(exceptions)-6))
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d of %d\t%d to %d\t%d\t%s\n", r.Name, r.Zone, r.Standing, r.Alive, r.Expected, r.Living, r.Possible, r.Moved, strings.Join(exceptions, ", "))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d of %d\t%d to %d\t%d\t%s\n", r.Name, r.Zone, r.Standing, r.Alive, r.Expected, r.Living, r.Possible, r.Changes, strings.Join(exceptions, ", "))
 	}
 	t.Flush()
 	var silent []string
--- a/cmd/lemonrail/members_test.go
+++ b/cmd/lemonrail/members_test.go
@@ -85,7 +85,7 @@
 	}
 	<-old.done
 	after := other.awaitMembers("both alive still", both)
-	if after.Members[0].Start != second.Members[0].Start || after.Moved != first.Moved {
-		t.Errorf("an upgrade was seen as %d changes: %+v", after.Moved-first.Moved, after.Members)
+	if after.Members[0].Start != second.Members[0].Start || after.Changes != first.Changes {
+		t.Errorf("an upgrade was seen as %d changes: %+v", after.Changes-first.Changes, after.Members)
 	}
 }
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -259,7 +259,7 @@
 	tick := time.NewTicker(viewInterval)
 	defer tick.Stop()
 	for {
-		f.link.Look(f.update)
+		f.link.WithView(f.update)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
--- a/internal/agent/members.go
+++ b/internal/agent/members.go
@@ -30,13 +30,13 @@
 	if z := cfg.Settings.Zone; z >= 0 && z < len(cfg.Names.Zones) {
 		zone = cfg.Names.Zones[z]
 	}
-	self := member.Nobody
+	self := member.NoID
 	if cfg.Settings.Self < len(cfg.Peers) {
 		self = member.ID(cfg.Settings.Self)
 	}
 	m, err := link.New(link.Options{Settings: cfg.members, Name: cfg.Name, Zone: zone, Self: self, Peers: cfg.Peers, Seed: cfg.Seed,
 		Send: p.send, Log: log,
-		Counted: func(c member.Count) {
+		OnCount: func(c member.Count) {
 			e := balance.Fleet{Alive: c.Living, MaxAlive: c.Possible}
 			for _, id := range c.Away {
 				e.Departed = append(e.Departed, int(id))
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -50,8 +50,8 @@
 func listenPeers(cfg *Config, log *slog.Logger) (*peers, error) {
 	balancerEnabled := cfg.Settings.Peers && cfg.PeerListen.IsValid()
 	listenAt := cfg.PeerListen
-	if cfg.members != nil && cfg.members.ListenAt().IsValid() {
-		if listenAt = cfg.members.ListenAt(); balancerEnabled && len(cfg.members.List()) > 0 {
+	if cfg.members != nil && cfg.members.ListenAddr().IsValid() {
+		if listenAt = cfg.members.ListenAddr(); balancerEnabled && len(cfg.members.List()) > 0 {
 			return nil, errors.New("peers: both the platform and the file on members list addresses")
 		}
 	}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -129,7 +129,7 @@
 	for _, a := range c.Agents {
 		r, err := a.Members()
 		must(t, err)
-		n = append(n, r.Moved)
+		n = append(n, r.Changes)
 	}
 	return n
 }
--- a/internal/member/arena/compare.go
+++ b/internal/member/arena/compare.go
@@ -18,7 +18,7 @@
 	return []Protocol{
 		{"heartbeats, 3 s", Heartbeats(time.Second, 3*time.Second), 300},
 		{"SWIM", SWIM(), 0},
-		{"this", Ours(3, nil), 0},
+		{"this", Membership(3, nil), 0},
 	}
 }
 
--- a/internal/member/arena/protocols.go
+++ b/internal/member/arena/protocols.go
@@ -9,8 +9,8 @@
 	"lemonrail/internal/member"
 )
 
-// Ours returns the protocol of internal/member; change, if not nil, adjusts each member's settings.
-func Ours(zones int, change func(*member.Config)) NodeFactory {
+// Membership returns the protocol of internal/member; change, if not nil, adjusts each member's settings.
+func Membership(zones int, change func(*member.Config)) NodeFactory {
 	return func(i, n, life int, now time.Duration, seed uint64) Node {
 		cfg := member.DefaultConfig()
 		cfg.Self, cfg.Seed, cfg.Start = member.ID(i), seed, uint32(1+life)
@@ -55,7 +55,7 @@
 // StatusChanges leaves out changes of the member's own standing.
 func (m *Member) StatusChanges() (out []StatusChange) {
 	for _, c := range m.Member.Changes() {
-		if c.Member == member.Nobody {
+		if c.Member == member.NoID {
 			continue
 		}
 		j := StatusChange{Member: int(c.Member), Status: StatusAlive}
--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -28,7 +28,7 @@
 		net.Latency = [2]time.Duration{lanLatency / 4, lanLatency}
 	}
 	net.Refuses = true
-	f := &fleet{Arena: arena.New(n, 7, net, arena.Ours(zones, change)), t: t, changes: map[int][]string{}}
+	f := &fleet{Arena: arena.New(n, 7, net, arena.Membership(zones, change)), t: t, changes: map[int][]string{}}
 	f.StartAll(100 * time.Millisecond)
 	f.RunUntil(8*time.Second + time.Duration(n)*10*time.Millisecond)
 	for i := range n {
@@ -485,7 +485,7 @@
 func TestStrangers(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		t.Run(fmt.Sprint(allowed), func(t *testing.T) {
-			a := arena.New(6, 7, arena.Net{Latency: [2]time.Duration{lanLatency / 4, lanLatency}, Refuses: true}, arena.Ours(1, func(c *member.Config) {
+			a := arena.New(6, 7, arena.Net{Latency: [2]time.Duration{lanLatency / 4, lanLatency}, Refuses: true}, arena.Membership(1, func(c *member.Config) {
 				c.Strangers, c.Expected = allowed, 5
 				if c.Self == 5 {
 					c.Addr = netip.MustParseAddrPort("127.0.0.1:7946")
@@ -516,7 +516,7 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		loss := rapid.SampledFrom([]float64{0, 0.1, 0.3, 0.6}).Draw(t, "loss")
 		net := arena.Net{Latency: [2]time.Duration{lanLatency / 4, 5 * lanLatency}, Refuses: rapid.Bool().Draw(t, "refuses"), Duplicated: 0.05}
-		a := arena.New(n, seed, net, arena.Ours(2, nil))
+		a := arena.New(n, seed, net, arena.Membership(2, nil))
 		highest := map[[3]int]uint64{}
 		lives := make([]int, n)
 		check := func() {
--- a/internal/member/link/config.go
+++ b/internal/member/link/config.go
@@ -148,8 +148,8 @@
 // List returns the agents listed in the file; empty if the platform's list is used.
 func (s *Settings) List() []Listed { return s.listed }
 
-// ListenAt returns the address to listen on if the file lists the agents; invalid: use the platform's.
-func (s *Settings) ListenAt() netip.AddrPort { return s.listenAddr }
+// ListenAddr returns the address to listen on if the file lists the agents; invalid: use the platform's.
+func (s *Settings) ListenAddr() netip.AddrPort { return s.listenAddr }
 
 func address(text string) (netip.AddrPort, error) {
 	if text == "" {
--- a/internal/member/link/link.go
+++ b/internal/member/link/link.go
@@ -36,7 +36,7 @@
 	Peers    []netip.AddrPort // indexed by agent number, this agent included; empty: use the settings' list
 	Seed     uint64
 	Send     func(to netip.AddrPort, data []byte) // must not block; may drop the datagram
-	Counted  func(member.Count)                   // called on changes; must not block for long
+	OnCount  func(member.Count)                   // called on changes; must not block for long
 	Log      *slog.Logger
 }
 
@@ -85,7 +85,7 @@
 			c.Addr = o.Settings.advertised
 		}
 	} else {
-		if c.Self == member.Nobody {
+		if c.Self == member.NoID {
 			c.Self = member.NameID(o.Name)
 			c.Addr = o.Settings.advertised
 		}
@@ -127,7 +127,7 @@
 func (l *Link) Received(from netip.AddrPort, data []byte) {
 	id, known := l.ids[from]
 	if !known {
-		id = member.Nobody
+		id = member.NoID
 	}
 	if !l.post(func() {
 		if !l.muted.Load() {
@@ -208,15 +208,15 @@
 	}
 	if c := l.member.Count(); c.Living != l.lastCount.Living || c.Possible != l.lastCount.Possible || len(c.Away) != len(l.lastCount.Away) {
 		l.lastCount = c
-		if l.options.Counted != nil {
-			l.options.Counted(c)
+		if l.options.OnCount != nil {
+			l.options.OnCount(c)
 		}
 	}
 }
 
 // logChange logs a state change of a member or a change of this agent's standing.
 func (l *Link) logChange(c member.Change) {
-	if c.Member == member.Nobody {
+	if c.Member == member.NoID {
 		l.options.Log.Info("membership", "standing", c.Standing, "moved", c.Sequence)
 		return
 	}
@@ -265,7 +265,7 @@
 	Incarnation uint16          `json:"incarnation"`
 	Number      uint64          `json:"view"`
 	Digest      string          `json:"digest"`
-	Moved       uint64          `json:"changes"`
+	Changes     uint64          `json:"changes"`
 	Standing    string          `json:"standing"`
 	Majority    bool            `json:"majority"`
 	Expected    int             `json:"expected"`
@@ -301,7 +301,7 @@
 
 func (l *Link) report() *Report {
 	v, c := l.member.View(), l.member.Count()
-	r := &Report{Number: v.Number, Digest: fmt.Sprintf("%016x", v.Digest), Moved: v.Changes, Standing: v.Standing.String(), Majority: v.Majority(),
+	r := &Report{Number: v.Number, Digest: fmt.Sprintf("%016x", v.Digest), Changes: v.Changes, Standing: v.Standing.String(), Majority: v.Majority(),
 		Expected: v.Expected, Alive: v.Alive, Living: c.Living, Possible: c.Possible, Muted: l.muted.Load(), At: time.Now(),
 		Counters: l.member.Counters(), Lost: l.dropped.Load()}
 	for _, s := range v.Members {
@@ -318,9 +318,9 @@
 	return r
 }
 
-// Look passes the current view to f, on Run's goroutine, without blocking. f is not called if the inbox is
+// WithView passes the current view to f, on Run's goroutine, without blocking. f is not called if the inbox is
 // full or the link is muted.
-func (l *Link) Look(f func(member.View)) {
+func (l *Link) WithView(f func(member.View)) {
 	l.post(func() {
 		if !l.muted.Load() {
 			f(l.member.View())
@@ -328,9 +328,9 @@
 	})
 }
 
-// Say publishes a note of a few bytes to the other members; see member.SetNote. It doesn't block; false:
+// SetNote publishes a note of a few bytes to the other members; see member.SetNote. It doesn't block; false:
 // the inbox is full and the note was dropped.
-func (l *Link) Say(note []byte) bool {
+func (l *Link) SetNote(note []byte) bool {
 	return l.post(func() { l.member.SetNote(l.now(), note) })
 }
 
--- a/internal/member/link/link_test.go
+++ b/internal/member/link/link_test.go
@@ -86,7 +86,7 @@
 					}
 				}
 			},
-			Counted: func(c member.Count) {
+			OnCount: func(c member.Count) {
 				if i == 0 {
 					counted <- c
 				}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -38,8 +38,8 @@
 // ID is an agent's number: its index in the configured list of peers, or a hash of its name (see NameID).
 type ID uint32
 
-// Nobody is the reserved ID that no agent has.
-const Nobody ID = 0xffffffff
+// NoID is the reserved ID that no agent has.
+const NoID ID = 0xffffffff
 
 // Peer is an agent that the configuration names.
 type Peer struct {
@@ -85,7 +85,7 @@
 // Check returns an error that names the first invalid value.
 func (c *Config) Check() error {
 	switch {
-	case c.Self == Nobody:
+	case c.Self == NoID:
 		return errors.New("self: missing")
 	case len(c.Name) > MaxName:
 		return fmt.Errorf("name %q: longer than %d bytes", c.Name, MaxName)
@@ -105,7 +105,7 @@
 	}
 	seen := map[ID]bool{}
 	for _, p := range c.Peers {
-		if seen[p.ID] || p.ID == Nobody {
+		if seen[p.ID] || p.ID == NoID {
 			return fmt.Errorf("peer %q: number %d is taken", p.Name, p.ID)
 		}
 		if len(p.Name) > MaxName || len(p.Zone) > MaxZone {
@@ -376,7 +376,7 @@
 		return
 	}
 	p := m.peers[pk.from]
-	if pk.from == m.cfg.Self || from != Nobody && from != pk.from || from == Nobody && p != nil && p.listed {
+	if pk.from == m.cfg.Self || from != NoID && from != pk.from || from == NoID && p != nil && p.listed {
 		m.counters.Strange++
 		return
 	}
--- a/internal/member/packet.go
+++ b/internal/member/packet.go
@@ -213,7 +213,7 @@
 	for len(r.b) > 0 && !r.invalid {
 		p.records = append(p.records, r.record())
 	}
-	if r.invalid || p.kind >= kindCount || p.from == Nobody {
+	if r.invalid || p.kind >= kindCount || p.from == NoID {
 		return nil, errGarbled
 	}
 	return p, nil
@@ -221,7 +221,7 @@
 
 func (r *reader) record() (rec record) {
 	rec.kind, rec.id, rec.start, rec.incarnation = r.u8(), ID(r.u32()), r.u32(), r.u16()
-	if rec.kind > kindLeft || rec.id == Nobody {
+	if rec.kind > kindLeft || rec.id == NoID {
 		r.invalid = true
 	}
 	if rec.kind != kindFull || r.invalid {
--- a/internal/member/packet_test.go
+++ b/internal/member/packet_test.go
@@ -71,7 +71,7 @@
 	m.Receive(0, 1, other)
 	m.Receive(0, 1, samples()[2].encode(4))
 	m.Receive(0, 2, ok) // the sender ID doesn't match the address
-	m.Receive(0, Nobody, ok)
+	m.Receive(0, NoID, ok)
 	if c := m.Counters(); c.Foreign != 2 || c.Strange != 2 || c.Garbled != 0 {
 		t.Errorf("counters: %+v", c)
 	}
@@ -131,7 +131,7 @@
 		"expected":    func(c *Config) { c.Expected = -1 },
 		"max members": func(c *Config) { c.MaxMembers = 0 },
 		"peer":        func(c *Config) { c.Peers = []Peer{{ID: 1}, {ID: 1}} },
-		"self":        func(c *Config) { c.Self = Nobody },
+		"self":        func(c *Config) { c.Self = NoID },
 	} {
 		c := DefaultConfig()
 		change(&c)
--- a/internal/member/rings.go
+++ b/internal/member/rings.go
@@ -11,7 +11,7 @@
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	id := ID(h.Sum32() | 1<<31)
-	if id == Nobody {
+	if id == NoID {
 		id--
 	}
 	return id
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -295,7 +295,7 @@
 	}
 	if s := m.standing(); s != m.lastStanding {
 		m.lastStanding = s
-		m.recordChange(Change{Member: Nobody, Standing: s})
+		m.recordChange(Change{Member: NoID, Standing: s})
 	}
 }
 
--- a/internal/scale/hollowmembers.go
+++ b/internal/scale/hollowmembers.go
@@ -142,7 +142,7 @@
 		n.link, err = link.New(link.Options{Settings: settings, Name: fmt.Sprintf("n%d", i), Zone: siteNames[i%len(siteNames)], Self: member.ID(i), Peers: peers,
 			Seed: seed<<20 + uint64(i), Log: slog.New(slog.DiscardHandler),
 			Send:    func(to netip.AddrPort, data []byte) { f.send(n, to, data) },
-			Counted: func(c member.Count) { f.recordCount(n, c) }})
+			OnCount: func(c member.Count) { f.recordCount(n, c) }})
 		if err != nil {
 			return err
 		}
--- a/internal/scale/simulated.go
+++ b/internal/scale/simulated.go
@@ -31,7 +31,7 @@
 // Run measures all fleet sizes.
 func (o SimulatedMembers) Run(ctx context.Context) ([]*Series, error) {
 	set := newSeriesSet(Simulated, "members", "membership as shipped, 8 zones")
-	ours := arena.Protocol{Name: "this", Make: arena.Ours(len(siteNames), nil)}
+	ours := arena.Protocol{Name: "this", Make: arena.Membership(len(siteNames), nil)}
 	for _, n := range o.Sizes {
 		cases := []arena.Case{
 			{Name: "all is well", Members: n, Span: o.Lossy},
--- a/internal/site/driver/driver.go
+++ b/internal/site/driver/driver.go
@@ -31,8 +31,8 @@
 
 // Members is the part of a membership that a Driver uses. Its methods must not block.
 type Members interface {
-	Look(func(member.View))
-	Say([]byte) bool
+	WithView(func(member.View))
+	SetNote([]byte) bool
 }
 
 // Options are the settings and the environment of a Driver.
@@ -294,13 +294,13 @@
 	}
 	if now-d.viewedAt >= viewInterval {
 		d.viewedAt = now
-		d.options.Members.Look(func(v member.View) { go d.loop.Post(func() { d.applyView(&v) }) }) // Post may block
+		d.options.Members.WithView(func(v member.View) { go d.loop.Post(func() { d.applyView(&v) }) }) // Post may block
 	}
 	note := d.controller.Note()
 	if slices.Equal(note, d.sentNote) || now-d.noteSentAt < noteInterval && !site.ReportsNewLoss(d.sentNote, note) {
 		return
 	}
-	if d.options.Members.Say(note) {
+	if d.options.Members.SetNote(note) {
 		d.sentNote, d.noteSentAt = note, now
 	}
 }
