--- a/cmd/lemonctl/control_test.go
+++ b/cmd/lemonctl/control_test.go
@@ -35,7 +35,7 @@
 
 func TestSitesShow(t *testing.T) {
 	report := func(state, cause string) *driver.Report {
-		return &driver.Report{Own: "a", Basis: "planned", Sites: []driver.Row{{Site: "a", State: "well", Since: time.Now(), Remain: 1, Attempts: 7},
+		return &driver.Report{Own: "a", Basis: "planned", Sites: []driver.SiteReport{{Site: "a", State: "well", Since: time.Now(), Remain: 1, Attempts: 7},
 			{Site: "b", State: state, Cause: cause, Since: time.Now(), FailShare: 1}}}
 	}
 	x, y := newAgentStub(t, "/api/sites", report("lost", ""), nil), newAgentStub(t, "/api/sites", report("cut", "mine"), nil)
--- a/cmd/lemonctl/sitesplan.go
+++ b/cmd/lemonctl/sitesplan.go
@@ -108,7 +108,7 @@
 
 // strategies returns the plan and the two simple strategies that it is compared with.
 func strategies(q *site.Problem) []strategy {
-	return []strategy{{"plan", q.Solve}, {"nearest first", q.Nearest}, {"in proportion", q.Spill}}
+	return []strategy{{"plan", q.Solve}, {"nearest first", q.SolveNearest}, {"in proportion", q.SolveProportional}}
 }
 
 func (c *sitesPlanCmd) printPlans(s streams, names []string, f *site.File, plans []*sitePlan) error {
--- a/cmd/lemonctl/sitesshow.go
+++ b/cmd/lemonctl/sitesshow.go
@@ -45,7 +45,7 @@
 func (l *sitesSnapshot) printText(w io.Writer) error {
 	type group struct {
 		agents []string
-		row    driver.Row
+		row    driver.SiteReport
 		basis  string
 	}
 	groups := map[string]*group{}
@@ -64,11 +64,11 @@
 		g := groups[k]
 		slices.Sort(g.agents)
 		r, why := g.row, g.row.Cause
-		if r.ByHand {
+		if r.Manual {
 			why = "by hand"
 		}
 		fmt.Fprintf(t, "%s\t%s\t%d: %s\t%s\t%s\t%.0f %%\t%.0f %%\t%.0f %%\t%.0f s\t%s\n", r.Site, r.State, len(g.agents), abbreviate(g.agents), r.Since.Format("15:04:05"), why,
-			100*r.FailShare, 100*r.Elsewhere, 100*r.Remain, r.FullIn, g.basis)
+			100*r.FailShare, 100*r.Elsewhere, 100*r.Remain, r.FullInSeconds, g.basis)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -131,7 +131,7 @@
 }
 
 // findSite returns the row of a site in a report; nil if r is nil or has no such row.
-func findSite(r *driver.Report, name string) *driver.Row {
+func findSite(r *driver.Report, name string) *driver.SiteReport {
 	if r == nil {
 		return nil
 	}
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -151,7 +151,7 @@
 
 // Step publishes the ramps below 1, whenever they differ from those published last.
 func (p *paceTask) Step(_ time.Time, _ duty.Permit, _ []byte) ([]byte, bool) {
-	ramps := p.sites.Ramps()
+	ramps := p.sites.RampShares()
 	reduced := map[string]float64{}
 	for name, share := range ramps {
 		if share < 1 {
@@ -181,7 +181,7 @@
 		return
 	}
 	p.appliedEpoch, p.appliedActs = d.Epoch, d.Acts
-	p.sites.Pace(ramps, p.fallback)
+	p.sites.OverrideRamps(ramps, p.fallback)
 }
 
 // notesTask is the duty of keeping notes on the fleet: its holder publishes which members are unhealthy, and logs
--- a/internal/agent/sites.go
+++ b/internal/agent/sites.go
@@ -51,7 +51,7 @@
 	}
 	s, err := c.sites.file.ControllerConfig(c.sites.problem, c.Names.Zones, classes, cold, c.Settings.RampTime)
 	if advice := c.Settings.MaxRetryAfter; advice > 0 {
-		s.Advice = advice
+		s.MaxAdvice = advice
 	}
 	return s, err
 }
@@ -69,7 +69,7 @@
 	if ownZone >= len(cfg.Names.Zones) {
 		ownZone = -1
 	}
-	o := driver.Options{Controller: config, Own: ownZone, Seed: cfg.Seed, Log: log, Hand: operators.excludeZone}
+	o := driver.Options{Controller: config, OwnSite: ownZone, Seed: cfg.Seed, Log: log, ExcludeZone: operators.excludeZone}
 	if members != nil {
 		o.Members = members
 	}
--- a/internal/cluster/sites_test.go
+++ b/internal/cluster/sites_test.go
@@ -133,7 +133,7 @@
 	t.Helper()
 	r, err := c.Agents[agent].Sites()
 	must(t, err)
-	for _, h := range r.Happened {
+	for _, h := range r.Changes {
 		if h.Site == site {
 			states = append(states, h.To)
 		}
@@ -187,7 +187,7 @@
 		t.Parallel()
 		c := startSitesCluster(t)
 		// Until peers report that site b answers them, an agent can't tell a cut from a loss.
-		until(t, c, "every agent has heard that others are answered at b", func(r *driver.Report) bool { return r.Sites[1].Reach >= 2 })
+		until(t, c, "every agent has heard that others are answered at b", func(r *driver.Report) bool { return r.Sites[1].Reaching >= 2 })
 		end := beginFault(t, c, standin.FaultSpec{What: "cut", Nodes: siteBNodes, Agents: []string{"site:a"}})
 		waitForState(t, c, []int{0, 3}, "b", "cut")
 		waitForState(t, c, []int{1, 2, 4, 5}, "b", "well")
--- a/internal/site/controller.go
+++ b/internal/site/controller.go
@@ -17,7 +17,7 @@
 	Classes []Class // in the order of the decision module
 	Figures Figures
 
-	Advice time.Duration // longest advice that a refused client may get
+	MaxAdvice time.Duration // longest advice that a refused client may get
 
 	TrialInterval    time.Duration // approximate time between two trials of a lost site at first ...
 	MaxTrialInterval time.Duration // ... and at most, after it has been doubled repeatedly
@@ -37,7 +37,7 @@
 // DefaultControllerConfig returns settings for agents that get a few requests a second.
 func DefaultControllerConfig(sites []string, coldShare float64, ramp time.Duration) ControllerConfig {
 	return ControllerConfig{Watch: DefaultConfig(sites), Ramp: DefaultRamp(coldShare, ramp), Figures: Figures{Headroom: 0.05, Load: 0.7, Cross: 0.02, Method: MaxWorth},
-		Advice: time.Second, TrialInterval: time.Second, MaxTrialInterval: 4 * time.Second, DoubtedShare: 0.1, MinShare: 0.02}
+		MaxAdvice: time.Second, TrialInterval: time.Second, MaxTrialInterval: 4 * time.Second, DoubtedShare: 0.1, MinShare: 0.02}
 }
 
 // Check returns an error that names the first invalid setting.
@@ -48,8 +48,8 @@
 	switch {
 	case len(c.Classes) == 0:
 		return errors.New("classes: at least one is required")
-	case c.Advice <= 0:
-		return fmt.Errorf("advice: %v must be greater than 0", c.Advice)
+	case c.MaxAdvice <= 0:
+		return fmt.Errorf("advice: %v must be greater than 0", c.MaxAdvice)
 	case c.TrialInterval <= 0 || c.MaxTrialInterval < c.TrialInterval:
 		return fmt.Errorf("trial: the first interval, %v, must be greater than 0 and at most the longest, %v", c.TrialInterval, c.MaxTrialInterval)
 	case !(c.DoubtedShare > 0 && c.DoubtedShare <= 1):
--- a/internal/site/controller_test.go
+++ b/internal/site/controller_test.go
@@ -382,7 +382,7 @@
 
 // Refused clients are told to come back as the ramp opens, not all together.
 func TestReturnAdviceFollowsRamp(t *testing.T) {
-	x := newControllerSim(t, 0, func(c *ControllerConfig) { c.Advice = 4 * time.Second })
+	x := newControllerSim(t, 0, func(c *ControllerConfig) { c.MaxAdvice = 4 * time.Second })
 	x.outcomes[1] = Refused
 	x.play(3 * time.Second)
 	spread := map[int]int{}
@@ -399,7 +399,7 @@
 		}
 	}
 	// During the return the advice follows the ramp: more clients come later, some at once.
-	x = newControllerSim(t, 0, func(c *ControllerConfig) { c.Advice = 4 * time.Second })
+	x = newControllerSim(t, 0, func(c *ControllerConfig) { c.MaxAdvice = 4 * time.Second })
 	x.outcomes[1] = Refused
 	x.play(3 * time.Second)
 	delete(x.outcomes, 1)
@@ -422,7 +422,7 @@
 func TestControllerConfigIsChecked(t *testing.T) {
 	for name, change := range map[string]func(*ControllerConfig){
 		"classes": func(c *ControllerConfig) { c.Classes = nil }, "trial": func(c *ControllerConfig) { c.TrialInterval = 0 }, "lean": func(c *ControllerConfig) { c.DoubtedShare = 0 },
-		"floor": func(c *ControllerConfig) { c.MinShare = 2 }, "ramp": func(c *ControllerConfig) { c.Ramp.ColdShare = 0 }, "advice": func(c *ControllerConfig) { c.Advice = 0 },
+		"floor": func(c *ControllerConfig) { c.MinShare = 2 }, "ramp": func(c *ControllerConfig) { c.Ramp.ColdShare = 0 }, "advice": func(c *ControllerConfig) { c.MaxAdvice = 0 },
 		"figures": func(c *ControllerConfig) { c.Figures.Problem = &Problem{} }, "sites": func(c *ControllerConfig) { c.Watch.Sites = nil },
 	} {
 		c := DefaultControllerConfig([]string{"a", "b"}, 0.3, time.Second)
--- a/internal/site/driver/driver.go
+++ b/internal/site/driver/driver.go
@@ -38,13 +38,13 @@
 // Options are the settings and the environment of a Driver.
 type Options struct {
 	Controller site.ControllerConfig
-	Own        int // this agent's site; -1: none
+	OwnSite    int // this agent's site; -1: none
 	Seed       uint64
 	Members    Members // nil: there is no membership
 	Log        *slog.Logger
-	// Hand excludes a zone manually or includes it again, in all processes of the agent, and waits until that
+	// ExcludeZone excludes a zone manually or includes it again, in all processes of the agent, and waits until that
 	// is done.
-	Hand func(ctx context.Context, zone int, out bool) error
+	ExcludeZone func(ctx context.Context, zone int, out bool) error
 }
 
 // Driver connects the site Controller of one agent to its decision loop and to the membership.
@@ -80,7 +80,7 @@
 
 // New returns a Driver and makes it the loop's watcher. The loop must not run yet.
 func New(o Options, l *core.Loop) (*Driver, error) {
-	s, err := site.NewController(o.Controller, o.Own, o.Seed, l.Now())
+	s, err := site.NewController(o.Controller, o.OwnSite, o.Seed, l.Now())
 	if err != nil {
 		return nil, err
 	}
@@ -318,18 +318,18 @@
 	d.controller.SetMembers(d.loop.Now(), v.Majority(), all)
 }
 
-// Ramps returns the share of its load that each site may have, as this agent sees it, by name; nil before the
+// RampShares returns the share of its load that each site may have, as this agent sees it, by name; nil before the
 // first tick. It is safe for concurrent use.
-func (d *Driver) Ramps() map[string]float64 {
+func (d *Driver) RampShares() map[string]float64 {
 	if r := d.rampShares.Load(); r != nil {
 		return *r
 	}
 	return nil
 }
 
-// Pace makes returning sites follow shares that one agent sets for all, for a span of time. It is safe for
+// OverrideRamps makes returning sites follow shares that one agent sets for all, for a span of time. It is safe for
 // concurrent use.
-func (d *Driver) Pace(ramps map[string]float64, span time.Duration) {
+func (d *Driver) OverrideRamps(ramps map[string]float64, span time.Duration) {
 	go d.loop.Post(func() { // Post may block
 		until := d.loop.Now() + span
 		for i, name := range d.options.Controller.Watch.Sites {
--- a/internal/site/driver/routes.go
+++ b/internal/site/driver/routes.go
@@ -15,15 +15,15 @@
 
 // Report is the state of the sites as the control API shows it.
 type Report struct {
-	Own      string          `json:"own"`
-	At       time.Time       `json:"at"`
-	Number   uint64          `json:"order"` // number of orders so far
-	Basis    string          `json:"basis"` // ordinary, leaning, planned, stand-in, unplanned
-	Admit    []AdmittedShare `json:"admit,omitempty"`
-	Plans    int             `json:"plans"` // computed and in the cache
-	Failed   int             `json:"plans_failed,omitempty"`
-	Sites    []Row           `json:"sites"`
-	Happened []StateChange   `json:"happened,omitempty"`
+	Own     string          `json:"own"`
+	At      time.Time       `json:"at"`
+	Order   uint64          `json:"order"` // number of orders so far
+	Basis   string          `json:"basis"` // ordinary, leaning, planned, stand-in, unplanned
+	Admit   []AdmittedShare `json:"admit,omitempty"`
+	Plans   int             `json:"plans"` // computed and in the cache
+	Failed  int             `json:"plans_failed,omitempty"`
+	Sites   []SiteReport    `json:"sites"`
+	Changes []StateChange   `json:"happened,omitempty"`
 }
 
 // AdmittedShare is the share of a class that is admitted.
@@ -32,27 +32,27 @@
 	Share float64 `json:"share"`
 }
 
-// Row is the state of one site.
-type Row struct {
-	Site      string         `json:"site"`
-	State     string         `json:"state"`
-	Since     time.Time      `json:"since"`
-	Cause     string         `json:"cause,omitempty"`
-	ByHand    bool           `json:"by_hand,omitempty"`
-	Remain    float64        `json:"remain"`          // share of its capacity that plans may use
-	Share     float64        `json:"share"`           // weight of its backends in picks
-	FullIn    float64        `json:"full_in_s"`       // time until a returning site may have all of its load
-	Losses    int            `json:"losses"`          // recent losses, which slow down its return
-	Backends  int            `json:"backends"`        // listed backends
-	Attempts  uint64         `json:"attempts"`        // attempts of this process that ended, since its start
-	Tried     int            `json:"tried"`           // distinct backends tried recently
-	Failing   int            `json:"failing"`         // of these, those that fail
-	FailShare float64        `json:"fail_share"`      // share of the attempts that failed
-	Elsewhere float64        `json:"elsewhere_share"` // share of the attempts that failed in the other sites
-	Row       int            `json:"row"`             // consecutive failures since the last answer
-	Kinds     map[string]int `json:"kinds,omitempty"` // recent attempts by outcome
-	Reach     int            `json:"reach,omitempty"` // members elsewhere that reach the site ...
-	Asked     int            `json:"asked,omitempty"` // ... of those that report on it
+// SiteReport is the state of one site.
+type SiteReport struct {
+	Site          string         `json:"site"`
+	State         string         `json:"state"`
+	Since         time.Time      `json:"since"`
+	Cause         string         `json:"cause,omitempty"`
+	Manual        bool           `json:"by_hand,omitempty"`
+	Remain        float64        `json:"remain"`          // share of its capacity that plans may use
+	Share         float64        `json:"share"`           // weight of its backends in picks
+	FullInSeconds float64        `json:"full_in_s"`       // time until a returning site may have all of its load
+	Losses        int            `json:"losses"`          // recent losses, which slow down its return
+	Backends      int            `json:"backends"`        // listed backends
+	Attempts      uint64         `json:"attempts"`        // attempts of this process that ended, since its start
+	Tried         int            `json:"tried"`           // distinct backends tried recently
+	Failing       int            `json:"failing"`         // of these, those that fail
+	FailShare     float64        `json:"fail_share"`      // share of the attempts that failed
+	Elsewhere     float64        `json:"elsewhere_share"` // share of the attempts that failed in the other sites
+	FailuresInRow int            `json:"row"`             // consecutive failures since the last answer
+	Kinds         map[string]int `json:"kinds,omitempty"` // recent attempts by outcome
+	Reaching      int            `json:"reach,omitempty"` // members elsewhere that reach the site ...
+	Reporting     int            `json:"asked,omitempty"` // ... of those that report on it
 }
 
 // Report returns the present state of the sites.
@@ -77,18 +77,18 @@
 
 func (d *Driver) report() *Report {
 	now, s := time.Now(), d.controller.Report()
-	r := &Report{At: now, Number: s.Order.Number, Basis: s.Order.Basis.String(), Plans: s.Plans, Failed: s.PlansFailed, Happened: slices.Clone(d.changes)}
-	if d.options.Own >= 0 {
-		r.Own = d.options.Controller.Watch.Sites[d.options.Own]
+	r := &Report{At: now, Order: s.Order.Number, Basis: s.Order.Basis.String(), Plans: s.Plans, Failed: s.PlansFailed, Changes: slices.Clone(d.changes)}
+	if d.options.OwnSite >= 0 {
+		r.Own = d.options.Controller.Watch.Sites[d.options.OwnSite]
 	}
 	for i, a := range s.Order.Admit {
 		r.Admit = append(r.Admit, AdmittedShare{d.options.Controller.Classes[i].Name, a})
 	}
 	for i := range s.Evidence {
 		e := &s.Evidence[i]
-		row := Row{Site: e.Site, State: e.State.String(), Since: now.Add(e.Since - d.loop.At(now)), Cause: e.Cause.String(), ByHand: e.Manual,
-			Remain: s.Remain[i], Share: 1, FullIn: s.FullIn[i].Seconds(), Losses: e.Losses, Backends: e.Listed, Attempts: d.endedAttempts[i], Tried: e.Tried, Failing: e.Failing,
-			FailShare: e.FailShare, Elsewhere: e.Elsewhere, Row: e.FailuresInRow, Reach: e.Reaching, Asked: e.Reporting, Kinds: map[string]int{}}
+		row := SiteReport{Site: e.Site, State: e.State.String(), Since: now.Add(e.Since - d.loop.At(now)), Cause: e.Cause.String(), Manual: e.Manual,
+			Remain: s.Remain[i], Share: 1, FullInSeconds: s.FullIn[i].Seconds(), Losses: e.Losses, Backends: e.Listed, Attempts: d.endedAttempts[i], Tried: e.Tried, Failing: e.Failing,
+			FailShare: e.FailShare, Elsewhere: e.Elsewhere, FailuresInRow: e.FailuresInRow, Reaching: e.Reaching, Reporting: e.Reporting, Kinds: map[string]int{}}
 		if i < len(s.Order.Share) {
 			row.Share = s.Order.Share[i]
 		}
@@ -135,7 +135,7 @@
 			http.Error(w, fmt.Sprintf("%s is the last site in use: nobody would be served", name), http.StatusConflict)
 			return
 		}
-		if err := d.options.Hand(r.Context(), i, lost); err != nil {
+		if err := d.options.ExcludeZone(r.Context(), i, lost); err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
--- a/internal/site/plan.go
+++ b/internal/site/plan.go
@@ -218,19 +218,19 @@
 func (p *Problem) Plan() (*Plan, error) {
 	switch p.Method {
 	case NearestFirst:
-		return p.Nearest()
+		return p.SolveNearest()
 	case Proportional:
-		return p.Spill()
+		return p.SolveProportional()
 	}
 	if n := len(p.Capacity); n*n*len(p.Classes) > maxSolveSize {
-		return p.Nearest()
+		return p.SolveNearest()
 	}
 	return p.Solve()
 }
 
-// Nearest sends load to its own site first, then to the next cheapest with free capacity; classes of the
+// SolveNearest sends load to its own site first, then to the next cheapest with free capacity; classes of the
 // greatest worth first.
-func (p *Problem) Nearest() (*Plan, error) {
+func (p *Problem) SolveNearest() (*Plan, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
@@ -254,9 +254,9 @@
 	return p.planOf(s), nil
 }
 
-// Spill computes what happens without a plan: all load is spread over the remaining sites in proportion to their
+// SolveProportional computes what happens without a plan: all load is spread over the remaining sites in proportion to their
 // capacity, and the excess is refused in equal shares of all classes.
-func (p *Problem) Spill() (*Plan, error) {
+func (p *Problem) SolveProportional() (*Plan, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
--- a/internal/site/plan_test.go
+++ b/internal/site/plan_test.go
@@ -89,7 +89,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			p := threeSites(60)
 			tt.change(&p)
-			for name, f := range map[string]func() (*Plan, error){"solve": p.Solve, "nearest": p.Nearest, "spill": p.Spill} {
+			for name, f := range map[string]func() (*Plan, error){"solve": p.Solve, "nearest": p.SolveNearest, "spill": p.SolveProportional} {
 				plan, err := f()
 				if (err == nil) != tt.ok || err != nil && !errors.Is(err, ErrPlan) {
 					t.Fatalf("%s: %v, %v", name, plan, err)
@@ -131,7 +131,7 @@
 				t.Fatalf("site %d gets a load of %v, its capacity is %v", s, load, p.Capacity[s]*p.Remain[s])
 			}
 		}
-		for name, f := range map[string]func() (*Plan, error){"nearest": p.Nearest, "spill": p.Spill} {
+		for name, f := range map[string]func() (*Plan, error){"nearest": p.SolveNearest, "spill": p.SolveProportional} {
 			other, err := f()
 			if err != nil {
 				t.Fatal(err)
@@ -217,7 +217,7 @@
 		}
 	}
 	p.Remain[3] = 0
-	want, _ := p.Nearest()
+	want, _ := p.SolveNearest()
 	if got, err := p.Plan(); err != nil || got.Worth != want.Worth {
 		t.Errorf("%v, %v", got, err)
 	}
--- a/internal/site/returns.go
+++ b/internal/site/returns.go
@@ -24,7 +24,7 @@
 func newReturnSchedule(s *Controller, seed uint64) (*returnSchedule, error) {
 	r := &returnSchedule{controller: s, arrivedAt: s.now}
 	var err error
-	r.calendar, err = storm.New(storm.Config{Slot: max(s.cfg.Advice/adviceSlots, time.Millisecond), Slots: adviceSlots, Tenants: 1, Reserve: 0.25}, seed, r.capacity)
+	r.calendar, err = storm.New(storm.Config{Slot: max(s.cfg.MaxAdvice/adviceSlots, time.Millisecond), Slots: adviceSlots, Tenants: 1, Reserve: 0.25}, seed, r.capacity)
 	return r, err
 }
 
