--- a/cmd/lemonctl/control_test.go
+++ b/cmd/lemonctl/control_test.go
@@ -63,7 +63,7 @@
 		return []seat.Row{{Duty: "pace", Holder: "n1", Epoch: 4, LeaseMs: 3000, Mine: mine, State: `{"b":0.5}`}}
 	}
 	putPath := ""
-	x := newAgentStub(t, "/api/duties", &seat.Report{Agent: "n0", Duties: row("idle"), Seat: &seat.SeatReport{Name: "n0", Start: "distrusted", Why: "0001.log, byte 7: spoilt"}}, nil)
+	x := newAgentStub(t, "/api/duties", &seat.Report{Agent: "n0", Duties: row("idle"), Seat: &seat.MemberReport{Name: "n0", Start: "distrusted", Why: "0001.log, byte 7: spoilt"}}, nil)
 	y := newAgentStub(t, "/api/duties", &seat.Report{Agent: "n1", Duties: row("holding")}, &putPath)
 	code, out, errOut := call(t, "", "duties", "show", x, y)
 	if code != 0 {
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -79,7 +79,7 @@
 				t.Go(d.fleet.run)
 			}
 		},
-		beginStop: func(time.Time) { go d.client.Leave(time.Second) },
+		beginStop: func(time.Time) { go d.client.ReleaseAll(time.Second) },
 		routes: []control.Route{
 			control.Text("GET /api/duties", "application/json", d.report),
 			{Pattern: "PUT /api/duties/{name}/hand-on/{to}", Answer: d.handOn},
@@ -91,7 +91,7 @@
 // duties holds the agent's client of the duties and, if it is a voter, its seat.
 type duties struct {
 	settings *seat.Settings
-	seat     *seat.Seat // nil: the agent is not a voter
+	seat     *seat.Member // nil: the agent is not a voter
 	client   *seat.Client
 	fleet    *fleetView // nil: the agent takes no part in the membership
 }
@@ -130,7 +130,7 @@
 }
 
 func (d *duties) gauges() []figures.Gauge {
-	all := []figures.Gauge{{Name: "duties_held", Value: d.client.Held}}
+	all := []figures.Gauge{{Name: "duties_held", Value: d.client.HeldCount}}
 	if d.seat != nil {
 		all = append(all, figures.Gauge{Name: "duties_seat_votes", Value: d.seat.Votes}, figures.Gauge{Name: "duties_seat_leads", Value: d.seat.Leads})
 	}
@@ -166,12 +166,12 @@
 	return raw, true
 }
 
-// Heard applies the ramps that the holder published; those of an earlier epoch are refused.
-func (p *paceTask) Heard(_ time.Time, d duty.Duty) {
+// Observe applies the ramps that the holder published; those of an earlier epoch are refused.
+func (p *paceTask) Observe(_ time.Time, d duty.Duty) {
 	if d.Holder == "" || len(d.State) == 0 || d.Epoch == p.appliedEpoch && d.Acts == p.appliedActs {
 		return
 	}
-	if err := p.fence.Pass(d.Name, d.Epoch); err != nil {
+	if err := p.fence.Admit(d.Name, d.Epoch); err != nil {
 		p.log.Warn("ramps of an outdated epoch are refused", "err", err)
 		return
 	}
@@ -234,7 +234,7 @@
 		notes.Unhealthy = append(notes.Unhealthy, unhealthyMember{m.Name, m.Zone, m.State.String(), len(m.UnreachableFrom)})
 	}
 	raw, err := json.Marshal(notes)
-	if err != nil || len(raw) > duty.StateMost || string(raw) == k.published {
+	if err != nil || len(raw) > duty.MaxStateBytes || string(raw) == k.published {
 		return nil, false
 	}
 	k.published = string(raw)
@@ -242,8 +242,8 @@
 	return raw, true
 }
 
-// Heard does nothing: the notes are read from the table of duties.
-func (k *notesTask) Heard(time.Time, duty.Duty) {}
+// Observe does nothing: the notes are read from the table of duties.
+func (k *notesTask) Observe(time.Time, duty.Duty) {}
 
 // fleetView caches the membership's view, which is at most viewInterval old.
 type fleetView struct {
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -41,7 +41,7 @@
 		{Command{Kind: Renew, Duty: "pace", Agent: "b", Epoch: 1}, NotHolder, "a", 1},
 		{Command{Kind: SaveState, Duty: "pace", Agent: "a", Epoch: 1, State: []byte("x")}, Done, "a", 1},
 		{Command{Kind: SaveState, Duty: "pace", Agent: "a", Epoch: 1, State: []byte("old")}, Stale, "a", 1},
-		{Command{Kind: SaveState, Duty: "pace", Agent: "a", Epoch: 1, Acts: 1, State: make([]byte, StateMost+1)}, Invalid, "a", 1},
+		{Command{Kind: SaveState, Duty: "pace", Agent: "a", Epoch: 1, Acts: 1, State: make([]byte, MaxStateBytes+1)}, Invalid, "a", 1},
 		{Command{Kind: HandOn, Duty: "pace", Agent: "a", Epoch: 1}, NotNamed, "a", 1},
 		{Command{Kind: NameSuccessor, Duty: "pace", Agent: "b"}, Done, "a", 1},
 		{Command{Kind: HandOn, Duty: "pace", Agent: "a", Epoch: 1}, NotReady, "a", 1},
@@ -282,7 +282,7 @@
 			n := (len(w.acts) - 1) * (e - 12)
 			a := w.acts[n]
 			w.acts = slices.Delete(w.acts, n, n+1)
-			if w.disabled.fence || w.fence.Pass("pace", a.p.Epoch) == nil {
+			if w.disabled.fence || w.fence.Admit("pace", a.p.Epoch) == nil {
 				if a.p.Epoch < w.maxEpoch {
 					w.violation = fmt.Sprintf("an action of epoch %d was accepted after one of %d", a.p.Epoch, w.maxEpoch)
 				}
--- a/internal/duty/fence.go
+++ b/internal/duty/fence.go
@@ -23,9 +23,9 @@
 // NewFence returns a fence that has seen no epochs.
 func NewFence() *Fence { return &Fence{highest: map[string]Epoch{}} }
 
-// Pass returns nil if an action of epoch e may go ahead, and a FencedError if it is refused. It also refuses epoch
+// Admit returns nil if an action of epoch e may go ahead, and a FencedError if it is refused. It also refuses epoch
 // 0 and, once MaxDuties duties are known, any further duty.
-func (f *Fence) Pass(duty string, e Epoch) error {
+func (f *Fence) Admit(duty string, e Epoch) error {
 	if e == 0 || e < f.highest[duty] || f.highest[duty] == 0 && len(f.highest) >= MaxDuties {
 		f.Refused++
 		return &FencedError{duty, e, f.highest[duty]}
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -333,7 +333,7 @@
 // SaveState returns the command that makes the voters store the duty's state; false: the agent doesn't hold
 // the duty, or the state is too large.
 func (h *Holder) SaveState(now time.Duration, state []byte) (Command, bool) {
-	if _, ok := h.MayAct(now); !ok || len(state) > StateMost {
+	if _, ok := h.MayAct(now); !ok || len(state) > MaxStateBytes {
 		return Command{}, false
 	}
 	c := h.newCommand(SaveState)
--- a/internal/duty/seat/client.go
+++ b/internal/duty/seat/client.go
@@ -20,9 +20,9 @@
 	// duty, and first with the state that the previous holder left. If changed is true, the client makes the
 	// voters store next as the duty's state.
 	Step(now time.Time, p duty.Permit, state []byte) (next []byte, changed bool)
-	// Heard is called at every agent with each table that the client accepts: the duty's holder, epoch and
+	// Observe is called at every agent with each table that the client accepts: the duty's holder, epoch and
 	// state.
-	Heard(now time.Time, d duty.Duty)
+	Observe(now time.Time, d duty.Duty)
 }
 
 const (
@@ -294,7 +294,7 @@
 	for i := range t.Duties {
 		d := &t.Duties[i]
 		if task := c.options.Tasks[d.Name]; task != nil {
-			task.Heard(time.Now(), *d)
+			task.Observe(time.Now(), *d)
 		}
 		if h := c.holders[d.Name]; h != nil {
 			a := duty.Answer{Duty: d.Name, Holder: d.Holder, Epoch: d.Epoch, Lease: d.Lease, Next: d.Next, Ready: d.Ready, State: d.State, Acts: d.Acts}
@@ -323,6 +323,6 @@
 	return len(t.Duties) < len(c.table)
 }
 
-// Held returns the number of duties that this agent held at the last iteration. It may be called from any
+// HeldCount returns the number of duties that this agent held at the last iteration. It may be called from any
 // goroutine.
-func (c *Client) Held() int64 { return c.heldCount.Load() }
+func (c *Client) HeldCount() int64 { return c.heldCount.Load() }
--- a/internal/duty/seat/client_control.go
+++ b/internal/duty/seat/client_control.go
@@ -48,9 +48,9 @@
 	return held, err
 }
 
-// Leave gives up the duties that the agent holds, before the agent ends. It waits at most within for the
+// ReleaseAll gives up the duties that the agent holds, before the agent ends. It waits at most within for the
 // releases.
-func (c *Client) Leave(within time.Duration) {
+func (c *Client) ReleaseAll(within time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	for {
--- a/internal/duty/seat/client_report.go
+++ b/internal/duty/seat/client_report.go
@@ -19,13 +19,13 @@
 
 // Report is the state of an agent's duties.
 type Report struct {
-	Agent   string      `json:"agent"`
-	At      time.Time   `json:"at"`
-	Seat    *SeatReport `json:"seat,omitempty"` // nil: the agent has no voter
-	From    string      `json:"from"`           // voter that sent the table
-	AgeS    float64     `json:"age_s"`          // age of the table in seconds; negative: none was received yet
-	Duties  []Row       `json:"duties"`
-	History []Event     `json:"history,omitempty"`
+	Agent   string        `json:"agent"`
+	At      time.Time     `json:"at"`
+	Seat    *MemberReport `json:"seat,omitempty"` // nil: the agent has no voter
+	From    string        `json:"from"`           // voter that sent the table
+	AgeS    float64       `json:"age_s"`          // age of the table in seconds; negative: none was received yet
+	Duties  []Row         `json:"duties"`
+	History []Event       `json:"history,omitempty"`
 }
 
 // Row is a duty in a Report.
@@ -43,8 +43,8 @@
 	LeftMs  int64      `json:"left_ms,omitempty"`
 }
 
-// SeatReport is the status of a voter.
-type SeatReport struct {
+// MemberReport is the status of a voter.
+type MemberReport struct {
 	Name     string            `json:"name"`
 	Identity string            `json:"identity"`
 	Votes    bool              `json:"votes"`
--- a/internal/duty/seat/commands.go
+++ b/internal/duty/seat/commands.go
@@ -30,7 +30,7 @@
 }
 
 // receive handles a frame. It is called by the connections' goroutines.
-func (s *Seat) receive(c *transport.Conn, frame transport.Kind, content []byte) {
+func (s *Member) receive(c *transport.Conn, frame transport.Kind, content []byte) {
 	if kind, ok := voterKindOf(frame); ok {
 		s.receiveVoter(c, kind, content)
 		return
@@ -49,7 +49,7 @@
 }
 
 // receiveVoter passes a message of another voter to the voter.
-func (s *Seat) receiveVoter(c *transport.Conn, kind voter.Kind, content []byte) {
+func (s *Member) receiveVoter(c *transport.Conn, kind voter.Kind, content []byte) {
 	m, err := voter.Decode(kind, content)
 	if err != nil {
 		s.reject(c, err)
@@ -64,13 +64,13 @@
 	})
 }
 
-func (s *Seat) reject(c *transport.Conn, err error) {
+func (s *Member) reject(c *transport.Conn, err error) {
 	s.countInvalid(fmt.Errorf("%w: %w", transport.ErrFrame, err))
 	c.Close()
 }
 
 // handleCommand proposes a command that an agent sent, and answers it once it has been applied.
-func (s *Seat) handleCommand(from *transport.Conn, c duty.Command) {
+func (s *Member) handleCommand(from *transport.Conn, c duty.Command) {
 	reply := func(a duty.Answer, leads bool) {
 		from.SendJSON(frameCommandReply, commandReply{c.Agent, a, leads, s.voter.Leader()})
 	}
@@ -92,7 +92,7 @@
 	}
 }
 
-func (s *Seat) propose(c *duty.Command) bool {
+func (s *Member) propose(c *duty.Command) bool {
 	raw, err := c.Bytes()
 	return err == nil && s.voter.Propose(raw) == nil
 }
@@ -102,7 +102,7 @@
 }
 
 // replyToWaiters sends an applied command's result to the agents that sent it.
-func (s *Seat) replyToWaiters(c *duty.Command, a duty.Answer) {
+func (s *Member) replyToWaiters(c *duty.Command, a duty.Answer) {
 	if c.ID == 0 {
 		return
 	}
@@ -114,6 +114,6 @@
 	delete(s.waiters, k)
 }
 
-func (s *Seat) currentTable() tableReply {
+func (s *Member) currentTable() tableReply {
 	return tableReply{Seat: s.options.Name, Leader: s.voter.Leader(), Leads: s.voter.Leads(), Duties: s.table.Duties()}
 }
--- a/internal/duty/seat/host.go
+++ b/internal/duty/seat/host.go
@@ -12,7 +12,7 @@
 )
 
 // host implements the interface that the voter calls.
-type host struct{ *Seat }
+type host struct{ *Member }
 
 // Send sends a message to another voter.
 func (h host) Send(to string, kind voter.Kind, content []byte) bool {
--- a/internal/duty/seat/seat.go
+++ b/internal/duty/seat/seat.go
@@ -46,8 +46,8 @@
 	Rand    *rand.Rand           // for identities; nil: a random source of its own
 }
 
-// Seat is one voter of the quorum.
-type Seat struct {
+// Member is one voter of the quorum.
+type Member struct {
 	options   Options
 	server    *transport.Server
 	startedAt time.Time
@@ -70,7 +70,7 @@
 }
 
 // New listens on the voter's address. Run opens the store, which may be slow.
-func New(o Options) (*Seat, error) {
+func New(o Options) (*Member, error) {
 	addr, ok := o.Settings.seatAddr(o.Name)
 	if !ok {
 		return nil, fmt.Errorf("duties: %q is not listed as a seat", o.Name)
@@ -78,7 +78,7 @@
 	if o.Rand == nil {
 		o.Rand = newRand()
 	}
-	s := &Seat{options: o, startedAt: time.Now(), inbox: make(chan func(), inboxSize), done: make(chan struct{}), dialers: map[string]*transport.Dialer{},
+	s := &Member{options: o, startedAt: time.Now(), inbox: make(chan func(), inboxSize), done: make(chan struct{}), dialers: map[string]*transport.Dialer{},
 		table: duty.NewTable(), grantor: duty.NewGrantor(duty.Clocks{Drift: o.Settings.Drift}), waiters: map[string][]func(duty.Answer){}}
 	s.voter = voter.New(voter.Options{Name: o.Name, Candidates: o.Settings.seatNames(), Voters: o.Settings.Voters, FS: o.FS, Log: o.Log, Rand: o.Rand,
 		ReplaceAfter: time.Duration(o.Settings.ReplaceS * float64(time.Second)), Liveness: o.Members}, host{s})
@@ -99,18 +99,18 @@
 	return s, nil
 }
 
-func (s *Seat) countInvalid(err error) {
+func (s *Member) countInvalid(err error) {
 	s.invalidFrames.Add(1)
 	s.options.Log.Debug("duties", "err", err)
 }
 
 // openStore opens the store and reads what the disk holds.
-func (s *Seat) openStore() { s.voter.Guard(func() { s.voter.Open(s.now()) }) }
+func (s *Member) openStore() { s.voter.Guard(func() { s.voter.Open(s.now()) }) }
 
 // newRand returns a randomly seeded source, whose numbers can't be predicted.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-func (s *Seat) now() time.Duration {
+func (s *Member) now() time.Duration {
 	if s.options.Now != nil {
 		return s.options.Now()
 	}
@@ -118,7 +118,7 @@
 }
 
 // post passes f to the goroutine of Run, and blocks while the inbox is full.
-func (s *Seat) post(f func()) {
+func (s *Member) post(f func()) {
 	select {
 	case s.inbox <- f:
 	case <-s.done:
@@ -126,7 +126,7 @@
 }
 
 // Run runs the voter until ctx ends.
-func (s *Seat) Run(ctx context.Context) error {
+func (s *Member) Run(ctx context.Context) error {
 	inner, cancel := context.WithCancel(ctx)
 	var connections sync.WaitGroup
 	defer func() {
@@ -160,7 +160,7 @@
 }
 
 // iterate does the work that is due. A panic in the voter ends its part in the quorum, and not the agent.
-func (s *Seat) iterate(ticked bool) {
+func (s *Member) iterate(ticked bool) {
 	s.voter.Guard(func() {
 		now := s.now()
 		if gap := now - s.lastIteration; s.lastIteration > 0 && gap > voter.ElectionTicks*s.options.Settings.tickInterval() && s.voter.Leads() {
@@ -187,7 +187,7 @@
 
 // runLeaderTasks does the work of the leader: it expires leases, defines duties and replaces members of the
 // quorum.
-func (s *Seat) runLeaderTasks(now time.Duration) {
+func (s *Member) runLeaderTasks(now time.Duration) {
 	for _, c := range s.grantor.ExpiredLeases(now) {
 		s.propose(&c)
 	}
@@ -205,8 +205,8 @@
 }
 
 // Report returns the voter's status.
-func (s *Seat) Report(ctx context.Context) (*SeatReport, error) {
-	var r *SeatReport
+func (s *Member) Report(ctx context.Context) (*MemberReport, error) {
+	var r *MemberReport
 	done := make(chan struct{})
 	select {
 	case s.inbox <- func() { r = s.report(); close(done) }:
@@ -225,9 +225,9 @@
 	}
 }
 
-func (s *Seat) report() *SeatReport {
+func (s *Member) report() *MemberReport {
 	v := s.voter
-	r := &SeatReport{Name: s.options.Name, Votes: v.Votes(), Leads: v.Leads(), Leader: v.Leader(), Start: v.Decision().Start.String(), Why: v.Decision().Why,
+	r := &MemberReport{Name: s.options.Name, Votes: v.Votes(), Leads: v.Leads(), Leader: v.Leader(), Start: v.Decision().Start.String(), Why: v.Decision().Why,
 		Seats: map[string]string{}, Applied: v.Applied(), Garbled: s.invalidFrames.Load()}
 	if st := v.Store(); st != nil {
 		r.Identity, r.Term, r.Written, r.Syncs = voter.IdentityText(st.ID()), st.State().Term, st.Written, st.Syncs
@@ -242,7 +242,7 @@
 }
 
 // Votes returns 1 while the voter takes part in the quorum. It may be called from any goroutine.
-func (s *Seat) Votes() int64 { return s.votesGauge.Load() }
+func (s *Member) Votes() int64 { return s.votesGauge.Load() }
 
 // Leads returns 1 while the voter is the leader. It may be called from any goroutine.
-func (s *Seat) Leads() int64 { return s.leadsGauge.Load() }
+func (s *Member) Leads() int64 { return s.leadsGauge.Load() }
--- a/internal/duty/seat/simulation_test.go
+++ b/internal/duty/seat/simulation_test.go
@@ -67,7 +67,7 @@
 	up        bool
 	stopped   bool
 	disk      *store.FaultyDisk
-	seat      *Seat
+	seat      *Member
 	client    *Client
 	life      int
 	acts      uint64
@@ -196,8 +196,8 @@
 	return []byte(strconv.FormatUint(n+1, 10)), true
 }
 
-// Heard implements Task.
-func (p *proc) Heard(time.Time, duty.Duty) {}
+// Observe implements Task.
+func (p *proc) Observe(time.Time, duty.Duty) {}
 
 // deliver moves frames between the ends of each connection.
 func (x *sim) deliver() {
@@ -285,7 +285,7 @@
 			kept = append(kept, a)
 			continue
 		}
-		ok := x.disabled.fence || x.fence.Pass("work", a.epoch) == nil
+		ok := x.disabled.fence || x.fence.Admit("work", a.epoch) == nil
 		x.operations = append(x.operations, porcupine.Operation{ClientId: len(x.operations), Input: a.epoch, Call: int64(a.arrives - 1), Output: ok, Return: int64(x.now)})
 	}
 	x.acts = kept
@@ -294,7 +294,7 @@
 // trustDisk forges the other voters' check-in replies: nothing was promised.
 func (p *proc) trustDisk() {
 	for i := range simSeats {
-		reply, err := json.Marshal(duty.CheckIn{Seat: fmt.Sprint("p", i), ID: uint64(i + 1)})
+		reply, err := json.Marshal(duty.CheckInReply{Seat: fmt.Sprint("p", i), ID: uint64(i + 1)})
 		if err != nil {
 			p.sim.t.Fatal(err)
 		}
--- a/internal/duty/startup.go
+++ b/internal/duty/startup.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Seating decides how a voter starts: whether the votes and the log on its disk can be relied upon. A disk
+// StartupCheck decides how a voter starts: whether the votes and the log on its disk can be relied upon. A disk
 // that confirmed syncs without storing the data, a restored old copy of the folder, and a lost folder all look
 // valid locally; only the other voters know what they were promised. So a voter asks them first, and takes no
 // part in the quorum before they have answered.
-type Seating struct {
-	cfg     SeatingConfig
-	replies map[string]CheckIn // the latest reply of each other voter, by name
+type StartupCheck struct {
+	cfg     StartupConfig
+	replies map[string]CheckInReply // the latest reply of each other voter, by name
 	since   time.Duration
 }
 
-// SeatingConfig is what a voter knows about itself when it starts.
-type SeatingConfig struct {
-	Name   string
-	Seats  []string // all candidates, this one included; the first Voters of them form the initial quorum
-	Voters int
-	ID     uint64  // identity of the store
-	Empty  bool    // the store has promised nothing
-	Has    Promise // what the disk holds; Voted is the term of Vote
-	Vote   uint64  // the identity that got its vote
+// StartupConfig is what a voter knows about itself when it starts.
+type StartupConfig struct {
+	Name       string
+	Candidates []string // all candidates, this one included; the first Voters of them form the initial quorum
+	Voters     int
+	ID         uint64  // identity of the store
+	Empty      bool    // the store has promised nothing
+	Stored     Promise // what the disk holds; Voted is the term of Vote
+	Vote       uint64  // the identity that got its vote
 }
 
 // Promise is what a voter has promised to another one: the term and index of the log that it confirmed as
@@ -36,8 +36,8 @@
 	return has.Term < p.Term || has.Term == p.Term && has.Index < p.Index
 }
 
-// CheckIn is the reply of a voter to one that is starting.
-type CheckIn struct {
+// CheckInReply is the reply of a voter to one that is starting.
+type CheckInReply struct {
 	Seat    string
 	ID      uint64
 	Empty   bool              // the replying voter has promised nothing itself
@@ -52,11 +52,11 @@
 type StartAction uint8
 
 const (
-	Wait   StartAction = iota // not enough is known yet
-	Resume                    // take part with the stored log and votes
-	Begin                     // form the initial quorum with Decision.Initial
-	Join                      // start empty, and ask to be admitted as a new voter
-	Forget                    // the stored data can't be trusted: set it aside, take a new identity, and ask again
+	Wait      StartAction = iota // not enough is known yet
+	Resume                       // take part with the stored log and votes
+	Bootstrap                    // form the initial quorum with Decision.Initial
+	Join                         // start empty, and ask to be admitted as a new voter
+	Discard                      // the stored data can't be trusted: set it aside, take a new identity, and ask again
 )
 
 var startNames = [...]string{"wait", "sit", "begin", "join", "forget"}
@@ -75,30 +75,30 @@
 	Initial map[uint64]string
 }
 
-// NewSeating returns a Seating that has received no replies.
-func NewSeating(c SeatingConfig, now time.Duration) *Seating {
-	return &Seating{cfg: c, replies: map[string]CheckIn{}, since: now}
+// NewStartupCheck returns a Seating that has received no replies.
+func NewStartupCheck(c StartupConfig, now time.Duration) *StartupCheck {
+	return &StartupCheck{cfg: c, replies: map[string]CheckInReply{}, since: now}
 }
 
-// Heard records the reply of another voter.
-func (s *Seating) Heard(c CheckIn) {
-	if c.Seat != s.cfg.Name && slices.Contains(s.cfg.Seats, c.Seat) {
+// AddReply records the reply of another voter.
+func (s *StartupCheck) AddReply(c CheckInReply) {
+	if c.Seat != s.cfg.Name && slices.Contains(s.cfg.Candidates, c.Seat) {
 		s.replies[c.Seat] = c
 	}
 }
 
 // Decide returns the action that follows from the replies received so far.
-func (s *Seating) Decide(now time.Duration) Decision {
+func (s *StartupCheck) Decide(now time.Duration) Decision {
 	// A reply that claims a promise beyond the stored state is always believed.
-	for _, name := range s.cfg.Seats {
+	for _, name := range s.cfg.Candidates {
 		c, ok := s.replies[name]
-		if ok && (c.Promised.Voted > s.cfg.Has.Term || c.Promised.Voted != 0 && c.Promised.Voted == s.cfg.Has.Term && s.cfg.Vote != c.ID) {
-			return Decision{Start: Forget, Why: fmt.Sprintf("seat %s had its vote in term %d; the disk holds term %d, and a vote for %x",
-				name, c.Promised.Voted, s.cfg.Has.Term, s.cfg.Vote)}
+		if ok && (c.Promised.Voted > s.cfg.Stored.Term || c.Promised.Voted != 0 && c.Promised.Voted == s.cfg.Stored.Term && s.cfg.Vote != c.ID) {
+			return Decision{Start: Discard, Why: fmt.Sprintf("seat %s had its vote in term %d; the disk holds term %d, and a vote for %x",
+				name, c.Promised.Voted, s.cfg.Stored.Term, s.cfg.Vote)}
 		}
-		if ok && c.Promised.exceeds(s.cfg.Has) {
-			return Decision{Start: Forget, Why: fmt.Sprintf("seat %s was promised term %d, entry %d; the disk holds term %d, entry %d",
-				name, c.Promised.Term, c.Promised.Index, s.cfg.Has.Term, s.cfg.Has.Index)}
+		if ok && c.Promised.exceeds(s.cfg.Stored) {
+			return Decision{Start: Discard, Why: fmt.Sprintf("seat %s was promised term %d, entry %d; the disk holds term %d, entry %d",
+				name, c.Promised.Term, c.Promised.Index, s.cfg.Stored.Term, s.cfg.Stored.Index)}
 		}
 	}
 	if !s.cfg.Empty {
@@ -114,7 +114,7 @@
 
 // resumeDecision handles a voter with a stored log: it needs a reply of every member or, after waitForAll, of
 // a majority.
-func (s *Seating) resumeDecision(now time.Duration) Decision {
+func (s *StartupCheck) resumeDecision(now time.Duration) Decision {
 	seats := map[uint64]string{}
 	for _, c := range s.replies {
 		if c.Sits && len(c.Seats) > 0 {
@@ -143,20 +143,20 @@
 }
 
 // bootstrapDecision handles a voter with an empty store: it starts for the first time, or its folder was lost.
-func (s *Seating) bootstrapDecision() Decision {
-	for _, name := range s.cfg.Seats {
+func (s *StartupCheck) bootstrapDecision() Decision {
+	for _, name := range s.cfg.Candidates {
 		c, ok := s.replies[name]
 		switch {
 		case !ok || c.Empty && !c.Sits:
 		// The others have just formed the initial quorum with this voter.
 		case c.Initial[s.cfg.ID] != "" && c.Seats[s.cfg.ID] != "":
-			return Decision{Start: Begin, Why: "seat " + name + " has begun with it", Initial: c.Initial}
+			return Decision{Start: Bootstrap, Why: "seat " + name + " has begun with it", Initial: c.Initial}
 		default:
 			return Decision{Start: Join, Why: "seat " + name + " holds an agreement in which this one has no part"}
 		}
 	}
 	initial := map[uint64]string{}
-	first := s.cfg.Seats[:min(s.cfg.Voters, len(s.cfg.Seats))]
+	first := s.cfg.Candidates[:min(s.cfg.Voters, len(s.cfg.Candidates))]
 	for _, name := range first {
 		if name == s.cfg.Name {
 			initial[s.cfg.ID] = name
@@ -174,15 +174,15 @@
 	case len(initial) != len(first):
 		return Decision{Start: Wait, Why: "two seats have one identity"}
 	}
-	return Decision{Start: Begin, Why: "all seats are empty", Initial: initial}
+	return Decision{Start: Bootstrap, Why: "all seats are empty", Initial: initial}
 }
 
-// Replace returns which member of the quorum, if any, the leader should replace and by which candidate: one at
+// PlanReplacement returns which member of the quorum, if any, the leader should replace and by which candidate: one at
 // a time, and only while the members that aren't dead form a majority. seats are the members by identity,
 // joining the identities of candidates that ask to be admitted, dead says for how long the fleet's membership
 // has considered a candidate dead, alive which candidates are alive, and minDead is how long a member has to
 // be dead before it is replaced. A member that returned under a new identity is replaced first.
-func Replace(seats map[uint64]string, all []string, joining map[string]uint64, dead map[string]time.Duration, alive map[string]bool, minDead time.Duration) (out uint64, in uint64, name string) {
+func PlanReplacement(seats map[uint64]string, all []string, joining map[string]uint64, dead map[string]time.Duration, alive map[string]bool, minDead time.Duration) (out uint64, in uint64, name string) {
 	notDead := 0
 	for _, n := range seats {
 		if _, gone := dead[n]; !gone {
--- a/internal/duty/startup_test.go
+++ b/internal/duty/startup_test.go
@@ -10,34 +10,34 @@
 	members := map[uint64]string{1: "s1", 2: "s2", 3: "s3"}
 	for _, tt := range []struct {
 		name    string
-		own     SeatingConfig
-		replies []CheckIn
+		own     StartupConfig
+		replies []CheckInReply
 		want    StartAction
 		at      time.Duration
 	}{
-		{"first start, all have answered", SeatingConfig{Name: "s1", ID: 1, Empty: true}, []CheckIn{{Seat: "s2", ID: 2, Empty: true}, {Seat: "s3", ID: 3, Empty: true}}, Begin, 0},
-		{"first start, one has not answered", SeatingConfig{Name: "s1", ID: 1, Empty: true}, []CheckIn{{Seat: "s2", ID: 2, Empty: true}}, Wait, 0},
-		{"first start, the others have formed the quorum with it", SeatingConfig{Name: "s1", ID: 1, Empty: true}, []CheckIn{{Seat: "s2", ID: 2, Sits: true, Seats: members, Initial: members}}, Begin, 0},
-		{"the folder was lost", SeatingConfig{Name: "s1", ID: 9, Empty: true}, []CheckIn{{Seat: "s2", ID: 2, Sits: true, Seats: members, Initial: members}}, Join, 0},
-		{"the folder was lost, and another voter starts too", SeatingConfig{Name: "s1", ID: 9, Empty: true}, []CheckIn{{Seat: "s2", ID: 2}, {Seat: "s3", ID: 3, Empty: true}}, Join, 0},
-		{"a spare before the quorum has formed", SeatingConfig{Name: "s4", ID: 4, Empty: true}, []CheckIn{{Seat: "s2", ID: 2, Empty: true}, {Seat: "s1", ID: 1, Empty: true}, {Seat: "s3", ID: 3, Empty: true}}, Wait, 0},
-		{"restarted, no answers", SeatingConfig{Name: "s1", ID: 1, Has: Promise{3, 9, 0}}, nil, Wait, 0},
-		{"restarted, one other has answered", SeatingConfig{Name: "s1", ID: 1, Has: Promise{3, 9, 0}}, []CheckIn{{Seat: "s2", ID: 2, Promised: Promise{3, 9, 0}}}, Wait, 0},
-		{"restarted, one other has answered, and the wait is over", SeatingConfig{Name: "s1", ID: 1, Has: Promise{3, 9, 0}}, []CheckIn{{Seat: "s2", ID: 2, Promised: Promise{3, 9, 0}}}, Resume, waitForAll},
-		{"restarted, all have answered", SeatingConfig{Name: "s1", ID: 1, Has: Promise{3, 9, 0}}, []CheckIn{{Seat: "s2", ID: 2, Promised: Promise{3, 9, 0}}, {Seat: "s3", ID: 3}}, Resume, 0},
-		{"the disk lost an entry", SeatingConfig{Name: "s1", ID: 1, Has: Promise{3, 8, 0}}, []CheckIn{{Seat: "s2", ID: 2, Sits: true, Seats: members, Promised: Promise{3, 9, 0}}}, Forget, 0},
-		{"the disk lost a vote", SeatingConfig{Name: "s1", ID: 1, Has: Promise{2, 9, 0}}, []CheckIn{{Seat: "s2", ID: 2, Promised: Promise{3, 0, 0}}}, Forget, 0},
-		{"the disk lost a vote of its current term", SeatingConfig{Name: "s1", ID: 1, Has: Promise{3, 9, 0}}, []CheckIn{{Seat: "s2", ID: 2, Promised: Promise{3, 9, 3}}}, Forget, 0},
-		{"the disk holds the vote of its current term", SeatingConfig{Name: "s1", ID: 1, Has: Promise{3, 9, 3}, Vote: 2}, []CheckIn{{Seat: "s2", ID: 2, Promised: Promise{3, 9, 3}}}, Resume, waitForAll},
-		{"everything but the identity was lost", SeatingConfig{Name: "s1", ID: 1, Empty: true}, []CheckIn{{Seat: "s2", ID: 2, Sits: true, Seats: members, Initial: members, Promised: Promise{1, 4, 0}}}, Forget, 0},
-		{"replaced while it was down", SeatingConfig{Name: "s1", ID: 1, Has: Promise{3, 9, 0}}, []CheckIn{{Seat: "s2", ID: 2, Sits: true, Seats: map[uint64]string{2: "s2", 3: "s3", 4: "s4"}}}, Join, 0},
-		{"an unknown voter claims a promise", SeatingConfig{Name: "s1", ID: 1, Has: Promise{3, 9, 0}}, []CheckIn{{Seat: "x", ID: 2, Promised: Promise{9, 9, 0}}}, Wait, 0},
+		{"first start, all have answered", StartupConfig{Name: "s1", ID: 1, Empty: true}, []CheckInReply{{Seat: "s2", ID: 2, Empty: true}, {Seat: "s3", ID: 3, Empty: true}}, Bootstrap, 0},
+		{"first start, one has not answered", StartupConfig{Name: "s1", ID: 1, Empty: true}, []CheckInReply{{Seat: "s2", ID: 2, Empty: true}}, Wait, 0},
+		{"first start, the others have formed the quorum with it", StartupConfig{Name: "s1", ID: 1, Empty: true}, []CheckInReply{{Seat: "s2", ID: 2, Sits: true, Seats: members, Initial: members}}, Bootstrap, 0},
+		{"the folder was lost", StartupConfig{Name: "s1", ID: 9, Empty: true}, []CheckInReply{{Seat: "s2", ID: 2, Sits: true, Seats: members, Initial: members}}, Join, 0},
+		{"the folder was lost, and another voter starts too", StartupConfig{Name: "s1", ID: 9, Empty: true}, []CheckInReply{{Seat: "s2", ID: 2}, {Seat: "s3", ID: 3, Empty: true}}, Join, 0},
+		{"a spare before the quorum has formed", StartupConfig{Name: "s4", ID: 4, Empty: true}, []CheckInReply{{Seat: "s2", ID: 2, Empty: true}, {Seat: "s1", ID: 1, Empty: true}, {Seat: "s3", ID: 3, Empty: true}}, Wait, 0},
+		{"restarted, no answers", StartupConfig{Name: "s1", ID: 1, Stored: Promise{3, 9, 0}}, nil, Wait, 0},
+		{"restarted, one other has answered", StartupConfig{Name: "s1", ID: 1, Stored: Promise{3, 9, 0}}, []CheckInReply{{Seat: "s2", ID: 2, Promised: Promise{3, 9, 0}}}, Wait, 0},
+		{"restarted, one other has answered, and the wait is over", StartupConfig{Name: "s1", ID: 1, Stored: Promise{3, 9, 0}}, []CheckInReply{{Seat: "s2", ID: 2, Promised: Promise{3, 9, 0}}}, Resume, waitForAll},
+		{"restarted, all have answered", StartupConfig{Name: "s1", ID: 1, Stored: Promise{3, 9, 0}}, []CheckInReply{{Seat: "s2", ID: 2, Promised: Promise{3, 9, 0}}, {Seat: "s3", ID: 3}}, Resume, 0},
+		{"the disk lost an entry", StartupConfig{Name: "s1", ID: 1, Stored: Promise{3, 8, 0}}, []CheckInReply{{Seat: "s2", ID: 2, Sits: true, Seats: members, Promised: Promise{3, 9, 0}}}, Discard, 0},
+		{"the disk lost a vote", StartupConfig{Name: "s1", ID: 1, Stored: Promise{2, 9, 0}}, []CheckInReply{{Seat: "s2", ID: 2, Promised: Promise{3, 0, 0}}}, Discard, 0},
+		{"the disk lost a vote of its current term", StartupConfig{Name: "s1", ID: 1, Stored: Promise{3, 9, 0}}, []CheckInReply{{Seat: "s2", ID: 2, Promised: Promise{3, 9, 3}}}, Discard, 0},
+		{"the disk holds the vote of its current term", StartupConfig{Name: "s1", ID: 1, Stored: Promise{3, 9, 3}, Vote: 2}, []CheckInReply{{Seat: "s2", ID: 2, Promised: Promise{3, 9, 3}}}, Resume, waitForAll},
+		{"everything but the identity was lost", StartupConfig{Name: "s1", ID: 1, Empty: true}, []CheckInReply{{Seat: "s2", ID: 2, Sits: true, Seats: members, Initial: members, Promised: Promise{1, 4, 0}}}, Discard, 0},
+		{"replaced while it was down", StartupConfig{Name: "s1", ID: 1, Stored: Promise{3, 9, 0}}, []CheckInReply{{Seat: "s2", ID: 2, Sits: true, Seats: map[uint64]string{2: "s2", 3: "s3", 4: "s4"}}}, Join, 0},
+		{"an unknown voter claims a promise", StartupConfig{Name: "s1", ID: 1, Stored: Promise{3, 9, 0}}, []CheckInReply{{Seat: "x", ID: 2, Promised: Promise{9, 9, 0}}}, Wait, 0},
 	} {
 		c := tt.own
-		c.Seats, c.Voters = three, 3
-		s := NewSeating(c, 0)
+		c.Candidates, c.Voters = three, 3
+		s := NewStartupCheck(c, 0)
 		for _, h := range tt.replies {
-			s.Heard(h)
+			s.AddReply(h)
 		}
 		if d := s.Decide(tt.at); d.Start != tt.want || d.Why == "" {
 			t.Errorf("%s: %v (%s), want %v", tt.name, d.Start, d.Why, tt.want)
@@ -61,7 +61,7 @@
 		{"dead for longer than minDead, no spare", map[string]uint64{}, map[string]time.Duration{"s3": time.Hour}, 0, 0},
 		{"two dead: no majority is left", map[string]uint64{"s4": 4}, map[string]time.Duration{"s3": time.Hour, "s2": time.Hour}, 0, 0},
 	} {
-		if out, in, _ := Replace(seats, all, tt.came, tt.dead, lives, time.Minute); out != tt.out || in != tt.in {
+		if out, in, _ := PlanReplacement(seats, all, tt.came, tt.dead, lives, time.Minute); out != tt.out || in != tt.in {
 			t.Errorf("%s: replaced %d by %d, want %d by %d", tt.name, out, in, tt.out, tt.in)
 		}
 	}
--- a/internal/duty/store/store.go
+++ b/internal/duty/store/store.go
@@ -353,8 +353,8 @@
 	return last == 0 && s.hard.GetTerm() == 0
 }
 
-// Hard returns the stored hard state.
-func (s *Store) Hard() *pb.HardState { return s.hard }
+// HardState returns the stored hard state.
+func (s *Store) HardState() *pb.HardState { return s.hard }
 
 // State is how far a voter's log reaches, as other voters have been told.
 type State struct{ Term, Index uint64 }
@@ -430,8 +430,8 @@
 	return s.SetHardState(s.hard)
 }
 
-// Due reports whether a snapshot is due, so that the segment can be replaced.
-func (s *Store) Due() bool { return s.segmentSize >= segmentBytes }
+// SnapshotDue reports whether a snapshot is due, so that the segment can be replaced.
+func (s *Store) SnapshotDue() bool { return s.segmentSize >= segmentBytes }
 
 // Compact replaces the log up to an index by a snapshot of the state at that index.
 func (s *Store) Compact(index uint64, conf *pb.ConfState, data []byte) error {
--- a/internal/duty/table.go
+++ b/internal/duty/table.go
@@ -20,7 +20,7 @@
 // Files: table.go, grantor.go, holder.go, fence.go; wire.go encodes commands and snapshots; startup.go decides
 // how a voter starts and which voter is replaced.
 //
-// Bounds: MaxDuties duties, MaxEligible agents of each, StateMost bytes of state.
+// Bounds: MaxDuties duties, MaxEligible agents of each, MaxStateBytes bytes of state.
 package duty
 
 import (
@@ -36,10 +36,10 @@
 
 // Bounds of the table and of its parts.
 const (
-	MaxDuties    = 64
-	MaxEligible  = 64
-	StateMost    = 4 << 10 // bytes of a duty's state
-	MaxNameBytes = 64      // bytes of a duty's or an agent's name
+	MaxDuties     = 64
+	MaxEligible   = 64
+	MaxStateBytes = 4 << 10 // bytes of a duty's state
+	MaxNameBytes  = 64      // bytes of a duty's or an agent's name
 	// Answers remembered for an agent and a duty, so that a command that is delivered twice takes effect once.
 	maxAnswersPerAgent = 4
 )
@@ -226,7 +226,7 @@
 }
 
 func (t *Table) apply(c *Command) Result {
-	if c.Kind >= kindCount || len(c.State) > StateMost || len(c.Agent) > MaxNameBytes {
+	if c.Kind >= kindCount || len(c.State) > MaxStateBytes || len(c.Agent) > MaxNameBytes {
 		return Invalid
 	}
 	if c.Kind == Define {
--- a/internal/duty/wire.go
+++ b/internal/duty/wire.go
@@ -84,7 +84,7 @@
 		if err := d.Spec.Check(); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrInvalidTable, err)
 		}
-		if t.duties[d.Name] != nil || len(d.State) > StateMost {
+		if t.duties[d.Name] != nil || len(d.State) > MaxStateBytes {
 			return nil, fmt.Errorf("%w: duty %q", ErrInvalidTable, d.Name)
 		}
 		t.duties[d.Name] = &d
--- a/internal/replica/sim_test.go
+++ b/internal/replica/sim_test.go
@@ -323,7 +323,7 @@
 // forgeCheckIn answers a member's check-in in place of the others, as if nothing had been promised.
 func (r *Replica) forgeCheckIn(w *world) {
 	for i, member := range r.options.Members {
-		reply, err := json.Marshal(duty.CheckIn{Seat: member.Name, ID: uint64(i + 1)})
+		reply, err := json.Marshal(duty.CheckInReply{Seat: member.Name, ID: uint64(i + 1)})
 		if err != nil {
 			w.t.Fatal(err)
 		}
--- a/internal/replica/voter/membership.go
+++ b/internal/replica/voter/membership.go
@@ -43,9 +43,9 @@
 		return
 	}
 	v.store, v.fault = opened, nil
-	state, hard := opened.State(), opened.Hard()
-	v.checkIn = duty.NewSeating(duty.SeatingConfig{Name: v.options.Name, Seats: v.options.Candidates, Voters: v.options.Voters, ID: opened.ID(), Empty: opened.Empty(),
-		Has: duty.Promise{Term: state.Term, Index: state.Index, Voted: hard.GetTerm()}, Vote: hard.GetVote()}, now)
+	state, hard := opened.State(), opened.HardState()
+	v.checkIn = duty.NewStartupCheck(duty.StartupConfig{Name: v.options.Name, Candidates: v.options.Candidates, Voters: v.options.Voters, ID: opened.ID(), Empty: opened.Empty(),
+		Stored: duty.Promise{Term: state.Term, Index: state.Index, Voted: hard.GetTerm()}, Vote: hard.GetVote()}, now)
 	v.decision = duty.Decision{Start: duty.Wait, Why: "no other member was heard yet"}
 	v.log.Info("store opened", "identity", IdentityText(opened.ID()), "new", empty, "term", state.Term, "entry", state.Index)
 }
@@ -65,9 +65,9 @@
 	switch decision.Start {
 	case duty.Wait:
 		return
-	case duty.Begin:
+	case duty.Bootstrap:
 		err = v.writeInitialSnapshot(decision.Initial)
-	case duty.Forget:
+	case duty.Discard:
 		v.quarantineStore(now)
 		return
 	case duty.Join:
@@ -126,8 +126,8 @@
 }
 
 // checkInReply returns the answer to a member that checks in under an identity before it votes.
-func (v *Voter) checkInReply(id uint64) duty.CheckIn {
-	reply := duty.CheckIn{Seat: v.options.Name, Sits: v.node != nil && len(v.membership.Members) > 0, Seats: v.membership.Members, Initial: v.membership.Initial, Promised: v.promises[id]}
+func (v *Voter) checkInReply(id uint64) duty.CheckInReply {
+	reply := duty.CheckInReply{Seat: v.options.Name, Sits: v.node != nil && len(v.membership.Members) > 0, Seats: v.membership.Members, Initial: v.membership.Initial, Promised: v.promises[id]}
 	if v.store != nil {
 		reply.ID, reply.Empty = v.store.ID(), v.store.Empty()
 	}
@@ -177,7 +177,7 @@
 	if after == 0 {
 		after = neverReplace
 	}
-	out, in, name := duty.Replace(v.membership.Members, v.options.Candidates, v.joining, dead, lives, after)
+	out, in, name := duty.PlanReplacement(v.membership.Members, v.options.Candidates, v.joining, dead, lives, after)
 	if in == raft.None {
 		return
 	}
--- a/internal/replica/voter/messages.go
+++ b/internal/replica/voter/messages.go
@@ -19,7 +19,7 @@
 const (
 	KindRaft         Kind = iota // pb.Message
 	KindCheckIn                  // identity: asks what was promised under it
-	KindCheckInReply             // duty.CheckIn
+	KindCheckInReply             // duty.CheckInReply
 	KindJoin                     // identity: asks to become a voter
 )
 
@@ -36,7 +36,7 @@
 	kind     Kind
 	raft     *pb.Message
 	identity identity
-	reply    duty.CheckIn
+	reply    duty.CheckInReply
 }
 
 // Decode decodes a message. It may be called from any goroutine.
@@ -57,7 +57,7 @@
 }
 
 // Receive processes a message from a member. A non-nil answer is to be sent as KindCheckInReply over the same connection.
-func (v *Voter) Receive(from string, m Message) (answer *duty.CheckIn) {
+func (v *Voter) Receive(from string, m Message) (answer *duty.CheckInReply) {
 	switch m.kind {
 	case KindRaft:
 		v.receiveRaft(from, m.raft)
@@ -66,7 +66,7 @@
 		return &reply
 	case KindCheckInReply:
 		if m.reply.Seat == from && v.checkIn != nil && v.node == nil {
-			v.checkIn.Heard(m.reply)
+			v.checkIn.AddReply(m.reply)
 		}
 	case KindJoin:
 		if m.identity.Name == from {
--- a/internal/replica/voter/node.go
+++ b/internal/replica/voter/node.go
@@ -70,7 +70,7 @@
 // updateLeader records the leader that raft reports and the term in which this member leads. Leadership that is regained
 // in another term counts as lost and won again.
 func (v *Voter) updateLeader(state *raft.SoftState) {
-	term := v.store.Hard().GetTerm()
+	term := v.store.HardState().GetTerm()
 	if v.leads && term != v.leadTerm {
 		v.setLeads(false)
 	}
@@ -155,7 +155,7 @@
 }
 
 func (v *Voter) compactionDue() bool {
-	if !v.store.Due() {
+	if !v.store.SnapshotDue() {
 		return false
 	}
 	first, err := v.store.FirstIndex()
--- a/internal/replica/voter/voter.go
+++ b/internal/replica/voter/voter.go
@@ -1,5 +1,5 @@
 // Package voter runs one member of a raft group (go.etcd.io/raft): its store (internal/duty/store), the check-in before it
-// votes (duty.Seating), raft itself and changes of members. It has no goroutine, socket or clock: its host passes in the
+// votes (duty.StartupCheck), raft itself and changes of members. It has no goroutine, socket or clock: its host passes in the
 // time and messages, and applies committed entries. A Voter belongs to one goroutine.
 //
 // Before a member votes it asks the others what its log and votes had promised them. A store that has lost any of that is
@@ -68,11 +68,11 @@
 	host    Host
 	log     *slog.Logger
 
-	fault       error         // why this member stopped voting; nil: it hasn't
-	store       *store.Store  // nil: not opened
-	checkIn     *duty.Seating // decides how this member starts, by the others' answers
-	decision    duty.Decision // the latest one of checkIn
-	lastRequest time.Duration // when the last check-in or join request was sent
+	fault       error              // why this member stopped voting; nil: it hasn't
+	store       *store.Store       // nil: not opened
+	checkIn     *duty.StartupCheck // decides how this member starts, by the others' answers
+	decision    duty.Decision      // the latest one of checkIn
+	lastRequest time.Duration      // when the last check-in or join request was sent
 
 	node        *raft.RawNode // nil: this member doesn't vote
 	applied     uint64        // index of the last applied entry
--- a/internal/scale/hollowduties.go
+++ b/internal/scale/hollowduties.go
@@ -259,5 +259,5 @@
 // Step implements seat.Task.
 func (w *notificationRecorder) Step(time.Time, duty.Permit, []byte) ([]byte, bool) { return nil, false }
 
-// Heard implements seat.Task.
-func (w *notificationRecorder) Heard(_ time.Time, d duty.Duty) { w.fleet.recordHolder(w.agent, d) }
+// Observe implements seat.Task.
+func (w *notificationRecorder) Observe(_ time.Time, d duty.Duty) { w.fleet.recordHolder(w.agent, d) }
