--- a/cmd/lemonctl/config.go
+++ b/cmd/lemonctl/config.go
@@ -63,7 +63,7 @@
 		_, err = fmt.Fprintf(s.out, "%s\n", canonical)
 		return err
 	}
-	_, err = fmt.Fprintf(s.out, "%s makes sense: %d bytes of %d, digest %s\n", c.File, len(canonical), configuration.DocumentMost,
+	_, err = fmt.Fprintf(s.out, "%s makes sense: %d bytes of %d, digest %s\n", c.File, len(canonical), configuration.MaxDocumentBytes,
 		configuration.Digest(canonical))
 	return err
 }
@@ -101,8 +101,8 @@
 		Scope:    c.Scope,
 		Base:     base,
 		Document: document.Canonical(),
-		By:       c.By,
-		Why:      c.Why,
+		Author:   c.By,
+		Reason:   c.Why,
 	})
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Scope, withConflictHint(err))
@@ -178,8 +178,8 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(w, "# %s revision %d (epoch %d), by %s at %s: %s\n%s", revision.Scope, revision.Revision, revision.Epoch, revision.By,
-		revision.At, singleLine(revision.Why), text)
+	_, err = fmt.Fprintf(w, "# %s revision %d (epoch %d), by %s at %s: %s\n%s", revision.Scope, revision.Revision, revision.Epoch, revision.Author,
+		revision.At, singleLine(revision.Reason), text)
 	return err
 }
 
@@ -259,7 +259,7 @@
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "behind\tregion\tzone\tservice\thas\twhy")
 	for _, agent := range status.Behind {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\n", agent.Agent, agent.Region, agent.Zone, agent.Service, agent.Revision, singleLine(agent.Why))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\n", agent.Agent, agent.Region, agent.Zone, agent.Service, agent.Revision, singleLine(agent.Reason))
 	}
 	return table.Flush()
 }
@@ -287,7 +287,7 @@
 	table := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "revision\tepoch\tat\tby\tdigest\twhy")
 	for _, revision := range revisions {
-		fmt.Fprintf(table, "%d\t%d\t%s\t%s\t%s\t%s\n", revision.Revision, revision.Epoch, revision.At, revision.By, revision.Digest, singleLine(revision.Why))
+		fmt.Fprintf(table, "%d\t%d\t%s\t%s\t%s\t%s\n", revision.Revision, revision.Epoch, revision.At, revision.Author, revision.Digest, singleLine(revision.Reason))
 	}
 	return table.Flush()
 }
@@ -357,10 +357,10 @@
 				leader = "none known"
 			}
 			why := ""
-			if !g.Votes {
-				why = singleLine(g.Why)
+			if !g.Voting {
+				why = singleLine(g.Reason)
 			}
-			fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%t\t%s\t%d\t%d\t%d\t%s\n", m.Name, m.Region, m.Watches, g.Group, g.Votes, leader, g.Term, g.Applied,
+			fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%t\t%s\t%d\t%d\t%d\t%s\n", m.Name, m.Region, m.Watches, g.Group, g.Voting, leader, g.Term, g.Applied,
 				len(g.Scopes), why)
 		}
 	}
--- a/cmd/lemonctl/config_test.go
+++ b/cmd/lemonctl/config_test.go
@@ -105,7 +105,7 @@
 		if change.ID == "" || change.ID != control.changes[0].ID {
 			t.Errorf("attempts with the change IDs %q and %q", control.changes[0].ID, change.ID)
 		}
-		if change.Base != 7 || change.Why != "slow reads" || change.Scope != configuration.Fleet {
+		if change.Base != 7 || change.Reason != "slow reads" || change.Scope != configuration.Fleet {
 			t.Errorf("sent %+v", change)
 		}
 		if _, err := configuration.ParseDocument(change.Document); err != nil {
@@ -131,7 +131,7 @@
 		t.Fatal(err)
 	}
 	control := &stubControl{answers: map[string]any{configuration.ShowPath: configuration.Revision{Scope: configuration.Fleet,
-		Position: configuration.Position{Revision: 7, Epoch: 2}, Document: document.Canonical(), By: "someone", Why: "two\nlines"}}}
+		Position: configuration.Position{Revision: 7, Epoch: 2}, Document: document.Canonical(), Author: "someone", Reason: "two\nlines"}}}
 	code, out, errOut := runConfig(t, control, "show", "fleet")
 	if code != 0 || !strings.HasPrefix(out, "# fleet revision 7 (epoch 2), by someone") {
 		t.Fatalf("code %d: %s%s", code, out, errOut)
@@ -144,7 +144,7 @@
 
 func TestConfigStatusExitCodes(t *testing.T) {
 	behind := configuration.Status{Scope: configuration.Fleet, Position: configuration.Position{Revision: 7}, Agents: 2, InForce: 1,
-		Behind:      []configuration.AgentBehind{{Place: configuration.Place{Agent: "n1", Region: "a", Zone: "z", Service: "search"}, Why: "refused: no such class"}},
+		Behind:      []configuration.AgentBehind{{Place: configuration.Place{Agent: "n1", Region: "a", Zone: "z", Service: "search"}, Reason: "refused: no such class"}},
 		Unreachable: []string{"b1"}}
 	there := configuration.Status{Scope: configuration.Fleet, Position: configuration.Position{Revision: 7}, Agents: 2, InForce: 2, Everywhere: true}
 	for _, tt := range []struct {
--- a/internal/agent/configuration_test.go
+++ b/internal/agent/configuration_test.go
@@ -337,7 +337,7 @@
 	} {
 		machine.send(t, uint64(2+n), bad.document)
 		r := machine.awaitReport(t, func(r configuration.Report) bool { return len(r.Refused) > 0 && r.Refused[0].Revision == uint64(2+n) })
-		if !strings.Contains(r.Refused[0].Why, bad.why) || r.InForce[configuration.Fleet].Revision != 1 {
+		if !strings.Contains(r.Refused[0].Reason, bad.why) || r.InForce[configuration.Fleet].Revision != 1 {
 			t.Errorf("%s: %+v", bad.document, r)
 		}
 	}
--- a/internal/configuration/bench_test.go
+++ b/internal/configuration/bench_test.go
@@ -61,7 +61,7 @@
 	f := NewFollower(testPlace, checkAgainstStart)
 	for _, scope := range testPlace.Scopes()[1:] {
 		document := benchDocument(1).Canonical()
-		f.Take(Update{Scope: scope, Position: Position{1, 1}, Patch: document, Digest: Digest(document)})
+		f.Receive(Update{Scope: scope, Position: Position{1, 1}, Patch: document, Digest: Digest(document)})
 	}
 	for i := 0; b.Loop(); i++ {
 		b.StopTimer()
@@ -70,18 +70,18 @@
 			b.Fatal(err)
 		}
 		r.Apply(1, command)
-		updates := r.Updates(Fleet, f.Have()[Fleet])
+		updates := r.Updates(Fleet, f.Positions()[Fleet])
 		b.StartTimer()
 		for _, u := range updates {
-			f.Take(u)
+			f.Receive(u)
 		}
 		effective, ok := f.Pending()
 		if !ok {
 			b.Fatal("nothing is pending")
 		}
-		f.InForce(effective)
+		f.Applied(effective)
 		f.Report()
-		if _, err := f.Kept(); err != nil {
+		if _, err := f.MarshalState(); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -104,7 +104,7 @@
 			for b.Loop() {
 				var all [][]AgentStatus
 				for _, tracker := range trackers {
-					all = append(all, tracker.Local(3*time.Second))
+					all = append(all, tracker.Statuses(3*time.Second))
 				}
 				if !InForce(Fleet, Position{5, 1}, all, nil).Everywhere {
 					b.Fatal("not in force")
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -21,7 +21,7 @@
 
 // Limits on documents, names and stored state.
 const (
-	DocumentMost      = 16 << 10 // bytes of a document
+	MaxDocumentBytes  = 16 << 10 // bytes of a document
 	MaxScopes         = 2048     // scopes with a document, per group
 	MaxGroupBytes     = 2 << 20  // bytes of all documents of a group
 	MaxNameBytes      = 64       // bytes of a name in a scope, or of the author of a revision
--- a/internal/configuration/document_parse.go
+++ b/internal/configuration/document_parse.go
@@ -16,7 +16,7 @@
 // later Format and invalid values. Errors begin with the path of the field, such as
 // classes.point-read.aim_ms.
 func ParseDocument(raw []byte) (*Document, error) {
-	if len(raw) > DocumentMost {
+	if len(raw) > MaxDocumentBytes {
 		return nil, tooLongError(len(raw))
 	}
 	if !utf8.Valid(raw) {
@@ -32,14 +32,14 @@
 	if err := d.Check(); err != nil {
 		return nil, err
 	}
-	if length := len(d.Canonical()); length > DocumentMost {
+	if length := len(d.Canonical()); length > MaxDocumentBytes {
 		return nil, tooLongError(length)
 	}
 	return &d, nil
 }
 
 func tooLongError(length int) error {
-	return fmt.Errorf("document: %d bytes, over %d", length, DocumentMost)
+	return fmt.Errorf("document: %d bytes, over %d", length, MaxDocumentBytes)
 }
 
 // checkFormat returns an error if the document has no Format or a later one. Of a later Format it reports
--- a/internal/configuration/document_test.go
+++ b/internal/configuration/document_test.go
@@ -68,7 +68,7 @@
 		{`{"format":1,"cold":{"from":0}}`, "cold.from: 0 is not within 0.001 and 1"},
 		{`{"format":1,"cold":{"ramp_ms":true}}`, "cold.ramp_ms: no number"},
 		{"{\"format\":1,\"classes\":{\"\xff\":{}}}", "document: not UTF-8"},
-		{`{"format":1,"classes":{"` + strings.Repeat("x", DocumentMost) + `":{}}}`, "document: 16"},
+		{`{"format":1,"classes":{"` + strings.Repeat("x", MaxDocumentBytes) + `":{}}}`, "document: 16"},
 	} {
 		d, err := ParseDocument([]byte(c.text))
 		if err == nil {
@@ -87,7 +87,7 @@
 		classes = append(classes, fmt.Sprintf(`"%s%04d":{"worth":1}`, strings.Repeat("<", 30), i))
 	}
 	text := `{"format":1,"classes":{` + strings.Join(classes, ",") + `}}`
-	if len(text) > DocumentMost {
+	if len(text) > MaxDocumentBytes {
 		t.Fatalf("the text already has %d bytes", len(text))
 	}
 	if _, err := ParseDocument([]byte(text)); err == nil || !strings.Contains(err.Error(), "over 16384") {
--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -10,9 +10,9 @@
 // effective document to apply, and reports which revisions are in force.
 //
 //	follower.Connected()                  // a watch begins: request it with follower.Have()
-//	result := follower.Take(update)       // for each line; on ResultAskWhole end the watch, begin a new one after a pause
+//	result := follower.Take(update)       // for each line; on ResultNeedsWhole end the watch, begin a new one after a pause
 //	effective, ok := follower.Pending()   // after each Connected and Take: apply it, then call
-//	follower.InForce(effective)           // or follower.Failed(effective, err), and check Pending again
+//	follower.Applied(effective)           // or follower.Failed(effective, err), and check Pending again
 //	follower.Report()                     // send it when a watch is answered, when it has changed, and periodically
 type Follower struct {
 	place         Place
@@ -75,13 +75,13 @@
 	ResultPartial                        // further parts of the revision are expected
 	ResultAlreadyKnown                   // this or a later revision was received before; nothing has changed
 	ResultWrongScope                     // the scope doesn't apply to this agent; nothing has changed
-	ResultAskWhole                       // the update can't be applied to the revision received before; see NeedsWhole
+	ResultNeedsWhole                     // the update can't be applied to the revision received before; see ScopesNeedingWhole
 )
 
 // Result is the result of an update.
 type Result struct {
-	Kind ResultKind
-	Why  string // reason, for ResultAlreadyKnown, ResultWrongScope and ResultAskWhole
+	Kind   ResultKind
+	Reason string // reason, for ResultAlreadyKnown, ResultWrongScope and ResultNeedsWhole
 }
 
 // NewFollower returns the follower of the agent at a place. check returns an error for an effective document
@@ -115,8 +115,8 @@
 	}
 }
 
-// Have returns the positions to begin a watch from. Scopes whose whole document is needed have an Epoch of 0.
-func (f *Follower) Have() map[Scope]Position {
+// Positions returns the positions to begin a watch from. Scopes whose whole document is needed have an Epoch of 0.
+func (f *Follower) Positions() map[Scope]Position {
 	have := map[Scope]Position{}
 	for scope, state := range f.states {
 		at := state.received.Position
@@ -130,9 +130,9 @@
 	return have
 }
 
-// NeedsWhole returns the scopes with an update that could not be used. A new watch from Have receives their
+// ScopesNeedingWhole returns the scopes with an update that could not be used. A new watch from Have receives their
 // whole documents.
-func (f *Follower) NeedsWhole() (scopes []Scope) {
+func (f *Follower) ScopesNeedingWhole() (scopes []Scope) {
 	for _, scope := range f.scopes {
 		if f.states[scope].needsWhole {
 			scopes = append(scopes, scope)
@@ -141,8 +141,8 @@
 	return scopes
 }
 
-// Take processes the next update of the watch.
-func (f *Follower) Take(u Update) Result {
+// Receive processes the next update of the watch.
+func (f *Follower) Receive(u Update) Result {
 	f.moreExpected = u.More
 	f.evaluated, f.lastFailed = false, nil
 	state, applies := f.states[u.Scope]
@@ -154,7 +154,7 @@
 	}
 	text, result := f.textAfter(u, state)
 	if result.Kind != ResultAccepted {
-		state.needsWhole = state.needsWhole || result.Kind == ResultAskWhole
+		state.needsWhole = state.needsWhole || result.Kind == ResultNeedsWhole
 		return result
 	}
 	*state = followedScope{received: newScopeDocument(u.Position, text), inForce: state.inForce}
@@ -187,7 +187,7 @@
 	if result.Kind != ResultAccepted {
 		return nil, result
 	}
-	if len(text) > DocumentMost {
+	if len(text) > MaxDocumentBytes {
 		return nil, needsWholeResult(u, tooLongError(len(text)).Error())
 	}
 	if digest := Digest(text); !f.skip.digest && digest != u.Digest {
@@ -197,7 +197,7 @@
 }
 
 func needsWholeResult(u Update, why string) Result {
-	return Result{ResultAskWhole, fmt.Sprintf("%v: revision %d: %s", u.Scope, u.Revision, why)}
+	return Result{ResultNeedsWhole, fmt.Sprintf("%v: revision %d: %s", u.Scope, u.Revision, why)}
 }
 
 // patchedText applies a patch to the text of the revision received last.
@@ -240,18 +240,18 @@
 	}
 }
 
-// InForce records that an effective document was applied.
-func (f *Follower) InForce(e *Effective) {
+// Applied records that an effective document was applied.
+func (f *Follower) Applied(e *Effective) {
 	f.inForce, f.evaluated = e, false
 	for scope, state := range f.states {
 		state.inForce = e.sources[scope]
 	}
 }
 
-// Failed records that applying an effective document has failed. If several scopes had changed, they are
+// ApplyFailed records that applying an effective document has failed. If several scopes had changed, they are
 // applied one by one from now on, from the widest; if only one had, its revision is refused until the next
 // one.
-func (f *Follower) Failed(e *Effective, cause error) {
+func (f *Follower) ApplyFailed(e *Effective, cause error) {
 	f.evaluated, f.lastFailed = false, e.Positions
 	changed := f.changedScopes(e)
 	if len(changed) > 1 {
@@ -283,7 +283,7 @@
 	report := Report{Place: f.place, Format: Format, InForce: maps.Clone(f.inForce.Positions), Digest: f.inForce.Digest}
 	for _, scope := range f.scopes {
 		if state := f.states[scope]; state.refusalReason != "" {
-			refusal := Refusal{Scope: scope, Position: state.received.Position, Why: truncateText(state.refusalReason, MaxRefusalBytes)}
+			refusal := Refusal{Scope: scope, Position: state.received.Position, Reason: truncateText(state.refusalReason, MaxRefusalBytes)}
 			report.Refused = append(report.Refused, refusal)
 		}
 	}
--- a/internal/configuration/follower_parts.go
+++ b/internal/configuration/follower_parts.go
@@ -29,8 +29,8 @@
 }
 
 // continues reports whether an update is the next part of the same document and the text stays within
-// DocumentMost.
+// MaxDocumentBytes.
 func (p *partAssembly) continues(u Update) bool {
 	return u.Part == p.nextPart && u.Parts == p.first.Parts && u.Position == p.first.Position && u.Digest == p.first.Digest &&
-		len(p.text)+len(u.Text) <= DocumentMost
+		len(p.text)+len(u.Text) <= MaxDocumentBytes
 }
--- a/internal/configuration/follower_state.go
+++ b/internal/configuration/follower_state.go
@@ -27,8 +27,8 @@
 	Document json.RawMessage `json:"document"`
 }
 
-// Kept returns the documents in force, with a checksum, for storage on disk.
-func (f *Follower) Kept() ([]byte, error) {
+// MarshalState returns the documents in force, with a checksum, for storage on disk.
+func (f *Follower) MarshalState() ([]byte, error) {
 	saved := savedState{Place: f.place, Format: Format}
 	for _, scope := range f.scopes {
 		if d, ok := f.inForce.sources[scope]; ok {
@@ -48,10 +48,10 @@
 	return stateHeader + " " + hex.EncodeToString(sum[:]) + "\n"
 }
 
-// RestoreKept restores what Kept returned in an earlier process of the same agent, to be offered by Pending.
+// RestoreState restores what Kept returned in an earlier process of the same agent, to be offered by Pending.
 // Call it before the first watch. If the state is damaged, of another place or of a later Format, it returns
 // an error and changes nothing.
-func (f *Follower) RestoreKept(text []byte) error {
+func (f *Follower) RestoreState(text []byte) error {
 	state, err := parseState(text)
 	if err != nil {
 		return fmt.Errorf("kept configuration: %w", err)
--- a/internal/configuration/follower_test.go
+++ b/internal/configuration/follower_test.go
@@ -31,7 +31,7 @@
 
 func takeUpdate(t *testing.T, f *Follower, u Update, want ResultKind) Result {
 	t.Helper()
-	result := f.Take(roundTrip(t, u))
+	result := f.Receive(roundTrip(t, u))
 	if result.Kind != want {
 		t.Fatalf("%v revision %d: result %+v, want kind %d", u.Scope, u.Revision, result, want)
 	}
@@ -48,7 +48,7 @@
 	if again, ok := f.Pending(); !ok || again != effective {
 		t.Fatal("a second call to Pending returned another document")
 	}
-	f.InForce(effective)
+	f.Applied(effective)
 	if more, ok := f.Pending(); ok {
 		t.Fatalf("still pending after InForce: %s", more.Document.Canonical())
 	}
@@ -64,7 +64,7 @@
 	var scopes []Scope
 	for _, refusal := range report.Refused {
 		scopes = append(scopes, refusal.Scope)
-		if refusal.Why == "" || len(refusal.Why) > MaxRefusalBytes {
+		if refusal.Reason == "" || len(refusal.Reason) > MaxRefusalBytes {
 			t.Errorf("refusal %+v", refusal)
 		}
 	}
@@ -75,7 +75,7 @@
 
 func TestFollowerMergesFromWideToNarrow(t *testing.T) {
 	f := NewFollower(testPlace, checkAgainstStart)
-	if _, ok := f.Pending(); ok || len(f.Have()) > 0 {
+	if _, ok := f.Pending(); ok || len(f.Positions()) > 0 {
 		t.Fatal("a new follower has a pending document or positions")
 	}
 	if report := f.Report(); report.Place != testPlace || len(report.InForce) > 0 || report.Format != Format {
@@ -93,8 +93,8 @@
 	applyPending(t, f)
 	wantInForce(t, f, `{"format":1,"limits":{"attempts":1},"classes":{"scan":{"worth":0}},"cold":{"from":0.5}}`)
 	want := map[Scope]Position{agentScope: {1, 1}, Fleet: {3, 1}, serviceScope: {3, 1}, zoneScope: {4, 1}, eastScope: {5, 1}}
-	if got := f.Report().InForce; !reflect.DeepEqual(got, want) || !reflect.DeepEqual(f.Have(), want) {
-		t.Errorf("in force %v, have %v, want %v", got, f.Have(), want)
+	if got := f.Report().InForce; !reflect.DeepEqual(got, want) || !reflect.DeepEqual(f.Positions(), want) {
+		t.Errorf("in force %v, have %v, want %v", got, f.Positions(), want)
 	}
 }
 
@@ -105,10 +105,10 @@
 	if report := f.Report(); len(report.InForce) > 0 || report.Digest == effective.Digest {
 		t.Errorf("report %+v", report)
 	}
-	if have := f.Have(); have[Fleet] != (Position{1, 1}) {
+	if have := f.Positions(); have[Fleet] != (Position{1, 1}) {
 		t.Errorf("have %v", have) // a received document must not be sent again
 	}
-	f.InForce(effective)
+	f.Applied(effective)
 	if report := f.Report(); report.InForce[Fleet] != (Position{1, 1}) || report.Digest != effective.Digest {
 		t.Errorf("report %+v", report)
 	}
@@ -123,7 +123,7 @@
 	takeUpdate(t, f, patch, ResultAccepted)
 	applyPending(t, f)
 	wantInForce(t, f, string(after))
-	if have := f.Have(); have[Fleet] != (Position{5, 2}) {
+	if have := f.Positions(); have[Fleet] != (Position{5, 2}) {
 		t.Errorf("have %v", have)
 	}
 }
@@ -153,17 +153,17 @@
 		f := NewFollower(testPlace, checkAgainstStart)
 		takeUpdate(t, f, wholeUpdate(Fleet, 5, first), ResultAccepted)
 		applyPending(t, f)
-		if result := takeUpdate(t, f, c.u, ResultAskWhole); !strings.Contains(result.Why, c.wantReason) {
-			t.Errorf("%s: reason %q doesn't contain %q", c.name, result.Why, c.wantReason)
+		if result := takeUpdate(t, f, c.u, ResultNeedsWhole); !strings.Contains(result.Reason, c.wantReason) {
+			t.Errorf("%s: reason %q doesn't contain %q", c.name, result.Reason, c.wantReason)
 		}
 		wantInForce(t, f, first)
-		if needs, have := f.NeedsWhole(), f.Have(); !reflect.DeepEqual(needs, []Scope{Fleet}) || have[Fleet] != (Position{5, 0}) {
+		if needs, have := f.ScopesNeedingWhole(), f.Positions(); !reflect.DeepEqual(needs, []Scope{Fleet}) || have[Fleet] != (Position{5, 0}) {
 			t.Errorf("%s: needs %v, have %v", c.name, needs, have)
 		}
 		f.Connected()
 		takeUpdate(t, f, wholeUpdate(Fleet, 6, string(after)), ResultAccepted)
-		if len(f.NeedsWhole()) > 0 || f.Have()[Fleet] != (Position{6, 1}) {
-			t.Errorf("%s: after the whole document: needs %v, has %v", c.name, f.NeedsWhole(), f.Have())
+		if len(f.ScopesNeedingWhole()) > 0 || f.Positions()[Fleet] != (Position{6, 1}) {
+			t.Errorf("%s: after the whole document: needs %v, has %v", c.name, f.ScopesNeedingWhole(), f.Positions())
 		}
 		applyPending(t, f)
 		wantInForce(t, f, string(after))
@@ -180,11 +180,11 @@
 		{Scope: Fleet, Position: Position{4, 9}, From: 3, Patch: json.RawMessage(`{}`)},
 	} {
 		takeUpdate(t, f, u, ResultAlreadyKnown)
-		if _, ok := f.Pending(); ok || len(f.NeedsWhole()) > 0 {
+		if _, ok := f.Pending(); ok || len(f.ScopesNeedingWhole()) > 0 {
 			t.Fatalf("revision %d has changed the state", u.Revision)
 		}
 	}
-	if result := takeUpdate(t, f, wholeUpdate(Fleet, 5, `{"format":1}`), ResultAlreadyKnown); !strings.Contains(result.Why, "another document") {
+	if result := takeUpdate(t, f, wholeUpdate(Fleet, 5, `{"format":1}`), ResultAlreadyKnown); !strings.Contains(result.Reason, "another document") {
 		t.Errorf("result %+v", result)
 	}
 	wantInForce(t, f, text)
@@ -206,8 +206,8 @@
 			want = ResultAccepted
 		}
 		takeUpdate(t, f, u, want)
-		if _, ok := f.Pending(); ok != last || (len(f.Have()) > 0) != last {
-			t.Fatalf("after part %d: pending %v, have %v", i, ok, f.Have())
+		if _, ok := f.Pending(); ok != last || (len(f.Positions()) > 0) != last {
+			t.Fatalf("after part %d: pending %v, have %v", i, ok, f.Positions())
 		}
 	}
 	applyPending(t, f)
@@ -218,7 +218,7 @@
 	f = NewFollower(testPlace, anyDocument)
 	takeUpdate(t, f, updates[0], ResultPartial)
 	f.Connected()
-	takeUpdate(t, f, updates[1], ResultAskWhole)
+	takeUpdate(t, f, updates[1], ResultNeedsWhole)
 	f.Connected()
 	for _, u := range updates[:len(updates)-1] {
 		takeUpdate(t, f, u, ResultPartial)
@@ -231,26 +231,26 @@
 
 	f = NewFollower(testPlace, anyDocument)
 	takeUpdate(t, f, updates[0], ResultPartial)
-	takeUpdate(t, f, updates[2], ResultAskWhole)
+	takeUpdate(t, f, updates[2], ResultNeedsWhole)
 	other := updates[1]
 	other.Revision++
 	takeUpdate(t, f, updates[0], ResultPartial)
-	takeUpdate(t, f, other, ResultAskWhole)
+	takeUpdate(t, f, other, ResultNeedsWhole)
 	wantInForce(t, f, `{"format":1}`)
 }
 
 func TestFollowerLimitsPartialDocuments(t *testing.T) {
 	f := NewFollower(testPlace, func(*Document) error { return nil })
 	u := Update{Scope: Fleet, Position: Position{1, 1}, Parts: 1 << 30, Text: strings.Repeat("x", MaxPartBytes), More: true}
-	for ; u.Part*MaxPartBytes+MaxPartBytes <= DocumentMost; u.Part++ {
+	for ; u.Part*MaxPartBytes+MaxPartBytes <= MaxDocumentBytes; u.Part++ {
 		takeUpdate(t, f, u, ResultPartial)
 	}
-	takeUpdate(t, f, u, ResultAskWhole)
+	takeUpdate(t, f, u, ResultNeedsWhole)
 	if f.states[Fleet].parts != nil {
 		t.Error("the rejected parts are still stored")
 	}
 	long := longDocument(600, 1).Canonical()
-	takeUpdate(t, f, Update{Scope: Fleet, Position: Position{1, 1}, Patch: long, Digest: Digest(long)}, ResultAskWhole)
+	takeUpdate(t, f, Update{Scope: Fleet, Position: Position{1, 1}, Patch: long, Digest: Digest(long)}, ResultNeedsWhole)
 }
 
 // If a set of updates is cut off, the updates that have arrived take effect.
@@ -284,11 +284,11 @@
 		}
 		wantInForce(t, f, good, serviceScope)
 		report := f.Report()
-		if refusal := report.Refused[0]; refusal.Position != (Position{2, 1}) || !strings.HasPrefix(refusal.Why, c.wantReason) {
+		if refusal := report.Refused[0]; refusal.Position != (Position{2, 1}) || !strings.HasPrefix(refusal.Reason, c.wantReason) {
 			t.Errorf("%s: refusal %+v", c.bad, refusal)
 		}
-		if report.InForce[serviceScope] != (Position{1, 1}) || f.Have()[serviceScope] != (Position{2, 1}) {
-			t.Errorf("%s: in force %v, have %v", c.bad, report.InForce, f.Have())
+		if report.InForce[serviceScope] != (Position{1, 1}) || f.Positions()[serviceScope] != (Position{2, 1}) {
+			t.Errorf("%s: in force %v, have %v", c.bad, report.InForce, f.Positions())
 		}
 		// Updates of other scopes still apply, and a patch applies to the text of the refused revision.
 		takeUpdate(t, f, wholeUpdate(Fleet, 7, `{"format":1,"cold":{"from":0.5}}`), ResultAccepted)
@@ -366,13 +366,13 @@
 			t.Fatal("more than 10 attempts to apply")
 		}
 		if limits := effective.Document.Limits; limits != nil && *limits.Attempts == 13 {
-			f.Failed(effective, errors.New("rejected value"))
+			f.ApplyFailed(effective, errors.New("rejected value"))
 		} else {
-			f.InForce(effective)
+			f.Applied(effective)
 		}
 	}
 	wantInForce(t, f, `{"format":1,"cold":{"from":0.5,"ramp_ms":5},"limits":{"attempts":2}}`, serviceScope)
-	if refusal := f.Report().Refused[0]; refusal.Why != "could not be applied: rejected value" || refusal.Revision != 2 {
+	if refusal := f.Report().Refused[0]; refusal.Reason != "could not be applied: rejected value" || refusal.Revision != 2 {
 		t.Errorf("refusal %+v", refusal)
 	}
 	takeUpdate(t, f, wholeUpdate(serviceScope, 3, `{"format":1,"limits":{"attempts":3}}`), ResultAccepted)
@@ -397,7 +397,7 @@
 		if tries++; tries > 10 {
 			t.Fatal("more than 10 attempts to apply")
 		}
-		f.Failed(effective, errors.New("always fails"))
+		f.ApplyFailed(effective, errors.New("always fails"))
 	}
 	wantInForce(t, f, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`, Fleet, serviceScope)
 }
@@ -414,9 +414,9 @@
 			t.Fatal("more than 10 attempts to apply")
 		}
 		if effective.Document.Classes["scan"].AimMs == nil {
-			f.Failed(effective, errors.New("no aim"))
+			f.ApplyFailed(effective, errors.New("no aim"))
 		} else {
-			f.InForce(effective)
+			f.Applied(effective)
 		}
 	}
 	wantInForce(t, f, `{"format":1,"classes":{"scan":{"aim_ms":1500,"deadline_ms":1000}}}`, agentScope)
@@ -431,33 +431,33 @@
 	takeUpdate(t, f, wholeUpdate(serviceScope, 8, `{"format":1,"limits":{"attempts":2}}`), ResultAccepted)
 	applyPending(t, f)
 	takeUpdate(t, f, wholeUpdate(serviceScope, 9, `{"format":1,"limits":{"attempts":3}}`), ResultAccepted) // not in force yet
-	kept, err := f.Kept()
+	kept, err := f.MarshalState()
 	if err != nil {
 		t.Fatal(err)
 	}
 	restarted := NewFollower(testPlace, checkAgainstStart)
-	if err := restarted.RestoreKept(kept); err != nil {
+	if err := restarted.RestoreState(kept); err != nil {
 		t.Fatal(err)
 	}
 	if report := restarted.Report(); len(report.InForce) > 0 {
 		t.Errorf("report before the restored state is applied: %+v", report)
 	}
 	want := map[Scope]Position{Fleet: {3, 1}, serviceScope: {8, 1}}
-	if have := restarted.Have(); !reflect.DeepEqual(have, want) {
+	if have := restarted.Positions(); !reflect.DeepEqual(have, want) {
 		t.Errorf("have %v", have)
 	}
 	applyPending(t, restarted)
 	wantInForce(t, restarted, `{"format":1,"cold":{"from":0.5},"limits":{"attempts":2}}`)
-	if again, err := restarted.Kept(); err != nil || string(again) != string(kept) {
+	if again, err := restarted.MarshalState(); err != nil || string(again) != string(kept) {
 		t.Errorf("saved again: %s (%v), want %s", again, err, kept)
 	}
 	takeUpdate(t, restarted, wholeUpdate(serviceScope, 9, `{"format":1,"limits":{"attempts":3}}`), ResultAccepted)
 
-	empty, err := NewFollower(testPlace, checkAgainstStart).Kept()
+	empty, err := NewFollower(testPlace, checkAgainstStart).MarshalState()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := NewFollower(testPlace, checkAgainstStart).RestoreKept(empty); err != nil {
+	if err := NewFollower(testPlace, checkAgainstStart).RestoreState(empty); err != nil {
 		t.Errorf("restoring an empty state: %v", err)
 	}
 }
@@ -468,14 +468,14 @@
 	takeUpdate(t, f, wholeUpdate(Fleet, 3, `{"format":1,"cold":{"from":0.5}}`), ResultAccepted)
 	takeUpdate(t, f, wholeUpdate(serviceScope, 8, `{"format":1,"classes":{"scan":{"worth":2}}}`), ResultAccepted)
 	applyPending(t, f)
-	kept, _ := f.Kept()
+	kept, _ := f.MarshalState()
 	restarted := NewFollower(testPlace, func(d *Document) error {
 		if len(d.Classes) > 0 {
 			return errors.New("classes are not supported")
 		}
 		return nil
 	})
-	if err := restarted.RestoreKept(kept); err != nil {
+	if err := restarted.RestoreState(kept); err != nil {
 		t.Fatal(err)
 	}
 	applyPending(t, restarted)
@@ -486,14 +486,14 @@
 	f := NewFollower(testPlace, checkAgainstStart)
 	takeUpdate(t, f, wholeUpdate(Fleet, 3, `{"format":1,"cold":{"from":0.5}}`), ResultAccepted)
 	applyPending(t, f)
-	kept, _ := f.Kept()
+	kept, _ := f.MarshalState()
 	refuse := func(what string, place Place, bytes []byte) {
 		t.Helper()
 		g := NewFollower(place, checkAgainstStart)
-		if err := g.RestoreKept(bytes); err == nil || !strings.HasPrefix(err.Error(), "kept configuration: ") {
+		if err := g.RestoreState(bytes); err == nil || !strings.HasPrefix(err.Error(), "kept configuration: ") {
 			t.Errorf("%s: error %v", what, err)
 		}
-		if _, ok := g.Pending(); ok || len(g.Have()) > 0 {
+		if _, ok := g.Pending(); ok || len(g.Positions()) > 0 {
 			t.Errorf("%s: refused, but the follower has changed", what)
 		}
 	}
@@ -520,7 +520,7 @@
 func TestRefusalsAreTruncatedBetweenCharacters(t *testing.T) {
 	f := NewFollower(testPlace, func(*Document) error { return errors.New("x" + strings.Repeat("é", MaxRefusalBytes)) })
 	takeUpdate(t, f, wholeUpdate(Fleet, 1, `{"format":1}`), ResultAccepted)
-	why := f.Report().Refused[0].Why
+	why := f.Report().Refused[0].Reason
 	if want := "x" + strings.Repeat("é", (MaxRefusalBytes-1)/2); why != want {
 		t.Errorf("reason has %d bytes: %q", len(why), why)
 	}
--- a/internal/configuration/helpers_test.go
+++ b/internal/configuration/helpers_test.go
@@ -110,7 +110,7 @@
 
 // newChange returns a change that replaces the document of a scope.
 func newChange(id string, scope Scope, base uint64, d *Document) Change {
-	return Change{ID: id, Scope: scope, Base: base, Document: d.Canonical(), By: "ana", Why: "test", At: "2026-12-02T04:00:00Z"}
+	return Change{ID: id, Scope: scope, Base: base, Document: d.Canonical(), Author: "ana", Reason: "test", At: "2026-12-02T04:00:00Z"}
 }
 
 // roundTrip returns the update after encoding it as JSON and decoding it again.
--- a/internal/configuration/machine.go
+++ b/internal/configuration/machine.go
@@ -11,8 +11,8 @@
 // GroupStatus is the state of a group as one of its control machines knows it.
 type GroupStatus struct {
 	Group   string             `json:"group"`
-	Votes   bool               `json:"votes"`
-	Why     string             `json:"why"`    // reason for not voting, such as a disk error, or how the machine joined
+	Voting  bool               `json:"votes"`
+	Reason  string             `json:"why"`    // reason for not voting, such as a disk error, or how the machine joined
 	Leader  string             `json:"leader"` // as this machine knows it; empty: none
 	Term    uint64             `json:"term"`
 	Applied uint64             `json:"applied"` // index of the last log entry that the machine has applied
--- a/internal/configuration/messages.go
+++ b/internal/configuration/messages.go
@@ -30,8 +30,8 @@
 	Document json.RawMessage `json:"document"` // canonical, see Canonical
 	Digest   string          `json:"digest"`   // of Document, see Digest
 	Change   string          `json:"change"`   // ID of the change that created it
-	By       string          `json:"by"`       // author
-	Why      string          `json:"why"`      // reason that the author gave
+	Author   string          `json:"by"`       // author
+	Reason   string          `json:"why"`      // reason that the author gave
 	At       string          `json:"at"`       // RFC 3339, clock of the machine that received the change; informational only
 }
 
@@ -41,8 +41,8 @@
 	Scope    Scope           `json:"scope"`
 	Base     uint64          `json:"base"` // revision that the author has seen; a conflict if the scope is at another one
 	Document json.RawMessage `json:"document"`
-	By       string          `json:"by"`
-	Why      string          `json:"why"`
+	Author   string          `json:"by"`
+	Reason   string          `json:"why"`
 	At       string          `json:"at"` // set by the machine that receives the change
 }
 
@@ -81,7 +81,7 @@
 type Refusal struct {
 	Scope Scope `json:"scope"`
 	Position
-	Why string `json:"why"`
+	Reason string `json:"why"`
 }
 
 // AgentStatus is the state of an agent as one control machine knows it.
@@ -107,7 +107,7 @@
 type AgentBehind struct {
 	Place
 	Position        // position that the agent has in force
-	Why      string `json:"why"` // why it is behind: a refusal with its reason, not connected, or no report yet
+	Reason   string `json:"why"` // why it is behind: a refusal with its reason, not connected, or no report yet
 }
 
 // Accepted is the answer to an accepted change: the revision that the change created.
--- a/internal/configuration/pacer.go
+++ b/internal/configuration/pacer.go
@@ -21,9 +21,9 @@
 	return &Pacer{rate: rate, burst: burst, tokens: burst, updatedAt: now}
 }
 
-// Wait takes bytes out of the bucket and returns how long to wait before sending them. Bytes taken later wait
+// Reserve takes bytes out of the bucket and returns how long to wait before sending them. Bytes taken later wait
 // for these as well.
-func (p *Pacer) Wait(bytes int, now time.Duration) time.Duration {
+func (p *Pacer) Reserve(bytes int, now time.Duration) time.Duration {
 	p.tokens = min(p.burst, p.tokens+p.rate*max(0, now-p.updatedAt).Seconds())
 	p.updatedAt = now
 	p.tokens -= float64(bytes)
--- a/internal/configuration/pacer_test.go
+++ b/internal/configuration/pacer_test.go
@@ -23,7 +23,7 @@
 				now += time.Duration(rng.IntN(3e9))
 			}
 			bytes := 1 + rng.IntN(PaceBurst)
-			now += pacer.Wait(bytes, now)
+			now += pacer.Reserve(bytes, now)
 			sends = append(sends, send{now, bytes})
 			total += bytes
 		}
@@ -48,12 +48,12 @@
 func TestPacerSendsAtTheRate(t *testing.T) {
 	pacer, now := NewPacer(PaceRate, PaceBurst, 0), time.Duration(0)
 	for range 11 {
-		now += pacer.Wait(1500, now)
+		now += pacer.Reserve(1500, now)
 	}
 	if want := 4500 * time.Millisecond; now < want-time.Millisecond || now > want+time.Millisecond { // 16,500 bytes, the first 3,000 without a wait
 		t.Errorf("sending took %v", now)
 	}
-	if wait := pacer.Wait(1, now-time.Hour); wait < 0 || wait > time.Second {
+	if wait := pacer.Reserve(1, now-time.Hour); wait < 0 || wait > time.Second {
 		t.Errorf("wait %v after the clock went backwards", wait)
 	}
 }
@@ -62,7 +62,7 @@
 func TestPacerSendsLongestDocumentInTime(t *testing.T) {
 	r := NewRegistry(FleetGroup)
 	document := longDocument(1, 1)
-	for n := 2; len(document.Canonical()) < DocumentMost-100; n++ {
+	for n := 2; len(document.Canonical()) < MaxDocumentBytes-100; n++ {
 		document = longDocument(n, 1)
 	}
 	mustPut(t, r, 1, newChange("c", Fleet, 0, document))
@@ -70,7 +70,7 @@
 	for _, u := range r.Updates(Fleet, Position{}) {
 		line, err := jsonLine(u)
 		must(t, err)
-		now += pacer.Wait(len(line), now)
+		now += pacer.Reserve(len(line), now)
 		total += len(line)
 	}
 	t.Logf("%d bytes of document in %d bytes of lines, %v", len(document.Canonical()), total, now)
--- a/internal/configuration/registry.go
+++ b/internal/configuration/registry.go
@@ -112,8 +112,8 @@
 		Document: document,
 		Digest:   Digest(document),
 		Change:   c.ID,
-		By:       c.By,
-		Why:      c.Why,
+		Author:   c.Author,
+		Reason:   c.Reason,
 		At:       c.At,
 	}
 	r.bytes += len(document) - len(state.latest.Document)
@@ -165,11 +165,11 @@
 		return &ErrorBody{Kind: ErrorNotHere,
 			Message: fmt.Sprintf("%v is written by the group %s, not by %s", c.Scope, c.Scope.Group(), r.group)}
 	}
-	if len(c.By) > MaxNameBytes {
-		return invalidError("by: %d bytes, over %d", len(c.By), MaxNameBytes)
+	if len(c.Author) > MaxNameBytes {
+		return invalidError("by: %d bytes, over %d", len(c.Author), MaxNameBytes)
 	}
-	if len(c.Why) > maxReasonBytes {
-		return invalidError("why: %d bytes, over %d", len(c.Why), maxReasonBytes)
+	if len(c.Reason) > maxReasonBytes {
+		return invalidError("why: %d bytes, over %d", len(c.Reason), maxReasonBytes)
 	}
 	if _, err := time.Parse(time.RFC3339, c.At); c.At != "" && err != nil {
 		return invalidError("at: %v", err)
@@ -194,11 +194,11 @@
 // canonicalDocument checks a document and returns its canonical text. A document of a later Format isn't
 // checked.
 func canonicalDocument(raw json.RawMessage) (json.RawMessage, *ErrorBody) {
-	if len(raw) > DocumentMost {
+	if len(raw) > MaxDocumentBytes {
 		return nil, invalidError("%v", tooLongError(len(raw)))
 	}
 	if later, ok := laterFormat(raw); ok {
-		if len(later) > DocumentMost {
+		if len(later) > MaxDocumentBytes {
 			return nil, invalidError("%v", tooLongError(len(later)))
 		}
 		return later, nil
@@ -229,8 +229,8 @@
 	return &ErrorBody{Kind: ErrorInvalid, Message: truncateText(fmt.Sprintf(format, values...), MaxRefusalBytes)}
 }
 
-// Revision returns the latest revision of a scope.
-func (r *Registry) Revision(scope Scope) (Revision, bool) {
+// Latest returns the latest revision of a scope.
+func (r *Registry) Latest(scope Scope) (Revision, bool) {
 	state, ok := r.scopes[scope]
 	if !ok {
 		return Revision{}, false
--- a/internal/configuration/registry_test.go
+++ b/internal/configuration/registry_test.go
@@ -32,9 +32,9 @@
 		if accepted != want {
 			t.Fatalf("accepted %+v, want %+v", accepted, want)
 		}
-		latest, ok := r.Revision(Fleet)
+		latest, ok := r.Latest(Fleet)
 		if !ok || latest.Position != want.Position || string(latest.Document) != string(d.Canonical()) ||
-			latest.Digest != want.Digest || latest.Change != fmt.Sprint("c", i) || latest.By != "ana" {
+			latest.Digest != want.Digest || latest.Change != fmt.Sprint("c", i) || latest.Author != "ana" {
 			t.Fatalf("latest %+v", latest)
 		}
 		if len(notified) != int(i)+1 || !reflect.DeepEqual(notified[i], latest) {
@@ -45,7 +45,7 @@
 	if got := r.Scopes(); !reflect.DeepEqual(got, []Scope{Fleet, serviceScope}) {
 		t.Errorf("scopes %v", got)
 	}
-	if _, ok := r.Revision(Scope{Level: LevelService, Name: "none"}); ok {
+	if _, ok := r.Latest(Scope{Level: LevelService, Name: "none"}); ok {
 		t.Error("a scope without a document has a revision")
 	}
 }
@@ -73,8 +73,8 @@
 		{"invalid name", alter(func(c *Change) { c.Scope = Scope{Level: LevelService, Name: "a/b"} }), ErrorInvalid, "scope"},
 		{"empty ID", alter(func(c *Change) { c.ID = "" }), ErrorInvalid, "id: 0 bytes"},
 		{"ID too long", alter(func(c *Change) { c.ID = strings.Repeat("x", MaxChangeIDBytes+1) }), ErrorInvalid, "id: 65 bytes"},
-		{"author too long", alter(func(c *Change) { c.By = strings.Repeat("x", MaxNameBytes+1) }), ErrorInvalid, "by: 65 bytes"},
-		{"reason too long", alter(func(c *Change) { c.Why = strings.Repeat("x", maxReasonBytes+1) }), ErrorInvalid, "why: 1025 bytes"},
+		{"author too long", alter(func(c *Change) { c.Author = strings.Repeat("x", MaxNameBytes+1) }), ErrorInvalid, "by: 65 bytes"},
+		{"reason too long", alter(func(c *Change) { c.Reason = strings.Repeat("x", maxReasonBytes+1) }), ErrorInvalid, "why: 1025 bytes"},
 		{"invalid time", alter(func(c *Change) { c.At = "yesterday" }), ErrorInvalid, "at: "},
 		{"no document", alter(func(c *Change) { c.Document = nil }), ErrorInvalid, ""},
 		{"invalid document", alter(func(c *Change) { c.Document = json.RawMessage(`{"format":1,"limits":{"attempts":0}}`) }),
@@ -97,7 +97,7 @@
 		} else if c.kind == ErrorConflict && c.change.Scope == Fleet && body.Position != (Position{1, 1}) {
 			t.Errorf("%s: the conflict's position is %+v", c.name, body.Position)
 		}
-		if latest, _ := r.Revision(Fleet); latest.Revision != 1 || len(r.Scopes()) != 1 {
+		if latest, _ := r.Latest(Fleet); latest.Revision != 1 || len(r.Scopes()) != 1 {
 			t.Errorf("%s: refused, but the latest revision is %+v", c.name, latest)
 		}
 	}
@@ -133,7 +133,7 @@
 	if got := mustPut(t, r, 5, again); got != accepted {
 		t.Errorf("repeated change: %+v, want %+v", got, accepted)
 	}
-	if latest, _ := r.Revision(Fleet); latest.Revision != 2 {
+	if latest, _ := r.Latest(Fleet); latest.Revision != 2 {
 		t.Errorf("the scope is at revision %d", latest.Revision)
 	}
 
@@ -201,7 +201,7 @@
 	mustPut(t, r, 1, newChange("other", Scope{Level: LevelService, Name: "s0"}, 1, longDocument(200, 2)))
 	total := 0
 	for _, scope := range r.Scopes() {
-		latest, _ := r.Revision(scope)
+		latest, _ := r.Latest(scope)
 		total += len(latest.Document)
 	}
 	if total != r.bytes || total > MaxGroupBytes {
@@ -219,7 +219,7 @@
 	if _, err := put(t, r, 1, later); err != nil {
 		t.Fatal(err)
 	}
-	if latest, _ := r.Revision(Fleet); string(latest.Document) != `{"format":2,"novelty":{"x":1}}` {
+	if latest, _ := r.Latest(Fleet); string(latest.Document) != `{"format":2,"novelty":{"x":1}}` {
 		t.Errorf("document %s", latest.Document)
 	}
 }
@@ -229,7 +229,7 @@
 	rng := newRand(seed<<16 + uint64(i))
 	scopes := []Scope{Fleet, serviceScope, {Level: LevelService, Name: "search"}, {Level: LevelRegion, Region: "east"}}
 	scope := scopes[min(rng.IntN(8), rng.IntN(len(scopes)))]
-	latest, _ := r.Revision(scope)
+	latest, _ := r.Latest(scope)
 	c := newChange(fmt.Sprint("c", i-i*rng.IntN(2)/(1+rng.IntN(9))), scope, latest.Revision, randomDocument(rng))
 	switch rng.IntN(10) {
 	case 0:
--- a/internal/configuration/registry_updates_test.go
+++ b/internal/configuration/registry_updates_test.go
@@ -58,7 +58,7 @@
 				document = longDocument(rng.IntN(120), float64(i+1))
 			}
 			accepted := mustPut(t, r, 1+i/10, newChange(fmt.Sprint("c", i), Fleet, i, document))
-			latest, _ := r.Revision(Fleet)
+			latest, _ := r.Latest(Fleet)
 			history = append(history, pastRevision{accepted.Position, latest.Document})
 			for n := range 20 { // the last ten positions, then random ones
 				earlier := history[max(0, len(history)-1-n)]
@@ -103,7 +103,7 @@
 		document.Classes["scan"] = ClassDocument{Worth: pointer(float64(i))}
 		mustPut(t, r, 7, newChange(fmt.Sprint("c", i), Fleet, i, document))
 	}
-	latest, _ := r.Revision(Fleet)
+	latest, _ := r.Latest(Fleet)
 	oldest := latest.Revision - MaxReversePatches
 	for _, c := range []struct {
 		name  string
@@ -151,7 +151,7 @@
 		for _, step := range r.scopes[Fleet].reversePatches {
 			total += len(step.Patch)
 		}
-		if latest, _ := r.Revision(Fleet); total > len(latest.Document) {
+		if latest, _ := r.Latest(Fleet); total > len(latest.Document) {
 			t.Fatalf("%d bytes of reverse patches for a document of %d bytes", total, len(latest.Document))
 		}
 	}
@@ -195,7 +195,7 @@
 		name := strings.Repeat(text, (MaxNameBytes-4)/len(text))
 		for i := 0; ; i++ {
 			document.Classes[fmt.Sprintf("%04d%s", i, name)] = ClassDocument{Worth: pointer(1.0)}
-			if len(document.Canonical()) > DocumentMost {
+			if len(document.Canonical()) > MaxDocumentBytes {
 				delete(document.Classes, fmt.Sprintf("%04d%s", i, name))
 				break
 			}
@@ -211,7 +211,7 @@
 				t.Fatalf("%q: a line of %d bytes (%v)", text, len(line), err)
 			}
 		}
-		latest, _ := r.Revision(Fleet)
+		latest, _ := r.Latest(Fleet)
 		if got, _ := applyUpdates(t, nil, updates); string(got) != string(latest.Document) {
 			t.Fatalf("%q: the parts don't add up to the document", text)
 		}
--- a/internal/configuration/rig/agent_test.go
+++ b/internal/configuration/rig/agent_test.go
@@ -113,7 +113,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.follower.Connected()
-	return a.follower.Have()
+	return a.follower.Positions()
 }
 
 // take applies an update and reports what is in force after it.
@@ -123,15 +123,15 @@
 		return err
 	}
 	a.mu.Lock()
-	result := a.follower.Take(update)
+	result := a.follower.Receive(update)
 	if effective, ok := a.follower.Pending(); ok {
-		a.follower.InForce(effective)
+		a.follower.Applied(effective)
 	}
 	close(a.changed)
 	a.changed = make(chan struct{})
 	a.mu.Unlock()
-	if result.Kind == configuration.ResultAskWhole {
-		return errors.New("update doesn't fit: " + result.Why)
+	if result.Kind == configuration.ResultNeedsWhole {
+		return errors.New("update doesn't fit: " + result.Reason)
 	}
 	return a.report(ctx, address)
 }
--- a/internal/configuration/rig/faults_test.go
+++ b/internal/configuration/rig/faults_test.go
@@ -93,7 +93,7 @@
 // attemptsChange returns a change that sets the number of attempts.
 func attemptsChange(scope configuration.Scope, base uint64, count int) configuration.Change {
 	document := fmt.Sprintf(`{"format":1,"limits":{"attempts":%d}}`, count)
-	return configuration.Change{ID: client.NewChangeID(), Scope: scope, Base: base, Document: []byte(document), By: "test", Why: "test"}
+	return configuration.Change{ID: client.NewChangeID(), Scope: scope, Base: base, Document: []byte(document), Author: "test", Reason: "test"}
 }
 
 // putUntilLeader makes a change. It tries again while no leader is found, since then nothing was written.
@@ -561,7 +561,7 @@
 	base := uint64(0)
 	fails := func() bool {
 		status, err := full.Group(ctx, regionA.Group())
-		return err == nil && status.Why != "" && !status.Votes && status.Applied > 0
+		return err == nil && status.Reason != "" && !status.Voting && status.Applied > 0
 	}
 	for ; !fails() && ctx.Err() == nil; base++ {
 		mustPut(ctx, t, others, largeChange(regionA, base))
--- a/internal/configuration/rig/watcher_test.go
+++ b/internal/configuration/rig/watcher_test.go
@@ -198,7 +198,7 @@
 	t.Helper()
 	err := rig.Wait(ctx, func() bool {
 		status, err := m.Group(ctx, group)
-		return err == nil && status.Votes && status.Leader != ""
+		return err == nil && status.Voting && status.Leader != ""
 	})
 	if err != nil {
 		t.Fatalf("%s doesn't vote in %s: %v", m.Name, group, err)
--- a/internal/configuration/scope.go
+++ b/internal/configuration/scope.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// Holds reports whether the scope applies to an agent.
-func (s Scope) Holds(p Place) bool {
+// AppliesTo reports whether the scope applies to an agent.
+func (s Scope) AppliesTo(p Place) bool {
 	for _, own := range p.Scopes() {
 		if s == own {
 			return true
--- a/internal/configuration/selector.go
+++ b/internal/configuration/selector.go
@@ -127,18 +127,18 @@
 	}
 }
 
-// Return returns a preferred machine and true when it is time to try it while another machine is watched. The
+// ReturnTarget returns a preferred machine and true when it is time to try it while another machine is watched. The
 // current watch must be kept until the new one is established.
-func (s *Selector) Return(now time.Duration) (machine Machine, due bool) {
+func (s *Selector) ReturnTarget(now time.Duration) (machine Machine, due bool) {
 	if !s.connected || s.current == 0 || now < s.returnAt {
 		return Machine{}, false
 	}
 	return s.machines[s.candidate], true
 }
 
-// Returned records whether the machine of Return could be reached. If not, a preferred machine is tried again
+// ReturnFinished records whether the machine of Return could be reached. If not, a preferred machine is tried again
 // later.
-func (s *Selector) Returned(now time.Duration, reached bool) {
+func (s *Selector) ReturnFinished(now time.Duration, reached bool) {
 	if !s.connected || s.current == 0 {
 		return
 	}
--- a/internal/configuration/selector_test.go
+++ b/internal/configuration/selector_test.go
@@ -61,7 +61,7 @@
 		t.Errorf("next %+v", m)
 	}
 	s.Failed(0)
-	if m, due := s.Return(time.Hour); due {
+	if m, due := s.ReturnTarget(time.Hour); due {
 		t.Errorf("Return returned %+v", m)
 	}
 }
@@ -100,7 +100,7 @@
 	}
 	wantNext(0)
 	s.Connected(0)
-	if _, due := s.Return(time.Hour); due {
+	if _, due := s.ReturnTarget(time.Hour); due {
 		t.Fatal("Return is due at the preferred machine")
 	}
 	s.Failed(time.Hour)
@@ -109,38 +109,38 @@
 	wantNext(2)
 	s.Connected(time.Hour)
 	begin := time.Hour
-	if _, due := s.Return(begin + AwayReturnAfter - 1); due {
+	if _, due := s.ReturnTarget(begin + AwayReturnAfter - 1); due {
 		t.Fatal("Return is due too early")
 	}
 	for _, candidate := range []int{0, 1, 0} { // the preferred machines alternate
 		now := begin + AwayReturnAfter + AwayReturnSpread
-		m, due := s.Return(now)
+		m, due := s.ReturnTarget(now)
 		if !due || m.Name != order[candidate].Name {
 			t.Fatalf("Return returned %+v, want %s", m, order[candidate].Name)
 		}
-		s.Returned(now, false)
-		if _, due := s.Return(now); due {
+		s.ReturnFinished(now, false)
+		if _, due := s.ReturnTarget(now); due {
 			t.Fatal("Return is due again at once")
 		}
 		begin = now
 	}
-	s.Returned(begin, true)
+	s.ReturnFinished(begin, true)
 	if s.current != 1 {
 		t.Fatalf("current machine index is %d", s.current)
 	}
-	if _, due := s.Return(begin + ReturnAfter - 1); due {
+	if _, due := s.ReturnTarget(begin + ReturnAfter - 1); due {
 		t.Fatal("Return within the region is due too early")
 	}
-	m, due := s.Return(begin + ReturnAfter + ReturnSpread)
+	m, due := s.ReturnTarget(begin + ReturnAfter + ReturnSpread)
 	if !due || m.Name != order[0].Name {
 		t.Fatalf("Return within the region returned %+v", m)
 	}
-	s.Returned(begin+time.Hour, true)
-	if _, due := s.Return(begin + 2*time.Hour); due || s.current != 0 {
+	s.ReturnFinished(begin+time.Hour, true)
+	if _, due := s.ReturnTarget(begin + 2*time.Hour); due || s.current != 0 {
 		t.Fatalf("current machine index is %d, due %v", s.current, due)
 	}
 	s.Failed(begin + 2*time.Hour) // while a return is in progress
-	s.Returned(begin+2*time.Hour, true)
+	s.ReturnFinished(begin+2*time.Hour, true)
 	wantNext(1)
 }
 
@@ -191,7 +191,7 @@
 		}
 		s.Connected(0)
 		now := time.Duration(0)
-		for due := false; !due; _, due = s.Return(now) {
+		for due := false; !due; _, due = s.ReturnTarget(now) {
 			now += 10 * time.Millisecond
 		}
 		perSecond[now/time.Second]++
--- a/internal/configuration/server/agents.go
+++ b/internal/configuration/server/agents.go
@@ -29,7 +29,7 @@
 	defer s.trackerMu.Unlock()
 	for _, refusal := range report.Refused {
 		s.log.Warn("agent refused a revision", "agent", report.Agent, "service", report.Service, "scope", refusal.Scope.String(),
-			"revision", refusal.Revision, "why", refusal.Why)
+			"revision", refusal.Revision, "why", refusal.Reason)
 	}
 	return s.tracker.Reported(report, s.now())
 }
@@ -55,7 +55,7 @@
 	if now < s.settings.settle() {
 		return nil, newError(configuration.ErrorMissing, "machine %s has just started; its agents may not have found it yet", s.settings.Name)
 	}
-	return s.tracker.Local(now), nil
+	return s.tracker.Statuses(now), nil
 }
 
 // localStatus answers with the agents known to this machine.
--- a/internal/configuration/server/fake_test.go
+++ b/internal/configuration/server/fake_test.go
@@ -165,5 +165,5 @@
 
 func testChange(id string, scope configuration.Scope, base uint64, attempts int) configuration.Change {
 	document := fmt.Sprintf(`{"format":1,"limits":{"attempts":%d}}`, attempts)
-	return configuration.Change{ID: id, Scope: scope, Base: base, Document: []byte(document), By: "test", Why: "test"}
+	return configuration.Change{ID: id, Scope: scope, Base: base, Document: []byte(document), Author: "test", Reason: "test"}
 }
--- a/internal/configuration/server/group.go
+++ b/internal/configuration/server/group.go
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	for _, scope := range g.registry.Scopes() {
-		if revision, ok := g.registry.Revision(scope); ok {
+		if revision, ok := g.registry.Latest(scope); ok {
 			latest = append(latest, revision)
 		}
 	}
@@ -132,7 +132,7 @@
 func (g *group) revision(scope configuration.Scope) (configuration.Revision, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.registry.Revision(scope)
+	return g.registry.Latest(scope)
 }
 
 // updatesSince returns the updates that an agent at the given position of a scope has not received yet.
@@ -155,7 +155,7 @@
 	defer g.mu.Unlock()
 	positions := map[configuration.Scope]configuration.Position{}
 	for _, scope := range g.registry.Scopes() {
-		if revision, ok := g.registry.Revision(scope); ok {
+		if revision, ok := g.registry.Latest(scope); ok {
 			positions[scope] = revision.Position
 		}
 	}
--- a/internal/configuration/server/put.go
+++ b/internal/configuration/server/put.go
@@ -86,7 +86,7 @@
 	if errorKind(err) == configuration.ErrorNotHere {
 		return // the leader logs the change
 	}
-	attributes := []any{"scope", change.Scope.String(), "change", change.ID, "by", change.By, "why", change.Why, "base", change.Base}
+	attributes := []any{"scope", change.Scope.String(), "change", change.ID, "by", change.Author, "why", change.Reason, "base", change.Base}
 	if err != nil {
 		g.log.Warn("change failed", append(attributes, "err", err)...)
 		return
--- a/internal/configuration/server/server.go
+++ b/internal/configuration/server/server.go
@@ -26,7 +26,7 @@
 	maxWatches           = 2000
 	maxConnections       = 4096
 	maxHeaderBytes       = 32 << 10
-	maxChangeBytes       = 2*configuration.DocumentMost + 4<<10 // escaping in JSON may lengthen a document
+	maxChangeBytes       = 2*configuration.MaxDocumentBytes + 4<<10 // escaping in JSON may lengthen a document
 	maxReportBytes       = 32 << 10
 	maxPeerResponseBytes = 16 << 20 // of another machine's response
 )
--- a/internal/configuration/server/show.go
+++ b/internal/configuration/server/show.go
@@ -137,10 +137,10 @@
 	status := configuration.GroupStatus{Group: g.name, Scopes: g.positions()}
 	member, err := g.replica.Status(ctx)
 	if err != nil {
-		status.Why = err.Error()
+		status.Reason = err.Error()
 		return status
 	}
-	status.Votes, status.Why = member.Votes, member.Why
+	status.Voting, status.Reason = member.Votes, member.Why
 	status.Leader, status.Term, status.Applied = member.Leader, member.Term, member.Applied
 	return status
 }
--- a/internal/configuration/server/watch.go
+++ b/internal/configuration/server/watch.go
@@ -50,7 +50,7 @@
 		if err != nil {
 			return query, err
 		}
-		if !scope.Holds(query.place) {
+		if !scope.AppliesTo(query.place) {
 			return query, fmt.Errorf("have %q: the scope doesn't hold for the agent", text)
 		}
 		query.have[scope] = position
@@ -203,7 +203,7 @@
 		return false
 	}
 	line = append(line, '\n')
-	if wait := w.pacer.Wait(len(line)+lineOverheadBytes, w.server.now()); wait > 0 {
+	if wait := w.pacer.Reserve(len(line)+lineOverheadBytes, w.server.now()); wait > 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
--- a/internal/configuration/status.go
+++ b/internal/configuration/status.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// InForce returns whether a revision of a scope, or a later one, is in force everywhere, by the statuses that
+// Applied returns whether a revision of a scope, or a later one, is in force everywhere, by the statuses that
 // the reachable machines have of their agents. The newest status of each agent counts, and the agent is
 // connected if it is at any machine. Everywhere requires at least one agent, all agents connected and at the
 // revision, and no unreachable machine.
@@ -22,7 +22,7 @@
 			continue
 		}
 		status.Behind = append(status.Behind,
-			AgentBehind{Place: agent.Place, Position: agent.InForce[scope], Why: truncateText(reason, MaxRefusalBytes)})
+			AgentBehind{Place: agent.Place, Position: agent.InForce[scope], Reason: truncateText(reason, MaxRefusalBytes)})
 	}
 	status.Everywhere = status.Agents > 0 && status.InForce == status.Agents && len(unreachable) == 0
 	return status
@@ -33,7 +33,7 @@
 	agents := map[agentKey]AgentStatus{}
 	for _, statuses := range all {
 		for _, status := range statuses {
-			if !scope.Holds(status.Place) {
+			if !scope.AppliesTo(status.Place) {
 				continue
 			}
 			key := keyOf(status.Place)
@@ -63,7 +63,7 @@
 	age := time.Duration(agent.AgeMs * float64(time.Millisecond)).Round(time.Millisecond)
 	has := agent.InForce[scope]
 	if refusal, ok := refusalFor(scope, agent); ok && has.Revision < at.Revision && refusal.Revision >= at.Revision {
-		return fmt.Sprintf("refused revision %d: %s", refusal.Revision, refusal.Why)
+		return fmt.Sprintf("refused revision %d: %s", refusal.Revision, refusal.Reason)
 	}
 	switch {
 	case agent.Format == 0:
--- a/internal/configuration/timetable_test.go
+++ b/internal/configuration/timetable_test.go
@@ -174,7 +174,7 @@
 	a.document, a.positions, a.maxApplied = Merge(nil, nil), map[Scope]Position{}, map[Scope]uint64{}
 	a.reportDue, a.reportedEarly = false, nil
 	if kept != nil {
-		if err := a.follower.RestoreKept(kept); err != nil {
+		if err := a.follower.RestoreState(kept); err != nil {
 			w.fail("restore: %v", err)
 		}
 		w.applyPending(a)
@@ -185,7 +185,7 @@
 	must(w.t, m.tracker.Connected(a.place, w.now))
 	a.follower.Connected()
 	w.applyPending(a)
-	a.watches = append(a.watches, &simulatedWatch{machine: m, sent: a.follower.Have()})
+	a.watches = append(a.watches, &simulatedWatch{machine: m, sent: a.follower.Positions()})
 	a.reportDue = true
 	w.counts["watches"]++
 }
@@ -199,7 +199,7 @@
 // withEarlyReports.
 func (w *simulation) applyPending(a *simulatedAgent) {
 	for effective, ok := a.follower.Pending(); ok; effective, ok = a.follower.Pending() {
-		a.follower.InForce(effective)
+		a.follower.Applied(effective)
 		a.reportDue = true
 		w.counts["in force"]++
 		if w.missing == withEarlyReports {
@@ -225,7 +225,7 @@
 		a.maxApplied[scope] = max(a.maxApplied[scope], d.Revision)
 	}
 	a.document, a.positions = effective.Document, effective.Positions
-	kept, err := a.follower.Kept()
+	kept, err := a.follower.MarshalState()
 	must(w.t, err)
 	a.savedStates = append(a.savedStates, kept)
 }
@@ -270,7 +270,7 @@
 // change creates a new revision of a random scope at the leader of its group.
 func (w *simulation) change() {
 	scope := simulatedScopes[w.rng.IntN(len(simulatedScopes))]
-	latest, _ := w.leaders[scope.Group()].Revision(scope)
+	latest, _ := w.leaders[scope.Group()].Latest(scope)
 	document := w.randomDocument()
 	if w.rng.IntN(2) == 0 && latest.Revision > 0 { // change only some of the fields
 		earlier, err := ParseDocument(latest.Document)
@@ -444,9 +444,9 @@
 	var u Update
 	must(w.t, json.Unmarshal(watch.lines[0], &u))
 	watch.lines = watch.lines[1:]
-	result := a.follower.Take(u)
+	result := a.follower.Receive(u)
 	w.counts[fmt.Sprint("result ", result.Kind)]++
-	if result.Kind == ResultAskWhole {
+	if result.Kind == ResultNeedsWhole {
 		w.endWatch(a, watch)
 	}
 	a.reportDue = true
@@ -485,7 +485,7 @@
 // hasn't had it.
 func (w *simulation) checkStatus() {
 	scope := simulatedScopes[w.rng.IntN(len(simulatedScopes))]
-	latest, ok := w.leaders[scope.Group()].Revision(scope)
+	latest, ok := w.leaders[scope.Group()].Latest(scope)
 	if !ok {
 		return
 	}
@@ -499,7 +499,7 @@
 	for _, a := range w.agents {
 		if known := slices.ContainsFunc(w.allStatuses(), func(statuses []AgentStatus) bool {
 			return slices.ContainsFunc(statuses, func(s AgentStatus) bool { return s.Agent == a.place.Agent })
-		}); known && scope.Holds(a.place) && a.maxApplied[scope] < at.Revision {
+		}); known && scope.AppliesTo(a.place) && a.maxApplied[scope] < at.Revision {
 			w.fail("status says that %v revision %d is in force everywhere, but %s had at most %d", scope, at.Revision, a.place.Agent, a.maxApplied[scope])
 		}
 	}
@@ -507,7 +507,7 @@
 
 func (w *simulation) allStatuses() (all [][]AgentStatus) {
 	for _, m := range w.machines {
-		all = append(all, m.tracker.Local(w.now))
+		all = append(all, m.tracker.Statuses(w.now))
 	}
 	return all
 }
@@ -560,7 +560,7 @@
 		return true
 	}
 	for _, scope := range a.place.Scopes() {
-		latest, ok := w.leaders[scope.Group()].Revision(scope)
+		latest, ok := w.leaders[scope.Group()].Latest(scope)
 		if !ok || add(string(latest.Document)) {
 			continue
 		}
@@ -585,14 +585,14 @@
 // wantEverywhere checks that the status is in force everywhere unless some agent refuses the revision.
 func (w *simulation) wantEverywhere() {
 	for _, scope := range simulatedScopes {
-		latest, ok := w.leaders[scope.Group()].Revision(scope)
+		latest, ok := w.leaders[scope.Group()].Latest(scope)
 		if !ok {
 			continue
 		}
 		status := InForce(scope, latest.Position, w.allStatuses(), nil)
 		refusing := 0
 		for _, a := range w.agents {
-			if _, refuses := refusalFor(scope, AgentStatus{Report: a.follower.Report()}); refuses && scope.Holds(a.place) {
+			if _, refuses := refusalFor(scope, AgentStatus{Report: a.follower.Report()}); refuses && scope.AppliesTo(a.place) {
 				refusing++
 			}
 		}
@@ -615,7 +615,7 @@
 	}
 	w.wantEverywhere()
 	for _, scope := range simulatedScopes {
-		latest, _ := w.leaders[scope.Group()].Revision(scope)
+		latest, _ := w.leaders[scope.Group()].Latest(scope)
 		w.propose(newChange("last "+scope.String(), scope, latest.Revision, mustParse(w.t, `{"format":1,"limits":{"attempts":2}}`)))
 	}
 	w.deliverAll()
--- a/internal/configuration/tracker.go
+++ b/internal/configuration/tracker.go
@@ -47,7 +47,7 @@
 }
 
 // Settled reports whether the machine has run for SettleTime. Before that it may not know all agents, and
-// must be counted as unreachable for InForce.
+// must be counted as unreachable for Applied.
 func (t *Tracker) Settled(now time.Duration) bool { return now-t.started >= SettleTime }
 
 // Connected records that an agent has begun a watch; call it before the watch is answered. It invalidates the
@@ -103,7 +103,7 @@
 		return fmt.Errorf("format: %d", r.Format)
 	}
 	for scope := range r.InForce {
-		if !scope.Holds(r.Place) {
+		if !scope.AppliesTo(r.Place) {
 			return fmt.Errorf("in_force: %v doesn't hold for this agent", scope)
 		}
 	}
@@ -111,11 +111,11 @@
 		return fmt.Errorf("refused: %d, over %d", len(r.Refused), maxRefusals)
 	}
 	for i, refusal := range r.Refused {
-		if !refusal.Scope.Holds(r.Place) {
+		if !refusal.Scope.AppliesTo(r.Place) {
 			return fmt.Errorf("refused[%d]: %v doesn't hold for this agent", i, refusal.Scope)
 		}
-		if len(refusal.Why) > MaxRefusalBytes {
-			return fmt.Errorf("refused[%d].why: %d bytes, over %d", i, len(refusal.Why), MaxRefusalBytes)
+		if len(refusal.Reason) > MaxRefusalBytes {
+			return fmt.Errorf("refused[%d].why: %d bytes, over %d", i, len(refusal.Reason), MaxRefusalBytes)
 		}
 	}
 	if len(r.Digest) > 2*digestBytes {
@@ -174,9 +174,9 @@
 	})
 }
 
-// Local returns the status of each agent that the machine knows, sorted by region and agent. An agent that
+// Statuses returns the status of each agent that the machine knows, sorted by region and agent. An agent that
 // has not reported since it connected has a Format of 0 and the age of its watch.
-func (t *Tracker) Local(now time.Duration) []AgentStatus {
+func (t *Tracker) Statuses(now time.Duration) []AgentStatus {
 	t.expire(now)
 	statuses := make([]AgentStatus, 0, len(t.agents))
 	for _, key := range slices.SortedFunc(maps.Keys(t.agents), compareKeys) {
--- a/internal/configuration/tracker_test.go
+++ b/internal/configuration/tracker_test.go
@@ -29,7 +29,7 @@
 	must(t, tracker.Connected(agentPlace("a"), time.Hour))
 	must(t, tracker.Reported(reportOf("a", 2), time.Hour+time.Second))
 	must(t, tracker.Connected(agentPlace("a"), time.Hour+2*time.Second)) // before the end of the first watch is noticed
-	if got := tracker.Local(time.Hour + 2*time.Second)[0]; got.Format != 0 || len(got.InForce) > 0 || !got.Connected {
+	if got := tracker.Statuses(time.Hour + 2*time.Second)[0]; got.Format != 0 || len(got.InForce) > 0 || !got.Connected {
 		t.Errorf("a report from before the watch still counts: %+v", got)
 	}
 	must(t, tracker.Reported(reportOf("a", 3), time.Hour+2500*time.Millisecond))
@@ -41,11 +41,11 @@
 		{Report: reportOf("a", 3), Connected: true, Machine: "m1", AgeMs: 2500},
 		{Report: Report{Place: agentPlace("b")}, Connected: false, Machine: "m1", AgeMs: 5000},
 	}
-	if got := tracker.Local(time.Hour + 5*time.Second); !reflect.DeepEqual(got, want) {
+	if got := tracker.Statuses(time.Hour + 5*time.Second); !reflect.DeepEqual(got, want) {
 		t.Errorf("local %+v", got)
 	}
 	must(t, tracker.Connected(agentPlace("b"), time.Hour+5*time.Second))
-	if got := tracker.Local(time.Hour + 5*time.Second)[1]; !got.Connected {
+	if got := tracker.Statuses(time.Hour + 5*time.Second)[1]; !got.Connected {
 		t.Errorf("after reconnecting: %+v", got)
 	}
 	tracker.Disconnected(agentPlace("b"), time.Hour+5*time.Second)
@@ -53,7 +53,7 @@
 	leaving.Leaving = true
 	must(t, tracker.Reported(leaving, time.Hour+6*time.Second))
 	tracker.Disconnected(agentPlace("a"), time.Hour+7*time.Second)
-	if got := tracker.Local(time.Hour + 8*time.Second); len(got) != 1 || got[0].Agent != "b" {
+	if got := tracker.Statuses(time.Hour + 8*time.Second); len(got) != 1 || got[0].Agent != "b" {
 		t.Errorf("after the leaving report: %+v", got)
 	}
 }
@@ -70,10 +70,10 @@
 	must(t, tracker.Connected(agentPlace("stays"), 0))
 	must(t, tracker.Connected(agentPlace("goes"), 0))
 	tracker.Disconnected(agentPlace("goes"), time.Hour)
-	if got := tracker.Local(time.Hour + ForgetAfter - 1); len(got) != 2 {
+	if got := tracker.Statuses(time.Hour + ForgetAfter - 1); len(got) != 2 {
 		t.Errorf("forgotten too early: %+v", got)
 	}
-	if got := tracker.Local(time.Hour + ForgetAfter); len(got) != 1 || got[0].Agent != "stays" {
+	if got := tracker.Statuses(time.Hour + ForgetAfter); len(got) != 1 || got[0].Agent != "stays" {
 		t.Errorf("not forgotten after ForgetAfter: %+v", got)
 	}
 }
@@ -95,7 +95,7 @@
 	tracker.Disconnected(name(7), 4*time.Hour)
 	tracker.Disconnected(name(6), 3*time.Hour)
 	must(t, tracker.Connected(agentPlace("more"), 5*time.Hour)) // replaces the agent that has been disconnected for longest
-	local := tracker.Local(5 * time.Hour)
+	local := tracker.Statuses(5 * time.Hour)
 	if _, ok := tracker.agents[keyOf(name(6))]; ok || len(local) != MaxAgents {
 		t.Errorf("%d agents, a6 among them: %v", len(local), ok)
 	}
@@ -122,14 +122,14 @@
 		{alter(func(r *Report) { r.InForce[Scope{Level: LevelService, Name: "x"}] = Position{} }), "in_force: service/x"},
 		{alter(func(r *Report) { r.Refused = make([]Refusal, 6) }), "refused: 6"},
 		{alter(func(r *Report) { r.Refused = []Refusal{{}, {Scope: Scope{Level: LevelService, Name: "x"}}} }), "refused[1]: service/x"},
-		{alter(func(r *Report) { r.Refused = []Refusal{{Why: strings.Repeat("x", MaxRefusalBytes+1)}} }), "refused[0].why: 513"},
+		{alter(func(r *Report) { r.Refused = []Refusal{{Reason: strings.Repeat("x", MaxRefusalBytes+1)}} }), "refused[0].why: 513"},
 		{alter(func(r *Report) { r.Digest = strings.Repeat("x", 33) }), "digest: 33"},
 	} {
 		tracker := NewTracker("m1", 0)
 		if err := tracker.Reported(c.report, 0); err == nil || !strings.HasPrefix(err.Error(), c.wantMessage) {
 			t.Errorf("want %q: error %v", c.wantMessage, err)
 		}
-		if len(tracker.Local(0)) > 0 {
+		if len(tracker.Statuses(0)) > 0 {
 			t.Errorf("%q: refused, but the agent is known", c.wantMessage)
 		}
 	}
@@ -144,9 +144,9 @@
 		return AgentStatus{Report: reportOf(agent, revision), Connected: connected, Machine: "m", AgeMs: age}
 	}
 	refusing := status("refusing", 4, true, 10)
-	refusing.Refused = []Refusal{{Scope: Fleet, Position: Position{5, 2}, Why: "classes.scan: no such class"}}
+	refusing.Refused = []Refusal{{Scope: Fleet, Position: Position{5, 2}, Reason: "classes.scan: no such class"}}
 	refusedBefore := status("refused-before", 3, true, 10)
-	refusedBefore.Refused = []Refusal{{Scope: Fleet, Position: Position{4, 2}, Why: "old"}}
+	refusedBefore.Refused = []Refusal{{Scope: Fleet, Position: Position{4, 2}, Reason: "old"}}
 	fresh := AgentStatus{Report: Report{Place: agentPlace("fresh")}, Connected: true, Machine: "m"}
 	elsewhere := status("elsewhere", 1, true, 10)
 	elsewhere.Region = "west"
@@ -166,7 +166,7 @@
 	}
 	behind := map[string]string{}
 	for _, b := range got.Behind {
-		behind[b.Agent] = b.Why
+		behind[b.Agent] = b.Reason
 	}
 	if !reflect.DeepEqual(behind, want) {
 		t.Errorf("behind %q", behind)
--- a/internal/configuration/watch/saved.go
+++ b/internal/configuration/watch/saved.go
@@ -51,7 +51,7 @@
 	if path == "" {
 		return
 	}
-	raw, err := w.follower.Kept()
+	raw, err := w.follower.MarshalState()
 	if err == nil {
 		err = writeFileAtomic(path, raw)
 	}
--- a/internal/configuration/watch/watch.go
+++ b/internal/configuration/watch/watch.go
@@ -157,7 +157,7 @@
 	w.restored = true
 	saved, err := w.readSaved()
 	if err == nil && saved != nil {
-		err = w.follower.RestoreKept(saved)
+		err = w.follower.RestoreState(saved)
 	}
 	if err != nil {
 		w.log.Warn("configuration: saved documents not restored: the start file stays in force", "err", err)
@@ -251,7 +251,7 @@
 // watchMachine opens a watch and follows it, or the watch that replaces it, until it breaks.
 func (w *Watcher) watchMachine(ctx context.Context, machine configuration.Machine) error {
 	w.follower.Connected()
-	s, err := w.open(ctx, machine, w.follower.Have())
+	s, err := w.open(ctx, machine, w.follower.Positions())
 	if err != nil {
 		w.saveRedirect(err)
 		return err
@@ -343,9 +343,9 @@
 	if line.update == nil {
 		return nil
 	}
-	result := w.follower.Take(*line.update)
-	if result.Kind == configuration.ResultAskWhole {
-		return fmt.Errorf("update of %s to revision %d: %s: it is asked for whole", line.update.Scope, line.update.Revision, result.Why)
+	result := w.follower.Receive(*line.update)
+	if result.Kind == configuration.ResultNeedsWhole {
+		return fmt.Errorf("update of %s to revision %d: %s: it is asked for whole", line.update.Scope, line.update.Revision, result.Reason)
 	}
 	w.apply(ctx, false)
 	return nil
@@ -372,10 +372,10 @@
 		}
 		changed = true
 		if err != nil {
-			w.follower.Failed(effective, err)
+			w.follower.ApplyFailed(effective, err)
 			continue
 		}
-		w.follower.InForce(effective)
+		w.follower.Applied(effective)
 		w.updateStatus(func(st *Status) { st.Kept, st.Changed, st.Changes = restored, time.Now(), st.Changes+1 })
 		w.log.Info("configuration: in force", "revisions", positionsText(effective.Positions), "digest", effective.Digest, "kept", restored)
 		if !restored {
@@ -400,10 +400,10 @@
 	now := map[refusalKey]string{}
 	for _, r := range refused {
 		key := refusalKey{r.Scope, r.Position}
-		now[key] = r.Why
-		if why, logged := w.loggedRefusals[key]; !logged || why != r.Why {
+		now[key] = r.Reason
+		if why, logged := w.loggedRefusals[key]; !logged || why != r.Reason {
 			w.updateStatus(func(st *Status) { st.Refusals++ })
-			w.log.Warn("configuration: refused: the revision in force stays", "scope", r.Scope.String(), "revision", r.Revision, "epoch", r.Epoch, "why", r.Why)
+			w.log.Warn("configuration: refused: the revision in force stays", "scope", r.Scope.String(), "revision", r.Revision, "epoch", r.Epoch, "why", r.Reason)
 		}
 	}
 	differs := !maps.Equal(now, w.loggedRefusals)
@@ -429,12 +429,12 @@
 	if w.cancelReturn != nil {
 		return
 	}
-	machine, due := w.selector.Return(w.now())
+	machine, due := w.selector.ReturnTarget(w.now())
 	if !due {
 		return
 	}
 	ctx, w.cancelReturn = context.WithCancel(ctx)
-	have := w.follower.Have()
+	have := w.follower.Positions()
 	go func() {
 		s, err := w.open(ctx, machine, have)
 		w.returnResult <- openResult{s, err}
@@ -445,7 +445,7 @@
 func (w *Watcher) finishReturn(r openResult) {
 	w.cancelReturn()
 	w.cancelReturn = nil
-	w.selector.Returned(w.now(), r.err == nil)
+	w.selector.ReturnFinished(w.now(), r.err == nil)
 	if r.err != nil {
 		return
 	}
@@ -463,7 +463,7 @@
 	if r := <-w.returnResult; r.stream != nil {
 		r.stream.close()
 	}
-	w.selector.Returned(w.now(), false)
+	w.selector.ReturnFinished(w.now(), false)
 }
 
 // saveRedirect stores one of the machines that a not-here response names. It picks one at random, so that the
--- a/internal/configuration/watch/watch_test.go
+++ b/internal/configuration/watch/watch_test.go
@@ -272,7 +272,7 @@
 			c.waitReport(t, hasRevision(configuration.Fleet, 1))
 			c.send(t, updateLine(t, configuration.Fleet, 2, attempts(7), false))
 			r := c.waitReport(t, func(r configuration.Report) bool { return len(r.Refused) > 0 })
-			if r.InForce[configuration.Fleet].Revision != 1 || r.Refused[0].Revision != 2 || !strings.Contains(r.Refused[0].Why, "seven are too many") {
+			if r.InForce[configuration.Fleet].Revision != 1 || r.Refused[0].Revision != 2 || !strings.Contains(r.Refused[0].Reason, "seven are too many") {
 				t.Errorf("reported %+v", r)
 			}
 			if st := w.Status(); st.Refusals != 1 {
--- a/internal/scale/hollowconfiguration.go
+++ b/internal/scale/hollowconfiguration.go
@@ -93,7 +93,7 @@
 // put changes the document of a scope to one with the mark.
 func (r *configurationRun) put(ctx context.Context, scope configuration.Scope, m revisionMark) (configuration.Accepted, error) {
 	accepted, err := r.operators.Put(ctx, configuration.Change{
-		ID: client.NewChangeID(), Scope: scope, Base: r.bases[scope], Document: m.document(), By: "scale", Why: "measurement"})
+		ID: client.NewChangeID(), Scope: scope, Base: r.bases[scope], Document: m.document(), Author: "scale", Reason: "measurement"})
 	if err == nil {
 		r.bases[scope] = accepted.Revision
 	}
