--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -229,8 +229,8 @@
 		return func() int64 { return ageMs(since(w.Status())) }
 	}
 	return []figures.Gauge{
-		{Name: "configuration_revision_age_ms", Value: age(func(s watch.Status) time.Time { return s.Changed })},
-		{Name: "configuration_control_age_ms", Value: age(func(s watch.Status) time.Time { return s.LastWord })},
+		{Name: "configuration_revision_age_ms", Value: age(func(s watch.Status) time.Time { return s.AppliedAt })},
+		{Name: "configuration_control_age_ms", Value: age(func(s watch.Status) time.Time { return s.LastContact })},
 		{Name: "configuration_changes", Value: func() int64 { return int64(w.Status().Changes) }},
 		{Name: "configuration_refusals", Value: func() int64 { return int64(w.Status().Refusals) }},
 		{Name: "configuration_refused", Value: func() int64 { return int64(len(w.Status().Report.Refused)) }},
@@ -270,8 +270,8 @@
 	c.mu.Lock()
 	current := c.current
 	c.mu.Unlock()
-	s := configurationState{Place: place, Machine: st.Machine, Connected: st.Connected, ControlAge: ageMs(st.LastWord), Revision: ageMs(st.Changed),
-		Kept: st.Kept, InForce: st.Report.InForce, Digest: st.Report.Digest, Refused: st.Report.Refused, Changed: c.changedSettings(&current)}
+	s := configurationState{Place: place, Machine: st.Machine, Connected: st.Connected, ControlAge: ageMs(st.LastContact), Revision: ageMs(st.AppliedAt),
+		Kept: st.Restored, InForce: st.Report.InForce, Digest: st.Report.Digest, Refused: st.Report.Refused, Changed: c.changedSettings(&current)}
 	if s.InForce == nil {
 		s.InForce = map[configuration.Scope]configuration.Position{}
 	}
--- a/internal/configuration/watch/watch.go
+++ b/internal/configuration/watch/watch.go
@@ -62,14 +62,14 @@
 
 // Status is the state of a Watcher.
 type Status struct {
-	Machine   string    // watched now or last; empty: none yet
-	Connected bool      // a watch is open
-	LastWord  time.Time // when the last line came from control, heartbeats included; zero: never
-	Kept      bool      // the documents in force were restored from the disk: control has sent none since
-	Changed   time.Time // when documents were last put in force; zero: never
-	Changes   int       // number of times that documents were put in force
-	Refusals  int       // number of revisions that the agent has refused
-	Report    configuration.Report
+	Machine     string    // watched now or last; empty: none yet
+	Connected   bool      // a watch is open
+	LastContact time.Time // when the last line came from control, heartbeats included; zero: never
+	Restored    bool      // the documents in force were restored from the disk: control has sent none since
+	AppliedAt   time.Time // when documents were last put in force; zero: never
+	Changes     int       // number of times that documents were put in force
+	Refusals    int       // number of revisions that the agent has refused
+	Report      configuration.Report
 }
 
 // Watcher gets an agent's configuration from the control machines and keeps it up to date.
@@ -280,7 +280,7 @@
 		case <-tick.C:
 			w.startReturn(ctx)
 			if w.retryApply {
-				w.apply(ctx, w.Status().Kept)
+				w.apply(ctx, w.Status().Restored)
 			}
 		case <-ctx.Done():
 			return ctx.Err()
@@ -312,7 +312,7 @@
 func (w *Watcher) lineReceived() {
 	now := time.Now()
 	var last time.Time
-	w.updateStatus(func(st *Status) { last, st.LastWord = st.LastWord, now })
+	w.updateStatus(func(st *Status) { last, st.LastContact = st.LastContact, now })
 	if w.warnedAge > 0 {
 		if last.IsZero() {
 			last = w.startedAt
@@ -325,7 +325,7 @@
 // warnDisconnected logs how long there has been no contact with control, at growing intervals.
 func (w *Watcher) warnDisconnected(cause error) {
 	st := w.Status()
-	last := st.LastWord
+	last := st.LastContact
 	if last.IsZero() {
 		last = w.startedAt
 	}
@@ -376,7 +376,7 @@
 			continue
 		}
 		w.follower.Applied(effective)
-		w.updateStatus(func(st *Status) { st.Kept, st.Changed, st.Changes = restored, time.Now(), st.Changes+1 })
+		w.updateStatus(func(st *Status) { st.Restored, st.AppliedAt, st.Changes = restored, time.Now(), st.Changes+1 })
 		w.log.Info("configuration: in force", "revisions", positionsText(effective.Positions), "digest", effective.Digest, "kept", restored)
 		if !restored {
 			w.save()
--- a/internal/configuration/watch/watch_test.go
+++ b/internal/configuration/watch/watch_test.go
@@ -219,7 +219,7 @@
 	if r.InForce[configuration.Fleet].Epoch != 3 || r.Digest != configuration.Digest([]byte(attempts(2))) || len(r.Refused) > 0 {
 		t.Errorf("reported %+v", r)
 	}
-	if st := w.Status(); st.Changes != 1 || !st.Connected || st.Machine != "a1" || st.LastWord.IsZero() || st.Report.InForce[configuration.Fleet].Revision != 1 {
+	if st := w.Status(); st.Changes != 1 || !st.Connected || st.Machine != "a1" || st.LastContact.IsZero() || st.Report.InForce[configuration.Fleet].Revision != 1 {
 		t.Errorf("status %+v", st)
 	}
 }
@@ -560,7 +560,7 @@
 	for end := time.Now().Add(scripted.Patience); ; time.Sleep(time.Millisecond) {
 		d, st, _ := restore(t, folder)
 		if d != nil && d.Limits != nil && *d.Limits.Attempts == 2 && d.Classes["read"].AimMs != nil && *d.Classes["read"].AimMs == 80 &&
-			st.Kept && st.Report.InForce[agentScope].Revision == 5 {
+			st.Restored && st.Report.InForce[agentScope].Revision == 5 {
 			break
 		}
 		if time.Now().After(end) {
@@ -627,7 +627,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	setSilence := func(ago time.Duration) { w.status.LastWord = time.Now().Add(-ago) }
+	setSilence := func(ago time.Duration) { w.status.LastContact = time.Now().Add(-ago) }
 	warnings := func() (n int) { return strings.Count(log.String(), "control unreachable") }
 	for _, step := range []struct {
 		away     time.Duration
