--- a/internal/configuration/server/fake_test.go
+++ b/internal/configuration/server/fake_test.go
@@ -74,7 +74,7 @@
 func (r *fakeReplica) Status(context.Context) (replica.Status, error) {
 	r.fake.mu.Lock()
 	defer r.fake.mu.Unlock()
-	return replica.Status{Name: r.name, Votes: r.votes, Leader: r.fake.leader, Term: r.fake.epoch}, nil
+	return replica.Status{Name: r.name, Voting: r.votes, Leader: r.fake.leader, Term: r.fake.epoch}, nil
 }
 
 // fakeFleet runs four machines in one process, without raft and disk.
--- a/internal/configuration/server/group.go
+++ b/internal/configuration/server/group.go
@@ -101,7 +101,7 @@
 // votes reports whether this machine is currently a voter of the group.
 func (g *group) votes(ctx context.Context) bool {
 	status, err := g.replica.Status(ctx)
-	return err == nil && status.Votes
+	return err == nil && status.Voting
 }
 
 // subscribe makes the group send to a channel of capacity 1 whenever the registry may have changed. The
--- a/internal/configuration/server/route.go
+++ b/internal/configuration/server/route.go
@@ -134,7 +134,7 @@
 	switch {
 	case errors.As(err, &notLeader):
 		return s.notLeaderError(g.name, notLeader.Leader)
-	case errors.Is(err, replica.ErrTooLong):
+	case errors.Is(err, replica.ErrCommandTooLong):
 		return newError(configuration.ErrorInvalid, "%v", err)
 	case errors.Is(err, replica.ErrNoQuorum):
 		return newError(configuration.ErrorNoQuorum, "%s has no majority that machine %s reaches; nothing was written", g.name, s.settings.Name)
--- a/internal/configuration/server/show.go
+++ b/internal/configuration/server/show.go
@@ -140,7 +140,7 @@
 		status.Reason = err.Error()
 		return status
 	}
-	status.Voting, status.Reason = member.Votes, member.Why
+	status.Voting, status.Reason = member.Voting, member.Reason
 	status.Leader, status.Term, status.Applied = member.Leader, member.Term, member.Applied
 	return status
 }
--- a/internal/duty/seat/client.go
+++ b/internal/duty/seat/client.go
@@ -78,7 +78,7 @@
 	proto := protocol(o.Settings, o.Name)
 	for _, p := range o.Settings.seats {
 		c.voterNames = append(c.voterNames, p.name)
-		c.dialers[p.name] = &transport.Dialer{Address: p.addr.String(), Protocol: proto, Handle: c.receive, Invalid: func(err error) { o.Log.Debug("duties", "err", err) }}
+		c.dialers[p.name] = &transport.Dialer{Address: p.addr.String(), Protocol: proto, Handle: c.receive, OnInvalid: func(err error) { o.Log.Debug("duties", "err", err) }}
 	}
 	for _, spec := range o.Settings.specs {
 		if o.Tasks[spec.Name] == nil || len(spec.Eligible) > 0 && !slices.Contains(spec.Eligible, o.Name) {
--- a/internal/duty/seat/commands.go
+++ b/internal/duty/seat/commands.go
@@ -65,7 +65,7 @@
 }
 
 func (s *Member) reject(c *transport.Conn, err error) {
-	s.countInvalid(fmt.Errorf("%w: %w", transport.ErrFrame, err))
+	s.countInvalid(fmt.Errorf("%w: %w", transport.ErrInvalidFrame, err))
 	c.Close()
 }
 
--- a/internal/duty/seat/host.go
+++ b/internal/duty/seat/host.go
@@ -73,5 +73,5 @@
 	h.pendingReplies = 0
 }
 
-// Confirmed does nothing: no read index is requested.
-func (h host) Confirmed(raft.ReadState) {}
+// ReadIndexConfirmed does nothing: no read index is requested.
+func (h host) ReadIndexConfirmed(raft.ReadState) {}
--- a/internal/duty/seat/protocol.go
+++ b/internal/duty/seat/protocol.go
@@ -45,5 +45,5 @@
 
 // protocol returns the protocol of the connections between an agent and the voters.
 func protocol(s *Settings, name string) transport.Protocol {
-	return transport.Protocol{Magic: magic, Group: s.Fleet, Name: name, Kinds: frameKindCount, Silence: idleTimeout}
+	return transport.Protocol{Magic: magic, Group: s.Fleet, Name: name, KindCount: frameKindCount, SilenceTimeout: idleTimeout}
 }
--- a/internal/duty/seat/seat.go
+++ b/internal/duty/seat/seat.go
@@ -80,7 +80,7 @@
 	}
 	s := &Member{options: o, startedAt: time.Now(), inbox: make(chan func(), inboxSize), done: make(chan struct{}), dialers: map[string]*transport.Dialer{},
 		table: duty.NewTable(), grantor: duty.NewGrantor(duty.Clocks{Drift: o.Settings.Drift}), waiters: map[string][]func(duty.Answer){}}
-	s.voter = voter.New(voter.Options{Name: o.Name, Candidates: o.Settings.seatNames(), Voters: o.Settings.Voters, FS: o.FS, Log: o.Log, Rand: o.Rand,
+	s.voter = voter.New(voter.Options{Name: o.Name, Candidates: o.Settings.seatNames(), InitialVoters: o.Settings.Voters, FS: o.FS, Log: o.Log, Rand: o.Rand,
 		ReplaceAfter: time.Duration(o.Settings.ReplaceS * float64(time.Second)), Liveness: o.Members}, host{s})
 	ln := o.Listener
 	if ln == nil && o.Now == nil {
@@ -90,10 +90,10 @@
 		}
 	}
 	proto := protocol(o.Settings, o.Name)
-	s.server = &transport.Server{Listener: ln, Protocol: proto, Handle: s.receive, Invalid: s.countInvalid}
+	s.server = &transport.Server{Listener: ln, Protocol: proto, Handle: s.receive, OnInvalid: s.countInvalid}
 	for _, p := range o.Settings.seats {
 		if p.name != o.Name {
-			s.dialers[p.name] = &transport.Dialer{Address: p.addr.String(), Protocol: proto, Handle: s.receive, Invalid: s.countInvalid}
+			s.dialers[p.name] = &transport.Dialer{Address: p.addr.String(), Protocol: proto, Handle: s.receive, OnInvalid: s.countInvalid}
 		}
 	}
 	return s, nil
@@ -168,14 +168,14 @@
 			s.grantor.StartLeading(now, s.table)
 		}
 		s.lastIteration = now
-		s.voter.Turn(now, ticked)
+		s.voter.Step(now, ticked)
 		if s.voter.Leads() {
 			s.runLeaderTasks(now)
 			s.voter.Advance()
 		}
 	})
 	s.leadsGauge.Store(gauge(s.voter.Leads()))
-	s.votesGauge.Store(gauge(s.voter.Votes()))
+	s.votesGauge.Store(gauge(s.voter.Voting()))
 }
 
 func gauge(on bool) int64 {
@@ -227,7 +227,7 @@
 
 func (s *Member) report() *MemberReport {
 	v := s.voter
-	r := &MemberReport{Name: s.options.Name, Votes: v.Votes(), Leads: v.Leads(), Leader: v.Leader(), Start: v.Decision().Start.String(), Why: v.Decision().Why,
+	r := &MemberReport{Name: s.options.Name, Votes: v.Voting(), Leads: v.Leads(), Leader: v.Leader(), Start: v.Decision().Start.String(), Why: v.Decision().Why,
 		Seats: map[string]string{}, Applied: v.Applied(), Garbled: s.invalidFrames.Load()}
 	if st := v.Store(); st != nil {
 		r.Identity, r.Term, r.Written, r.Syncs = voter.IdentityText(st.ID()), st.State().Term, st.Written, st.Syncs
--- a/internal/duty/seat/simulation_test.go
+++ b/internal/duty/seat/simulation_test.go
@@ -260,7 +260,7 @@
 		before := len(p.client.history)
 		if p.seat != nil {
 			// The voter trusts its disk without asking the others.
-			if x.disabled.startupCheck && !p.seat.voter.Votes() && p.seat.voter.Store() != nil && !p.seat.voter.Store().Empty() {
+			if x.disabled.startupCheck && !p.seat.voter.Voting() && p.seat.voter.Store() != nil && !p.seat.voter.Store().Empty() {
 				p.trustDisk()
 			}
 			drain(p.seat.inbox)
--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -25,7 +25,7 @@
 
 func (r *Replica) protocol() transport.Protocol {
 	admit := func(name string) bool { return name != r.options.Name && r.options.address(name) != "" }
-	return transport.Protocol{Magic: protocolMagic, Group: r.options.Group, Name: r.options.Name, Kinds: kindCount, Ping: pingInterval, Silence: silenceTimeout, Admit: admit}
+	return transport.Protocol{Magic: protocolMagic, Group: r.options.Group, Name: r.options.Name, KindCount: kindCount, PingInterval: pingInterval, SilenceTimeout: silenceTimeout, Admit: admit}
 }
 
 // serve starts the goroutines of the server and the dialers; finished is closed once they have ended.
@@ -63,7 +63,7 @@
 	}
 	m, err := voter.Decode(voter.Kind(kind-firstVoterKind), content)
 	if err != nil {
-		r.logInvalid(fmt.Errorf("%w: %w", transport.ErrFrame, err))
+		r.logInvalid(fmt.Errorf("%w: %w", transport.ErrInvalidFrame, err))
 		c.Close()
 		return
 	}
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -331,7 +331,7 @@
 	p.start()
 	w.write(command{ID: "after", New: "after"})
 	status := p.replica.status()
-	if status.Votes || !errors.Is(p.replica.voter.Fault(), store.ErrCorrupt) || !strings.Contains(status.Why, names[0]+", byte ") {
+	if status.Voting || !errors.Is(p.replica.voter.Fault(), store.ErrCorrupt) || !strings.Contains(status.Reason, names[0]+", byte ") {
 		t.Errorf("%+v", status)
 	}
 	if out := w.outcomeOf(p.propose(command{ID: "there", New: "there"})); !notProposed(out.err) {
@@ -358,8 +358,8 @@
 		if !errors.Is(out.err, ErrOutcomeUnknown) && !notProposed(out.err) {
 			t.Errorf("%s: %q, %v", name, out.result, out.err)
 		}
-		w.stepUntil("its vote has ended", func() bool { return !p.replica.status().Votes })
-		if status := p.replica.status(); status.Leads || !strings.Contains(status.Why, tt.why) {
+		w.stepUntil("its vote has ended", func() bool { return !p.replica.status().Voting })
+		if status := p.replica.status(); status.Leads || !strings.Contains(status.Reason, tt.why) {
 			t.Errorf("%s: %+v", name, status)
 		}
 		w.write(command{ID: "after", New: "after"})
--- a/internal/replica/history_test.go
+++ b/internal/replica/history_test.go
@@ -228,7 +228,7 @@
 		if p.disk.DropsSyncs && errors.Is(p.replica.voter.Fault(), store.ErrCorrupt) {
 			continue // the member knows that its store is corrupt; operators have to repair it
 		}
-		if !p.replica.voter.Votes() {
+		if !p.replica.voter.Voting() {
 			return fmt.Sprintf("%s doesn't vote: %v %s", p.name, p.replica.voter.Fault(), p.replica.voter.Decision().Why)
 		}
 		if !slices.Equal(p.machine.Order, longest[:len(p.machine.Order)]) {
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -10,8 +10,8 @@
 	"lemonrail/internal/replica/voter"
 )
 
-// SnapshotLimit is the maximum size of a state machine's snapshot in bytes. It is stored as base64 within JSON.
-const SnapshotLimit = (voter.SnapshotLimit - maxMembershipBytes) / 4 * 3
+// MaxSnapshotBytes is the maximum size of a state machine's snapshot in bytes. It is stored as base64 within JSON.
+const MaxSnapshotBytes = (voter.MaxSnapshotBytes - maxMembershipBytes) / 4 * 3
 
 const maxMembershipBytes = 16 << 10 // of the encoded membership in a snapshot
 
@@ -65,5 +65,5 @@
 	}
 }
 
-// Confirmed continues the requests that waited for a read index.
-func (h host) Confirmed(read raft.ReadState) { h.handleConfirmation(read) }
+// ReadIndexConfirmed continues the requests that waited for a read index.
+func (h host) ReadIndexConfirmed(read raft.ReadState) { h.handleConfirmation(read) }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -39,7 +39,7 @@
 	// Apply executes a committed command and returns its result. epoch is the raft term of the entry. Apply must be
 	// deterministic and can't fail: for an invalid command it returns a result that says so, the same at all members.
 	Apply(epoch uint64, command []byte) (result []byte)
-	// Snapshot returns the whole state. While it is longer than SnapshotLimit bytes the log isn't compacted.
+	// Snapshot returns the whole state. While it is longer than MaxSnapshotBytes bytes the log isn't compacted.
 	Snapshot() ([]byte, error)
 	// Restore replaces the state by that of a snapshot.
 	Restore(snapshot []byte) error
@@ -53,15 +53,15 @@
 
 // Options configure a Replica.
 type Options struct {
-	Group    string        // connections of another group are refused
-	Name     string        // of this member
-	Members  []Member      // all voters, the same at all members: 1 to 7, even numbers allowed
-	FS       store.FS      // where the log and the votes are stored
-	Listener net.Listener  // nil: New listens on the member's address
-	Tick     time.Duration // 0: 50 ms; members elect another leader after at least ten ticks without one
-	Machine  StateMachine
-	Applied  func()       // optional: called on the replica's goroutine after entries or a snapshot were applied
-	Log      *slog.Logger // nil: nothing is logged
+	Group     string        // connections of another group are refused
+	Name      string        // of this member
+	Members   []Member      // all voters, the same at all members: 1 to 7, even numbers allowed
+	FS        store.FS      // where the log and the votes are stored
+	Listener  net.Listener  // nil: New listens on the member's address
+	Tick      time.Duration // 0: 50 ms; members elect another leader after at least ten ticks without one
+	Machine   StateMachine
+	OnApplied func()       // optional: called on the replica's goroutine after entries or a snapshot were applied
+	Log       *slog.Logger // nil: nothing is logged
 
 	Now  func() time.Duration // nil: the monotonic clock. If set, the replica is simulated: it opens no listener and can't Run
 	Rand *rand.Rand           // source of raft identities; nil: seeded at random
@@ -142,7 +142,7 @@
 	}
 	r := &Replica{options: o, log: o.Log.With("group", o.Group), startedAt: time.Now(), inbox: make(chan func(), inboxSize), stopped: make(chan struct{}),
 		peers: map[string]*transport.Dialer{}, incarnation: o.Rand.Uint64(), requests: newRequests()}
-	r.voter = voter.New(voter.Options{Name: o.Name, Candidates: o.names(), Voters: len(o.Members), FS: o.FS, Log: r.log, Rand: o.Rand}, host{r})
+	r.voter = voter.New(voter.Options{Name: o.Name, Candidates: o.names(), InitialVoters: len(o.Members), FS: o.FS, Log: r.log, Rand: o.Rand}, host{r})
 	if err := r.connect(); err != nil {
 		return nil, err
 	}
@@ -160,11 +160,11 @@
 				return fmt.Errorf("replica: group %q: %w", r.options.Group, err)
 			}
 		}
-		r.server = &transport.Server{Listener: listener, Protocol: protocol, Handle: r.receive, Invalid: r.logInvalid}
+		r.server = &transport.Server{Listener: listener, Protocol: protocol, Handle: r.receive, OnInvalid: r.logInvalid}
 	}
 	for _, member := range r.options.Members {
 		if member.Name != r.options.Name {
-			r.peers[member.Name] = &transport.Dialer{Address: member.Address, Protocol: protocol, Handle: r.receive, Invalid: r.logInvalid}
+			r.peers[member.Name] = &transport.Dialer{Address: member.Address, Protocol: protocol, Handle: r.receive, OnInvalid: r.logInvalid}
 		}
 	}
 	return nil
@@ -228,15 +228,15 @@
 	r.voter.Guard(func() {
 		now, applied := r.now(), r.voter.Applied()
 		r.expireRequests(now)
-		r.voter.Turn(now, ticked)
+		r.voter.Step(now, ticked)
 		if r.voter.Leads() {
 			r.voter.ReplaceMember(now)
 			r.confirmWaiting()
 			r.voter.Advance()
 		}
 		r.finishReads()
-		if r.voter.Applied() != applied && r.options.Applied != nil {
-			r.options.Applied()
+		if r.voter.Applied() != applied && r.options.OnApplied != nil {
+			r.options.OnApplied()
 		}
 	})
 }
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -16,16 +16,16 @@
 	maxProposed             = 4096 // commands that were proposed and have no result yet
 	confirmElectionTimeouts = 2    // a confirmation must arrive within this many election timeouts
 
-	// CommandLimit is the maximum size of a command in bytes.
-	CommandLimit = 1 << 20
+	// MaxCommandBytes is the maximum size of a command in bytes.
+	MaxCommandBytes = 1 << 20
 )
 
 // Errors after which the command was not proposed and never will be.
 var (
-	ErrNoQuorum = errors.New("no majority of the group was confirmed")
-	ErrBusy     = errors.New("too many requests wait at this member")
-	ErrTooLong  = fmt.Errorf("a command of more than %d bytes", CommandLimit)
-	ErrStopped  = errors.New("this member has stopped")
+	ErrNoQuorum       = errors.New("no majority of the group was confirmed")
+	ErrBusy           = errors.New("too many requests wait at this member")
+	ErrCommandTooLong = fmt.Errorf("a command of more than %d bytes", MaxCommandBytes)
+	ErrStopped        = errors.New("this member has stopped")
 )
 
 // ErrOutcomeUnknown reports that a command was proposed and may or may not be executed, possibly later.
@@ -100,11 +100,11 @@
 func newRequests() requests { return requests{proposed: map[uint64]*request{}} }
 
 // Propose has the group commit and execute a command, and returns its result. After *NotLeaderError, ErrNoQuorum, ErrBusy,
-// ErrTooLong or ErrStopped the command was not proposed and never will be; after ErrOutcomeUnknown it may still be
+// ErrCommandTooLong or ErrStopped the command was not proposed and never will be; after ErrOutcomeUnknown it may still be
 // executed. If ctx ends, the error wraps ErrNoQuorum or ErrOutcomeUnknown.
 func (r *Replica) Propose(ctx context.Context, command []byte) (result []byte, err error) {
-	if len(command) > CommandLimit {
-		return nil, ErrTooLong
+	if len(command) > MaxCommandBytes {
+		return nil, ErrCommandTooLong
 	}
 	return r.submitAndWait(ctx, newRequest(command, false))
 }
--- a/internal/replica/sim_test.go
+++ b/internal/replica/sim_test.go
@@ -282,7 +282,7 @@
 // notePromisesLost records that a member whose disk drops syncs checks in while another member can't answer.
 func (w *world) notePromisesLost() {
 	for _, p := range w.processes {
-		if !p.disk.DropsSyncs || !p.up || p.replica.voter.Votes() {
+		if !p.disk.DropsSyncs || !p.up || p.replica.voter.Voting() {
 			continue
 		}
 		for _, q := range w.processes {
@@ -295,7 +295,7 @@
 
 // injectFaults applies the injected faults to a replica's waiting requests and check-in.
 func (w *world) injectFaults(r *Replica) {
-	if w.injected.trustsDisk && !r.voter.Votes() && r.voter.Store() != nil && !r.voter.Store().Empty() {
+	if w.injected.trustsDisk && !r.voter.Voting() && r.voter.Store() != nil && !r.voter.Store().Empty() {
 		r.forgeCheckIn(w)
 	}
 	if !r.voter.Leads() {
@@ -462,7 +462,7 @@
 	w.stepUntil("the same state everywhere", func() bool {
 		first := w.processes[0].machine
 		for _, p := range w.processes {
-			if !p.up || !p.replica.voter.Votes() || !slices.Equal(p.machine.Order, first.Order) || p.machine.Value != first.Value {
+			if !p.up || !p.replica.voter.Voting() || !slices.Equal(p.machine.Order, first.Order) || p.machine.Value != first.Value {
 				return false
 			}
 		}
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -9,18 +9,18 @@
 
 // Status is the state of a member.
 type Status struct {
-	Group    string            `json:"group"`
-	Name     string            `json:"name"`
-	Identity string            `json:"identity"`
-	Votes    bool              `json:"votes"`
-	Why      string            `json:"why"` // why the member doesn't vote, or how it started
-	Leads    bool              `json:"leads"`
-	Leader   string            `json:"leader"` // name; empty: unknown
-	Term     uint64            `json:"term"`
-	Applied  uint64            `json:"applied"` // index of the last applied entry
-	Members  map[string]string `json:"members"` // raft identities by name
-	Written  uint64            `json:"bytes_written"`
-	Syncs    uint64            `json:"syncs"`
+	Group        string            `json:"group"`
+	Name         string            `json:"name"`
+	Identity     string            `json:"identity"`
+	Voting       bool              `json:"votes"`
+	Reason       string            `json:"why"` // why the member doesn't vote, or how it started
+	Leads        bool              `json:"leads"`
+	Leader       string            `json:"leader"` // name; empty: unknown
+	Term         uint64            `json:"term"`
+	Applied      uint64            `json:"applied"` // index of the last applied entry
+	Members      map[string]string `json:"members"` // raft identities by name
+	BytesWritten uint64            `json:"bytes_written"`
+	Syncs        uint64            `json:"syncs"`
 }
 
 // Status returns the current state of this member.
@@ -56,14 +56,14 @@
 
 func (r *Replica) status() Status {
 	v := r.voter
-	status := Status{Group: r.options.Group, Name: r.options.Name, Votes: v.Votes(), Why: v.Decision().Why, Leads: v.Leads(), Leader: v.Leader(),
+	status := Status{Group: r.options.Group, Name: r.options.Name, Voting: v.Voting(), Reason: v.Decision().Why, Leads: v.Leads(), Leader: v.Leader(),
 		Applied: v.Applied(), Members: map[string]string{}}
 	if opened := v.Store(); opened != nil {
 		status.Identity, status.Term = voter.IdentityText(opened.ID()), opened.State().Term
-		status.Written, status.Syncs = opened.Written, opened.Syncs
+		status.BytesWritten, status.Syncs = opened.Written, opened.Syncs
 	}
 	if fault := v.Fault(); fault != nil {
-		status.Why = fault.Error()
+		status.Reason = fault.Error()
 	}
 	for id, name := range v.Members() {
 		status.Members[name] = voter.IdentityText(id)
--- a/internal/replica/tcp_test.go
+++ b/internal/replica/tcp_test.go
@@ -64,7 +64,7 @@
 		default:
 		}
 	}
-	r, err := New(Options{Group: "test", Name: g.members[i].Name, Members: g.members, FS: store.Dir(g.folders[i]), Listener: l, Tick: 10 * time.Millisecond, Machine: m, Applied: notify})
+	r, err := New(Options{Group: "test", Name: g.members[i].Name, Members: g.members, FS: store.Dir(g.folders[i]), Listener: l, Tick: 10 * time.Millisecond, Machine: m, OnApplied: notify})
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -142,7 +142,7 @@
 				t.Error(err)
 			}
 			status, err := at.Status(t.Context())
-			if err != nil || !status.Leads || !status.Votes || status.Leader != g.members[leader].Name || len(status.Members) != size || status.Applied == 0 || status.Syncs == 0 || status.Group != "test" {
+			if err != nil || !status.Leads || !status.Voting || status.Leader != g.members[leader].Name || len(status.Members) != size || status.Applied == 0 || status.Syncs == 0 || status.Group != "test" {
 				t.Errorf("%+v, %v", status, err)
 			}
 			for i := range size {
@@ -182,7 +182,7 @@
 	if _, err := at.Propose(ended, command{ID: "late"}.bytes()); err != nil && (!errors.Is(err, context.Canceled) || !errors.Is(err, ErrNoQuorum) && !errors.Is(err, ErrOutcomeUnknown)) {
 		t.Error(err)
 	}
-	if _, err := at.Propose(t.Context(), make([]byte, CommandLimit+1)); !errors.Is(err, ErrTooLong) {
+	if _, err := at.Propose(t.Context(), make([]byte, MaxCommandBytes+1)); !errors.Is(err, ErrCommandTooLong) {
 		t.Error(err)
 	}
 	for i := range g.running { // leaves the leader without a majority
--- a/internal/replica/transport/conn.go
+++ b/internal/replica/transport/conn.go
@@ -23,13 +23,13 @@
 
 // Protocol holds the parameters of a connection. Magic and Group must be the same at both ends.
 type Protocol struct {
-	Magic   string                 // name and version of the protocol
-	Group   string                 // a connection of another group is refused
-	Name    string                 // of the local end
-	Kinds   Kind                   // number of kinds including the hello; a frame of kind Kinds or above is invalid
-	Ping    time.Duration          // interval of pings; 0: none are sent
-	Silence time.Duration          // a connection that receives no frame for this long is closed
-	Admit   func(name string) bool // reports whether a remote end of this name is accepted; nil: all are
+	Magic          string                 // name and version of the protocol
+	Group          string                 // a connection of another group is refused
+	Name           string                 // of the local end
+	KindCount      Kind                   // number of kinds including the hello; a frame of kind Kinds or above is invalid
+	PingInterval   time.Duration          // interval of pings; 0: none are sent
+	SilenceTimeout time.Duration          // a connection that receives no frame for this long is closed
+	Admit          func(name string) bool // reports whether a remote end of this name is accepted; nil: all are
 }
 
 // ReadFrame reads a frame and checks that its kind belongs to the protocol.
@@ -37,8 +37,8 @@
 	if kind, content, err = ReadFrame(r); err != nil {
 		return 0, nil, err
 	}
-	if ping := kind == KindPing && p.Ping > 0; kind >= p.Kinds && !ping {
-		return 0, nil, fmt.Errorf("%w: kind %d is unknown", ErrFrame, kind)
+	if ping := kind == KindPing && p.PingInterval > 0; kind >= p.KindCount && !ping {
+		return 0, nil, fmt.Errorf("%w: kind %d is unknown", ErrInvalidFrame, kind)
 	}
 	return kind, content, nil
 }
@@ -130,11 +130,11 @@
 		return err
 	}
 	var writer sync.WaitGroup
-	writer.Go(func() { c.writeLoop(protocol.Ping) })
+	writer.Go(func() { c.writeLoop(protocol.PingInterval) })
 	defer writer.Wait()
 	defer c.Close()
 	for {
-		c.socket.SetReadDeadline(time.Now().Add(protocol.Silence))
+		c.socket.SetReadDeadline(time.Now().Add(protocol.SilenceTimeout))
 		kind, content, err := protocol.ReadFrame(reader)
 		if err != nil {
 			return err
@@ -162,13 +162,13 @@
 	var remote hello
 	switch {
 	case kind != KindHello || json.Unmarshal(content, &remote) != nil:
-		return fmt.Errorf("%w: no hello", ErrFrame)
+		return fmt.Errorf("%w: no hello", ErrInvalidFrame)
 	case remote.Magic != protocol.Magic:
-		return fmt.Errorf("%w: protocol %q, not %q", ErrFrame, remote.Magic, protocol.Magic)
+		return fmt.Errorf("%w: protocol %q, not %q", ErrInvalidFrame, remote.Magic, protocol.Magic)
 	case remote.Group != protocol.Group:
-		return fmt.Errorf("%w: %q is of group %q, not %q", ErrFrame, remote.Name, remote.Group, protocol.Group)
+		return fmt.Errorf("%w: %q is of group %q, not %q", ErrInvalidFrame, remote.Name, remote.Group, protocol.Group)
 	case protocol.Admit != nil && !protocol.Admit(remote.Name):
-		return fmt.Errorf("%w: %q is not expected", ErrFrame, remote.Name)
+		return fmt.Errorf("%w: %q is not expected", ErrInvalidFrame, remote.Name)
 	}
 	c.peer = remote.Name
 	return c.socket.SetDeadline(time.Time{})
@@ -201,10 +201,10 @@
 
 // Dialer keeps a connection to one address open. It waits between attempts, with exponential backoff and jitter.
 type Dialer struct {
-	Address  string
-	Protocol Protocol
-	Handle   Handler
-	Invalid  func(error) // called with the error of each invalid frame
+	Address   string
+	Protocol  Protocol
+	Handle    Handler
+	OnInvalid func(error) // called with the error of each invalid frame
 
 	mu   sync.Mutex
 	conn *Conn
@@ -235,8 +235,8 @@
 	d.Attach(c)
 	defer d.Attach(nil)
 	started := time.Now()
-	if err := c.run(ctx, &d.Protocol, d.Handle); errors.Is(err, ErrFrame) {
-		d.Invalid(err)
+	if err := c.run(ctx, &d.Protocol, d.Handle); errors.Is(err, ErrInvalidFrame) {
+		d.OnInvalid(err)
 	}
 	return time.Since(started) > stableAfter
 }
--- a/internal/replica/transport/frame.go
+++ b/internal/replica/transport/frame.go
@@ -33,8 +33,8 @@
 	readChunkBytes  = 64 << 10 // memory that is allocated at a time while content arrives
 )
 
-// ErrFrame reports that the received bytes are not a valid frame of the protocol.
-var ErrFrame = errors.New("invalid frame")
+// ErrInvalidFrame reports that the received bytes are not a valid frame of the protocol.
+var ErrInvalidFrame = errors.New("invalid frame")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -58,19 +58,19 @@
 	kind = Kind(header[8])
 	length := binary.BigEndian.Uint32(header[:])
 	if length > maxContentBytes {
-		return 0, nil, fmt.Errorf("%w: kind %d, %d bytes, more than the maximum", ErrFrame, kind, length)
+		return 0, nil, fmt.Errorf("%w: kind %d, %d bytes, more than the maximum", ErrInvalidFrame, kind, length)
 	}
 	for len(content) < int(length) {
 		chunk := min(int(length)-len(content), readChunkBytes)
 		start := len(content)
 		content = append(content, make([]byte, chunk)...)
 		if _, err := io.ReadFull(r, content[start:]); err != nil {
-			return 0, nil, errors.Join(ErrFrame, err)
+			return 0, nil, errors.Join(ErrInvalidFrame, err)
 		}
 	}
 	checksum := crc32.Update(crc32.Checksum(header[8:], castagnoli), castagnoli, content)
 	if checksum != binary.BigEndian.Uint32(header[4:]) {
-		return 0, nil, fmt.Errorf("%w: checksum %08x doesn't match the header", ErrFrame, checksum)
+		return 0, nil, fmt.Errorf("%w: checksum %08x doesn't match the header", ErrInvalidFrame, checksum)
 	}
 	return kind, content, nil
 }
--- a/internal/replica/transport/server.go
+++ b/internal/replica/transport/server.go
@@ -15,10 +15,10 @@
 
 // Server accepts connections from other processes, up to maxConnections at a time.
 type Server struct {
-	Listener net.Listener
-	Protocol Protocol
-	Handle   Handler
-	Invalid  func(error) // called with the error of each invalid frame
+	Listener  net.Listener
+	Protocol  Protocol
+	Handle    Handler
+	OnInvalid func(error) // called with the error of each invalid frame
 
 	mu              sync.Mutex
 	openConnections int
@@ -45,8 +45,8 @@
 		default:
 			connections.Go(func() {
 				defer s.release()
-				if err := newConn(socket).run(ctx, &s.Protocol, s.Handle); errors.Is(err, ErrFrame) {
-					s.Invalid(err)
+				if err := newConn(socket).run(ctx, &s.Protocol, s.Handle); errors.Is(err, ErrInvalidFrame) {
+					s.OnInvalid(err)
 				}
 			})
 		}
--- a/internal/replica/transport/transport_test.go
+++ b/internal/replica/transport/transport_test.go
@@ -37,7 +37,7 @@
 			}
 		}
 	}
-	if _, _, err := DecodeFrame([]byte{0x3f, 0xff, 0xff, 0xff, 0, 0, 0, 0, 1}); !errors.Is(err, ErrFrame) {
+	if _, _, err := DecodeFrame([]byte{0x3f, 0xff, 0xff, 0xff, 0, 0, 0, 0, 1}); !errors.Is(err, ErrInvalidFrame) {
 		t.Errorf("a length of one gigabyte was announced: %v", err)
 	}
 }
@@ -79,11 +79,11 @@
 		default:
 		}
 	}
-	p.server = &Server{Listener: listener, Protocol: served, Invalid: note, Handle: func(c *Conn, _ Kind, content []byte) {
+	p.server = &Server{Listener: listener, Protocol: served, OnInvalid: note, Handle: func(c *Conn, _ Kind, content []byte) {
 		p.atServer <- c.Peer() + " " + string(content)
 		c.Send(1, append([]byte("back "), content...))
 	}}
-	p.dialer = &Dialer{Address: listener.Addr().String(), Protocol: dialled, Invalid: note, Handle: func(c *Conn, _ Kind, content []byte) { p.atDial <- c.Peer() + " " + string(content) }}
+	p.dialer = &Dialer{Address: listener.Addr().String(), Protocol: dialled, OnInvalid: note, Handle: func(c *Conn, _ Kind, content []byte) { p.atDial <- c.Peer() + " " + string(content) }}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	p.ended.Go(func() { p.server.Run(ctx) })
@@ -96,7 +96,7 @@
 }
 
 func protocol(name string) Protocol {
-	return Protocol{Magic: "test 1", Group: "g", Name: name, Kinds: 2, Silence: time.Minute}
+	return Protocol{Magic: "test 1", Group: "g", Name: name, KindCount: 2, SilenceTimeout: time.Minute}
 }
 
 // send retries until the dialer has a connection that accepts the frame.
@@ -131,9 +131,9 @@
 		tt.alter(&dialled)
 		p := newPair(t, served, dialled)
 		for {
-			if err := <-p.invalid; strings.Contains(err.Error(), tt.want) && errors.Is(err, ErrFrame) {
+			if err := <-p.invalid; strings.Contains(err.Error(), tt.want) && errors.Is(err, ErrInvalidFrame) {
 				break
-			} else if !errors.Is(err, ErrFrame) {
+			} else if !errors.Is(err, ErrInvalidFrame) {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
@@ -151,7 +151,7 @@
 	p.send("first")
 	<-p.atServer
 	p.dialer.Send(2, nil)
-	if err := <-p.invalid; !errors.Is(err, ErrFrame) || !strings.Contains(err.Error(), "kind 2") {
+	if err := <-p.invalid; !errors.Is(err, ErrInvalidFrame) || !strings.Contains(err.Error(), "kind 2") {
 		t.Error(err)
 	}
 	for {
@@ -171,10 +171,10 @@
 func TestPingsPreventSilenceTimeout(t *testing.T) {
 	for _, ping := range []time.Duration{0, 5 * time.Millisecond} {
 		served, dialled := protocol("server"), protocol("client")
-		served.Ping, dialled.Ping = ping, ping
-		dialled.Silence = 50 * time.Millisecond
+		served.PingInterval, dialled.PingInterval = ping, ping
+		dialled.SilenceTimeout = 50 * time.Millisecond
 		if ping > 0 {
-			dialled.Silence = 10 * time.Second
+			dialled.SilenceTimeout = 10 * time.Second
 		}
 		p := newPair(t, served, dialled)
 		p.send("x")
--- a/internal/replica/voter/membership.go
+++ b/internal/replica/voter/membership.go
@@ -44,7 +44,7 @@
 	}
 	v.store, v.fault = opened, nil
 	state, hard := opened.State(), opened.HardState()
-	v.checkIn = duty.NewStartupCheck(duty.StartupConfig{Name: v.options.Name, Candidates: v.options.Candidates, Voters: v.options.Voters, ID: opened.ID(), Empty: opened.Empty(),
+	v.checkIn = duty.NewStartupCheck(duty.StartupConfig{Name: v.options.Name, Candidates: v.options.Candidates, Voters: v.options.InitialVoters, ID: opened.ID(), Empty: opened.Empty(),
 		Stored: duty.Promise{Term: state.Term, Index: state.Index, Voted: hard.GetTerm()}, Vote: hard.GetVote()}, now)
 	v.decision = duty.Decision{Start: duty.Wait, Why: "no other member was heard yet"}
 	v.log.Info("store opened", "identity", IdentityText(opened.ID()), "new", empty, "term", state.Term, "entry", state.Index)
--- a/internal/replica/voter/node.go
+++ b/internal/replica/voter/node.go
@@ -16,9 +16,9 @@
 	snapshotOverheadBytes = 64 << 10
 )
 
-// SnapshotLimit is the maximum size of a snapshot in bytes, since the store keeps it as one record. While a snapshot is
+// MaxSnapshotBytes is the maximum size of a snapshot in bytes, since the store keeps it as one record. While a snapshot is
 // larger the log isn't compacted.
-const SnapshotLimit = maxRecordBytes - snapshotOverheadBytes
+const MaxSnapshotBytes = maxRecordBytes - snapshotOverheadBytes
 
 // startNode restores the stored snapshot and starts raft on the store.
 func (v *Voter) startNode() error {
@@ -61,7 +61,7 @@
 		}
 		v.node.Advance(ready)
 		for _, read := range ready.ReadStates {
-			v.host.Confirmed(read)
+			v.host.ReadIndexConfirmed(read)
 		}
 	}
 	v.compact()
@@ -141,7 +141,7 @@
 		v.fail(err)
 		return
 	}
-	if len(data) > SnapshotLimit {
+	if len(data) > MaxSnapshotBytes {
 		if !v.snapshotTooLong {
 			v.log.Error("the snapshot is too long: the log is not compacted", "bytes", len(data))
 		}
--- a/internal/replica/voter/voter.go
+++ b/internal/replica/voter/voter.go
@@ -38,8 +38,8 @@
 	Restore(snapshot []byte) (Membership, error)
 	// LeadershipChanged reports that this member has become the leader or no longer is.
 	LeadershipChanged(leads bool)
-	// Confirmed reports that, after the call of ReadIndex, a majority followed this leader.
-	Confirmed(read raft.ReadState)
+	// ReadIndexConfirmed reports that, after the call of ReadIndex, a majority followed this leader.
+	ReadIndexConfirmed(read raft.ReadState)
 }
 
 // Membership holds the names of the voters by identity.
@@ -50,13 +50,13 @@
 
 // Options configure a Voter.
 type Options struct {
-	Name         string
-	Candidates   []string // all members that may vote, in the same order at every member
-	Voters       int      // the group begins with this many of the Candidates, the first ones
-	FS           store.FS
-	Log          *slog.Logger
-	Rand         *rand.Rand    // source of identities
-	ReplaceAfter time.Duration // a spare member takes the place of one that was dead for this long; 0: never
+	Name          string
+	Candidates    []string // all members that may vote, in the same order at every member
+	InitialVoters int      // the group begins with this many of the Candidates, the first ones
+	FS            store.FS
+	Log           *slog.Logger
+	Rand          *rand.Rand    // source of identities
+	ReplaceAfter  time.Duration // a spare member takes the place of one that was dead for this long; 0: never
 	// Liveness returns for how long members have been dead, and which members are alive. nil: a member's place is taken
 	// only by the same member under a new identity.
 	Liveness func() (dead map[string]time.Duration, lives map[string]bool)
@@ -88,7 +88,7 @@
 	origins         map[uint64]string       // name of the member that sends under each identity
 	membersChanged  bool                    // since the last snapshot
 	lastChange      time.Duration           // when a change of members was last proposed
-	snapshotTooLong bool                    // the last snapshot exceeded SnapshotLimit
+	snapshotTooLong bool                    // the last snapshot exceeded MaxSnapshotBytes
 }
 
 // New returns a voter whose store isn't opened yet; see Open.
@@ -107,9 +107,9 @@
 	f()
 }
 
-// Turn does the work that is due: check-ins before this member votes, raft afterwards. ticked reports that a tick has
+// Step does the work that is due: check-ins before this member votes, raft afterwards. ticked reports that a tick has
 // passed.
-func (v *Voter) Turn(now time.Duration, ticked bool) {
+func (v *Voter) Step(now time.Duration, ticked bool) {
 	if v.fault != nil {
 		return
 	}
@@ -169,8 +169,8 @@
 // Fault returns why this member has stopped voting; nil: it hasn't.
 func (v *Voter) Fault() error { return v.fault }
 
-// Votes reports whether this member takes part in elections and commits.
-func (v *Voter) Votes() bool { return v.node != nil }
+// Voting reports whether this member takes part in elections and commits.
+func (v *Voter) Voting() bool { return v.node != nil }
 
 // Decision returns how this member started, or why it is still waiting.
 func (v *Voter) Decision() duty.Decision { return v.decision }
--- a/internal/replica/voter/voter_test.go
+++ b/internal/replica/voter/voter_test.go
@@ -59,19 +59,19 @@
 	return s.Membership, m.restore
 }
 
-func (m *member) LeadershipChanged(bool)   {}
-func (m *member) Confirmed(raft.ReadState) {}
+func (m *member) LeadershipChanged(bool)            {}
+func (m *member) ReadIndexConfirmed(raft.ReadState) {}
 
 func newMember(name string, fs store.FS, all ...string) *member {
 	m := &member{}
-	m.voter = New(Options{Name: name, Candidates: all, Voters: len(all), FS: fs, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, uint64(name[0])))}, m)
+	m.voter = New(Options{Name: name, Candidates: all, InitialVoters: len(all), FS: fs, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, uint64(name[0])))}, m)
 	m.voter.Open(0)
 	return m
 }
 
 func (m *member) step() {
 	m.now += 10 * time.Millisecond
-	m.voter.Guard(func() { m.voter.Turn(m.now, true) })
+	m.voter.Guard(func() { m.voter.Step(m.now, true) })
 }
 
 // pair returns two members that vote and know their leader.
@@ -99,7 +99,7 @@
 			}
 		}
 	}
-	if !a.voter.Votes() || !b.voter.Votes() || a.voter.Leader() == "" {
+	if !a.voter.Voting() || !b.voter.Voting() || a.voter.Leader() == "" {
 		t.Fatalf("a: %+v, b: %+v", a.voter.Decision(), b.voter.Decision())
 	}
 	return a, b
@@ -199,7 +199,7 @@
 	}
 }
 
-// While a snapshot exceeds SnapshotLimit the log isn't compacted and the member keeps voting. Once the snapshot is smaller
+// While a snapshot exceeds MaxSnapshotBytes the log isn't compacted and the member keeps voting. Once the snapshot is smaller
 // the log is compacted.
 func TestTooLongSnapshot(t *testing.T) {
 	m := newMember("a", store.NewFaultyDisk(3), "a")
@@ -211,7 +211,7 @@
 		return first
 	}
 	before := first()
-	m.padding = SnapshotLimit
+	m.padding = MaxSnapshotBytes
 	propose := func() {
 		for range 300 {
 			if err := m.voter.Propose(make([]byte, 8<<10)); err != nil {
@@ -221,13 +221,13 @@
 		}
 	}
 	propose()
-	if !m.voter.Votes() || m.applied != 300 || first() != before {
-		t.Fatalf("votes %v, %d applied, the log begins at %d, began at %d before", m.voter.Votes(), m.applied, first(), before)
+	if !m.voter.Voting() || m.applied != 300 || first() != before {
+		t.Fatalf("votes %v, %d applied, the log begins at %d, began at %d before", m.voter.Voting(), m.applied, first(), before)
 	}
 	m.padding = 0
 	propose()
-	if !m.voter.Votes() || m.applied != 600 || first() <= before {
-		t.Errorf("votes %v, %d applied, the log begins at %d", m.voter.Votes(), m.applied, first())
+	if !m.voter.Voting() || m.applied != 600 || first() <= before {
+		t.Errorf("votes %v, %d applied, the log begins at %d", m.voter.Voting(), m.applied, first())
 	}
 }
 
@@ -242,8 +242,8 @@
 	again := newMember("a", disk, "a")
 	again.restore = errors.New("of another version")
 	again.step()
-	if again.voter.Votes() || !errors.Is(again.voter.Fault(), again.restore) {
-		t.Errorf("votes %v, %v", again.voter.Votes(), again.voter.Fault())
+	if again.voter.Voting() || !errors.Is(again.voter.Fault(), again.restore) {
+		t.Errorf("votes %v, %v", again.voter.Voting(), again.voter.Fault())
 	}
 }
 
