--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -127,7 +127,7 @@
 	up := upstream.New(&cfg.Settings, sockets, log)
 	l.Backend = up
 	l.Figures = figures.New(cfg.Names.Classes)
-	up.CountAttempts(&l.Figures.Tries)
+	up.CountAttempts(&l.Figures.Attempts)
 
 	diameter, err := diameterPart(cfg, l, up, log)
 	if err != nil {
--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -218,7 +218,7 @@
 				watcher.Leave()
 			}
 		},
-		routes: []control.Route{control.Text("GET /api/config", "application/json",
+		routes: []control.Route{control.TextRoute("GET /api/config", "application/json",
 			func(context.Context) ([]byte, error) { return c.describe(settings.place, watcher.Status()) })},
 		gauges: configurationGauges(watcher)}, nil
 }
--- a/internal/agent/controlapi.go
+++ b/internal/agent/controlapi.go
@@ -18,7 +18,7 @@
 // controlAPI serves the operators' calls at the control listener.
 type controlAPI struct {
 	loop           *core.Loop
-	figures        *figures.Figures
+	figures        *figures.Metrics
 	ready          func() bool
 	stopping       atomic.Bool
 	processes      *processGroup // nil: this process is the only one of its agent
@@ -33,10 +33,10 @@
 		return &part{name: "control"}
 	}
 	own := []control.Route{
-		control.Ready("GET /api/ready", s.Ready),
-		control.Text("GET /api/telemetry", "text/plain; version=0.0.4; charset=utf-8", s.telemetry),
-		control.Change("exclude", s.Exclude, log),
-		control.Change("include", s.Include, log),
+		control.ReadyRoute("GET /api/ready", s.Ready),
+		control.TextRoute("GET /api/telemetry", "text/plain; version=0.0.4; charset=utf-8", s.telemetry),
+		control.BackendRoute("exclude", s.Exclude, log),
+		control.BackendRoute("include", s.Include, log),
 	}
 	return &part{name: "control", start: func(t *tasks) {
 		t.Go(func(ctx context.Context) error {
@@ -72,7 +72,7 @@
 	default:
 	}
 	if s.processes != nil && !s.readyAnnounced.Load() {
-		if err := s.processes.claim.Ready(); err != nil {
+		if err := s.processes.claim.MarkReady(); err != nil {
 			s.processes.log.Error("the previous process was not informed that this one serves", "err", err)
 		}
 		s.readyAnnounced.Store(true)
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -81,9 +81,9 @@
 		},
 		beginStop: func(time.Time) { go d.client.ReleaseAll(time.Second) },
 		routes: []control.Route{
-			control.Text("GET /api/duties", "application/json", d.report),
-			{Pattern: "PUT /api/duties/{name}/hand-on/{to}", Answer: d.handOn},
-			{Pattern: "PUT /api/duties/{name}/release", Answer: d.release},
+			control.TextRoute("GET /api/duties", "application/json", d.report),
+			{Pattern: "PUT /api/duties/{name}/hand-on/{to}", Handle: d.handOn},
+			{Pattern: "PUT /api/duties/{name}/release", Handle: d.release},
 		},
 		gauges: d.gauges()}, nil
 }
--- a/internal/agent/processgroup.go
+++ b/internal/agent/processgroup.go
@@ -53,7 +53,7 @@
 	if cfg.SharedDir == "" {
 		return nil, takeover.State{}
 	}
-	c, s, err := takeover.Take(cfg.SharedDir, cfg.Name)
+	c, s, err := takeover.Acquire(cfg.SharedDir, cfg.Name)
 	if err != nil { // the agent serves even without knowing the others
 		log.Error("other processes of this agent are not known", "err", err)
 	}
@@ -121,7 +121,7 @@
 func (h *processGroup) adopt(s takeover.State) {
 	if s.Version > h.adoptedVersion {
 		h.adoptedVersion = s.Version
-		h.loop.ReplaceExcluded(s.Out, s.Back, s.Zones)
+		h.loop.ReplaceExcluded(s.Excluded, s.RestoredAt, s.ExcludedZones)
 	}
 }
 
@@ -133,7 +133,7 @@
 	limit := h.maxConnections
 	h.budgetShare = 1
 	for {
-		s, v, err := h.claim.Look()
+		s, v, err := h.claim.Refresh()
 		if err != nil {
 			if !unreadable {
 				h.log.Warn("state shared with other processes can't be read", "err", err)
@@ -147,7 +147,7 @@
 			h.members.Mute(v.Later)
 		}
 		active := h.activeRequests()
-		if err := h.claim.Tell(active, h.openConnections()); err != nil {
+		if err := h.claim.PublishLoad(active, h.openConnections()); err != nil {
 			h.log.Warn("requests in hand are not reported to other processes", "err", err)
 		}
 		if p := v.Plan(); p.Alone != alone {
@@ -162,7 +162,7 @@
 			limit = newLimit
 			h.setLimits(newLimit, h.memoryShare(alone))
 		}
-		if share := v.Part(active); share != h.budgetShare {
+		if share := v.Share(active); share != h.budgetShare {
 			h.budgetShare = share
 			h.loop.Post(func() { h.loop.Event(balance.ProcessShare{Share: share}) })
 		}
@@ -210,7 +210,7 @@
 	if h.maxConnections == 0 || v.Plan().Alone {
 		return h.maxConnections
 	}
-	return v.Room(max(h.maxConnections-reservedSockets, reservedSockets))
+	return v.ConnectionLimit(max(h.maxConnections-reservedSockets, reservedSockets))
 }
 
 // SoftMemoryLimit returns the soft memory limit for the garbage collector; the rest is for memory that it doesn't count.
--- a/internal/agent/sites.go
+++ b/internal/agent/sites.go
@@ -91,7 +91,7 @@
 		})
 	}
 	state, err := s.processes.claim.Change(func(t *takeover.State) error {
-		t.ExcludeZone(zone, out)
+		t.SetZoneExcluded(zone, out)
 		return nil
 	})
 	if err != nil {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -31,11 +31,11 @@
 // contributes the routes of its own calls.
 type Route struct {
 	Pattern string
-	Answer  http.HandlerFunc
+	Handle  http.HandlerFunc
 }
 
-// Ready returns a route that answers 200 where ready returns true, and 503 otherwise.
-func Ready(pattern string, ready func() bool) Route {
+// ReadyRoute returns a route that answers 200 where ready returns true, and 503 otherwise.
+func ReadyRoute(pattern string, ready func() bool) Route {
 	return Route{pattern, func(w http.ResponseWriter, _ *http.Request) {
 		if !ready() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -45,8 +45,8 @@
 	}}
 }
 
-// Text returns a route that answers with the body that produce returns, or with 503 and the text of its error.
-func Text(pattern, contentType string, produce func(context.Context) ([]byte, error)) Route {
+// TextRoute returns a route that answers with the body that produce returns, or with 503 and the text of its error.
+func TextRoute(pattern, contentType string, produce func(context.Context) ([]byte, error)) Route {
 	return Route{pattern, func(w http.ResponseWriter, r *http.Request) {
 		body, err := produce(r.Context())
 		if err != nil {
@@ -58,9 +58,9 @@
 	}}
 }
 
-// Change returns the route PUT /api/ACTION/ID, which applies an action of the operators to a backend. An unknown
+// BackendRoute returns the route PUT /api/ACTION/ID, which applies an action of the operators to a backend. An unknown
 // backend is answered with 404, another error with 503.
-func Change(action string, apply func(ctx context.Context, backend string) error, log *slog.Logger) Route {
+func BackendRoute(action string, apply func(ctx context.Context, backend string) error, log *slog.Logger) Route {
 	return Route{"PUT /api/" + action + "/{id}", func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
 		switch err := apply(r.Context(), id); {
@@ -80,7 +80,7 @@
 func Handler(routes []Route) http.Handler {
 	mux := http.NewServeMux()
 	for _, r := range routes {
-		mux.HandleFunc(r.Pattern, r.Answer)
+		mux.HandleFunc(r.Pattern, r.Handle)
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -148,7 +148,7 @@
 	Lists    ListSource
 	Peers    Peers    // nil where agents don't exchange messages
 	Observer Observer // nil: no observer
-	Figures  *figures.Figures
+	Figures  *figures.Metrics
 	settings *balance.Settings // in force; replaced by Reconfigure, never modified
 
 	events         []balance.Event  // events for the next step
@@ -521,8 +521,8 @@
 			}
 		}
 	}
-	l.Figures.Pool.Store(int64(l.pool.Size()))
-	l.Figures.Ejected.Store(int64(ejected))
+	l.Figures.PoolSize.Store(int64(l.pool.Size()))
+	l.Figures.PoolEjected.Store(int64(ejected))
 }
 
 // fireTimers turns the timers that have expired into events.
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -21,24 +21,24 @@
 
 var resultNames = [resultCount]string{"ok", "shed", "errors"}
 
-// Figures holds the metrics of one process. All start at 0 with the process.
-type Figures struct {
+// Metrics holds the metrics of one process. All start at 0 with the process.
+type Metrics struct {
 	classes   []string
 	responses [][resultCount]atomic.Int64 // by class and result
 
-	Tries   atomic.Int64 // attempts that were written completely to a backend
-	Active  atomic.Int64 // requests accepted and not finished
-	Pool    atomic.Int64 // backends on the list
-	Ejected atomic.Int64 // backends on the list that are avoided: excluded by operators or by the balancer
+	Attempts    atomic.Int64 // attempts that were written completely to a backend
+	Active      atomic.Int64 // requests accepted and not finished
+	PoolSize    atomic.Int64 // backends on the list
+	PoolEjected atomic.Int64 // backends on the list that are avoided: excluded by operators or by the balancer
 }
 
 // New returns the figures for the classes of these names.
-func New(classes []string) *Figures {
-	return &Figures{classes: classes, responses: make([][resultCount]atomic.Int64, len(classes))}
+func New(classes []string) *Metrics {
+	return &Metrics{classes: classes, responses: make([][resultCount]atomic.Int64, len(classes))}
 }
 
-// Ended counts a request that ended with r. It ignores an unknown class or result.
-func (f *Figures) Ended(class int, r Result) {
+// CountResponse counts a request that ended with r. It ignores an unknown class or result.
+func (f *Metrics) CountResponse(class int, r Result) {
 	if class >= 0 && class < len(f.responses) && r < resultCount {
 		f.responses[class][r].Add(1)
 	}
@@ -54,7 +54,7 @@
 }
 
 // Text returns the figures in the Prometheus text format, followed by the extra gauges.
-func (f *Figures) Text(extra ...Gauge) []byte {
+func (f *Metrics) Text(extra ...Gauge) []byte {
 	var b bytes.Buffer
 	for i, class := range f.classes {
 		for r, name := range resultNames {
@@ -64,7 +64,7 @@
 	for _, g := range []struct {
 		name string
 		v    *atomic.Int64
-	}{{"tries", &f.Tries}, {"active", &f.Active}, {"pool_size", &f.Pool}, {"pool_ejected", &f.Ejected}} {
+	}{{"tries", &f.Attempts}, {"active", &f.Active}, {"pool_size", &f.PoolSize}, {"pool_ejected", &f.PoolEjected}} {
 		fmt.Fprintf(&b, "svc_%s %d\n", g.name, g.v.Load())
 	}
 	for _, g := range extra {
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -12,7 +12,7 @@
 func TestTextParsesAsPrometheusFormat(t *testing.T) {
 	specialName := "a \"class\" \\ of\nits own"
 	f := New([]string{specialName})
-	f.Ended(0, Shed)
+	f.CountResponse(0, Shed)
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(bytes.NewReader(f.Text()))
 	if err != nil {
@@ -33,15 +33,15 @@
 
 func TestText(t *testing.T) {
 	f := New([]string{"read", "sub"})
-	f.Ended(0, OK)
-	f.Ended(0, OK)
-	f.Ended(1, Errors)
-	f.Ended(2, OK)
-	f.Ended(-1, OK)
-	f.Tries.Add(3)
+	f.CountResponse(0, OK)
+	f.CountResponse(0, OK)
+	f.CountResponse(1, Errors)
+	f.CountResponse(2, OK)
+	f.CountResponse(-1, OK)
+	f.Attempts.Add(3)
 	f.Active.Add(1)
-	f.Pool.Store(8)
-	f.Ejected.Store(2)
+	f.PoolSize.Store(8)
+	f.PoolEjected.Store(2)
 	want := `svc_responses{kind="read",result="ok"} 2
 svc_responses{kind="read",result="shed"} 0
 svc_responses{kind="read",result="errors"} 0
--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -56,7 +56,7 @@
 	Names    wire.Names
 	Memory   int64       // bytes of memory that the process may use; 0: unknown
 	Ready    atomic.Bool // the state that /up reports
-	Figures  *figures.Figures
+	Figures  *figures.Metrics
 
 	maxRetryAfter atomic.Int64 // set by Advise, in nanoseconds plus 1; 0: Settings.MaxRetryAfter applies
 }
@@ -129,7 +129,7 @@
 	if err := writeAnswer(conn, w, a); err != nil && a.Kind == core.Served {
 		outcome = figures.Errors
 	}
-	s.Figures.Ended(c.Event.Class, outcome)
+	s.Figures.CountResponse(c.Event.Class, outcome)
 	if outcome == figures.Errors && a.Kind == core.Served {
 		panic(http.ErrAbortHandler) // the client sees a truncated answer: short of its length, or without the last chunk
 	}
@@ -281,7 +281,7 @@
 		if retryAfter := s.RetryAfter(); retryAfter > 0 {
 			w.Header().Set("Retry-After", formatSeconds(retryAfter))
 		}
-		s.Figures.Ended(class, figures.Shed)
+		s.Figures.CountResponse(class, figures.Shed)
 	}
 	if err != nil {
 		return nil, status, err
--- a/internal/member/link/link.go
+++ b/internal/member/link/link.go
@@ -336,7 +336,7 @@
 
 // Routes returns the routes of the control listener.
 func (l *Link) Routes() []control.Route {
-	return []control.Route{control.Text("GET /api/members", "application/json", func(ctx context.Context) ([]byte, error) {
+	return []control.Route{control.TextRoute("GET /api/members", "application/json", func(ctx context.Context) ([]byte, error) {
 		r, err := l.Report(ctx)
 		if err != nil {
 			return nil, err
--- a/internal/site/driver/routes.go
+++ b/internal/site/driver/routes.go
@@ -105,15 +105,15 @@
 // Routes returns the calls of the control listener.
 func (d *Driver) Routes() []control.Route {
 	return []control.Route{
-		control.Text("GET /api/sites", "application/json", func(ctx context.Context) ([]byte, error) {
+		control.TextRoute("GET /api/sites", "application/json", func(ctx context.Context) ([]byte, error) {
 			r, err := d.Report(ctx)
 			if err != nil {
 				return nil, err
 			}
 			return json.Marshal(r)
 		}),
-		{Pattern: "PUT /api/sites/{name}/lost", Answer: d.setLostHandler(true)},
-		{Pattern: "PUT /api/sites/{name}/well", Answer: d.setLostHandler(false)},
+		{Pattern: "PUT /api/sites/{name}/lost", Handle: d.setLostHandler(true)},
+		{Pattern: "PUT /api/sites/{name}/well", Handle: d.setLostHandler(false)},
 	}
 }
 
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -30,10 +30,10 @@
 	lastState  State // the state that this process read or wrote last
 }
 
-// Take claims the next generation of the agent called name in dir, the folder that the agent's processes share. An
+// Acquire claims the next generation of the agent called name in dir, the folder that the agent's processes share. An
 // invalid state file is discarded: Take then returns an error together with a usable claim, since a broken file
 // must not keep a process from serving.
-func Take(dir, name string) (*Claim, State, error) {
+func Acquire(dir, name string) (*Claim, State, error) {
 	c := &Claim{pathPrefix: filepath.Join(dir, "lemonrail-"+url.PathEscape(name))}
 	var readErr error
 	s, err := c.change(func(s *State) error {
@@ -137,9 +137,9 @@
 	return Parse(raw)
 }
 
-// Look reads the current state and determines which other processes of the agent are alive. It removes the files of
+// Refresh reads the current state and determines which other processes of the agent are alive. It removes the files of
 // earlier processes that have ended. With an error the returned state is the last one that could be read.
-func (c *Claim) Look() (State, View, error) {
+func (c *Claim) Refresh() (State, View, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s, err := c.read()
@@ -151,12 +151,12 @@
 
 // View returns only the view of Look, without the state and its error.
 func (c *Claim) View() View {
-	_, v, _ := c.Look()
+	_, v, _ := c.Refresh()
 	return v
 }
 
-// Ready records in the shared state that this process has begun to serve.
-func (c *Claim) Ready() error {
+// MarkReady records in the shared state that this process has begun to serve.
+func (c *Claim) MarkReady() error {
 	_, err := c.Change(func(s *State) error {
 		s.Ready = max(s.Ready, c.generation)
 		return nil
@@ -166,7 +166,7 @@
 
 // view determines the state of the other processes from their files. The caller holds c.mu.
 func (c *Claim) view() View {
-	v := View{Generation: c.generation, Ready: c.lastState.Ready}
+	v := View{Generation: c.generation, LatestReady: c.lastState.Ready}
 	names, _ := filepath.Glob(escapeGlob(c.pathPrefix) + ".*.alive")
 	for _, name := range names {
 		gen, err := strconv.Atoi(strings.TrimSuffix(strings.TrimPrefix(name, c.pathPrefix+"."), ".alive"))
@@ -184,19 +184,19 @@
 		} else if gen < c.generation {
 			v.Earlier = true
 			earlierInFlight, earlierOpen := readLoad(f)
-			v.Before, v.Open = v.Before+earlierInFlight, v.Open+earlierOpen
+			v.EarlierRequests, v.EarlierConnections = v.EarlierRequests+earlierInFlight, v.EarlierConnections+earlierOpen
 		} else {
 			v.Later = true
 			inHand, _ := readLoad(f)
-			v.After += inHand
+			v.LaterRequests += inHand
 		}
 		f.Close()
 	}
 	return v
 }
 
-// Tell writes this process's requests in flight and open connections to its file, where other processes read them.
-func (c *Claim) Tell(inFlight, open int) error {
+// PublishLoad writes this process's requests in flight and open connections to its file, where other processes read them.
+func (c *Claim) PublishLoad(inFlight, open int) error {
 	_, err := c.aliveFile.WriteAt(fmt.Appendf(nil, "%9d %9d\n", clampToNineDigits(inFlight), clampToNineDigits(open)), 0)
 	return err
 }
--- a/internal/takeover/state.go
+++ b/internal/takeover/state.go
@@ -29,12 +29,12 @@
 
 // State is the state that the processes of one agent share.
 type State struct {
-	Version    int64            `json:"version"`         // increases with every change
-	Generation int              `json:"generation"`      // of the process that started last; the first is 1
-	Ready      int              `json:"ready"`           // the latest generation that has begun to serve; 0: none
-	Out        []string         `json:"out"`             // backends that operators excluded, sorted
-	Back       map[string]int64 `json:"back,omitempty"`  // when operators restored a backend, by its id: Unix time in nanoseconds
-	Zones      []int            `json:"zones,omitempty"` // zones that operators excluded as a whole, sorted
+	Version       int64            `json:"version"`         // increases with every change
+	Generation    int              `json:"generation"`      // of the process that started last; the first is 1
+	Ready         int              `json:"ready"`           // the latest generation that has begun to serve; 0: none
+	Excluded      []string         `json:"out"`             // backends that operators excluded, sorted
+	RestoredAt    map[string]int64 `json:"back,omitempty"`  // when operators restored a backend, by its id: Unix time in nanoseconds
+	ExcludedZones []int            `json:"zones,omitempty"` // zones that operators excluded as a whole, sorted
 }
 
 // stateHeader begins a state file; the checksum follows it. Its number changes with the format.
@@ -72,12 +72,12 @@
 		return State{}, errors.New("state: negative version or generation")
 	case s.Ready < 0 || s.Ready > s.Generation:
 		return State{}, fmt.Errorf("state: ready is %d, must be from 0 to the generation %d", s.Ready, s.Generation)
-	case len(s.Zones) > pool.MaxExcluded || slices.ContainsFunc(s.Zones, func(z int) bool { return z < 0 }):
+	case len(s.ExcludedZones) > pool.MaxExcluded || slices.ContainsFunc(s.ExcludedZones, func(z int) bool { return z < 0 }):
 		return State{}, errors.New("state: too many zones, or a negative one")
-	case len(s.Out) > pool.MaxExcluded || len(s.Back) > pool.MaxExcluded:
+	case len(s.Excluded) > pool.MaxExcluded || len(s.RestoredAt) > pool.MaxExcluded:
 		return State{}, errors.New("state: too many excluded or restored backends")
 	}
-	for _, id := range s.Out {
+	for _, id := range s.Excluded {
 		if id == "" {
 			return State{}, errors.New("state: an excluded backend has an empty name")
 		}
@@ -88,61 +88,61 @@
 // Exclude records that operators excluded a backend. It returns pool.ErrTooManyExcluded where the state has no place left.
 func (s *State) Exclude(id string) error {
 	switch {
-	case slices.Contains(s.Out, id):
+	case slices.Contains(s.Excluded, id):
 		return nil
-	case len(s.Out) >= pool.MaxExcluded:
+	case len(s.Excluded) >= pool.MaxExcluded:
 		return pool.ErrTooManyExcluded
 	}
-	s.Out = append(s.Out, id)
-	slices.Sort(s.Out)
-	delete(s.Back, id)
+	s.Excluded = append(s.Excluded, id)
+	slices.Sort(s.Excluded)
+	delete(s.RestoredAt, id)
 	return nil
 }
 
 // Include records that operators restored a backend, at the time now. A backend that is not excluded is ignored.
 func (s *State) Include(id string, now time.Time) {
-	at := slices.Index(s.Out, id)
+	at := slices.Index(s.Excluded, id)
 	if at < 0 {
 		return
 	}
-	s.Out = slices.Delete(s.Out, at, at+1)
-	if s.Back == nil {
-		s.Back = map[string]int64{}
+	s.Excluded = slices.Delete(s.Excluded, at, at+1)
+	if s.RestoredAt == nil {
+		s.RestoredAt = map[string]int64{}
 	}
 	oldest := ""
-	for other, t := range s.Back {
+	for other, t := range s.RestoredAt {
 		if now.Sub(time.Unix(0, t)) > maxRestoreAge {
-			delete(s.Back, other)
-		} else if oldest == "" || t < s.Back[oldest] {
+			delete(s.RestoredAt, other)
+		} else if oldest == "" || t < s.RestoredAt[oldest] {
 			oldest = other
 		}
 	}
-	if len(s.Back) >= pool.MaxExcluded {
-		delete(s.Back, oldest)
+	if len(s.RestoredAt) >= pool.MaxExcluded {
+		delete(s.RestoredAt, oldest)
 	}
-	s.Back[id] = now.UnixNano()
+	s.RestoredAt[id] = now.UnixNano()
 }
 
-// ExcludeZone records whether operators exclude a zone as a whole: out is false where they restore it.
-func (s *State) ExcludeZone(zone int, out bool) {
-	at, found := slices.BinarySearch(s.Zones, zone)
+// SetZoneExcluded records whether operators exclude a zone as a whole: out is false where they restore it.
+func (s *State) SetZoneExcluded(zone int, out bool) {
+	at, found := slices.BinarySearch(s.ExcludedZones, zone)
 	switch {
 	case out && !found:
-		s.Zones = slices.Insert(slices.Clone(s.Zones), at, zone)
+		s.ExcludedZones = slices.Insert(slices.Clone(s.ExcludedZones), at, zone)
 	case !out && found:
-		s.Zones = slices.Delete(slices.Clone(s.Zones), at, at+1)
+		s.ExcludedZones = slices.Delete(slices.Clone(s.ExcludedZones), at, at+1)
 	}
 }
 
 // View is what one process knows about the other processes of its agent.
 type View struct {
-	Generation int  // of the process that has this view
-	Earlier    bool // a process of an earlier generation is alive
-	Later      bool // a process of a later generation is alive
-	Ready      int  // the latest generation that has begun to serve
-	Before     int  // requests in flight at processes of earlier generations
-	After      int  // requests in flight at processes of later generations
-	Open       int  // connections that processes of earlier generations hold open
+	Generation         int  // of the process that has this view
+	Earlier            bool // a process of an earlier generation is alive
+	Later              bool // a process of a later generation is alive
+	LatestReady        int  // the latest generation that has begun to serve
+	EarlierRequests    int  // requests in flight at processes of earlier generations
+	LaterRequests      int  // requests in flight at processes of later generations
+	EarlierConnections int  // connections that processes of earlier generations hold open
 }
 
 // Plan says how a process is to act beside the other processes of its agent.
@@ -154,18 +154,18 @@
 
 // Plan returns the plan that follows from the view.
 func (v View) Plan() Plan {
-	return Plan{Alone: !v.Earlier && !v.Later, Successor: v.Later && v.Ready > v.Generation,
+	return Plan{Alone: !v.Earlier && !v.Later, Successor: v.Later && v.LatestReady > v.Generation,
 		Mute: v.Earlier}
 }
 
-// Part returns the share of the agent's budget that this process may use, from 0 to 1; inFlight is the number of its
+// Share returns the share of the agent's budget that this process may use, from 0 to 1; inFlight is the number of its
 // requests in flight. The shares of two processes that see the same numbers add up to 1.
-func (v View) Part(inFlight int) float64 {
+func (v View) Share(inFlight int) float64 {
 	switch {
 	case v.Later:
-		return 1 - successorShare(v.Ready > v.Generation, inFlight+v.Before, v.After)
+		return 1 - successorShare(v.LatestReady > v.Generation, inFlight+v.EarlierRequests, v.LaterRequests)
 	case v.Earlier:
-		return successorShare(v.Ready >= v.Generation, v.Before, inFlight)
+		return successorShare(v.LatestReady >= v.Generation, v.EarlierRequests, inFlight)
 	}
 	return 1
 }
@@ -179,16 +179,16 @@
 	return max(0.5, float64(after+1)/float64(before+after+1))
 }
 
-// Room returns how many connections this process may hold, of total that the processes of one agent may hold
+// ConnectionLimit returns how many connections this process may hold, of total that the processes of one agent may hold
 // together. The earlier process is limited to three quarters; the successor gets the rest, but at least a quarter.
-func (v View) Room(total int) int {
+func (v View) ConnectionLimit(total int) int {
 	minRoom := total / 4
 	room := total
 	if v.Later {
 		room -= minRoom
 	}
 	if v.Earlier {
-		room = max(minRoom, room-v.Open)
+		room = max(minRoom, room-v.EarlierConnections)
 	}
 	return room
 }
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -23,14 +23,14 @@
 		want Plan
 	}{
 		{View{Generation: 1}, Plan{Alone: true}},
-		{View{Generation: 1, Ready: 1}, Plan{Alone: true}},
-		{View{Generation: 1, Later: true, Ready: 1}, Plan{}},                                           // the successor has started, but doesn't serve yet
-		{View{Generation: 1, Later: true, Ready: 2}, Plan{Successor: true}},                            // the successor serves
-		{View{Generation: 1, Ready: 2}, Plan{Alone: true}},                                             // the successor served and has ended
-		{View{Generation: 2, Earlier: true, Ready: 2}, Plan{Mute: true}},                               // both serve, the earlier process is still alive
-		{View{Generation: 2, Earlier: true, Ready: 1}, Plan{Mute: true}},                               // only the earlier process serves
-		{View{Generation: 3, Later: true, Ready: 2}, Plan{}},                                           // neither this process nor its successor serves yet
-		{View{Generation: 2, Earlier: true, Later: true, Ready: 3}, Plan{Successor: true, Mute: true}}, // two upgrades at the same time
+		{View{Generation: 1, LatestReady: 1}, Plan{Alone: true}},
+		{View{Generation: 1, Later: true, LatestReady: 1}, Plan{}},                                           // the successor has started, but doesn't serve yet
+		{View{Generation: 1, Later: true, LatestReady: 2}, Plan{Successor: true}},                            // the successor serves
+		{View{Generation: 1, LatestReady: 2}, Plan{Alone: true}},                                             // the successor served and has ended
+		{View{Generation: 2, Earlier: true, LatestReady: 2}, Plan{Mute: true}},                               // both serve, the earlier process is still alive
+		{View{Generation: 2, Earlier: true, LatestReady: 1}, Plan{Mute: true}},                               // only the earlier process serves
+		{View{Generation: 3, Later: true, LatestReady: 2}, Plan{}},                                           // neither this process nor its successor serves yet
+		{View{Generation: 2, Earlier: true, Later: true, LatestReady: 3}, Plan{Successor: true, Mute: true}}, // two upgrades at the same time
 	} {
 		if got := c.v.Plan(); got != c.want {
 			t.Errorf("%+v: %+v", c.v, got)
@@ -45,15 +45,15 @@
 		counts := rapid.IntRange(0, 1000)
 		old, fresh := counts.Draw(t, "old"), counts.Draw(t, "fresh")
 		ready := rapid.IntRange(1, 2).Draw(t, "ready")
-		a := View{Generation: 1, Later: true, Ready: ready, After: fresh}.Part(old)
-		b := View{Generation: 2, Earlier: true, Ready: ready, Before: old}.Part(fresh)
+		a := View{Generation: 1, Later: true, LatestReady: ready, LaterRequests: fresh}.Share(old)
+		b := View{Generation: 2, Earlier: true, LatestReady: ready, EarlierRequests: old}.Share(fresh)
 		if a+b > 1+1e-9 || a+b < 1-1e-9 || a < 0 || b < 0 {
 			t.Fatalf("%v and %v", a, b)
 		}
 		if ready == 2 && b < 0.5 || ready == 1 && a < 1 {
 			t.Fatalf("ready %d: %v and %v", ready, a, b)
 		}
-		if got := (View{Generation: 2, Ready: ready}).Part(fresh); got != 1 {
+		if got := (View{Generation: 2, LatestReady: ready}).Share(fresh); got != 1 {
 			t.Fatalf("alone: %v", got)
 		}
 	})
@@ -64,16 +64,16 @@
 func TestRoomOfTwoProcesses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.IntRange(4, 2000).Draw(t, "all")
-		first := View{Generation: 1, Later: true}.Room(all)
+		first := View{Generation: 1, Later: true}.ConnectionLimit(all)
 		held := rapid.IntRange(0, first).Draw(t, "held")
-		second := View{Generation: 2, Earlier: true, Open: held}.Room(all)
+		second := View{Generation: 2, Earlier: true, EarlierConnections: held}.ConnectionLimit(all)
 		if held+second > all || first < all/2 || second < all/4 {
 			t.Fatalf("of %d: %d, of which %d are held, and %d", all, first, held, second)
 		}
-		if alone := (View{Generation: 2}).Room(all); alone != all {
+		if alone := (View{Generation: 2}).ConnectionLimit(all); alone != all {
 			t.Fatalf("alone: %d of %d", alone, all)
 		}
-		between := View{Generation: 2, Earlier: true, Later: true, Open: held}.Room(all)
+		between := View{Generation: 2, Earlier: true, Later: true, EarlierConnections: held}.ConnectionLimit(all)
 		if between < all/4 || between > all-all/4 {
 			t.Fatalf("between two: %d of %d", between, all)
 		}
@@ -107,20 +107,20 @@
 			t.Fatal(err)
 		}
 	}
-	if !slices.Equal(s.Out, []string{"a", "b"}) {
-		t.Errorf("out %v", s.Out)
+	if !slices.Equal(s.Excluded, []string{"a", "b"}) {
+		t.Errorf("out %v", s.Excluded)
 	}
 	s.Include("b", now)
 	s.Include("x", now)
-	if !slices.Equal(s.Out, []string{"a"}) || len(s.Back) != 1 || s.Back["b"] != now.UnixNano() {
+	if !slices.Equal(s.Excluded, []string{"a"}) || len(s.RestoredAt) != 1 || s.RestoredAt["b"] != now.UnixNano() {
 		t.Errorf("%+v", s)
 	}
 	s.Include("a", now.Add(2*maxRestoreAge))
-	if len(s.Back) != 1 || len(s.Out) != 0 {
+	if len(s.RestoredAt) != 1 || len(s.Excluded) != 0 {
 		t.Errorf("a restored backend is kept for too long: %+v", s)
 	}
 	s.Exclude("a")
-	if len(s.Back) != 0 {
+	if len(s.RestoredAt) != 0 {
 		t.Errorf("a backend is both excluded and restored: %+v", s)
 	}
 	for i := range pool.MaxExcluded + 1 {
@@ -129,11 +129,11 @@
 		}
 	}
 	for i := range 2 * pool.MaxExcluded {
-		s.Out = []string{fmt.Sprint("n", i)}
-		s.Include(s.Out[0], now.Add(time.Duration(i)))
+		s.Excluded = []string{fmt.Sprint("n", i)}
+		s.Include(s.Excluded[0], now.Add(time.Duration(i)))
 	}
-	if len(s.Back) > pool.MaxExcluded || s.Back[fmt.Sprint("n", 2*pool.MaxExcluded-1)] == 0 {
-		t.Errorf("%d restored backends are kept", len(s.Back))
+	if len(s.RestoredAt) > pool.MaxExcluded || s.RestoredAt[fmt.Sprint("n", 2*pool.MaxExcluded-1)] == 0 {
+		t.Errorf("%d restored backends are kept", len(s.RestoredAt))
 	}
 }
 
@@ -156,7 +156,7 @@
 		if text2, err3 := again.Encode(); errors.Join(err, err2, err3) != nil || !bytes.Equal(text, text2) {
 			t.Errorf("%+v became %+v (%v, %v)", s, again, err, err2)
 		}
-		if s.Ready > s.Generation || s.Ready < 0 || len(s.Out) > pool.MaxExcluded || slices.Contains(s.Out, "") {
+		if s.Ready > s.Generation || s.Ready < 0 || len(s.Excluded) > pool.MaxExcluded || slices.Contains(s.Excluded, "") {
 			t.Errorf("%q makes %+v", raw, s)
 		}
 	})
@@ -165,21 +165,21 @@
 // Each of two processes of one agent knows whether the other is alive and serves, and both see the same state.
 func TestTakeover(t *testing.T) {
 	dir := t.TempDir()
-	first, s, err := Take(dir, "n/0")
+	first, s, err := Acquire(dir, "n/0")
 	if err != nil || s.Generation != 1 {
 		t.Fatal(s, err)
 	}
-	first.Ready()
+	first.MarkReady()
 	if _, err := first.Change(func(s *State) error { return s.Exclude("a") }); err != nil {
 		t.Fatal(err)
 	}
-	otherAgent, _, err := Take(dir, "n1")
+	otherAgent, _, err := Acquire(dir, "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer otherAgent.Close()
-	second, s, err := Take(dir, "n/0")
-	if err != nil || s.Generation != 2 || !slices.Equal(s.Out, []string{"a"}) {
+	second, s, err := Acquire(dir, "n/0")
+	if err != nil || s.Generation != 2 || !slices.Equal(s.Excluded, []string{"a"}) {
 		t.Fatal(s, err)
 	}
 	check := func(c *Claim, want Plan) {
@@ -190,23 +190,23 @@
 	}
 	check(first, Plan{})
 	check(second, Plan{Mute: true})
-	second.Ready()
+	second.MarkReady()
 	check(first, Plan{Successor: true})
-	first.Tell(30, 70)
-	second.Tell(9, 20)
-	if a, b := first.View().Part(30), second.View().Part(9); a != 0.5 || b != 0.5 {
+	first.PublishLoad(30, 70)
+	second.PublishLoad(9, 20)
+	if a, b := first.View().Share(30), second.View().Share(9); a != 0.5 || b != 0.5 {
 		t.Errorf("shares %v and %v", a, b)
 	}
-	if a, b := first.View().Room(200), second.View().Room(200); a != 150 || b != 130 {
+	if a, b := first.View().ConnectionLimit(200), second.View().ConnectionLimit(200); a != 150 || b != 130 {
 		t.Errorf("room for %d and %d connections", a, b)
 	}
-	first.Tell(0, 0)
-	if a, b := first.View().Part(0), second.View().Part(9); a != 0 || b != 1 {
+	first.PublishLoad(0, 0)
+	if a, b := first.View().Share(0), second.View().Share(9); a != 0 || b != 1 {
 		t.Errorf("shares %v and %v", a, b)
 	}
 	second.aliveFile.Close() // as when the process is killed
 	check(first, Plan{Alone: true})
-	third, _, err := Take(dir, "n/0")
+	third, _, err := Acquire(dir, "n/0")
 	if err != nil || third.Generation() != 3 {
 		t.Fatal(err)
 	}
@@ -223,7 +223,7 @@
 // generation of one that is alive, although the file with the number is lost.
 func TestBrokenState(t *testing.T) {
 	dir := t.TempDir()
-	first, _, err := Take(dir, "n")
+	first, _, err := Acquire(dir, "n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -231,10 +231,10 @@
 	if err := os.WriteFile(first.pathPrefix+".state", []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := first.Look(); err == nil {
+	if _, _, err := first.Refresh(); err == nil {
 		t.Error("no error")
 	}
-	second, _, err := Take(dir, "n")
+	second, _, err := Acquire(dir, "n")
 	if err == nil || second == nil {
 		t.Fatal("no error together with the claim")
 	}
@@ -243,16 +243,16 @@
 	if err := os.WriteFile(first.pathPrefix+".state", []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if s, err := second.Change(func(s *State) error { return s.Exclude("a") }); err != nil || !slices.Equal(s.Out, []string{"a"}) {
+	if s, err := second.Change(func(s *State) error { return s.Exclude("a") }); err != nil || !slices.Equal(s.Excluded, []string{"a"}) {
 		t.Errorf("%+v, %v", s, err)
 	}
-	if s, _, err := first.Look(); err != nil || s.Version < 2 {
+	if s, _, err := first.Refresh(); err != nil || s.Version < 2 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if second.Generation() != 2 {
 		t.Errorf("generation %d while the first is alive", second.Generation())
 	}
-	if _, _, err := Take(filepath.Join(dir, "none"), "n"); !errors.Is(err, os.ErrNotExist) {
+	if _, _, err := Acquire(filepath.Join(dir, "none"), "n"); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("no folder: %v", err)
 	}
 }
@@ -262,7 +262,7 @@
 	dir := t.TempDir()
 	var wg sync.WaitGroup
 	for p := range 4 {
-		c, _, err := Take(dir, "n")
+		c, _, err := Acquire(dir, "n")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -278,9 +278,9 @@
 		})
 	}
 	wg.Wait()
-	c, s, err := Take(dir, "n")
-	if err != nil || len(s.Out) != 40 || s.Version != 45 {
-		t.Errorf("%d out, version %d, %v", len(s.Out), s.Version, err)
+	c, s, err := Acquire(dir, "n")
+	if err != nil || len(s.Excluded) != 40 || s.Version != 45 {
+		t.Errorf("%d out, version %d, %v", len(s.Excluded), s.Version, err)
 	}
 	c.Close()
 }
