--- a/cmd/lemonctl/diameterpeers.go
+++ b/cmd/lemonctl/diameterpeers.go
@@ -41,8 +41,8 @@
 		return fmt.Errorf("target %v: requests go to loopback addresses only", c.Target)
 	}
 	r, err := exercise.Run(ctx, exercise.Config{Target: c.Target.String(), Identity: c.Identity, Realm: c.Realm, Host: c.Host,
-		Application: c.Application, Command: c.Command, Type: c.Type, Action: c.Action, Clients: c.Clients, Each: c.Each, Out: c.Out,
-		Patience: c.Patience, Resends: c.Resends, Heed: c.Heed}, func(done, all int) { fmt.Fprintf(s.err, "%d of %d requests done\n", done, all) })
+		Application: c.Application, Command: c.Command, Type: c.Type, Action: c.Action, Clients: c.Clients, RequestsPerClient: c.Each, MaxPending: c.Out,
+		AnswerTimeout: c.Patience, MaxResends: c.Resends, AcceptOverloadReports: c.Heed}, func(done, all int) { fmt.Fprintf(s.err, "%d of %d requests done\n", done, all) })
 	if r == nil {
 		return err
 	}
@@ -62,8 +62,8 @@
 		fmt.Fprintf(s.out, "  Result-Code %d: %d\n", code, r.Results[code])
 	}
 	fmt.Fprintf(s.out, "latency: middle %.2f ms, 99th percentile %.2f ms, longest %.2f ms\n", r.P50, r.P99, r.Max)
-	if r.Overload > 0 {
-		fmt.Fprintf(s.out, "%d answers came with a report of overload\n", r.Overload)
+	if r.OverloadReports > 0 {
+		fmt.Fprintf(s.out, "%d answers came with a report of overload\n", r.OverloadReports)
 	}
 	return checkAnswers(r)
 }
@@ -71,8 +71,8 @@
 // checkAnswers returns an error if the clients received answers that no correct relay sends: a second answer to a
 // request, or an answer to a request that was not sent.
 func checkAnswers(r *exercise.Report) error {
-	if r.Twice > 0 || r.Strangers > 0 {
-		return fmt.Errorf("%d extra answers to requests already answered, %d answers to no request: %w", r.Twice, r.Strangers, errRuleViolated)
+	if r.Duplicates > 0 || r.Unsolicited > 0 {
+		return fmt.Errorf("%d extra answers to requests already answered, %d answers to no request: %w", r.Duplicates, r.Unsolicited, errRuleViolated)
 	}
 	return nil
 }
--- a/internal/agent/diameter.go
+++ b/internal/agent/diameter.go
@@ -63,10 +63,10 @@
 	}
 	back := diameterback.New(diameterback.Config{Rules: cfg.diameter, Identity: c.Identity, Realm: c.Realm,
 		ConnectTimeout: cfg.Settings.ConnectTimeout, Window: c.Window, Peer: diameter.DefaultPeerConfig(), Log: log,
-		Leaves: func(id string, leaves bool) { l.Post(func() { l.SetLeaving(id, leaves) }) }})
-	front, err := diameterfront.New(diameterfront.Config{Rules: cfg.diameter, Identity: c.Identity, Realm: c.Realm, Offset: cfg.diameterClassOffset,
+		OnLeaving: func(id string, leaves bool) { l.Post(func() { l.SetLeaving(id, leaves) }) }})
+	front, err := diameterfront.New(diameterfront.Config{Rules: cfg.diameter, Identity: c.Identity, Realm: c.Realm, ClassOffset: cfg.diameterClassOffset,
 		Limits: relay.DefaultLimits(), Overload: overload.DefaultConfig(), Peer: diameter.DefaultPeerConfig(), Connections: c.Connections,
-		Named: back.Named, Hello: capabilitiesTimeout, Log: log}, l)
+		BackendByIdentity: back.BackendByIdentity, CERTimeout: capabilitiesTimeout, Log: log}, l)
 	if err != nil {
 		back.Close()
 		ln.Close()
--- a/internal/backend/diameter/backend.go
+++ b/internal/backend/diameter/backend.go
@@ -38,7 +38,7 @@
 	ConnectTimeout time.Duration // how long an attempt waits for a connection with capabilities exchanged
 	Window         int           // maximum number of pending attempts on a connection
 	Peer           diameter.PeerConfig
-	Leaves         func(id string, leaves bool) // called after a DPR and after reopening; may be nil
+	OnLeaving      func(id string, leaves bool) // called after a DPR and after reopening; may be nil
 	Log            *slog.Logger
 }
 
@@ -180,9 +180,9 @@
 	}
 }
 
-// Named returns the backend whose server has an identity: in the rules, or else in the CEA of a connected
+// BackendByIdentity returns the backend whose server has an identity: in the rules, or else in the CEA of a connected
 // server.
-func (b *Backend) Named(identity string) (id string, ok bool) {
+func (b *Backend) BackendByIdentity(identity string) (id string, ok bool) {
 	if id, ok = b.cfg.Rules.HostByIdentity(identity); ok {
 		return id, true
 	}
@@ -359,7 +359,7 @@
 	if a, ok := s.conn.LocalAddr().(*net.TCPAddr); ok {
 		m.AVPs = append(m.AVPs, diameter.IP(diameter.CodeHostIPAddress, a.AddrPort().Addr().Unmap()))
 	}
-	m.AVPs = append(m.AVPs, diameter.U32(diameter.CodeVendorID, 0), diameter.Optional(diameter.Str(diameter.CodeProductName, "lemonrail")))
+	m.AVPs = append(m.AVPs, diameter.U32(diameter.CodeVendorID, 0), diameter.WithoutMandatory(diameter.Str(diameter.CodeProductName, "lemonrail")))
 	for _, app := range s.b.cfg.Rules.Applications() {
 		m.AVPs = append(m.AVPs, diameter.U32(diameter.CodeAuthApplication, app))
 	}
@@ -531,7 +531,7 @@
 // Calls are made in the order of the events.
 func (s *server) setLeaving(leaves bool) {
 	s.leaving = leaves
-	if s.b.cfg.Leaves == nil {
+	if s.b.cfg.OnLeaving == nil {
 		return
 	}
 	previous, notified := s.lastNotified, make(chan struct{})
@@ -540,7 +540,7 @@
 		if previous != nil {
 			<-previous
 		}
-		s.b.cfg.Leaves(s.target.ID, leaves)
+		s.b.cfg.OnLeaving(s.target.ID, leaves)
 		close(notified)
 	})
 }
--- a/internal/diameter/message_test.go
+++ b/internal/diameter/message_test.go
@@ -39,7 +39,7 @@
 func cer() *Message {
 	return &Message{Flags: FlagRequest, Command: CapabilitiesExchange, HopByHop: 1, EndToEnd: 2, AVPs: []AVP{
 		Str(CodeOriginHost, "gx1.example"), Str(CodeOriginRealm, "example"), IP(CodeHostIPAddress, netip.MustParseAddr("127.0.0.1")),
-		U32(CodeVendorID, 0), Optional(Str(CodeProductName, "stand-in")), U32(CodeAuthApplication, AppCreditControl)}}
+		U32(CodeVendorID, 0), WithoutMandatory(Str(CodeProductName, "stand-in")), U32(CodeAuthApplication, AppCreditControl)}}
 }
 
 // ccr returns a Credit-Control-Request with the given CC-Request-Type.
@@ -177,7 +177,7 @@
 		{"reserved AVP bits", patch(ccr(1), 24, AVPMandatory|1), InvalidAVPBits, CodeSessionID},
 		{"the M bit missing", patch(ccr(1), 24, 0), InvalidAVPBits, CodeSessionID},
 		{"an unknown AVP with the M bit", encode(t, set(ccr(1), 0, Str(99999, "x"))), AVPUnsupported, 99999},
-		{"an unknown AVP without it", encode(t, set(ccr(1), 0, Optional(Str(99999, "x")))), 0, 0},
+		{"an unknown AVP without it", encode(t, set(ccr(1), 0, WithoutMandatory(Str(99999, "x")))), 0, 0},
 		{"a missing AVP", encode(t, set(ccr(1), CodeCCRequestType)), MissingAVP, CodeCCRequestType},
 		{"an AVP that occurs too often", encode(t, set(ccr(1), 0, Str(CodeSessionID, "again"))), AVPOccursTooOften, CodeSessionID},
 		{"a number of 3 bytes", encode(t, set(ccr(1), CodeCCRequestType, Str(CodeCCRequestType, "abc"))), InvalidAVPLength, CodeCCRequestType},
@@ -250,7 +250,7 @@
 	}
 	d := dictionary(t, more)
 	m := ccr(4)
-	m.AVPs = append(m.AVPs, WithVendor(4242, Optional(Str(9001, "anand"))), Optional(Str(77777, "\x01")))
+	m.AVPs = append(m.AVPs, WithVendor(4242, WithoutMandatory(Str(9001, "anand"))), WithoutMandatory(Str(77777, "\x01")))
 	text := d.Tree(m, DefaultLimits()).String()
 	for _, want := range []string{"Credit-Control-Request (272) application 4 flags RP", "CC-Request-Type (416) M 4 EVENT_REQUEST",
 		"  Requested-Service-Unit (437) M\n    CC-Time (420) M 600\n    Unit-Value (445) M\n      Value-Digits (447) M 5", "District (9001, vendor 4242) V anand", "AVP-77777 (77777)  0x01"} {
--- a/internal/diameter/relay/overload.go
+++ b/internal/diameter/relay/overload.go
@@ -35,7 +35,7 @@
 // 7.8).
 func optional(list ...diameter.AVP) []diameter.AVP {
 	for i := range list {
-		list[i] = diameter.Optional(list[i])
+		list[i] = diameter.WithoutMandatory(list[i])
 	}
 	return list
 }
--- a/internal/diameter/relay/relay.go
+++ b/internal/diameter/relay/relay.go
@@ -339,7 +339,7 @@
 	a.AVPs = append(a.AVPs, diameter.U32(diameter.CodeResultCode, code), diameter.Str(diameter.CodeOriginHost, r.cfg.Identity),
 		diameter.Str(diameter.CodeOriginRealm, r.cfg.Realm))
 	if why != "" {
-		a.AVPs = append(a.AVPs, diameter.Optional(diameter.Str(diameter.CodeErrorMessage, why)))
+		a.AVPs = append(a.AVPs, diameter.WithoutMandatory(diameter.Str(diameter.CodeErrorMessage, why)))
 	}
 	return a
 }
--- a/internal/diameter/values.go
+++ b/internal/diameter/values.go
@@ -131,8 +131,8 @@
 // Group is like U32 for a Grouped AVP with the given members.
 func Group(code uint32, list ...AVP) AVP { return avp(code, AVPMandatory, AppendAVPs(nil, list)) }
 
-// Optional returns the AVP with the M bit cleared.
-func Optional(a AVP) AVP {
+// WithoutMandatory returns the AVP with the M bit cleared.
+func WithoutMandatory(a AVP) AVP {
 	a.Flags &^= AVPMandatory
 	return a
 }
--- a/internal/exercise/exercise.go
+++ b/internal/exercise/exercise.go
@@ -24,51 +24,51 @@
 
 // Config describes the requests to send.
 type Config struct {
-	Target      string        // address and port
-	Identity    string        // of the clients; %d is replaced with the client's number, from 1
-	Realm       string        // Destination-Realm
-	Host        string        // Destination-Host; empty: any server
-	Application uint32        // of the requests
-	Command     uint32        // of the requests
-	Type        uint32        // CC-Request-Type; 0: omitted
-	Action      int64         // Requested-Action; negative: omitted
-	Clients     int           // number of clients, each with one connection
-	Each        int           // requests per client
-	Out         int           // maximum number of pending requests per client
-	Patience    time.Duration // wait for an answer before a request is resent with the T flag, or abandoned
-	Resends     int           // maximum number per request
-	Heed        bool          // announce support for overload reports (RFC 7683); they are counted, but not applied
+	Target                string        // address and port
+	Identity              string        // of the clients; %d is replaced with the client's number, from 1
+	Realm                 string        // Destination-Realm
+	Host                  string        // Destination-Host; empty: any server
+	Application           uint32        // of the requests
+	Command               uint32        // of the requests
+	Type                  uint32        // CC-Request-Type; 0: omitted
+	Action                int64         // Requested-Action; negative: omitted
+	Clients               int           // number of clients, each with one connection
+	RequestsPerClient     int           // requests per client
+	MaxPending            int           // maximum number of pending requests per client
+	AnswerTimeout         time.Duration // wait for an answer before a request is resent with the T flag, or abandoned
+	MaxResends            int           // maximum number per request
+	AcceptOverloadReports bool          // announce support for overload reports (RFC 7683); they are counted, but not applied
 }
 
 func (c *Config) check() error {
 	for _, f := range []struct {
 		name       string
 		v, minimum int
-	}{{"clients", c.Clients, 1}, {"each", c.Each, 1}, {"out", c.Out, 1}, {"resends", c.Resends, 0}} {
+	}{{"clients", c.Clients, 1}, {"each", c.RequestsPerClient, 1}, {"out", c.MaxPending, 1}, {"resends", c.MaxResends, 0}} {
 		if f.v < f.minimum {
 			return fmt.Errorf("%s: %d is too small", f.name, f.v)
 		}
 	}
-	if c.Patience <= 0 {
-		return fmt.Errorf("patience: %v is not positive", c.Patience)
+	if c.AnswerTimeout <= 0 {
+		return fmt.Errorf("patience: %v is not positive", c.AnswerTimeout)
 	}
 	return nil
 }
 
 // Report holds the results of a run. Latencies are in milliseconds.
 type Report struct {
-	Requests   int            `json:"requests"`
-	Answered   int            `json:"answered"`
-	Unanswered int            `json:"unanswered"` // requests without an answer after all resends
-	Resent     int            `json:"resent"`
-	Twice      int            `json:"twice"`     // duplicate answers
-	Strangers  int            `json:"strangers"` // answers to unknown requests
-	Overload   int            `json:"overload_reports"`
-	Results    map[uint32]int `json:"results"` // by Result-Code; 0: an answer without one
-	P50        float64        `json:"p50_ms"`
-	P99        float64        `json:"p99_ms"`
-	Max        float64        `json:"max_ms"`
-	Seconds    float64        `json:"seconds"`
+	Requests        int            `json:"requests"`
+	Answered        int            `json:"answered"`
+	Unanswered      int            `json:"unanswered"` // requests without an answer after all resends
+	Resent          int            `json:"resent"`
+	Duplicates      int            `json:"twice"`     // duplicate answers
+	Unsolicited     int            `json:"strangers"` // answers to unknown requests
+	OverloadReports int            `json:"overload_reports"`
+	Results         map[uint32]int `json:"results"` // by Result-Code; 0: an answer without one
+	P50             float64        `json:"p50_ms"`
+	P99             float64        `json:"p99_ms"`
+	Max             float64        `json:"max_ms"`
+	Seconds         float64        `json:"seconds"`
 
 	mu      sync.Mutex
 	latency *hdrhistogram.Histogram // microseconds
@@ -95,7 +95,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("client %d: %w", n+1, err)
 		}
-		c := &client{cfg: &cfg, report: r, conn: conn, name: name, firstID: uint32(n*cfg.Each) + 1, pending: map[uint32]*request{}, ended: map[uint32]bool{}}
+		c := &client{cfg: &cfg, report: r, conn: conn, name: name, firstID: uint32(n*cfg.RequestsPerClient) + 1, pending: map[uint32]*request{}, ended: map[uint32]bool{}}
 		all = append(all, c)
 		if err := c.awaitCEA(ctx); err != nil {
 			return nil, fmt.Errorf("client %d (%s): %w", n+1, name, err)
@@ -120,7 +120,7 @@
 				r.mu.Lock()
 				ended := r.Answered + r.Unanswered
 				r.mu.Unlock()
-				progress(ended, cfg.Clients*cfg.Each)
+				progress(ended, cfg.Clients*cfg.RequestsPerClient)
 			}
 		case <-done:
 			finished = true
@@ -152,7 +152,7 @@
 
 // awaitCEA waits for the answer to the CER.
 func (c *client) awaitCEA(ctx context.Context) error {
-	wait := time.NewTimer(c.cfg.Patience)
+	wait := time.NewTimer(c.cfg.AnswerTimeout)
 	defer wait.Stop()
 	select {
 	case m, open := <-c.conn.Got:
@@ -173,7 +173,7 @@
 func (c *client) run(ctx context.Context) {
 	sent := 0
 	for {
-		for sent < c.cfg.Each && len(c.pending) < c.cfg.Out {
+		for sent < c.cfg.RequestsPerClient && len(c.pending) < c.cfg.MaxPending {
 			c.send(c.firstID + uint32(sent))
 			sent++
 		}
@@ -190,7 +190,10 @@
 		select {
 		case m, open := <-c.conn.Got:
 			if !open { // the remaining requests can't be answered
-				c.count(func(r *Report) { r.Requests += c.cfg.Each - sent; r.Unanswered += len(c.pending) + c.cfg.Each - sent })
+				c.count(func(r *Report) {
+					r.Requests += c.cfg.RequestsPerClient - sent
+					r.Unanswered += len(c.pending) + c.cfg.RequestsPerClient - sent
+				})
 				wait.Stop()
 				return
 			}
@@ -228,11 +231,11 @@
 	if c.cfg.Action >= 0 {
 		add(diameter.U32(diameter.CodeRequestedAction, uint32(c.cfg.Action)))
 	}
-	if c.cfg.Heed {
-		add(diameter.Optional(diameter.Group(diameter.CodeOCSupportedFeatures)))
+	if c.cfg.AcceptOverloadReports {
+		add(diameter.WithoutMandatory(diameter.Group(diameter.CodeOCSupportedFeatures)))
 	}
 	now := time.Now()
-	c.pending[id] = &request{message: m, began: now, due: now.Add(c.cfg.Patience)}
+	c.pending[id] = &request{message: m, began: now, due: now.Add(c.cfg.AnswerTimeout)}
 	c.count(func(r *Report) { r.Requests++ })
 	c.conn.Send(m)
 }
@@ -246,15 +249,15 @@
 	c.count(func(r *Report) {
 		switch {
 		case q == nil && c.ended[id]:
-			r.Twice++
+			r.Duplicates++
 		case q == nil:
-			r.Strangers++
+			r.Unsolicited++
 		default:
 			r.Answered++
 			r.Results[m.Result()]++
 			r.latency.RecordValue(max(1, time.Since(q.began).Microseconds()))
 			if diameter.Find(m.AVPs, diameter.CodeOCOLR, 0) != nil {
-				r.Overload++
+				r.OverloadReports++
 			}
 		}
 	})
@@ -267,9 +270,9 @@
 	for id, q := range c.pending {
 		switch {
 		case now.Before(q.due):
-		case q.resends < c.cfg.Resends:
+		case q.resends < c.cfg.MaxResends:
 			q.resends++
-			q.due = now.Add(c.cfg.Patience)
+			q.due = now.Add(c.cfg.AnswerTimeout)
 			q.message.Flags |= diameter.FlagRetransmitted
 			c.count(func(r *Report) { r.Resent++ })
 			c.conn.Send(q.message)
--- a/internal/exercise/exercise_test.go
+++ b/internal/exercise/exercise_test.go
@@ -17,7 +17,7 @@
 
 func defaultConfig(target string) Config {
 	return Config{Target: target, Identity: "client%d.example.net", Realm: "example.net", Application: diameter.AppCreditControl,
-		Command: diameter.CreditControl, Type: 4, Action: 2, Clients: 3, Each: 20, Out: 4, Patience: 20 * time.Second}
+		Command: diameter.CreditControl, Type: 4, Action: 2, Clients: 3, RequestsPerClient: 20, MaxPending: 4, AnswerTimeout: 20 * time.Second}
 }
 
 func node(t *testing.T, handle func(c *standin.DiameterConn, m *diameter.Message)) *standin.DiameterNode {
@@ -48,12 +48,12 @@
 		}
 	})
 	cfg := defaultConfig(s.Addr())
-	cfg.Clients, cfg.Out, cfg.Patience = 1, 1, 2*time.Second // one request is never answered
+	cfg.Clients, cfg.MaxPending, cfg.AnswerTimeout = 1, 1, 2*time.Second // one request is never answered
 	r, err := Run(context.Background(), cfg, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Requests != 20 || r.Answered != 19 || r.Unanswered != 1 || r.Twice != 1 || r.Strangers != 1 || r.Overload != 17 ||
+	if r.Requests != 20 || r.Answered != 19 || r.Unanswered != 1 || r.Duplicates != 1 || r.Unsolicited != 1 || r.OverloadReports != 17 ||
 		r.Results[diameter.Success] != 18 || r.Results[diameter.TooBusy] != 1 {
 		t.Errorf("%+v", r)
 	}
@@ -70,7 +70,7 @@
 		c.Answer(m, diameter.Success)
 	})
 	cfg := defaultConfig(s.Addr())
-	cfg.Each, cfg.Patience, cfg.Resends = 2, 50*time.Millisecond, 1000
+	cfg.RequestsPerClient, cfg.AnswerTimeout, cfg.MaxResends = 2, 50*time.Millisecond, 1000
 	r, err := Run(context.Background(), cfg, nil)
 	if err != nil || r.Answered != 6 || r.Resent < 6 || r.Unanswered != 0 || len(first) != 6 {
 		t.Errorf("%+v, %v; %d requests without the T flag", r, err, len(first))
@@ -82,7 +82,7 @@
 	cfg := defaultConfig(s.Addr())
 	cfg.Clients = 50
 	r, err := Run(context.Background(), cfg, nil)
-	if err != nil || r.Answered != 1000 || r.Twice+r.Strangers+r.Unanswered != 0 {
+	if err != nil || r.Answered != 1000 || r.Duplicates+r.Unsolicited+r.Unanswered != 0 {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
@@ -94,12 +94,12 @@
 	if r, err := Run(context.Background(), cfg, nil); err != nil || r.Unanswered != r.Requests || r.Requests != 60 {
 		t.Errorf("%+v, %v", r, err)
 	}
-	cfg.Out = 0
+	cfg.MaxPending = 0
 	if _, err := Run(context.Background(), cfg, nil); err == nil || !strings.Contains(err.Error(), "out") {
 		t.Errorf("%v", err)
 	}
 	s.Stop()
-	cfg.Out = 1
+	cfg.MaxPending = 1
 	if _, err := Run(context.Background(), cfg, nil); err == nil || !strings.Contains(err.Error(), "client 1") {
 		t.Errorf("%v", err)
 	}
--- a/internal/front/diameter/finish_test.go
+++ b/internal/front/diameter/finish_test.go
@@ -34,7 +34,7 @@
 // An answer that is queued, and whose request is no longer pending, when a planned stop ends its connection
 // is written before the connection is closed, although the writer processes the queue only afterwards.
 func TestQueuedAnswersAreWrittenAtTheEnd(t *testing.T) {
-	front, err := New(Config{Limits: relay.DefaultLimits(), Hello: 10 * time.Second, Log: slog.New(slog.DiscardHandler),
+	front, err := New(Config{Limits: relay.DefaultLimits(), CERTimeout: 10 * time.Second, Log: slog.New(slog.DiscardHandler),
 		Overload: overload.Config{Interval: 100 * time.Millisecond, Validity: time.Second, MinAnswers: 8, GrowthFactor: 2, MinReduction: 0.05, MaxReduction: 0.9}}, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/diameter/front.go
+++ b/internal/front/diameter/front.go
@@ -31,17 +31,17 @@
 
 // Config holds the parameters of a Front.
 type Config struct {
-	Rules       *relay.Rules
-	Identity    string
-	Realm       string
-	Offset      int // index of the rules' first class among the decision module's classes
-	Limits      relay.Limits
-	Overload    overload.Config // for clients that accept overload reports
-	Peer        diameter.PeerConfig
-	Named       func(identity string) (backend string, ok bool) // returns the backend whose server has an identity
-	Connections int                                             // maximum number; further ones are closed at once
-	Hello       time.Duration                                   // time limit for a client's CER
-	Log         *slog.Logger
+	Rules             *relay.Rules
+	Identity          string
+	Realm             string
+	ClassOffset       int // index of the rules' first class among the decision module's classes
+	Limits            relay.Limits
+	Overload          overload.Config // for clients that accept overload reports
+	Peer              diameter.PeerConfig
+	BackendByIdentity func(identity string) (backend string, ok bool) // returns the backend whose server has an identity
+	Connections       int                                             // maximum number; further ones are closed at once
+	CERTimeout        time.Duration                                   // time limit for a client's CER
+	Log               *slog.Logger
 }
 
 const (
@@ -242,7 +242,7 @@
 	defer c.handleClosed()
 	limits := diameter.DefaultLimits()
 	messages := diameter.NewReader(c, limits)
-	c.SetReadDeadline(time.Now().Add(c.f.cfg.Hello))
+	c.SetReadDeadline(time.Now().Add(c.f.cfg.CERTimeout))
 	for {
 		raw, err := messages.Next()
 		var breach *diameter.Error
@@ -356,7 +356,7 @@
 	if t, ok := c.LocalAddr().(*net.TCPAddr); ok {
 		a.AVPs = append(a.AVPs, diameter.IP(diameter.CodeHostIPAddress, t.AddrPort().Addr().Unmap()))
 	}
-	a.AVPs = append(a.AVPs, diameter.U32(diameter.CodeVendorID, 0), diameter.Optional(diameter.Str(diameter.CodeProductName, "lemonrail")))
+	a.AVPs = append(a.AVPs, diameter.U32(diameter.CodeVendorID, 0), diameter.WithoutMandatory(diameter.Str(diameter.CodeProductName, "lemonrail")))
 	for _, app := range c.f.cfg.Rules.Applications() {
 		a.AVPs = append(a.AVPs, diameter.U32(diameter.CodeAuthApplication, app))
 	}
@@ -447,7 +447,7 @@
 	only := ""
 	if name := f.cfg.Rules.DestinationHost(m); name != "" {
 		known := false
-		if only, known = f.cfg.Named(name); !known {
+		if only, known = f.cfg.BackendByIdentity(name); !known {
 			c.answer(m, &diameter.Error{Result: diameter.UnableToDeliver, Text: "no server of that name is known"})
 			return
 		}
@@ -476,7 +476,7 @@
 	class := f.cfg.Rules.Classify(m)
 	call := &core.Call{
 		// A new ID for each call: a client may resend a refused request with the same identifiers.
-		Event:    balance.Request{ID: fmt.Sprintf("diameter-%d", f.calls), Class: f.cfg.Offset + class, OnlyBackend: only},
+		Event:    balance.Request{ID: fmt.Sprintf("diameter-%d", f.calls), Class: f.cfg.ClassOffset + class, OnlyBackend: only},
 		Request:  &backend.Request{Message: m, From: c.name},
 		Deadline: time.Now().Add(f.cfg.Rules.Classes[class].Deadline),
 		Reply:    make(chan core.Answer, 1),
--- a/internal/front/diameter/front_test.go
+++ b/internal/front/diameter/front_test.go
@@ -59,7 +59,7 @@
 	loop := core.New(bal, &s, log)
 	b := backend.New(backend.Config{Rules: rules, Identity: "relay.example.net", Realm: "example.net", ConnectTimeout: 5 * time.Second,
 		Window: window, Peer: diameter.DefaultPeerConfig(), Log: log,
-		Leaves: func(id string, leaves bool) { loop.Post(func() { loop.SetLeaving(id, leaves) }) }})
+		OnLeaving: func(id string, leaves bool) { loop.Post(func() { loop.SetLeaving(id, leaves) }) }})
 	loop.Backend = b
 	site := &relaySite{t: t, loop: loop, stopped: make(chan struct{}), stopLimit: 5 * time.Second}
 	for i, script := range scripts {
@@ -93,7 +93,7 @@
 	inner, stop := context.WithCancel(context.Background())
 	front, err := New(Config{Rules: rules, Identity: "relay.example.net", Realm: "example.net", Limits: relay.DefaultLimits(),
 		Overload: overload.Config{Interval: 100 * time.Millisecond, Validity: time.Second, MinAnswers: 8, GrowthFactor: 2, MinReduction: 0.05, MaxReduction: 0.9},
-		Peer:     diameter.DefaultPeerConfig(), Named: b.Named, Connections: 8, Hello: 10 * time.Second, Log: log}, loop)
+		Peer:     diameter.DefaultPeerConfig(), BackendByIdentity: b.BackendByIdentity, Connections: 8, CERTimeout: 10 * time.Second, Log: log}, loop)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -501,7 +501,7 @@
 		for range batch {
 			m := s.newRequest(4, 2)
 			if accepts {
-				m.AVPs = append(m.AVPs, diameter.Optional(diameter.Group(diameter.CodeOCSupportedFeatures)))
+				m.AVPs = append(m.AVPs, diameter.WithoutMandatory(diameter.Group(diameter.CodeOCSupportedFeatures)))
 			}
 			c.Send(m)
 		}
