--- a/cmd/lemonctl/cluster.go
+++ b/cmd/lemonctl/cluster.go
@@ -40,10 +40,10 @@
 		}
 		replay = fmt.Sprintf("lemonctl cluster run --agent %s %s", c.Agent, c.Timetable)
 	} else {
-		if c.Agents < 2 || c.Agents > cluster.Most || c.Zones < 1 || c.Zones > c.Agents {
-			return fmt.Errorf("--agents, --zones: %d agents in %d zones is invalid: use 2 to %d agents and at least one agent per zone", c.Agents, c.Zones, cluster.Most)
+		if c.Agents < 2 || c.Agents > cluster.MaxAgents || c.Zones < 1 || c.Zones > c.Agents {
+			return fmt.Errorf("--agents, --zones: %d agents in %d zones is invalid: use 2 to %d agents and at least one agent per zone", c.Agents, c.Zones, cluster.MaxAgents)
 		}
-		timetable = cluster.Random(c.Seed, c.Agents, c.Zones, c.Seconds)
+		timetable = cluster.RandomTimetable(c.Seed, c.Agents, c.Zones, c.Seconds)
 	}
 	members := clusterMembers
 	if c.Members != "" {
@@ -78,8 +78,8 @@
 	if err := rig.Until(30*time.Second, rig.Agree); err != nil {
 		return fmt.Errorf("the membership views did not converge after the start: %w", err)
 	}
-	var events []cluster.Happening
-	if err := rig.Play(ctx, timetable, func(h cluster.Happening) {
+	var events []cluster.TimetableEvent
+	if err := rig.Play(ctx, timetable, func(h cluster.TimetableEvent) {
 		events = append(events, h)
 		fmt.Fprintf(s.err, "%6.2f s  %s\n", h.At.Seconds(), h.Text)
 	}); err != nil {
--- a/cmd/lemonctl/clusterloss.go
+++ b/cmd/lemonctl/clusterloss.go
@@ -44,12 +44,12 @@
 	for _, seed := range c.Seeds {
 		loss := cluster.RandomLoss(seed)
 		if c.What != "" {
-			if loss.What = c.What; cluster.Losses[c.What] == "" {
+			if loss.What = c.What; cluster.LossKinds[c.What] == "" {
 				return fmt.Errorf("--what: unknown way to lose a site: %q", c.What)
 			}
 		}
 		if c.Also != "" {
-			if loss.Also = strings.TrimPrefix(c.Also, "none"); cluster.Besides[loss.Also] == "" {
+			if loss.Also = strings.TrimPrefix(c.Also, "none"); cluster.SideFaults[loss.Also] == "" {
 				return fmt.Errorf("--also: unknown fault: %q", c.Also)
 			}
 		}
@@ -106,11 +106,11 @@
 	switch way {
 	case "today":
 	case "proportional":
-		r.Members, r.Sites = clusterMembers, loss.LossFile("proportional")
+		r.Members, r.Sites = clusterMembers, loss.SitesFile("proportional")
 	case "plan":
-		r.Members, r.Sites = clusterMembers, loss.LossFile("best")
+		r.Members, r.Sites = clusterMembers, loss.SitesFile("best")
 	case "plan-alone":
-		r.Sites = loss.LossFile("best")
+		r.Sites = loss.SitesFile("best")
 	default:
 		return nil, fmt.Errorf("--ways: unknown strategy %q (use today, proportional, plan or plan-alone)", way)
 	}
@@ -159,7 +159,7 @@
 
 // Run measures one fleet for each number of voters and prints a table.
 func (c *clusterDutiesCmd) Run(ctx context.Context, s streams) error {
-	var rows []*cluster.RestResult
+	var rows []*cluster.IdleCostResult
 	for _, seats := range c.Seats {
 		if seats < 0 || seats > 7 || seats > c.Agents || seats > 0 && seats%2 == 0 {
 			return fmt.Errorf("--seats: %d is invalid: use 0, 1, 3, 5 or 7, and no more than --agents", seats)
@@ -169,7 +169,7 @@
 		if err != nil {
 			return err
 		}
-		r, err := cluster.Rest{Program: c.Agent, Dir: dir, Agents: c.Agents, Seats: seats, LeaseMs: c.LeaseMs, Members: clusterMembers, For: c.For}.Run(ctx)
+		r, err := cluster.IdleCost{Program: c.Agent, Dir: dir, Agents: c.Agents, Seats: seats, LeaseMs: c.LeaseMs, Members: clusterMembers, For: c.For}.Run(ctx)
 		if err := errors.Join(err, os.RemoveAll(dir)); err != nil {
 			return err
 		}
--- a/cmd/lemonctl/fleetlog.go
+++ b/cmd/lemonctl/fleetlog.go
@@ -42,7 +42,7 @@
 		}
 	}
 	r := fleet.Report()
-	return c.print(s, r, "The fleet", r.Agents, r.Others)
+	return c.print(s, r, "The fleet", r.Agents, r.OtherLines)
 }
 
 // readFile passes the named file to read, or in if name is "-".
--- a/cmd/lemonctl/limits.go
+++ b/cmd/lemonctl/limits.go
@@ -65,7 +65,7 @@
 		}
 	}
 	r := sum.Report()
-	return c.print(s, r, "Limits on attempts in flight", len(r.Agents), r.Others)
+	return c.print(s, r, "Limits on attempts in flight", len(r.Agents), r.OtherLines)
 }
 
 // writeFile creates a file, passes it to write and closes it.
--- a/cmd/lemonctl/scale.go
+++ b/cmd/lemonctl/scale.go
@@ -113,7 +113,7 @@
 }
 
 func (c *scaleProcessesCmd) experiment(ctx context.Context, logf func(string, ...any)) ([]*scale.Series, error) {
-	if err := errors.Join(checkSizes("--agents", c.Agents, cluster.Most), checkSizes("--list-agents", []int{c.ListAgents}, cluster.Most), checkSizes("--listed", c.Listed, 10000)); err != nil {
+	if err := errors.Join(checkSizes("--agents", c.Agents, cluster.MaxAgents), checkSizes("--list-agents", []int{c.ListAgents}, cluster.MaxAgents), checkSizes("--listed", c.Listed, 10000)); err != nil {
 		return nil, err
 	}
 	return withTempDir(func(dir string) ([]*scale.Series, error) {
--- a/cmd/lemonctl/site.go
+++ b/cmd/lemonctl/site.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	l := ledger.New(standin.RulesOf(sc))
+	l := ledger.New(standin.LedgerRules(sc))
 	site, err := standin.Open(sc, collapseLedger{l})
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 			return site.Close()
 		case <-end.C:
 			return site.Close()
-		case name := <-site.Moved():
+		case name := <-site.DiscoveryMoved():
 			var i int
 			fmt.Sscanf(name, "n%d", &i)
 			if err := write(i); err != nil {
@@ -105,7 +105,7 @@
 // client reports its requests to the ledger.
 type collapseLedger struct{ *ledger.Ledger }
 
-func (collapseLedger) Began(ledger.Attempt) func(ledger.Ending) { return func(ledger.Ending) {} }
+func (collapseLedger) Began(ledger.Attempt) func(ledger.Outcome) { return func(ledger.Outcome) {} }
 
 // agentLog creates the file for the agents' logs; with an empty name the logs are discarded.
 func agentLog(name string) (w io.Writer, closeFile func() error, err error) {
@@ -168,7 +168,7 @@
 	fmt.Fprintf(s.err, "starting %d agents and the site's nodes\n", sc.Agents)
 	progress := newProgress(s.err)
 	r, err := trial.Run(ctx, trial.Options{Scenario: sc, Dir: dir, Program: c.Agent, Log: logs, Next: p.Next, Window: window,
-		Play: load.PlayOptions{Speed: c.Speed, For: c.For, Seed: sc.Seed}, Each: progress.add})
+		Play: load.PlayOptions{Speed: c.Speed, For: c.For, Seed: sc.Seed}, OnResult: progress.add})
 	progress.end()
 	if r == nil {
 		return err
--- a/cmd/lemonctl/trial.go
+++ b/cmd/lemonctl/trial.go
@@ -109,7 +109,7 @@
 func writeOutcomePage(w io.Writer, outcomes []*trial.Outcome) error {
 	var plots []template.HTML
 	for _, o := range outcomes {
-		col := func(f func(*trial.Part) int64) (y []float64) {
+		col := func(f func(*trial.Counts) int64) (y []float64) {
 			for _, p := range o.Windows {
 				y = append(y, float64(f(p))/o.WindowS)
 			}
@@ -117,11 +117,11 @@
 		}
 		c := chart.Colours
 		plots = append(plots, chart.Plot(fmt.Sprintf("%s, seed %d", o.Day, o.Seed), "/s", o.WindowS, []chart.Line{
-			{Name: "asked for", Colour: c[5], Dashed: true, Y: col(func(p *trial.Part) int64 { return p.Requests })},
-			{Name: "in time", Colour: c[0], Y: col(func(p *trial.Part) int64 { return p.InTime })},
-			{Name: "refused", Colour: c[1], Y: col(func(p *trial.Part) int64 { return p.Refused })},
-			{Name: "with room", Colour: c[3], Y: col(func(p *trial.Part) int64 { return p.RefusedFree })},
-			{Name: "failed", Colour: c[4], Y: col(func(p *trial.Part) int64 { return p.Failed + p.Lost })}}))
+			{Name: "asked for", Colour: c[5], Dashed: true, Y: col(func(p *trial.Counts) int64 { return p.Requests })},
+			{Name: "in time", Colour: c[0], Y: col(func(p *trial.Counts) int64 { return p.InTime })},
+			{Name: "refused", Colour: c[1], Y: col(func(p *trial.Counts) int64 { return p.Refused })},
+			{Name: "with room", Colour: c[3], Y: col(func(p *trial.Counts) int64 { return p.RefusedFree })},
+			{Name: "failed", Colour: c[4], Y: col(func(p *trial.Counts) int64 { return p.Failed + p.Lost })}}))
 	}
 	var text strings.Builder
 	if err := trial.Text(&text, outcomes); err != nil {
--- a/cmd/lemonrail/configuration_test.go
+++ b/cmd/lemonrail/configuration_test.go
@@ -115,8 +115,8 @@
 // awaitRevision waits until the process has the revision in force, and returns its state then.
 func (i *instance) awaitRevision(revision uint64) (s configState) {
 	i.p.t.Helper()
-	client := &http.Client{Timeout: scripted.Patience, Transport: &http.Transport{DisableKeepAlives: true}}
-	for deadline := time.Now().Add(scripted.Patience); ; time.Sleep(5 * time.Millisecond) {
+	client := &http.Client{Timeout: scripted.WaitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	for deadline := time.Now().Add(scripted.WaitTimeout); ; time.Sleep(5 * time.Millisecond) {
 		s = configState{}
 		resp, err := client.Get(i.controlURL + "/api/config")
 		if err == nil {
@@ -143,7 +143,7 @@
 // ends with the last revision in force, and only the last process to stop reports that the agent leaves.
 func TestDocumentChangesDuringUpgrade(t *testing.T) {
 	machine := newControlMachine(t)
-	p := newPlatform(t, scripted.Backend(t, scripted.Always(scripted.Hello)), scripted.Backend(t, scripted.Always(scripted.Hello)))
+	p := newPlatform(t, scripted.Backend(t, scripted.AnswerAlways(scripted.HelloResponse)), scripted.Backend(t, scripted.AnswerAlways(scripted.HelloResponse)))
 	file := p.configuration(machine.addr, t.TempDir())
 	machine.publish(t, 1, `{"format":1,"limits":{"attempts":2}}`)
 	old := p.start(p.config, "-configuration", file).awaitReady()
@@ -190,7 +190,7 @@
 // from its local copy.
 func TestKilledProcessKeepsItsSettings(t *testing.T) {
 	machine := newControlMachine(t)
-	p := newPlatform(t, scripted.Backend(t, scripted.Always(scripted.Hello)))
+	p := newPlatform(t, scripted.Backend(t, scripted.AnswerAlways(scripted.HelloResponse)))
 	folder := t.TempDir()
 	file := p.configuration(machine.addr, folder)
 	machine.publish(t, 9, `{"format":1,"limits":{"attempts":2}}`)
@@ -198,7 +198,7 @@
 	if s := first.awaitRevision(9); s.Kept {
 		t.Errorf("first %+v", s)
 	}
-	for deadline := time.Now().Add(scripted.Patience); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(scripted.WaitTimeout); ; time.Sleep(5 * time.Millisecond) {
 		if kept, _ := filepath.Glob(filepath.Join(folder, "configuration-*")); len(kept) > 0 {
 			break
 		}
@@ -215,7 +215,7 @@
 	if s := second.awaitRevision(9); !s.Kept || len(s.Changed) != 1 || s.Changed[0].Setting != "limits.attempts" || s.Changed[0].Now != 2.0 {
 		t.Errorf("second %+v", s)
 	}
-	if err := p.sendRequest(&http.Client{Timeout: scripted.Patience, Transport: &http.Transport{DisableKeepAlives: true}}); err != nil {
+	if err := p.sendRequest(&http.Client{Timeout: scripted.WaitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/lemonrail/members_test.go
+++ b/cmd/lemonrail/members_test.go
@@ -19,7 +19,7 @@
 
 // membersReport fetches the process's view of the fleet's members.
 func (i *instance) membersReport() (*link.Report, error) {
-	resp, err := (&http.Client{Timeout: scripted.Patience, Transport: &http.Transport{DisableKeepAlives: true}}).Get(i.controlURL + "/api/members")
+	resp, err := (&http.Client{Timeout: scripted.WaitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}).Get(i.controlURL + "/api/members")
 	if err != nil {
 		return nil, err
 	}
@@ -36,7 +36,7 @@
 // what is awaited in a failure.
 func (i *instance) awaitMembers(condition string, holds func(*link.Report) bool) *link.Report {
 	i.p.t.Helper()
-	for deadline := time.Now().Add(3 * scripted.Patience); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(3 * scripted.WaitTimeout); ; time.Sleep(10 * time.Millisecond) {
 		r, err := i.membersReport()
 		if err == nil && holds(r) {
 			return r
--- a/cmd/lemonrail/memory_test.go
+++ b/cmd/lemonrail/memory_test.go
@@ -52,7 +52,7 @@
 				if err != nil || n != size {
 					t.Errorf("a body of %d bytes, %v", n, err)
 				}
-				io.WriteString(c, scripted.Hello)
+				io.WriteString(c, scripted.HelloResponse)
 				continue
 			}
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
@@ -88,7 +88,7 @@
 			}
 			req.Header.Set("X-Correlation-Id", fmt.Sprint("bulk-", i))
 			req.Header.Set("X-Time-Left", "60000m")
-			resp, err := (&http.Client{Timeout: 3 * scripted.Patience, Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
+			resp, err := (&http.Client{Timeout: 3 * scripted.WaitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 			if err != nil {
 				t.Error(err)
 				if i%2 == 0 {
--- a/cmd/lemonrail/unsafe_upgrade_test.go
+++ b/cmd/lemonrail/unsafe_upgrade_test.go
@@ -26,7 +26,7 @@
 func (l *attemptRecorder) backend(t *testing.T) string {
 	return scripted.Backend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
-			req, _, err := scripted.Receive(r)
+			req, _, err := scripted.ReadRequest(r)
 			if err != nil {
 				return
 			}
@@ -35,7 +35,7 @@
 			l.attempts[id]++
 			l.mu.Unlock()
 			if strings.HasPrefix(id, "r") { // ids of sendRequest, which are answered at once
-				io.WriteString(c, scripted.Hello)
+				io.WriteString(c, scripted.HelloResponse)
 				continue
 			}
 			l.arrived <- id
@@ -62,11 +62,11 @@
 		finishes []func(net.Conn) // how each attempt ends, in order
 		status   int              // 0: the connection breaks
 	}{
-		{"served late", syscall.SIGTERM, []func(net.Conn){func(c net.Conn) { io.WriteString(c, scripted.Hello) }}, http.StatusOK},
+		{"served late", syscall.SIGTERM, []func(net.Conn){func(c net.Conn) { io.WriteString(c, scripted.HelloResponse) }}, http.StatusOK},
 		{"reset", syscall.SIGTERM, []func(net.Conn){func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }}, http.StatusBadGateway},
 		{"cut short", syscall.SIGTERM, []func(net.Conn){func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhe"); c.Close() }}, http.StatusBadGateway},
 		{"refused, then served", syscall.SIGTERM, []func(net.Conn){func(c net.Conn) { io.WriteString(c, refusal) },
-			func(c net.Conn) { io.WriteString(c, scripted.Hello) }}, http.StatusOK},
+			func(c net.Conn) { io.WriteString(c, scripted.HelloResponse) }}, http.StatusOK},
 		{"refused, then reset", syscall.SIGTERM, []func(net.Conn){func(c net.Conn) { io.WriteString(c, refusal) },
 			func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }}, http.StatusBadGateway},
 		{"its process killed", syscall.SIGKILL, nil, 0},
--- a/cmd/lemonrail/upgrade_cases_test.go
+++ b/cmd/lemonrail/upgrade_cases_test.go
@@ -36,7 +36,7 @@
 	testOver := make(chan struct{})
 	t.Cleanup(func() { close(testOver) })
 	b.addr = scripted.Backend(t, func(c net.Conn, r *bufio.Reader) {
-		if _, _, err := scripted.Receive(r); err != nil {
+		if _, _, err := scripted.ReadRequest(r); err != nil {
 			return
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -97,8 +97,8 @@
 // the list in the successor's configuration says that the backend is ready.
 func TestUpgradeWhileABackendDrains(t *testing.T) {
 	t.Parallel()
-	drainingAddr, _, hits, _ := scripted.Counting(t)
-	readyAddr := scripted.Backend(t, scripted.Always(scripted.Hello))
+	drainingAddr, _, hits, _ := scripted.CountingBackend(t)
+	readyAddr := scripted.Backend(t, scripted.AnswerAlways(scripted.HelloResponse))
 	p := newPlatform(t, drainingAddr, readyAddr)
 	discovery := newFakeDiscovery(t, drainingAddr, readyAddr)
 	p.config = p.configWith(`"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, discovery.addr))
@@ -115,7 +115,7 @@
 	}
 	discovery.setHealth(0, drainingAddr, "draining")
 	before := hits.Load()
-	for misses, deadline := 0, time.Now().Add(scripted.Patience); misses < quietRequests; misses++ {
+	for misses, deadline := 0, time.Now().Add(scripted.WaitTimeout); misses < quietRequests; misses++ {
 		ask()
 		if now := hits.Load(); now != before {
 			before, misses = now, 0
@@ -156,7 +156,7 @@
 		"after taking its place": func(t *testing.T, p *platform) *instance {
 			i := p.start(p.configWith(`"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, silentDiscovery)))
 			alivePath := filepath.Join(p.dir, "lemonrail-n0.2.alive")
-			for deadline := time.Now().Add(scripted.Patience); ; {
+			for deadline := time.Now().Add(scripted.WaitTimeout); ; {
 				if _, err := os.Stat(alivePath); err == nil {
 					break
 				}
@@ -182,13 +182,13 @@
 			hits := new(atomic.Int64)
 			p := newPlatform(t, scripted.Backend(t, func(c net.Conn, r *bufio.Reader) {
 				for {
-					if _, _, err := scripted.Receive(r); err != nil {
+					if _, _, err := scripted.ReadRequest(r); err != nil {
 						return
 					}
 					hits.Add(1)
-					io.WriteString(c, scripted.Hello)
+					io.WriteString(c, scripted.HelloResponse)
 				}
-			}), scripted.Backend(t, scripted.Always(scripted.Hello)))
+			}), scripted.Backend(t, scripted.AnswerAlways(scripted.HelloResponse)))
 			old := p.start(p.config).awaitReady()
 			stop := p.startLoad()
 			stuck := hang(t, p)
@@ -223,8 +223,8 @@
 // gets no requests.
 func TestServersFromAFile(t *testing.T) {
 	t.Parallel()
-	firstAddr, _, firstHits, _ := scripted.Counting(t)
-	secondAddr, _, secondHits, _ := scripted.Counting(t)
+	firstAddr, _, firstHits, _ := scripted.CountingBackend(t)
+	secondAddr, _, secondHits, _ := scripted.CountingBackend(t)
 	p := newPlatform(t, firstAddr)
 	p.config = p.configWith(`"discovery":"127.0.0.1:1",`, "")
 	servers := filepath.Join(t.TempDir(), "servers.toml")
@@ -252,7 +252,7 @@
 	}
 	p.write(servers, server("h0", firstAddr, "draining")+server("h1", secondAddr, "ready"))
 	i.cmd.Process.Signal(syscall.SIGHUP)
-	deadline := time.Now().Add(scripted.Patience)
+	deadline := time.Now().Add(scripted.WaitTimeout)
 	for secondHits.Load() == 0 && time.Now().Before(deadline) {
 		ask()
 	}
--- a/cmd/lemonrail/upgrade_test.go
+++ b/cmd/lemonrail/upgrade_test.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		i.p.t.Fatal(err)
 	}
-	resp, err := (&http.Client{Timeout: scripted.Patience, Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
+	resp, err := (&http.Client{Timeout: scripted.WaitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 	if err != nil {
 		return 0
 	}
@@ -116,7 +116,7 @@
 // awaitReady waits until the process reports that it is ready.
 func (i *instance) awaitReady() *instance {
 	i.p.t.Helper()
-	for deadline := time.Now().Add(scripted.Patience); i.controlStatus("GET", "/api/ready") != http.StatusOK; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(scripted.WaitTimeout); i.controlStatus("GET", "/api/ready") != http.StatusOK; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			i.p.t.Fatal("never ready")
 		}
@@ -161,7 +161,7 @@
 	var n atomic.Int64
 	stopped := make(chan struct{})
 	for c := range 6 {
-		client := &http.Client{Timeout: scripted.Patience, Transport: &http.Transport{DisableKeepAlives: c%2 == 0}}
+		client := &http.Client{Timeout: scripted.WaitTimeout, Transport: &http.Transport{DisableKeepAlives: c%2 == 0}}
 		wg.Go(func() {
 			defer client.CloseIdleConnections()
 			for {
@@ -190,14 +190,14 @@
 	hits := new(atomic.Int64)
 	counted := scripted.Backend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
-			if _, _, err := scripted.Receive(r); err != nil {
+			if _, _, err := scripted.ReadRequest(r); err != nil {
 				return
 			}
 			hits.Add(1)
-			io.WriteString(c, scripted.Hello)
+			io.WriteString(c, scripted.HelloResponse)
 		}
 	})
-	p := newPlatform(t, counted, scripted.Backend(t, scripted.Always(scripted.Hello)))
+	p := newPlatform(t, counted, scripted.Backend(t, scripted.AnswerAlways(scripted.HelloResponse)))
 	old := p.start(p.config).awaitReady()
 	stop := p.startLoad()
 	for round := range 2 {
@@ -233,7 +233,7 @@
 
 // A successor that can't start or dies has no effect on the old process, which sees no successor at its own stop.
 func TestFailedUpgrades(t *testing.T) {
-	p := newPlatform(t, scripted.Backend(t, scripted.Always(scripted.Hello)))
+	p := newPlatform(t, scripted.Backend(t, scripted.AnswerAlways(scripted.HelloResponse)))
 	old := p.start(p.config).awaitReady()
 	stop := p.startLoad()
 
@@ -274,7 +274,7 @@
 func TestOldProcessEndsBeforeSuccessorIsReady(t *testing.T) {
 	for _, how := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
 		t.Run(how.String(), func(t *testing.T) {
-			p := newPlatform(t, scripted.Backend(t, scripted.Always(scripted.Hello)))
+			p := newPlatform(t, scripted.Backend(t, scripted.AnswerAlways(scripted.HelloResponse)))
 			old := p.start(p.config).awaitReady()
 			successor := p.start(p.config)
 			old.cmd.Process.Signal(how)
@@ -303,7 +303,7 @@
 // An upgrade while many clients hold connections without a complete request, and an operator excludes a backend. Both
 // processes together hold no more descriptors than one process may.
 func TestUpgradeWithManyIdleConnections(t *testing.T) {
-	p := newPlatform(t, scripted.Backend(t, scripted.Always(scripted.Hello)), scripted.Backend(t, scripted.Always(scripted.Hello)))
+	p := newPlatform(t, scripted.Backend(t, scripted.AnswerAlways(scripted.HelloResponse)), scripted.Backend(t, scripted.AnswerAlways(scripted.HelloResponse)))
 	old := p.start(p.config).awaitReady()
 	for i := range 700 { // more connections than two processes accept
 		nc, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
@@ -322,7 +322,7 @@
 	old.cmd.Process.Signal(syscall.SIGTERM)
 	maxOpen := 0
 	for range 50 {
-		if err := p.sendRequest(&http.Client{Timeout: scripted.Patience, Transport: &http.Transport{DisableKeepAlives: true}}); err != nil {
+		if err := p.sendRequest(&http.Client{Timeout: scripted.WaitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}); err != nil {
 			t.Error(err)
 		}
 		maxOpen = max(maxOpen, old.descriptors()+successor.descriptors())
@@ -338,7 +338,7 @@
 	const size = 8 << 20
 	sendRest := make(chan struct{})
 	p := newPlatform(t, scripted.Backend(t, func(c net.Conn, r *bufio.Reader) {
-		if _, _, err := scripted.Receive(r); err != nil {
+		if _, _, err := scripted.ReadRequest(r); err != nil {
 			return
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
@@ -357,7 +357,7 @@
 	defer resp.Body.Close()
 	p.start(p.config).awaitReady()
 	old.cmd.Process.Signal(syscall.SIGTERM)
-	for deadline := time.Now().Add(scripted.Patience); old.controlStatus("GET", "/api/ready") == http.StatusOK && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(scripted.WaitTimeout); old.controlStatus("GET", "/api/ready") == http.StatusOK && time.Now().Before(deadline); {
 	}
 	close(sendRest)
 	if got, err := io.Copy(io.Discard, resp.Body); err != nil || got != size {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	if recorder != nil {
-		bal.Explain(recorder.Tell)
+		bal.Explain(recorder.Write)
 		defer func() {
 			if err := recorder.Close(); err != nil {
 				log.Warn("explanations of decisions were lost", "err", err)
--- a/internal/agent/configuration_test.go
+++ b/internal/agent/configuration_test.go
@@ -175,20 +175,20 @@
 			}
 			now := time.Now()
 			id := req.Header.Get(http1.HeaderCorrelationID)
-			ended := s.Began(ledger.Attempt{Request: id, Agent: "n0", Node: node, Zone: "a", First: now, Last: now})
+			ended := s.AttemptStarted(ledger.Attempt{Request: id, Agent: "n0", Node: node, Zone: "a", FirstByte: now, LastByte: now})
 			mu.Lock()
 			chance, wait := rng.IntN(20), time.Duration(rng.IntN(2000))*time.Microsecond
 			mu.Unlock()
 			time.Sleep(wait)
 			switch {
 			case chance == 0 && req.Method == http.MethodGet:
-				ended(ledger.Ending{Ran: true})
+				ended(ledger.Outcome{TookEffect: true})
 				io.WriteString(nc, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 			case chance == 1 && req.Method == http.MethodGet:
-				ended(ledger.Ending{Ran: true})
+				ended(ledger.Outcome{TookEffect: true})
 				return
 			default:
-				ended(ledger.Ending{Ran: true, Answer: []byte(id)})
+				ended(ledger.Outcome{TookEffect: true, AnswerBody: []byte(id)})
 				fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 			}
 		}
@@ -218,19 +218,19 @@
 		req.Header.Set(http1.HeaderTimeLeft, "10000m")
 		req.Header.Set(http1.HeaderIdempotencyKey, "k"+id)
 		s.calls.Add(1)
-		s.Sent(id, class, "n0", time.Now(), 10*time.Second)
+		s.RequestSent(id, class, "n0", time.Now(), 10*time.Second)
 		answer := ledger.Answer{}
 		if resp, err := client.Do(req); err == nil {
 			answer.Status = resp.StatusCode
 			answer.Body, err = io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if err != nil {
-				answer = ledger.Answer{Begun: true}
+				answer = ledger.Answer{Partial: true}
 			}
 		} else if errors.Is(err, net.ErrClosed) {
-			answer.Unsent = true
+			answer.FirstOnConnection = true
 		}
-		s.Got(id, time.Now(), answer)
+		s.AnswerReceived(id, time.Now(), answer)
 	}
 }
 
@@ -441,7 +441,7 @@
 // file, and reports that no update has come.
 func TestControlMachineUnavailable(t *testing.T) {
 	for name, addr := range map[string]string{
-		"refuses": deadAddr(t), "hangs": listen(t).Addr().String(), "vanished": scripted.Silent(t),
+		"refuses": deadAddr(t), "hangs": listen(t).Addr().String(), "vanished": scripted.UnresponsiveAddr(t),
 		"silent": backend(t, func(nc net.Conn, r *bufio.Reader) {
 			if _, _, err := receive(r); err == nil {
 				io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
--- a/internal/agent/controlapi_test.go
+++ b/internal/agent/controlapi_test.go
@@ -132,7 +132,7 @@
 
 // The metrics count the answers that clients got, and are served although 40 callers hold idle connections.
 func TestControlTelemetry(t *testing.T) {
-	clients, controlURL := withControl(t, nil, backend(t, scripted.Always(scripted.Hello)))
+	clients, controlURL := withControl(t, nil, backend(t, scripted.AnswerAlways(scripted.HelloResponse)))
 	for range 40 {
 		nc, err := net.Dial("tcp", strings.TrimPrefix(controlURL, "http://"))
 		if err != nil {
--- a/internal/agent/diameter_test.go
+++ b/internal/agent/diameter_test.go
@@ -65,11 +65,11 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	await(t, c.Got)
+	await(t, c.Received)
 	c.Send(&diameter.Message{Flags: diameter.FlagRequest | diameter.FlagProxiable, Command: diameter.CreditControl, Application: diameter.AppCreditControl,
 		HopByHop: 5, EndToEnd: 6, AVPs: []diameter.AVP{diameter.Str(diameter.CodeSessionID, "s;1"), diameter.Str(diameter.CodeOriginHost, "client1.example.net"),
 			diameter.Str(diameter.CodeDestinationRealm, "example.net"), diameter.U32(diameter.CodeCCRequestType, 1)}})
-	a := await(t, c.Got)
+	a := await(t, c.Received)
 	if v, err := diameter.Find(a.AVPs, diameter.CodeResultCode, 0).Uint32(); err != nil || v != diameter.Success || a.HopByHop != 5 {
 		t.Errorf("over Diameter: %+v", a)
 	}
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -21,8 +21,8 @@
 
 // Short names for identifiers that most tests use.
 const (
-	timeout = scripted.Patience
-	hello   = scripted.Hello
+	timeout = scripted.WaitTimeout
+	hello   = scripted.HelloResponse
 )
 
 var (
@@ -30,8 +30,8 @@
 	deadAddr = scripted.DeadAddr
 	listen   = scripted.Listen
 	backend  = scripted.Backend
-	receive  = scripted.Receive
-	always   = scripted.Always
+	receive  = scripted.ReadRequest
+	always   = scripted.AnswerAlways
 )
 
 func await[T any](t testing.TB, c <-chan T) T {
--- a/internal/agent/process_disconnect_test.go
+++ b/internal/agent/process_disconnect_test.go
@@ -331,7 +331,7 @@
 
 func newLateListener(t *testing.T, handle func(net.Conn, *bufio.Reader)) *lateListener {
 	t.Helper()
-	fd, address, err := standin.Reserve()
+	fd, address, err := standin.ReserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/process_test.go
+++ b/internal/agent/process_test.go
@@ -87,7 +87,7 @@
 	t.Helper()
 	p := &agentProcess{t: t, name: name, dir: t.TempDir()}
 	for _, at := range []*string{&p.address, &p.control} {
-		fd, address, err := standin.Reserve()
+		fd, address, err := standin.ReserveAddr()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agent/processgroup_test.go
+++ b/internal/agent/processgroup_test.go
@@ -68,7 +68,7 @@
 	defer held.Close()
 	url := "http://" + ln.Addr().String()
 	ln.Close()
-	a, b := backend(t, scripted.Always(scripted.Hello)), backend(t, scripted.Always(scripted.Hello))
+	a, b := backend(t, scripted.AnswerAlways(scripted.HelloResponse)), backend(t, scripted.AnswerAlways(scripted.HelloResponse))
 	dir := t.TempDir()
 	old := startProcess(t, dir, held, a, b)
 
--- a/internal/agent/races_test.go
+++ b/internal/agent/races_test.go
@@ -20,7 +20,7 @@
 // before the connect timeout, and no byte of it can be written later.
 func TestClientLeavesDuringDial(t *testing.T) {
 	bal := newScripted(sendAll)
-	cfg := testConfig(t, scripted.Silent(t))
+	cfg := testConfig(t, scripted.UnresponsiveAddr(t))
 	cfg.Settings.ConnectTimeout = time.Hour
 	base, _, _ := startAgent(t, cfg, bal)
 	ctx, leave := context.WithCancel(context.Background())
@@ -42,7 +42,7 @@
 // The list marks a backend as draining while a connection to it is being established: the request goes to another
 // backend, and the first one never gets a byte.
 func TestDrainDuringDial(t *testing.T) {
-	cfg := testConfig(t, scripted.Silent(t), backend(t, always(hello)))
+	cfg := testConfig(t, scripted.UnresponsiveAddr(t), backend(t, always(hello)))
 	cfg.Settings.ConnectTimeout = time.Hour
 	dialled := make(chan struct{}, 1)
 	bal := newScripted(func(e balance.Event) []balance.Action {
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -302,7 +302,7 @@
 
 // A backend restarts: the real balancer serves the next request although the connections kept to the backend are dead.
 func TestBackendRestarts(t *testing.T) {
-	addr, conns, _, restart := scripted.Counting(t)
+	addr, conns, _, restart := scripted.CountingBackend(t)
 	base, _, _ := startAgent(t, testConfig(t, addr), nil)
 	client := newClient(t)
 	served := func(id string) {
--- a/internal/backend/http1/helpers_test.go
+++ b/internal/backend/http1/helpers_test.go
@@ -9,16 +9,16 @@
 
 // Short names for frequently used helpers of package scripted.
 const (
-	testTimeout = scripted.Patience
-	hello       = scripted.Hello
+	testTimeout = scripted.WaitTimeout
+	hello       = scripted.HelloResponse
 )
 
 var (
 	discardLog = slog.New(slog.DiscardHandler)
 	deadAddr   = scripted.DeadAddr
 	backend    = scripted.Backend
-	receive    = scripted.Receive
-	always     = scripted.Always
+	receive    = scripted.ReadRequest
+	always     = scripted.AnswerAlways
 )
 
 func await[T any](t testing.TB, c <-chan T) T {
--- a/internal/backend/http1/upstream_test.go
+++ b/internal/backend/http1/upstream_test.go
@@ -164,7 +164,7 @@
 
 func TestConnectionsAreReused(t *testing.T) {
 	u := newTestUpstream(t)
-	addr, conns, _, _ := scripted.Counting(t)
+	addr, conns, _, _ := scripted.CountingBackend(t)
 	for range 3 {
 		exchangeRested(t, u, addr, readRequest)
 	}
@@ -182,7 +182,7 @@
 // reset, and a library that resends it automatically would make two attempts of one.
 func TestStaleConnectionIsNotReused(t *testing.T) {
 	u := newTestUpstream(t)
-	addr, conns, requests, restart := scripted.Counting(t)
+	addr, conns, requests, restart := scripted.CountingBackend(t)
 	exchangeRested(t, u, addr, readRequest)
 	u.mu.Lock()
 	kept := u.idle[target(addr)][0]
@@ -237,7 +237,7 @@
 
 func TestIdleConnectionsExpire(t *testing.T) {
 	u := newTestUpstream(t)
-	addr, conns, _, _ := scripted.Counting(t)
+	addr, conns, _, _ := scripted.CountingBackend(t)
 	exchangeRested(t, u, addr, readRequest)
 	u.mu.Lock()
 	u.idle[target(addr)][0].idleSince = time.Now().Add(-u.idleTimeout)
@@ -259,8 +259,8 @@
 func TestIdleConnectionEvictedAtSocketLimit(t *testing.T) {
 	u := newTestUpstream(t)
 	u.sockets.Limit = 1
-	one, _, _, _ := scripted.Counting(t)
-	two, _, _, _ := scripted.Counting(t)
+	one, _, _, _ := scripted.CountingBackend(t)
+	two, _, _, _ := scripted.CountingBackend(t)
 	for _, addr := range []string{one, two, one} {
 		if r := exchangeRested(t, u, addr, readRequest); r.Result != balance.OK {
 			t.Errorf("got %v", r.Result)
@@ -341,7 +341,7 @@
 // not used for it, and hold no socket.
 func TestConnectionsClosedWithTheirBackend(t *testing.T) {
 	u := newTestUpstream(t)
-	addr, conns, _, _ := scripted.Counting(t)
+	addr, conns, _, _ := scripted.CountingBackend(t)
 	exchangeRested(t, u, addr, readRequest)
 	u.CloseIdleExcept(func(to core.Target) bool { return to == core.Target{ID: "h1", Addr: addr} })
 	if n := u.sockets.Open.Load(); n != 0 {
--- a/internal/cluster/cases_test.go
+++ b/internal/cluster/cases_test.go
@@ -251,7 +251,7 @@
 		})
 	}
 	for i := range 4 {
-		if err := cluster.Ask(doors[i], patience, func(r *link.Report) error {
+		if err := cluster.AwaitMembers(doors[i], patience, func(r *link.Report) error {
 			if r.Alive != 4 || row(r, "m3").State != "alive" || row(r, "m0").State != "alive" {
 				return fmt.Errorf("%s sees %d alive", r.Name, r.Alive)
 			}
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -36,8 +36,8 @@
 	"lemonrail/internal/standin"
 )
 
-// Most is the maximum number of agents of a cluster.
-const Most = 60
+// MaxAgents is the maximum number of agents of a cluster.
+const MaxAgents = 60
 
 // Options configures a cluster.
 type Options struct {
@@ -101,12 +101,12 @@
 // Open starts the site and the links. No agent is started yet.
 func Open(o Options) (c *Cluster, err error) {
 	n := o.Scenario.Agents
-	if n < 1 || n > Most {
-		return nil, fmt.Errorf("cluster: %d agents are not within 1 and %d", n, Most)
+	if n < 1 || n > MaxAgents {
+		return nil, fmt.Errorf("cluster: %d agents are not within 1 and %d", n, MaxAgents)
 	}
 	observer := o.Observer
 	if observer == nil {
-		observer = ignoreAttempts{ledger.New(standin.RulesOf(o.Scenario))}
+		observer = ignoreAttempts{ledger.New(standin.LedgerRules(o.Scenario))}
 	}
 	c = &Cluster{options: o, startedAt: time.Now(), stop: make(chan struct{})}
 	defer func() {
@@ -139,7 +139,9 @@
 // ignoreAttempts is a ledger that records no attempts, for clusters whose clients don't record their requests.
 type ignoreAttempts struct{ *ledger.Ledger }
 
-func (ignoreAttempts) Began(ledger.Attempt) func(ledger.Ending) { return func(ledger.Ending) {} }
+func (ignoreAttempts) AttemptStarted(ledger.Attempt) func(ledger.Outcome) {
+	return func(ledger.Outcome) {}
+}
 
 func (c *Cluster) newAgent(i int) (*Agent, error) {
 	a := &Agent{Name: fmt.Sprintf("n%d", i), Zone: c.options.Scenario.Sites[i%len(c.options.Scenario.Sites)], cluster: c, index: i, peerAddr: c.links[i][i].agentAddr}
@@ -150,7 +152,7 @@
 	}
 	var places [2]string
 	for k := range places {
-		fd, at, err := standin.Reserve()
+		fd, at, err := standin.ReserveAddr()
 		if err != nil {
 			return nil, err
 		}
@@ -278,15 +280,15 @@
 	return a.running()
 }
 
-// Runs reports whether the agent's process is running and not stopped by SIGSTOP.
-func (a *Agent) Runs() bool {
+// Active reports whether the agent's process is running and not stopped by SIGSTOP.
+func (a *Agent) Active() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.running() && !a.stopped
 }
 
-// Lives returns how many processes the agent has had.
-func (a *Agent) Lives() int {
+// Starts returns how many processes the agent has had.
+func (a *Agent) Starts() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.starts
@@ -435,8 +437,8 @@
 	return r, json.Unmarshal(body, r)
 }
 
-// Ask polls the members report of a control listener until so returns nil, for at most patience.
-func Ask(address string, patience time.Duration, so func(*link.Report) error) error {
+// AwaitMembers polls the members report of a control listener until so returns nil, for at most patience.
+func AwaitMembers(address string, patience time.Duration, so func(*link.Report) error) error {
 	return until(patience, nil, func() error {
 		r, err := membersReport(address)
 		if err != nil {
@@ -460,7 +462,7 @@
 func (c *Cluster) Ready(patience time.Duration) error {
 	return c.Until(patience, func() error {
 		for _, a := range c.Agents {
-			if !a.Runs() {
+			if !a.Active() {
 				continue
 			}
 			if status, _, err := a.Ask(http.MethodGet, "/api/ready"); err != nil || status != http.StatusOK {
@@ -499,7 +501,7 @@
 func (c *Cluster) Agree() error {
 	digest, by := "", ""
 	for _, a := range c.Agents {
-		if !a.Runs() {
+		if !a.Active() {
 			continue
 		}
 		r, err := a.Members()
@@ -520,7 +522,7 @@
 			if i < 0 {
 				return fmt.Errorf("%s does not know a name yet: %s", a.Name, m.Name)
 			}
-			if up := c.Agents[i].Runs(); up != (m.State == "alive") {
+			if up := c.Agents[i].Active(); up != (m.State == "alive") {
 				return fmt.Errorf("%s holds %s for %s, and it runs: %v", a.Name, m.Name, m.State, up)
 			}
 		}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -269,8 +269,8 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			c := startCluster(t, 8, 2, quickMembers)
-			table := cluster.Random(seed, 8, 2, 8)
-			must(t, c.Play(context.Background(), table, func(h cluster.Happening) { t.Logf("%.2f s %s", h.At.Seconds(), h.Text) }))
+			table := cluster.RandomTimetable(seed, 8, 2, 8)
+			must(t, c.Play(context.Background(), table, func(h cluster.TimetableEvent) { t.Logf("%.2f s %s", h.At.Seconds(), h.Text) }))
 			if err := c.Until(patience, c.Agree); err != nil {
 				t.Fatalf("%v\nreproduce with: lemonctl cluster run --agent bin/lemonrail --seed %d --agents 8 --zones 2 --seconds 8", err, seed)
 			}
--- a/internal/cluster/duties_test.go
+++ b/internal/cluster/duties_test.go
@@ -52,7 +52,7 @@
 		holder = -1
 		named := ""
 		for i, a := range c.Agents {
-			if !a.Runs() {
+			if !a.Active() {
 				continue
 			}
 			r, err := a.Duties()
@@ -121,7 +121,7 @@
 	t.Helper()
 	must(t, c.Ready(patience))
 	for _, a := range c.Agents {
-		if !a.Runs() {
+		if !a.Active() {
 			continue
 		}
 		req, err := http.NewRequest(http.MethodGet, "http://"+a.Listen.String()+"/read", nil)
--- a/internal/cluster/shrink.go
+++ b/internal/cluster/shrink.go
@@ -28,8 +28,8 @@
 	Progress io.Writer
 }
 
-// Window counts the requests that were due within one second of a Shrink.
-type Window struct {
+// ShrinkWindow counts the requests that were due within one second of a Shrink.
+type ShrinkWindow struct {
 	Asked   int `json:"asked"`
 	InTime  int `json:"in_time"`
 	Late    int `json:"late"`
@@ -39,13 +39,13 @@
 
 // ShrinkResult is the result of a Shrink.
 type ShrinkResult struct {
-	Before   []Window `json:"before"`
-	After    []Window `json:"after"`
-	Held     bool     `json:"rules_held"`
-	Verdict  string   `json:"verdict"`
-	Living   int      `json:"living"` // members that a remaining agent counts as living at the end; 0: it has no view
-	Sum      Window   `json:"sum_after"`
-	RatePerS float64  `json:"rate_per_s"`
+	Before   []ShrinkWindow `json:"before"`
+	After    []ShrinkWindow `json:"after"`
+	Held     bool           `json:"rules_held"`
+	Verdict  string         `json:"verdict"`
+	Living   int            `json:"living"` // members that a remaining agent counts as living at the end; 0: it has no view
+	Sum      ShrinkWindow   `json:"sum_after"`
+	RatePerS float64        `json:"rate_per_s"`
 }
 
 const shrinkSite = `
@@ -102,7 +102,7 @@
 
 // Run runs the experiment.
 func (o Shrink) Run(ctx context.Context) (out *ShrinkResult, err error) {
-	if o.Left < 1 || o.Left >= o.Agents || o.Agents > Most {
+	if o.Left < 1 || o.Left >= o.Agents || o.Agents > MaxAgents {
 		return nil, fmt.Errorf("cluster: %d of %d agents left: at least 1 must stay and at least 1 be killed", o.Left, o.Agents)
 	}
 	// Three nodes restart cold two seconds after the kill.
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := ledger.New(standin.RulesOf(sc))
+	l := ledger.New(standin.LedgerRules(sc))
 	c, err := Open(Options{Program: o.Program, Dir: o.Dir, Scenario: sc, Members: o.Members, Seed: o.Seed, Observer: l})
 	if err != nil {
 		return nil, err
@@ -163,7 +163,7 @@
 }
 
 // playWindows plays requests to agents in an open loop and counts their results per second.
-func (c *Cluster) playWindows(ctx context.Context, l *ledger.Ledger, agents []*Agent, rate float64, span time.Duration, seed uint64) (ws []Window, err error) {
+func (c *Cluster) playWindows(ctx context.Context, l *ledger.Ledger, agents []*Agent, rate float64, span time.Duration, seed uint64) (ws []ShrinkWindow, err error) {
 	var begun time.Time
 	err = c.playRequests(ctx, l, agents, rate, span, seed, func(s *load.Sample) {
 		if begun.IsZero() {
@@ -171,7 +171,7 @@
 		}
 		i := int(max(0, s.Due.Sub(begun)) / time.Second)
 		for len(ws) <= i {
-			ws = append(ws, Window{})
+			ws = append(ws, ShrinkWindow{})
 		}
 		w := &ws[i]
 		w.Asked++
--- a/internal/cluster/siteloss.go
+++ b/internal/cluster/siteloss.go
@@ -31,8 +31,8 @@
 	EndS  float64 `json:"end_s"`
 }
 
-// Losses describes the ways in which site b can be lost.
-var Losses = map[string]string{
+// LossKinds describes the ways in which site b can be lost.
+var LossKinds = map[string]string{
 	"silent":     "its machines say nothing",
 	"resets":     "its processes reset all connections",
 	"refuses":    "its processes are gone, and start cold",
@@ -44,8 +44,8 @@
 	"flaps":      "it is gone and comes back cold, twice in the time",
 }
 
-// Besides describes the further faults.
-var Besides = map[string]string{
+// SideFaults describes the further faults.
+var SideFaults = map[string]string{
 	"":        "nothing",
 	"stale":   "discovery tells of changes 5 s late",
 	"release": "the nodes of site c are restarted one by one",
@@ -64,9 +64,9 @@
 		slices.Sort(keys)
 		return keys[rng.IntN(len(keys))]
 	}
-	l := Loss{Seed: seed, What: pick(Losses), Share: []float64{0.55, 0.75, 0.9}[rng.IntN(3)], AtS: 3, ForS: 5 + 2*rng.Float64(), EndS: 18}
+	l := Loss{Seed: seed, What: pick(LossKinds), Share: []float64{0.55, 0.75, 0.9}[rng.IntN(3)], AtS: 3, ForS: 5 + 2*rng.Float64(), EndS: 18}
 	if rng.IntN(2) == 0 {
-		l.Also = pick(Besides)
+		l.Also = pick(SideFaults)
 	}
 	return l
 }
@@ -257,9 +257,9 @@
 	Progress io.Writer
 }
 
-// LossFile returns the text of the agents' sites file, with the parameters of the experiment and a way of
+// SitesFile returns the text of the agents' sites file, with the parameters of the experiment and a way of
 // planning.
-func (l *Loss) LossFile(way string) string {
+func (l *Loss) SitesFile(way string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "way = %q\nheadroom = 0.05\ncross = 0.02\n[return]\ncold_share = %g\nramp_ms = %g\n", way, lossCold, lossRampMs)
 	for _, s := range lossSites {
@@ -308,7 +308,7 @@
 	attempts [][]int
 }
 
-func (c *countingLedger) Began(a ledger.Attempt) func(ledger.Ending) {
+func (c *countingLedger) AttemptStarted(a ledger.Attempt) func(ledger.Outcome) {
 	c.mu.Lock()
 	if i := int(time.Since(c.start) / lossWindow); !c.start.IsZero() && i >= 0 && i < 1<<12 {
 		for len(c.attempts) <= i {
@@ -317,7 +317,7 @@
 		c.attempts[i][slices.Index(lossSites, a.Zone)]++
 	}
 	c.mu.Unlock()
-	return c.Ledger.Began(a)
+	return c.Ledger.AttemptStarted(a)
 }
 
 // Run runs the experiment.
@@ -327,7 +327,7 @@
 	if err != nil {
 		return nil, err
 	}
-	observed := &countingLedger{Ledger: ledger.New(standin.RulesOf(sc))}
+	observed := &countingLedger{Ledger: ledger.New(standin.LedgerRules(sc))}
 	opt := Options{Program: o.Program, Dir: o.Dir, Scenario: sc, Members: o.Members, Seed: l.Seed, Observer: observed, Sites: o.Sites}
 	c, err := Open(opt)
 	if err != nil {
@@ -529,6 +529,6 @@
 		}
 		return q, nil
 	}
-	_, err := load.Play(ctx, next, load.PlayOptions{Targets: targets, Seed: seed, Observer: &trial.Watch{Ledger: l, Agent: names}, Done: done})
+	_, err := load.Play(ctx, next, load.PlayOptions{Targets: targets, Seed: seed, Observer: &trial.LedgerObserver{Ledger: l, AgentNames: names}, Done: done})
 	return err
 }
--- a/internal/cluster/sites_test.go
+++ b/internal/cluster/sites_test.go
@@ -73,7 +73,7 @@
 	t.Helper()
 	sc, err := standin.ParseScenario("site", []byte(threeSites))
 	must(t, err)
-	l := ledger.New(standin.RulesOf(sc))
+	l := ledger.New(standin.LedgerRules(sc))
 	c, err := cluster.Open(cluster.Options{Program: buildProgram(t), Dir: t.TempDir(), Scenario: sc, Members: quickMembers, Sites: quickSites, Seed: 1, Observer: l,
 		Duties: duties, Seats: seats})
 	must(t, err)
@@ -143,7 +143,7 @@
 
 func beginFault(t *testing.T, c *cluster.Cluster, f standin.FaultSpec) (end func()) {
 	t.Helper()
-	end, err := c.Site.Harm(f)
+	end, err := c.Site.BeginFault(f)
 	must(t, err)
 	return end
 }
--- a/internal/cluster/tcplinks.go
+++ b/internal/cluster/tcplinks.go
@@ -34,7 +34,7 @@
 // openSeats reserves the addresses of the seats and opens the links to them.
 func (c *Cluster) openSeats(seats int) error {
 	for i := range seats {
-		fd, at, err := standin.Reserve()
+		fd, at, err := standin.ReserveAddr()
 		if err != nil {
 			return err
 		}
--- a/internal/cluster/timetable.go
+++ b/internal/cluster/timetable.go
@@ -38,8 +38,8 @@
 	Size float64  `toml:"size"`
 }
 
-// Whats describes the faults and the meaning of their size.
-var Whats = map[string]string{
+// EventKinds describes the faults and the meaning of their size.
+var EventKinds = map[string]string{
 	"cut":    "links drop everything",
 	"loss":   "links lose this share",
 	"double": "links carry this share twice",
@@ -85,8 +85,8 @@
 	if err := strict.Decode(file, raw, t); err != nil {
 		return nil, err
 	}
-	if t.Agents < 1 || t.Agents > Most {
-		return nil, fmt.Errorf("%s: line %d: agents: %d are not within 1 and %d", file, strict.Key(raw, "agents"), t.Agents, Most)
+	if t.Agents < 1 || t.Agents > MaxAgents {
+		return nil, fmt.Errorf("%s: line %d: agents: %d are not within 1 and %d", file, strict.Key(raw, "agents"), t.Agents, MaxAgents)
 	}
 	if t.Zones = max(1, t.Zones); t.Zones > 26 {
 		return nil, fmt.Errorf("%s: line %d: zones: %d are over 26", file, strict.Key(raw, "zones"), t.Zones)
@@ -100,7 +100,7 @@
 		}
 		_, links := linkFaults[e.What]
 		switch {
-		case Whats[e.What] == "":
+		case EventKinds[e.What] == "":
 			return nil, bad("what", e.What)
 		case !(e.AtS >= 0 && e.AtS <= t.Seconds):
 			return nil, bad("at_s", e.AtS)
@@ -186,14 +186,14 @@
 	return all
 }
 
-// Happening is a step that was carried out.
-type Happening struct {
+// TimetableEvent is a step that was carried out.
+type TimetableEvent struct {
 	At   time.Duration
 	Text string
 }
 
 // Play carries out a timetable and returns at its end. did, if not nil, is called before each step.
-func (c *Cluster) Play(ctx context.Context, t *Timetable, did func(Happening)) error {
+func (c *Cluster) Play(ctx context.Context, t *Timetable, did func(TimetableEvent)) error {
 	begun := time.Now()
 	var errs []error
 	for _, s := range t.steps() {
@@ -201,7 +201,7 @@
 			return errors.Join(append(errs, err)...)
 		}
 		if did != nil {
-			did(Happening{time.Since(begun), s.String()})
+			did(TimetableEvent{time.Since(begun), s.String()})
 		}
 		if err := c.applyStep(&s); err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", s.String(), err))
@@ -304,8 +304,8 @@
 	return nil
 }
 
-// Random returns a timetable drawn from a seed, with a few faults of links and processes, which may overlap.
-func Random(seed uint64, agents, zones int, seconds float64) *Timetable {
+// RandomTimetable returns a timetable drawn from a seed, with a few faults of links and processes, which may overlap.
+func RandomTimetable(seed uint64, agents, zones int, seconds float64) *Timetable {
 	rng := rand.New(rand.NewPCG(seed, 12))
 	t := &Timetable{Name: fmt.Sprintf("seed %d", seed), Seed: seed, Seconds: seconds, Agents: agents, Zones: zones}
 	some := func() []string {
--- a/internal/cluster/usage.go
+++ b/internal/cluster/usage.go
@@ -60,8 +60,8 @@
 	return Usage{time.Duration(ticks) * 10 * time.Millisecond, pages * int64(os.Getpagesize()) / 1024, len(open)}, nil
 }
 
-// Rest is an experiment that measures what duties cost an idle fleet.
-type Rest struct {
+// IdleCost is an experiment that measures what duties cost an idle fleet.
+type IdleCost struct {
 	Program string
 	Dir     string
 	Agents  int
@@ -71,8 +71,8 @@
 	For     time.Duration
 }
 
-// RestResult holds the medians over the agents with a seat and over those without.
-type RestResult struct {
+// IdleCostResult holds the medians over the agents with a seat and over those without.
+type IdleCostResult struct {
 	Agents      int     `json:"agents"`
 	Seats       int     `json:"seats"`
 	SeatCPU     float64 `json:"seat_core_share"`  // share of a core used by an agent with a seat
@@ -84,7 +84,7 @@
 }
 
 // Run runs the experiment.
-func (o Rest) Run(ctx context.Context) (out *RestResult, err error) {
+func (o IdleCost) Run(ctx context.Context) (out *IdleCostResult, err error) {
 	sc, err := standin.ParseScenario("the rig's site", []byte(SiteText(o.Agents, 2)))
 	if err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 		return nil, err
 	}
 	span := time.Since(begun).Seconds()
-	out = &RestResult{Agents: o.Agents, Seats: o.Seats}
+	out = &IdleCostResult{Agents: o.Agents, Seats: o.Seats}
 	var cpu [2][]float64
 	var kb [2][]int64
 	var written, syncs []float64
--- a/internal/configuration/rig/rig.go
+++ b/internal/configuration/rig/rig.go
@@ -163,7 +163,7 @@
 }
 
 func (m *Machine) reserveOne() (string, error) {
-	fd, address, err := standin.Reserve()
+	fd, address, err := standin.ReserveAddr()
 	if err == nil {
 		m.reservedFDs = append(m.reservedFDs, fd)
 	}
--- a/internal/configuration/watch/watch_test.go
+++ b/internal/configuration/watch/watch_test.go
@@ -100,7 +100,7 @@
 	t.Helper()
 	select {
 	case c.lines <- line:
-	case <-time.After(scripted.Patience):
+	case <-time.After(scripted.WaitTimeout):
 		t.Fatal("no watch is open")
 	}
 }
@@ -380,7 +380,7 @@
 			cfg, _ := testConfig(dead, live.machine)
 			start(t, cfg, func(tm *timeouts) {
 				if tm.open = 100 * time.Millisecond; name == "noise" {
-					tm.open = 2 * scripted.Patience // the limit on the head's length has to end it
+					tm.open = 2 * scripted.WaitTimeout // the limit on the head's length has to end it
 				}
 			})
 			await(t, live.queries)
@@ -450,7 +450,7 @@
 		}
 	})
 	cfg, applied := testConfig(c.machine)
-	start(t, cfg, func(tm *timeouts) { tm.report = scripted.Patience })
+	start(t, cfg, func(tm *timeouts) { tm.report = scripted.WaitTimeout })
 	await(t, c.reports)
 	const last = 20
 	for n := uint64(1); n <= last; n++ {
@@ -478,7 +478,7 @@
 		w.WriteHeader(http.StatusNoContent)
 	}
 	cfg, _ := testConfig(c.machine)
-	start(t, cfg, func(tm *timeouts) { tm.silence = 2 * scripted.Patience }) // so that no new watch causes a report
+	start(t, cfg, func(tm *timeouts) { tm.silence = 2 * scripted.WaitTimeout }) // so that no new watch causes a report
 	for range 4 {
 		await(t, c.reports)
 	}
@@ -503,7 +503,7 @@
 		}
 		w.timeouts.leave = 50 * time.Millisecond
 		if !hangs {
-			w.timeouts.leave = scripted.Patience
+			w.timeouts.leave = scripted.WaitTimeout
 		}
 		ended := make(chan error, 1)
 		go func() { ended <- w.Run(context.Background()) }()
@@ -557,7 +557,7 @@
 	c.send(t, updateLine(t, agentScope, 5, `{"format":1,"classes":{"read":{"aim_ms":80}}}`, false))
 	await(t, applied)
 	var whole []byte
-	for end := time.Now().Add(scripted.Patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(scripted.WaitTimeout); ; time.Sleep(time.Millisecond) {
 		d, st, _ := restore(t, folder)
 		if d != nil && d.Limits != nil && *d.Limits.Attempts == 2 && d.Classes["read"].AimMs != nil && *d.Classes["read"].AimMs == 80 &&
 			st.Restored && st.Report.InForce[agentScope].Revision == 5 {
@@ -682,7 +682,7 @@
 	for i := range watchers {
 		cfg, _ := testConfig(c.machine)
 		cfg.Place.Agent = fmt.Sprint("n", i)
-		start(t, cfg, func(tm *timeouts) { tm.silence, tm.tick = scripted.Patience, time.Second })
+		start(t, cfg, func(tm *timeouts) { tm.silence, tm.tick = scripted.WaitTimeout, time.Second })
 	}
 	for range watchers {
 		await(t, c.queries)
--- a/internal/exercise/exercise.go
+++ b/internal/exercise/exercise.go
@@ -85,7 +85,7 @@
 	defer func() {
 		for _, c := range all {
 			c.conn.Close()
-			for range c.conn.Got { // until its reader has ended
+			for range c.conn.Received { // until its reader has ended
 			}
 		}
 	}()
@@ -155,7 +155,7 @@
 	wait := time.NewTimer(c.cfg.AnswerTimeout)
 	defer wait.Stop()
 	select {
-	case m, open := <-c.conn.Got:
+	case m, open := <-c.conn.Received:
 		if !open {
 			return errors.New("the connection ended before the capabilities exchange")
 		}
@@ -188,7 +188,7 @@
 		}
 		wait := time.NewTimer(time.Until(next))
 		select {
-		case m, open := <-c.conn.Got:
+		case m, open := <-c.conn.Received:
 			if !open { // the remaining requests can't be answered
 				c.count(func(r *Report) {
 					r.Requests += c.cfg.RequestsPerClient - sent
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -25,7 +25,7 @@
 
 // Config is the content of a configuration file such as deploy/explain.toml.
 type Config struct {
-	File  string `toml:"file"`   // path of the notes file; "-": standard error, among the log; empty: no notes
+	Path  string `toml:"file"`   // path of the notes file; "-": standard error, among the log; empty: no notes
 	MaxMB int    `toml:"max_mb"` // maximum size of the file; the previous one, NAME.old, takes as much again; 0: 16
 }
 
@@ -51,7 +51,7 @@
 
 	Request  string  `json:"request,omitempty"`
 	Class    string  `json:"class,omitempty"`
-	Why      string  `json:"why,omitempty"`
+	Reason   string  `json:"why,omitempty"`
 	Waited   float64 `json:"waited_ms,omitempty"`
 	Left     float64 `json:"left_ms,omitempty"`
 	Aim      float64 `json:"aim_ms,omitempty"`
@@ -95,7 +95,7 @@
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 func record(agent string, classes []string, n *balance.Note) Record {
-	r := Record{Agent: agent, At: millis(n.At), Kind: n.Kind.String(), Request: n.Request, Why: n.Reason.String(),
+	r := Record{Agent: agent, At: millis(n.At), Kind: n.Kind.String(), Request: n.Request, Reason: n.Reason.String(),
 		Waited: millis(n.Waited), Left: millis(n.TimeLeft), Aim: millis(n.AimLeft), Repeat: n.Repeat, Attempts: n.Attempts,
 		PerBackend: n.PerBackend, Part: n.Limit, Fraction: n.LimitShare, InFlight: n.InFlight, Stuck: n.Stuck, Overdue: n.Overdue, Held: n.Held, Up: n.Up,
 		Used: n.InUse, Idle: n.Idle, Free: n.Available, Capacity: n.Capacity, Delay: n.MeanDelay, Base: n.BaseDelay, Aimed: n.TargetDelay,
@@ -127,15 +127,15 @@
 
 // Open starts a Writer. It returns nil if c names no file.
 func Open(c Config, agent string, classes []string) (*Writer, error) {
-	if c.File == "" {
+	if c.Path == "" {
 		return nil, nil
 	}
 	w := &Writer{agent: agent, classes: classes, notes: make(chan balance.Note, queueCapacity), done: make(chan struct{}),
-		out: os.Stderr, path: c.File, maxBytes: int64(c.MaxMB) << 20}
+		out: os.Stderr, path: c.Path, maxBytes: int64(c.MaxMB) << 20}
 	if w.maxBytes == 0 {
 		w.maxBytes = defaultMaxMB << 20
 	}
-	if c.File != "-" {
+	if c.Path != "-" {
 		if err := w.reopen(); err != nil {
 			return nil, fmt.Errorf("explain: %w", err)
 		}
@@ -144,8 +144,8 @@
 	return w, nil
 }
 
-// Tell queues a note and never blocks. Only the goroutine that runs the module may call it.
-func (w *Writer) Tell(n balance.Note) {
+// Write queues a note and never blocks. Only the goroutine that runs the module may call it.
+func (w *Writer) Write(n balance.Note) {
 	select {
 	case w.notes <- n:
 	default:
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -45,7 +45,7 @@
 // Notes are read back unchanged and in order, and a file that has reached its maximum size is rotated.
 func TestNotesAreWrittenAndReadBack(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "notes")
-	w, err := Open(Config{File: path, MaxMB: 1}, "n0", []string{"read"})
+	w, err := Open(Config{Path: path, MaxMB: 1}, "n0", []string{"read"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 		for len(w.notes) == queueCapacity { // the test queues notes faster than a disk takes them
 			time.Sleep(time.Millisecond)
 		}
-		w.Tell(balance.Note{At: time.Duration(i) * time.Millisecond, Kind: balance.NoteRefused, Reason: balance.TooLate, Request: fmt.Sprint(i),
+		w.Write(balance.Note{At: time.Duration(i) * time.Millisecond, Kind: balance.NoteRefused, Reason: balance.TooLate, Request: fmt.Sprint(i),
 			Waited: 3 * time.Millisecond, Limit: 4.5, Backends: []balance.BackendNote{{ID: "a", Warmth: 1}}})
 	}
 	if err := w.Close(); err != nil {
@@ -77,7 +77,7 @@
 			if next < 0 {
 				fmt.Sscan(r.Request, &next)
 			}
-			if r.Request != fmt.Sprint(next) || r.Why != "too-late" || r.Class != "read" || r.Waited != 3 || r.Part != 4.5 || r.Agent != "n0" || len(r.Backends) != 1 {
+			if r.Request != fmt.Sprint(next) || r.Reason != "too-late" || r.Class != "read" || r.Waited != 3 || r.Part != 4.5 || r.Agent != "n0" || len(r.Backends) != 1 {
 				t.Fatalf("note %d came back as %+v", next, r)
 			}
 			next++
@@ -94,7 +94,7 @@
 func TestFullQueueCountsSkippedNotes(t *testing.T) {
 	w := &Writer{notes: make(chan balance.Note, 2)}
 	for range 5 {
-		w.Tell(balance.Note{})
+		w.Write(balance.Note{})
 	}
 	if n := w.skipped.Load(); n != 3 || len(w.notes) != 2 {
 		t.Errorf("%d skipped, %d queued", n, len(w.notes))
@@ -104,18 +104,18 @@
 // An error of writing ends the notes only, and Close returns it.
 func TestWriteErrorIsReturnedByClose(t *testing.T) {
 	dir := t.TempDir()
-	w, err := Open(Config{File: filepath.Join(dir, "notes")}, "n0", nil)
+	w, err := Open(Config{Path: filepath.Join(dir, "notes")}, "n0", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.file.Close()
 	for range 10 {
-		w.Tell(balance.Note{})
+		w.Write(balance.Note{})
 	}
 	if err := w.Close(); err == nil {
 		t.Error("Close returned no error")
 	}
-	if _, err := Open(Config{File: filepath.Join(dir, "none", "notes")}, "n0", nil); err == nil {
+	if _, err := Open(Config{Path: filepath.Join(dir, "none", "notes")}, "n0", nil); err == nil {
 		t.Error("Open accepted a file that cannot be created")
 	}
 }
@@ -134,7 +134,7 @@
 
 func TestReportInterpretsStates(t *testing.T) {
 	state := Record{Agent: "n0", Kind: "state", Part: 10, InFlight: 10, Up: 8, Used: 8, Capacity: 8, Delay: .5, Aimed: .4}
-	refused := Record{Agent: "n0", Kind: "refused", Why: "too-late", Class: "read", Waited: 20, Left: 80}
+	refused := Record{Agent: "n0", Kind: "refused", Reason: "too-late", Class: "read", Waited: 20, Left: 80}
 	cold := state
 	cold.Capacity, cold.Delay, cold.InFlight = 4, .1, 1
 	idle := refused
@@ -154,7 +154,7 @@
 				t.Fatal(err)
 			}
 			r := s.Report()
-			if r.Others != 2 || len(r.Agents) != 1 {
+			if r.OtherLines != 2 || len(r.Agents) != 1 {
 				t.Fatalf("got %+v", r)
 			}
 			var text, html bytes.Buffer
@@ -178,7 +178,7 @@
 	s := NewSummary(0.1)
 	const n = 20000
 	for i := range n {
-		s.add(Record{Agent: "n0", At: 1 + float64(i)*1000, Kind: "refused", Why: "too-late", Waited: float64(i)})
+		s.add(Record{Agent: "n0", At: 1 + float64(i)*1000, Kind: "refused", Reason: "too-late", Waited: float64(i)})
 	}
 	r := s.Report()
 	sum := 0
--- a/internal/explain/fleet.go
+++ b/internal/explain/fleet.go
@@ -159,9 +159,9 @@
 	case "cut":
 		w.Cuts++
 	case "refused":
-		w.Refused[r.Why]++
+		w.Refused[r.Reason]++
 	case "failed":
-		w.Failed[r.Why]++
+		w.Failed[r.Reason]++
 	case "state":
 		f.addState(w, r)
 	}
@@ -229,17 +229,17 @@
 
 // FleetReport is the summary of a fleet's notes.
 type FleetReport struct {
-	WindowS  float64         `json:"window_s"`
-	Agents   int             `json:"agents"`
-	Omitted  int             `json:"left_out"`
-	Others   int             `json:"other_lines"`
-	Windows  []*FleetWindow  `json:"windows"`
-	Backends []*FleetBackend `json:"backends"` // sorted by the share of states in which agents avoided them, largest first
+	WindowS    float64         `json:"window_s"`
+	Agents     int             `json:"agents"`
+	Omitted    int             `json:"left_out"`
+	OtherLines int             `json:"other_lines"`
+	Windows    []*FleetWindow  `json:"windows"`
+	Backends   []*FleetBackend `json:"backends"` // sorted by the share of states in which agents avoided them, largest first
 }
 
 // Report returns the summary of the notes that were added.
 func (f *Fleet) Report() *FleetReport {
-	rep := &FleetReport{WindowS: f.window, Agents: len(f.agents), Omitted: f.omitted, Others: f.otherLines}
+	rep := &FleetReport{WindowS: f.window, Agents: len(f.agents), Omitted: f.omitted, OtherLines: f.otherLines}
 	for i, w := range f.windows {
 		if w == nil {
 			w = &FleetWindow{}
@@ -315,8 +315,8 @@
 	if r.Omitted > 0 {
 		fmt.Fprintf(&b, "%d notes were left out: too many agents, backends or windows\n", r.Omitted)
 	}
-	if r.Others > 0 {
-		fmt.Fprintf(&b, "%d lines were no notes\n", r.Others)
+	if r.OtherLines > 0 {
+		fmt.Fprintf(&b, "%d lines were no notes\n", r.OtherLines)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
--- a/internal/explain/fleet_test.go
+++ b/internal/explain/fleet_test.go
@@ -32,8 +32,8 @@
 	two := state("n2", 3000, 50, 7, 6, good) + state("n2", 5000, 50, 1, 6, good) + "nothing of this kind\n"
 	for _, order := range [][]string{{one, two}, {two, one}} {
 		r := fleetOf(t, order...)
-		if r.Agents != 2 || len(r.Windows) != 3 || r.Others != 1 || r.Omitted != 0 {
-			t.Fatalf("%d agents, %d windows, %d other lines, %d left out", r.Agents, len(r.Windows), r.Others, r.Omitted)
+		if r.Agents != 2 || len(r.Windows) != 3 || r.OtherLines != 1 || r.Omitted != 0 {
+			t.Fatalf("%d agents, %d windows, %d other lines, %d left out", r.Agents, len(r.Windows), r.OtherLines, r.Omitted)
 		}
 		w := r.Windows[2]
 		if w.Agents != 2 || w.InFlight != 4 || w.Part != 8 || w.MinUp != 6 || w.MaxUp != 8 || w.Dry != 1 ||
--- a/internal/explain/report.go
+++ b/internal/explain/report.go
@@ -36,7 +36,7 @@
 // Group summarizes the requests of one class that were refused or failed for one reason.
 type Group struct {
 	Kind            string  `json:"kind"` // refused, failed
-	Why             string  `json:"why"`
+	Reason          string  `json:"why"`
 	Class           string  `json:"class"`
 	Repeat          bool    `json:"repeat"`
 	Count           int     `json:"count"`
@@ -57,9 +57,9 @@
 
 // Report is the summary of all notes.
 type Report struct {
-	WindowS float64  `json:"window_s"`
-	Others  int      `json:"other_lines"` // lines that are not notes
-	Agents  []*Agent `json:"agents"`
+	WindowS    float64  `json:"window_s"`
+	OtherLines int      `json:"other_lines"` // lines that are not notes
+	Agents     []*Agent `json:"agents"`
 }
 
 // maxWindows is the maximum number of windows kept for an agent. Beyond it the length of all windows is
@@ -161,11 +161,11 @@
 		w.Cuts++
 	case "refused", "failed":
 		if r.Kind == "refused" {
-			w.Refused[r.Why]++
+			w.Refused[r.Reason]++
 		} else {
-			w.Failed[r.Why]++
+			w.Failed[r.Reason]++
 		}
-		k := groupKey{r.Kind, r.Why, r.Class, r.Repeat}
+		k := groupKey{r.Kind, r.Reason, r.Class, r.Repeat}
 		if a.groups[k] == nil {
 			a.groups[k] = &groupSamples{every: 1}
 		}
@@ -215,7 +215,7 @@
 
 // Report returns the summary of the notes that were added.
 func (s *Summary) Report() *Report {
-	rep := &Report{WindowS: s.window, Others: s.otherLines}
+	rep := &Report{WindowS: s.window, OtherLines: s.otherLines}
 	for _, name := range slices.Sorted(maps.Keys(s.agents)) {
 		a := s.agents[name]
 		out := a.Agent
@@ -309,7 +309,7 @@
 			fmt.Fprintln(tab, "  ended\twhy\tclass\trepeat\tcount\twaited p50 ms\tleft p50 ms\twith an idle backend")
 		}
 		for _, g := range a.Groups {
-			fmt.Fprintf(tab, "  %s\t%s\t%s\t%t\t%d\t%.1f\t%.1f\t%d\n", g.Kind, g.Why, g.Class, g.Repeat, g.Count, g.Waited, g.Left, g.WithIdleBackend)
+			fmt.Fprintf(tab, "  %s\t%s\t%s\t%t\t%d\t%.1f\t%.1f\t%d\n", g.Kind, g.Reason, g.Class, g.Repeat, g.Count, g.Waited, g.Left, g.WithIdleBackend)
 		}
 		tab.Flush()
 		tab = tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -320,8 +320,8 @@
 		}
 		tab.Flush()
 	}
-	if r.Others > 0 {
-		fmt.Fprintf(&b, "%d lines were no notes\n", r.Others)
+	if r.OtherLines > 0 {
+		fmt.Fprintf(&b, "%d lines were no notes\n", r.OtherLines)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
--- a/internal/front/diameter/bench_test.go
+++ b/internal/front/diameter/bench_test.go
@@ -18,7 +18,7 @@
 		for ; sent < b.N && sent < out; sent++ {
 			c.Send(ask())
 		}
-		if a := scripted.Await(b, c.Got); code(a) != diameter.Success {
+		if a := scripted.Await(b, c.Received); code(a) != diameter.Success {
 			b.Fatalf("got %d", code(a))
 		}
 		if sent < b.N {
@@ -41,7 +41,7 @@
 			b.Fatal(err)
 		}
 		defer c.Close()
-		scripted.Await(b, c.Got)
+		scripted.Await(b, c.Received)
 		s := &relaySite{t: b}
 		pipelined(b, c, func() *diameter.Message { return s.newRequest(4, 2) })
 	})
--- a/internal/front/diameter/front_test.go
+++ b/internal/front/diameter/front_test.go
@@ -124,7 +124,7 @@
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { c.Close() })
-	if m := scripted.Await(s.t, c.Got); m.Command != diameter.CapabilitiesExchange || code(m) != diameter.Success {
+	if m := scripted.Await(s.t, c.Received); m.Command != diameter.CapabilitiesExchange || code(m) != diameter.Success {
 		s.t.Fatalf("no capabilities exchange: %+v", m)
 	}
 	return c
@@ -165,7 +165,7 @@
 	c := s.client()
 	m := s.newRequest(4, 2)
 	c.Send(m)
-	a := scripted.Await(t, c.Got)
+	a := scripted.Await(t, c.Received)
 	host, _ := diameter.Find(a.AVPs, diameter.CodeOriginHost, 0).Identity()
 	if code(a) != diameter.Success || a.HopByHop != m.HopByHop || a.EndToEnd != m.EndToEnd || host != "s0.example.net" {
 		t.Errorf("got %+v", a)
@@ -213,19 +213,19 @@
 			barrier := s.newRequest(4, 2) // its answer shows that all earlier messages have been processed
 			barrier.Application = 77
 			two.Send(barrier)
-			if a := scripted.Await(t, two.Got); code(a) != diameter.ApplicationUnsupported {
+			if a := scripted.Await(t, two.Received); code(a) != diameter.ApplicationUnsupported {
 				t.Fatalf("got %+v", a)
 			}
 			close(release)
-			if a := scripted.Await(t, one.Got); code(a) != tt.want || a.HopByHop != m.HopByHop {
+			if a := scripted.Await(t, one.Received); code(a) != tt.want || a.HopByHop != m.HopByHop {
 				t.Errorf("first connection: %d", code(a))
 			}
-			if a := scripted.Await(t, two.Got); code(a) != tt.want || a.HopByHop != 5000 {
+			if a := scripted.Await(t, two.Received); code(a) != tt.want || a.HopByHop != 5000 {
 				t.Errorf("second connection: %d", code(a))
 			}
 			again.HopByHop = 6000 // a resend after the answer
 			one.Send(&again)
-			if a := scripted.Await(t, one.Got); code(a) != tt.want || a.HopByHop != 6000 {
+			if a := scripted.Await(t, one.Received); code(a) != tt.want || a.HopByHop != 6000 {
 				t.Errorf("after the answer: %d", code(a))
 			}
 			mu.Lock()
@@ -263,7 +263,7 @@
 	c.Send(first)
 	scripted.Await(t, asked)
 	leaving.Store(true)
-	s.nodes[0].Each(func(c *standin.DiameterConn) {
+	s.nodes[0].ForEachConn(func(c *standin.DiameterConn) {
 		c.Send(&diameter.Message{Flags: diameter.FlagRequest, Command: diameter.DisconnectPeer, HopByHop: 3, EndToEnd: 3,
 			AVPs: []diameter.AVP{diameter.Str(diameter.CodeOriginHost, "s0.example.net"), diameter.Str(diameter.CodeOriginRealm, "example.net"),
 				diameter.U32(diameter.CodeDisconnectCause, 0)}})
@@ -273,12 +273,12 @@
 	for range 20 {
 		m := s.newRequest(4, 2)
 		c.Send(m)
-		if a := scripted.Await(t, c.Got); code(a) != diameter.Success || a.EndToEnd != m.EndToEnd {
+		if a := scripted.Await(t, c.Received); code(a) != diameter.Success || a.EndToEnd != m.EndToEnd {
 			t.Errorf("got %d", code(a))
 		}
 	}
 	close(release)
-	if a := scripted.Await(t, c.Got); code(a) != diameter.Success || a.EndToEnd != first.EndToEnd {
+	if a := scripted.Await(t, c.Received); code(a) != diameter.Success || a.EndToEnd != first.EndToEnd {
 		t.Errorf("the pending answer: %d", code(a))
 	}
 	if n := lateRequests.Load(); n > 0 {
@@ -295,7 +295,7 @@
 	for range 10 {
 		m := s.newRequest(0, 0)
 		c.Send(m)
-		if a := scripted.Await(t, c.Got); code(a) != diameter.Success {
+		if a := scripted.Await(t, c.Received); code(a) != diameter.Success {
 			t.Errorf("got %d", code(a))
 		}
 	}
@@ -303,7 +303,7 @@
 	c = s.client()
 	m := s.newRequest(0, 0)
 	c.Send(m)
-	if a := scripted.Await(t, c.Got); code(a) != diameter.TooBusy || a.Flags&diameter.FlagError == 0 {
+	if a := scripted.Await(t, c.Received); code(a) != diameter.TooBusy || a.Flags&diameter.FlagError == 0 {
 		t.Errorf("got %d", code(a))
 	}
 }
@@ -321,12 +321,12 @@
 	for range 5 {
 		m := s.newRequest(4, 2)
 		c.Send(m)
-		if a := scripted.Await(t, c.Got); a.EndToEnd != m.EndToEnd || a.HopByHop != m.HopByHop {
+		if a := scripted.Await(t, c.Received); a.EndToEnd != m.EndToEnd || a.HopByHop != m.HopByHop {
 			t.Errorf("got the answer to %d for %d", a.EndToEnd, m.EndToEnd)
 		}
 	}
-	if len(c.Got) > 0 {
-		t.Errorf("%d unexpected answers", len(c.Got))
+	if len(c.Received) > 0 {
+		t.Errorf("%d unexpected answers", len(c.Received))
 	}
 }
 
@@ -340,8 +340,8 @@
 	b.AVPs[1] = diameter.Str(diameter.CodeOriginHost, "other.example.net")
 	one.Send(a)
 	two.Send(b)
-	scripted.Await(t, one.Got)
-	scripted.Await(t, two.Got)
+	scripted.Await(t, one.Received)
+	scripted.Await(t, two.Received)
 	if n.Load() != 2 {
 		t.Errorf("%d attempts", n.Load())
 	}
@@ -360,10 +360,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if a := scripted.Await(t, c.Got); code(a) != tt.want {
+		if a := scripted.Await(t, c.Received); code(a) != tt.want {
 			t.Errorf("%s: %d, want %d", tt.identity, code(a), tt.want)
 		}
-		if m, open := <-c.Got; open {
+		if m, open := <-c.Received; open {
 			t.Errorf("%s: got another message %+v", tt.identity, m)
 		}
 		c.Close()
@@ -373,7 +373,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(scripted.Patience))
+		nc.SetDeadline(time.Now().Add(scripted.WaitTimeout))
 		nc.Write([]byte(junk))
 		if n, err := nc.Read(make([]byte, 1)); err == nil {
 			t.Errorf("%q got %d bytes", junk, n)
@@ -386,7 +386,7 @@
 	m := s.newRequest(4, 2)
 	m.AVPs = m.AVPs[:3]
 	c.Send(m)
-	if a := scripted.Await(t, c.Got); code(a) != diameter.MissingAVP {
+	if a := scripted.Await(t, c.Received); code(a) != diameter.MissingAVP {
 		t.Errorf("no realm: %d", code(a))
 	}
 }
@@ -404,14 +404,14 @@
 		c := s.client()
 		c.Conn.Write(whole[:cut])
 		c.Conn.(*net.TCPConn).CloseWrite()
-		if m, open := <-c.Got; open { // the relay closes its side
+		if m, open := <-c.Received; open { // the relay closes its side
 			t.Errorf("cut at %d: got %+v", cut, m)
 		}
 		c.Close()
 	}
 	c := s.client()
 	c.Send(s.newRequest(4, 2))
-	if a := scripted.Await(t, c.Got); code(a) != diameter.Success || n.Load() != 1 {
+	if a := scripted.Await(t, c.Received); code(a) != diameter.Success || n.Load() != 1 {
 		t.Errorf("got %d after %d attempts", code(a), n.Load())
 	}
 }
@@ -427,7 +427,7 @@
 		for ; out < 3; out++ {
 			c.Send(s.newRequest(0, 0))
 		}
-		if a := scripted.Await(t, c.Got); code(a) != diameter.Success {
+		if a := scripted.Await(t, c.Received); code(a) != diameter.Success {
 			t.Fatalf("%d after %d served", code(a), served)
 		}
 		out--
@@ -452,16 +452,16 @@
 	scripted.Await(t, arrived)
 	site.stopFront()
 	for _, c := range []*standin.DiameterConn{idle, busy} {
-		if cause := scripted.Await(t, c.Goodbye); cause != 0 {
+		if cause := scripted.Await(t, c.DisconnectCauses); cause != 0 {
 			t.Errorf("cause %d, want REBOOTING", cause)
 		}
 	}
 	close(give)
-	if m := scripted.Await(t, busy.Got); code(m) != diameter.Success {
+	if m := scripted.Await(t, busy.Received); code(m) != diameter.Success {
 		t.Errorf("got %+v", m)
 	}
 	for _, c := range []*standin.DiameterConn{idle, busy} {
-		if m := scripted.Await(t, c.Got); m != nil {
+		if m := scripted.Await(t, c.Received); m != nil {
 			t.Errorf("another message was received: %+v", m)
 		}
 	}
@@ -473,11 +473,11 @@
 	site := newSite(t, 8, answerSuccess)
 	site.stopLimit = 100 * time.Millisecond
 	c := site.client()
-	c.Stubborn = true
+	c.IgnoreDPR = true
 	site.stopFront()
-	scripted.Await(t, c.Goodbye)
+	scripted.Await(t, c.DisconnectCauses)
 	scripted.Await(t, site.stopped)
-	if m := scripted.Await(t, c.Got); m != nil {
+	if m := scripted.Await(t, c.Received); m != nil {
 		t.Errorf("another message was received: %+v", m)
 	}
 }
@@ -506,7 +506,7 @@
 			c.Send(m)
 		}
 		for range batch {
-			a := scripted.Await(t, c.Got)
+			a := scripted.Await(t, c.Received)
 			result = code(a)
 			report := diameter.Find(a.AVPs, diameter.CodeOCOLR, 0)
 			if report == nil {
@@ -524,7 +524,7 @@
 	}
 	until := func(what string, done func() bool) {
 		t.Helper()
-		for end := time.Now().Add(scripted.Patience); !done(); {
+		for end := time.Now().Add(scripted.WaitTimeout); !done(); {
 			if time.Now().After(end) {
 				t.Fatal("never " + what)
 			}
@@ -565,9 +565,9 @@
 			m.AVPs = append(m.AVPs, diameter.Str(diameter.CodeDestinationHost, server))
 		}
 		c.Send(m)
-		return code(scripted.Await(t, c.Got))
+		return code(scripted.Await(t, c.Received))
 	}
-	for end := time.Now().Add(scripted.Patience); hits[0].Load() == 0 || hits[1].Load() == 0; {
+	for end := time.Now().Add(scripted.WaitTimeout); hits[0].Load() == 0 || hits[1].Load() == 0; {
 		if got := ask(""); got != diameter.Success {
 			t.Fatalf("got %d", got)
 		}
@@ -626,7 +626,7 @@
 			c := s.client()
 			m := s.newRequest(tt.kind, tt.action)
 			c.Send(m)
-			if a := scripted.Await(t, c.Got); code(a) != tt.want || a.EndToEnd != m.EndToEnd {
+			if a := scripted.Await(t, c.Received); code(a) != tt.want || a.EndToEnd != m.EndToEnd {
 				t.Errorf("got %d", code(a))
 			}
 			if again := tt.want == diameter.Success; n.Load() != map[bool]int64{true: 2, false: 1}[again] || marked.Load() != again {
--- a/internal/front/diameter/ledger_test.go
+++ b/internal/front/diameter/ledger_test.go
@@ -65,32 +65,32 @@
 	var n atomic.Int64
 	return func(c *standin.DiameterConn, m *diameter.Message) {
 		id, kind, now := sessionID(m), className(m), time.Now()
-		ended := l.Began(ledger.Attempt{Request: id, Agent: "relay", Node: node, Zone: "a", First: now, Last: now})
+		ended := l.AttemptStarted(ledger.Attempt{Request: id, Agent: "relay", Node: node, Zone: "a", FirstByte: now, LastByte: now})
 		chosen := decide(n.Add(1), kind)
 		if chosen == busy {
-			ended(ledger.Ending{Turned: true})
+			ended(ledger.Outcome{Rejected: true})
 			c.Answer(m, diameter.TooBusy)
 			return
 		}
 		ran := kind != "charge" || done.first(id)
 		switch chosen {
 		case vanish:
-			ended(ledger.Ending{Ran: ran})
+			ended(ledger.Outcome{TookEffect: ran})
 			c.Close()
 		case fails:
-			ended(ledger.Ending{Ran: ran})
+			ended(ledger.Outcome{TookEffect: ran})
 			c.Answer(m, diameter.UnableToComply)
 		case silent:
-			ended(ledger.Ending{Ran: ran})
+			ended(ledger.Outcome{TookEffect: ran})
 		case late: // in time for a charge
-			ended(ledger.Ending{Ran: ran, Answer: []byte(id)})
+			ended(ledger.Outcome{TookEffect: ran, AnswerBody: []byte(id)})
 			after.Add(1)
 			time.AfterFunc(1500*time.Millisecond, func() {
 				defer after.Done()
 				c.Answer(m, diameter.Success)
 			})
 		default:
-			ended(ledger.Ending{Ran: ran, Answer: []byte(id)})
+			ended(ledger.Outcome{TookEffect: ran, AnswerBody: []byte(id)})
 			c.Answer(m, diameter.Success)
 		}
 	}
@@ -104,7 +104,7 @@
 	l := ledger.New(ledger.Rules{Classes: map[string]ledger.Class{"balance-check": {Effect: ledger.Safe}, "other": {Effect: ledger.Unsafe},
 		"charge": {Effect: ledger.Keyed, Group: ledger.Zone, Window: 30 * time.Second}},
 		// Deadlines are not checked here: on a slow machine every answer may be late.
-		AnswerGrace: scripted.Patience, DrainGrace: 500 * time.Millisecond, Slack: time.Second, Settle: time.Hour})
+		AnswerGrace: scripted.WaitTimeout, DrainGrace: 500 * time.Millisecond, Slack: time.Second, Settle: time.Hour})
 	done := &effectLog{ran: map[string]bool{}}
 	var lateAnswers sync.WaitGroup
 	every := func(n int64, k int64, f fault) fault {
@@ -124,7 +124,7 @@
 			return max(every(n, 20, silent), every(n, 15, late))
 		}))
 	for _, n := range s.nodes {
-		l.Told("relay", n.Identity, "ready", time.Time{}, time.Now())
+		l.StateReported("relay", n.Identity, "ready", time.Time{}, time.Now())
 	}
 	const clients, each, out = 4, 150, 8
 	third := make(chan struct{}, clients)
@@ -144,7 +144,7 @@
 				m := s.newRequest([]uint32{4, 1, 0}[i%3], []uint32{2, 0, 0}[i%3])
 				x := &request{sends: 1}
 				open[m.EndToEnd], ids[m.EndToEnd] = x, sessionID(m)
-				l.Sent(sessionID(m), className(m), "relay", time.Now(), deadlines[className(m)])
+				l.RequestSent(sessionID(m), className(m), "relay", time.Now(), deadlines[className(m)])
 				c.Send(m)
 				if i%10 == 0 { // a resend right after the request
 					again := *m
@@ -163,7 +163,7 @@
 						third <- struct{}{}
 					}
 				}
-				a, connected := <-c.Got
+				a, connected := <-c.Received
 				if !connected {
 					t.Error("the relay ended a client's connection")
 					return
@@ -195,7 +195,7 @@
 				default:
 					t.Errorf("%s: %d", ids[a.EndToEnd], x.result)
 				}
-				l.Got(ids[a.EndToEnd], time.Now(), answer)
+				l.AnswerReceived(ids[a.EndToEnd], time.Now(), answer)
 			}
 		})
 	}
@@ -203,7 +203,7 @@
 		scripted.Await(t, third)
 	}
 	s.list(balance.Up, balance.Draining)
-	l.Told("relay", "s1.example.net", "draining", time.Time{}, time.Now())
+	l.StateReported("relay", "s1.example.net", "draining", time.Time{}, time.Now())
 	wait.Wait()
 	lateAnswers.Wait() // late answers must reach no client
 	v := l.Verdict()
@@ -249,14 +249,14 @@
 	again := *m
 	again.Flags |= diameter.FlagRetransmitted
 	two.Send(&again)
-	if a := scripted.Await(t, two.Got); code(a) != diameter.Success || a.EndToEnd != m.EndToEnd {
+	if a := scripted.Await(t, two.Received); code(a) != diameter.Success || a.EndToEnd != m.EndToEnd {
 		t.Errorf("the second agent answered %d", code(a))
 	}
 	if !scripted.Await(t, marked) {
 		t.Error("the request was forwarded to the server without the T bit")
 	}
 	close(release)
-	if a := scripted.Await(t, one.Got); code(a) != diameter.Success { // the first client is still connected
+	if a := scripted.Await(t, one.Received); code(a) != diameter.Success { // the first client is still connected
 		t.Errorf("the first agent answered %d", code(a))
 	}
 	if n := ran.Load(); n != 1 {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -62,10 +62,10 @@
 type Rule string
 
 const (
-	Lost   Rule = "no request lost"
-	Twice  Rule = "no effect twice"
-	Drains Rule = "drains kept"
-	Cold   Rule = "no cold node pushed over"
+	RuleNoRequestLost    Rule = "no request lost"
+	RuleNoRepeatedEffect Rule = "no effect twice"
+	RuleDrainsKept       Rule = "drains kept"
+	RuleNoColdOverload   Rule = "no cold node pushed over"
 )
 
 // Breach is one violation of a rule, with its evidence.
@@ -90,33 +90,33 @@
 
 // Answer is the final answer that a client received.
 type Answer struct {
-	Status int    // 0: the connection ended without a whole answer
-	Body   []byte // of an answer with status 200
-	Begun  bool   // with Status 0: part of an answer had arrived, so that the client can tell that it was cut off
-	Unsent bool   // with Status 0: first request on a connection that ended; it counts as failed if no node received it
+	Status            int    // 0: the connection ended without a whole answer
+	Body              []byte // of an answer with status 200
+	Partial           bool   // with Status 0: part of an answer had arrived, so that the client can tell that it was cut off
+	FirstOnConnection bool   // with Status 0: first request on a connection that ended; it counts as failed if no node received it
 }
 
 // Attempt is one request as a node received it.
 type Attempt struct {
-	Request string // the client's request id
-	Agent   string // the agent that sent it
-	Node    string
-	Zone    string
-	Cell    int
-	First   time.Time // when its first byte arrived
-	Last    time.Time // when its last byte arrived
+	Request   string // the client's request id
+	Agent     string // the agent that sent it
+	Node      string
+	Zone      string
+	Cell      int
+	FirstByte time.Time // when its first byte arrived
+	LastByte  time.Time // when its last byte arrived
 }
 
-// Ending is the outcome of an attempt at a node.
-type Ending struct {
-	Turned bool   // rejected unprocessed: it had no effect
-	Ran    bool   // its effect took place; false for a repeat that the node dropped
-	Answer []byte // body of the answer that the node wrote; nil if it wrote none
+// Outcome is the outcome of an attempt at a node.
+type Outcome struct {
+	Rejected   bool   // rejected unprocessed: it had no effect
+	TookEffect bool   // its effect took place; false for a repeat that the node dropped
+	AnswerBody []byte // body of the answer that the node wrote; nil if it wrote none
 }
 
 type attempt struct {
 	Attempt
-	Ending
+	Outcome
 	ended bool
 }
 
@@ -200,7 +200,7 @@
 			v.Requests, v.Served, v.Refused, v.Failed, v.Gone, v.Attempts)
 	}
 	var b strings.Builder
-	for _, r := range []Rule{Lost, Twice, Drains, Cold} {
+	for _, r := range []Rule{RuleNoRequestLost, RuleNoRepeatedEffect, RuleDrainsKept, RuleNoColdOverload} {
 		if n := v.Broken[r]; n > 0 {
 			fmt.Fprintf(&b, "BROKEN, %d times: %s\n", n, r)
 		}
@@ -237,9 +237,9 @@
 	return r
 }
 
-// Sent records that a client wrote the last byte of its request to an agent, with the time that is left for an
+// RequestSent records that a client wrote the last byte of its request to an agent, with the time that is left for an
 // answer.
-func (l *Ledger) Sent(id, class, agent string, at time.Time, left time.Duration) {
+func (l *Ledger) RequestSent(id, class, agent string, at time.Time, left time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.requestRecord(id)
@@ -252,8 +252,8 @@
 	l.settle(at)
 }
 
-// Got records an answer that a client received.
-func (l *Ledger) Got(id string, at time.Time, a Answer) {
+// AnswerReceived records an answer that a client received.
+func (l *Ledger) AnswerReceived(id string, at time.Time, a Answer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.requestRecord(id)
@@ -263,40 +263,40 @@
 	r.answers = append(r.answers, a)
 }
 
-// Gone records that a client closed before it had an answer.
-func (l *Ledger) Gone(id string, at time.Time) {
+// ClientLeft records that a client closed before it had an answer.
+func (l *Ledger) ClientLeft(id string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.requestRecord(id)
 	r.abandoned, r.abandonedAt = true, at
 }
 
-// Began records that a node received an attempt. The caller must call the returned function once, with the
+// AttemptStarted records that a node received an attempt. The caller must call the returned function once, with the
 // attempt's outcome.
-func (l *Ledger) Began(a Attempt) (ended func(Ending)) {
+func (l *Ledger) AttemptStarted(a Attempt) (ended func(Outcome)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.verdict.Attempts++
 	x := &attempt{Attempt: a}
 	r := l.requestRecord(a.Request)
 	if len(r.attempts) == 0 && r.sent.IsZero() { // Sent may be called later for this request
-		l.deadlines = append(l.deadlines, deadline{a.Request, a.Last.Add(time.Minute)})
+		l.deadlines = append(l.deadlines, deadline{a.Request, a.LastByte.Add(time.Minute)})
 	}
 	r.attempts = append(r.attempts, x)
 	l.checkDrain(x)
-	return func(e Ending) {
+	return func(e Outcome) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		x.Ending, x.ended = e, true
-		if e.Ran {
+		x.Outcome, x.ended = e, true
+		if e.TookEffect {
 			l.verdict.Effects++
 		}
 	}
 }
 
-// Told records that discovery reported a node's state ("ready", "draining", "gone") and latest start to an
+// StateReported records that discovery reported a node's state ("ready", "draining", "gone") and latest start to an
 // agent. A zero start means long ago.
-func (l *Ledger) Told(agent, node, state string, started, at time.Time) {
+func (l *Ledger) StateReported(agent, node, state string, started, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := [2]string{agent, node}
@@ -321,7 +321,7 @@
 	var last *stateReport
 	list := l.stateReports[[2]string{x.Agent, x.Node}]
 	for i := range list {
-		if !list[i].at.After(x.First) {
+		if !list[i].at.After(x.FirstByte) {
 			last = &list[i]
 		}
 	}
@@ -331,7 +331,7 @@
 	// After "draining" the agent may have been told "gone" as well: the grace runs from the first report.
 	since := last.at
 	for i := len(list) - 1; i >= 0; i-- {
-		if list[i].at.After(x.First) {
+		if list[i].at.After(x.FirstByte) {
 			continue
 		}
 		if list[i].state == "ready" {
@@ -339,23 +339,23 @@
 		}
 		since = list[i].at
 	}
-	if late := x.First.Sub(since); late > l.rules.DrainGrace+l.rules.Slack {
-		l.addBreach(Breach{Rule: Drains, At: x.First, Request: x.Request, Node: x.Node, Agent: x.Agent,
+	if late := x.FirstByte.Sub(since); late > l.rules.DrainGrace+l.rules.Slack {
+		l.addBreach(Breach{Rule: RuleDrainsKept, At: x.FirstByte, Request: x.Request, Node: x.Node, Agent: x.Agent,
 			Evidence: fmt.Sprintf("sent %v after the agent was told that the node is %s; %v are allowed", late.Round(time.Millisecond), last.state, l.rules.DrainGrace)})
 	}
 }
 
-// Started records that a node's process started cold, and its capacity when warm, in seconds of work (on all
+// NodeStarted records that a node's process started cold, and its capacity when warm, in seconds of work (on all
 // cores together) per second.
-func (l *Ledger) Started(name string, at time.Time, rate float64) {
+func (l *Ledger) NodeStarted(name string, at time.Time, rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.nodes[name] = &coldNode{started: at, rate: rate}
 }
 
-// Work records work that was sent to a node, accepted or rejected. It reports whether the node, being cold,
+// WorkSent records work that was sent to a node, accepted or rejected. It reports whether the node, being cold,
 // fails under it.
-func (l *Ledger) Work(name, agent string, at time.Time, amount float64) (falls bool) {
+func (l *Ledger) WorkSent(name, agent string, at time.Time, amount float64) (falls bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := l.nodes[name]
@@ -387,7 +387,7 @@
 	}
 	n.failed = true
 	if informed >= sum*2/3 {
-		l.addBreach(Breach{Rule: Cold, At: at, Node: name, Agent: agent,
+		l.addBreach(Breach{Rule: RuleNoColdOverload, At: at, Node: name, Agent: agent,
 			Evidence: fmt.Sprintf("%.2f s of work within %v, %v after its start; it falls over above %.2f s, and agents that knew sent %.2f s of it",
 				sum, l.rules.FallWindow, at.Sub(n.started).Round(time.Millisecond), limit, informed)})
 	}
@@ -435,10 +435,10 @@
 		return
 	}
 	delete(l.requests, id)
-	slices.SortStableFunc(r.attempts, func(a, b *attempt) int { return a.First.Compare(b.First) })
+	slices.SortStableFunc(r.attempts, func(a, b *attempt) int { return a.FirstByte.Compare(b.FirstByte) })
 	if r.sent.IsZero() { // no client recorded by Sent
 		for _, a := range r.attempts {
-			l.addBreach(Breach{Rule: Lost, At: a.First, Request: id, Node: a.Node, Agent: a.Agent, Evidence: "came to a node though no client sent it"})
+			l.addBreach(Breach{Rule: RuleNoRequestLost, At: a.FirstByte, Request: id, Node: a.Node, Agent: a.Agent, Evidence: "came to a node though no client sent it"})
 		}
 		return
 	}
@@ -451,7 +451,7 @@
 // and that it was not sent to a node after that.
 func (l *Ledger) checkAnswers(id string, r *request) {
 	report := func(at time.Time, format string, args ...any) {
-		l.addBreach(Breach{Rule: Lost, At: at, Request: id, Agent: r.agent, Evidence: fmt.Sprintf(format, args...)})
+		l.addBreach(Breach{Rule: RuleNoRequestLost, At: at, Request: id, Agent: r.agent, Evidence: fmt.Sprintf(format, args...)})
 	}
 	if r.abandoned && (len(r.answers) == 0 || !r.answered.Before(r.abandonedAt)) {
 		l.verdict.Gone++
@@ -468,14 +468,14 @@
 	switch {
 	case a.Status == 200:
 		l.verdict.Served++
-		if !slices.ContainsFunc(r.attempts, func(x *attempt) bool { return x.Answer != nil && string(x.Answer) == string(a.Body) }) {
+		if !slices.ContainsFunc(r.attempts, func(x *attempt) bool { return x.AnswerBody != nil && string(x.AnswerBody) == string(a.Body) }) {
 			report(r.answered, "served with %.40q, which no node made for it", a.Body)
 		}
 	case a.Status == 429 || a.Status == 503:
 		l.verdict.Refused++
 	default:
 		l.verdict.Failed++
-		if a.Status == 0 && !a.Begun && !(a.Unsent && len(r.attempts) == 0) {
+		if a.Status == 0 && !a.Partial && !(a.FirstOnConnection && len(r.attempts) == 0) {
 			report(r.answered, "its connection ended without a whole answer after %d attempts", len(r.attempts))
 		}
 	}
@@ -491,9 +491,9 @@
 // checkNoLateAttempts checks that no attempt started after a request had ended.
 func (l *Ledger) checkNoLateAttempts(id string, r *request, ended time.Time) {
 	for _, x := range r.attempts {
-		if x.First.After(ended.Add(l.rules.Slack)) {
-			l.addBreach(Breach{Rule: Lost, At: x.First, Request: id, Node: x.Node, Agent: x.Agent,
-				Evidence: fmt.Sprintf("sent to a node %v after its end", x.First.Sub(ended).Round(time.Millisecond))})
+		if x.FirstByte.After(ended.Add(l.rules.Slack)) {
+			l.addBreach(Breach{Rule: RuleNoRequestLost, At: x.FirstByte, Request: id, Node: x.Node, Agent: x.Agent,
+				Evidence: fmt.Sprintf("sent to a node %v after its end", x.FirstByte.Sub(ended).Round(time.Millisecond))})
 		}
 	}
 }
@@ -508,10 +508,10 @@
 	ran := 0
 	for i, x := range r.attempts {
 		report := func(format string, args ...any) {
-			l.addBreach(Breach{Rule: Twice, At: x.First, Request: id, Node: x.Node, Agent: x.Agent,
+			l.addBreach(Breach{Rule: RuleNoRepeatedEffect, At: x.FirstByte, Request: id, Node: x.Node, Agent: x.Agent,
 				Evidence: fmt.Sprintf("attempt %d: ", i+1) + fmt.Sprintf(format, args...)})
 		}
-		if x.Ran {
+		if x.TookEffect {
 			ran++
 		}
 		if first != nil {
@@ -522,20 +522,20 @@
 				report("sent to zone %s though the one to %s in zone %s may have run", x.Zone, first.Node, first.Zone)
 			case c.Group == Cell && x.Cell != first.Cell:
 				report("sent to cell %d though the one to %s in cell %d may have run", x.Cell, first.Node, first.Cell)
-			case x.First.Sub(first.First) > c.Window+l.rules.Slack:
-				report("sent %v after the first that may have run; repeats are dropped for %v", x.First.Sub(first.First).Round(time.Millisecond), c.Window)
+			case x.FirstByte.Sub(first.FirstByte) > c.Window+l.rules.Slack:
+				report("sent %v after the first that may have run; repeats are dropped for %v", x.FirstByte.Sub(first.FirstByte).Round(time.Millisecond), c.Window)
 			}
 		}
-		if first == nil && !(x.ended && x.Turned) {
+		if first == nil && !(x.ended && x.Rejected) {
 			first = x
 		}
 	}
 	if ran > 1 {
-		l.addBreach(Breach{Rule: Twice, At: r.answered, Request: id, Agent: r.agent, Evidence: fmt.Sprintf("its effect took place %d times", ran)})
+		l.addBreach(Breach{Rule: RuleNoRepeatedEffect, At: r.answered, Request: id, Agent: r.agent, Evidence: fmt.Sprintf("its effect took place %d times", ran)})
 	}
 	refused := len(r.answers) > 0 && (r.answers[0].Status == 429 || r.answers[0].Status == 503)
-	if refused && first != nil && !(c.Effect == Keyed && c.Group == All) && !r.answered.Before(first.Last) {
-		l.addBreach(Breach{Rule: Twice, At: r.answered, Request: id, Node: first.Node, Agent: r.agent,
+	if refused && first != nil && !(c.Effect == Keyed && c.Group == All) && !r.answered.Before(first.LastByte) {
+		l.addBreach(Breach{Rule: RuleNoRepeatedEffect, At: r.answered, Request: id, Node: first.Node, Agent: r.agent,
 			Evidence: fmt.Sprintf("refused with %d though the attempt at %s may have run", r.answers[0].Status, first.Node)})
 	}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -22,24 +22,24 @@
 // play records the events of one request in a ledger.
 type exchange struct{ l *Ledger }
 
-func (p exchange) sent(class string) { p.l.Sent("d1", class, "n0", at(0), 1000*ms) }
+func (p exchange) sent(class string) { p.l.RequestSent("d1", class, "n0", at(0), 1000*ms) }
 
 // attempt records an attempt from first to last (ms), with its outcome if it ended.
-func (p exchange) attempt(node, zone string, cell, first, last int, e ...Ending) {
-	ended := p.l.Began(Attempt{Request: "d1", Agent: "n0", Node: node, Zone: zone, Cell: cell, First: at(first), Last: at(last)})
+func (p exchange) attempt(node, zone string, cell, first, last int, e ...Outcome) {
+	ended := p.l.AttemptStarted(Attempt{Request: "d1", Agent: "n0", Node: node, Zone: zone, Cell: cell, FirstByte: at(first), LastByte: at(last)})
 	for _, x := range e {
 		ended(x)
 	}
 }
 
 func (p exchange) got(ms, status int, body string) {
-	p.l.Got("d1", at(ms), Answer{Status: status, Body: []byte(body)})
+	p.l.AnswerReceived("d1", at(ms), Answer{Status: status, Body: []byte(body)})
 }
 
 var (
-	served = Ending{Ran: true, Answer: []byte("yes")}
-	turned = Ending{Turned: true}
-	failed = Ending{}
+	served = Outcome{TookEffect: true, AnswerBody: []byte("yes")}
+	turned = Outcome{Rejected: true}
+	failed = Outcome{}
 )
 
 // TestRules checks each rule with an agent that breaks it and with one that stays just within it.
@@ -52,7 +52,7 @@
 		{"served", func(p exchange) { p.sent("sub"); p.attempt("s1", "a", 0, 5, 6, served); p.got(50, 200, "yes") }, ""},
 		{"refused, never sent on", func(p exchange) { p.sent("pay"); p.got(50, 503, "") }, ""},
 		{"failed after an attempt", func(p exchange) { p.sent("pay"); p.attempt("s1", "a", 0, 5, 6, failed); p.got(50, 502, "") }, ""},
-		{"the client goes away", func(p exchange) { p.sent("pay"); p.attempt("s1", "a", 0, 5, 6, failed); p.l.Gone("d1", at(40)) }, ""},
+		{"the client goes away", func(p exchange) { p.sent("pay"); p.attempt("s1", "a", 0, 5, 6, failed); p.l.ClientLeft("d1", at(40)) }, ""},
 
 		{"no answer", func(p exchange) { p.sent("read"); p.attempt("s1", "a", 0, 5, 6, served) }, "no answer"},
 		{"two answers", func(p exchange) { p.sent("read"); p.got(50, 503, ""); p.got(60, 503, "") }, "2 final answers"},
@@ -64,21 +64,25 @@
 		{"its connection ends", func(p exchange) { p.sent("read"); p.attempt("s1", "a", 0, 5, 6); p.got(50, 0, "") }, "without a whole answer"},
 		{"its connection ends, the first on it, nothing sent on", func(p exchange) {
 			p.sent("read")
-			p.l.Got("d1", at(50), Answer{Unsent: true})
+			p.l.AnswerReceived("d1", at(50), Answer{FirstOnConnection: true})
 		}, ""},
 		{"its connection ends, the first on it, but sent on", func(p exchange) {
 			p.sent("read")
 			p.attempt("s1", "a", 0, 5, 6)
-			p.l.Got("d1", at(50), Answer{Unsent: true})
+			p.l.AnswerReceived("d1", at(50), Answer{FirstOnConnection: true})
 		}, "without a whole answer"},
 		{"its connection ends within the answer", func(p exchange) {
 			p.sent("read")
 			p.attempt("s1", "a", 0, 5, 6, served)
-			p.l.Got("d1", at(50), Answer{Begun: true})
+			p.l.AnswerReceived("d1", at(50), Answer{Partial: true})
 		}, ""},
 		{"sent on after its answer", func(p exchange) { p.sent("read"); p.got(50, 503, ""); p.attempt("s1", "a", 0, 101, 102, served) }, "after its end"},
 		{"sent on as its answer goes out", func(p exchange) { p.sent("read"); p.got(50, 503, ""); p.attempt("s1", "a", 0, 99, 100, served) }, ""},
-		{"sent on after the client went away", func(p exchange) { p.sent("read"); p.l.Gone("d1", at(50)); p.attempt("s1", "a", 0, 101, 102, served) }, "after its end"},
+		{"sent on after the client went away", func(p exchange) {
+			p.sent("read")
+			p.l.ClientLeft("d1", at(50))
+			p.attempt("s1", "a", 0, 101, 102, served)
+		}, "after its end"},
 		{"attempt for a request that no client sent", func(p exchange) { p.attempt("s1", "a", 0, 5, 6, served) }, "no client sent it"},
 
 		{"safe: again anywhere", func(p exchange) {
@@ -128,13 +132,13 @@
 		{"keyed: again just within the window", func(p exchange) {
 			p.sent("sub")
 			p.attempt("s1", "a", 0, 0, 1, failed)
-			p.attempt("s2", "a", 1, 1049, 1050, Ending{Answer: []byte("yes")})
+			p.attempt("s2", "a", 1, 1049, 1050, Outcome{AnswerBody: []byte("yes")})
 			p.got(1060, 200, "yes")
 		}, ""},
 		{"keyed: again after the window", func(p exchange) {
 			p.sent("sub")
 			p.attempt("s1", "a", 0, 0, 1, failed)
-			p.attempt("s2", "a", 1, 1051, 1052, Ending{Answer: []byte("yes")})
+			p.attempt("s2", "a", 1, 1051, 1052, Outcome{AnswerBody: []byte("yes")})
 			p.got(1060, 200, "yes")
 		}, "repeats are dropped for 1s"},
 		{"keyed by cell: again in another cell", func(p exchange) {
@@ -145,7 +149,7 @@
 		}, "to cell 1"},
 		{"keyed: its effect took place twice", func(p exchange) {
 			p.sent("sub")
-			p.attempt("s1", "a", 0, 5, 6, Ending{Ran: true})
+			p.attempt("s1", "a", 0, 5, 6, Outcome{TookEffect: true})
 			p.attempt("s2", "a", 0, 15, 16, served)
 			p.got(50, 200, "yes")
 		}, "took place 2 times"},
@@ -153,34 +157,34 @@
 		{"keyed by all: refused though it may have run", func(p exchange) { p.sent("any"); p.attempt("s1", "a", 0, 5, 6, failed); p.got(50, 503, "") }, ""},
 
 		{"sent as the drain grace ends", func(p exchange) {
-			p.l.Told("n0", "s1", "ready", time.Time{}, at(-9000))
-			p.l.Told("n0", "s1", "draining", time.Time{}, at(0))
+			p.l.StateReported("n0", "s1", "ready", time.Time{}, at(-9000))
+			p.l.StateReported("n0", "s1", "draining", time.Time{}, at(0))
 			p.sent("read")
 			p.attempt("s1", "a", 0, 549, 550, served)
 			p.got(560, 200, "yes")
 		}, ""},
 		{"sent after the drain grace", func(p exchange) {
-			p.l.Told("n0", "s1", "draining", time.Time{}, at(0))
+			p.l.StateReported("n0", "s1", "draining", time.Time{}, at(0))
 			p.sent("read")
 			p.attempt("s1", "a", 0, 551, 552, served)
 			p.got(560, 200, "yes")
 		}, "the node is draining"},
 		{"told gone after draining", func(p exchange) {
-			p.l.Told("n0", "s1", "draining", time.Time{}, at(0))
-			p.l.Told("n0", "s1", "gone", time.Time{}, at(400))
+			p.l.StateReported("n0", "s1", "draining", time.Time{}, at(0))
+			p.l.StateReported("n0", "s1", "gone", time.Time{}, at(400))
 			p.sent("read")
 			p.attempt("s1", "a", 0, 600, 601, served)
 			p.got(700, 200, "yes")
 		}, "the node is gone"},
 		{"ready again", func(p exchange) {
-			p.l.Told("n0", "s1", "draining", time.Time{}, at(0))
-			p.l.Told("n0", "s1", "ready", time.Time{}, at(590))
+			p.l.StateReported("n0", "s1", "draining", time.Time{}, at(0))
+			p.l.StateReported("n0", "s1", "ready", time.Time{}, at(590))
 			p.sent("read")
 			p.attempt("s1", "a", 0, 600, 601, served)
 			p.got(700, 200, "yes")
 		}, ""},
 		{"another agent was told", func(p exchange) {
-			p.l.Told("n1", "s1", "draining", time.Time{}, at(0))
+			p.l.StateReported("n1", "s1", "draining", time.Time{}, at(0))
 			p.sent("read")
 			p.attempt("s1", "a", 0, 900, 901, served)
 			p.got(950, 200, "yes")
@@ -221,13 +225,13 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			l := New(rules())
-			l.Started("s1", at(0), 4)
+			l.NodeStarted("s1", at(0), 4)
 			if tt.told {
-				l.Told("n0", "s1", "ready", at(0).Truncate(time.Millisecond), at(0))
+				l.StateReported("n0", "s1", "ready", at(0).Truncate(time.Millisecond), at(0))
 			}
 			falls := false
 			for i := range tt.pieces {
-				falls = l.Work("s1", "n0", at(tt.start+i*900/tt.pieces), 0.1) || falls
+				falls = l.WorkSent("s1", "n0", at(tt.start+i*900/tt.pieces), 0.1) || falls
 			}
 			v := l.Verdict()
 			if falls != tt.falls || !v.Held() != tt.breach {
@@ -243,16 +247,16 @@
 	l := New(rules())
 	for i := range 20000 {
 		id := fmt.Sprint(i)
-		l.Sent(id, "read", "n0", at(10*i), 100*ms)
+		l.RequestSent(id, "read", "n0", at(10*i), 100*ms)
 		if i%100 != 0 {
-			l.Got(id, at(10*i+5), Answer{Status: 503})
+			l.AnswerReceived(id, at(10*i+5), Answer{Status: 503})
 		}
 		if len(l.requests) > 1100 || len(l.deadlines) > 1100 {
 			t.Fatalf("%d requests are kept", len(l.requests))
 		}
 	}
 	v := l.Verdict()
-	if v.Requests != 20000 || v.Refused != 19800 || v.Broken[Lost] != 200 || len(v.Breaches) != maxBreaches {
+	if v.Requests != 20000 || v.Refused != 19800 || v.Broken[RuleNoRequestLost] != 200 || len(v.Breaches) != maxBreaches {
 		t.Errorf("got %d requests, %d refused, %v, %d breaches", v.Requests, v.Refused, v.Broken, len(v.Breaches))
 	}
 	if len(l.requests) != 0 {
@@ -264,7 +268,7 @@
 	l := New(rules())
 	p := exchange{l}
 	p.sent("read")
-	l.Sent("d1", "read", "n0", at(10), 1000*ms) // again, on a new connection
+	l.RequestSent("d1", "read", "n0", at(10), 1000*ms) // again, on a new connection
 	p.attempt("s1", "a", 0, 15, 16, served)
 	p.got(50, 200, "yes")
 	if v := l.Verdict(); !v.Held() || v.Requests != 1 || v.Served != 1 {
--- a/internal/roster/failures_test.go
+++ b/internal/roster/failures_test.go
@@ -344,7 +344,7 @@
 // Guards against dials that outlive their calls, which would use up the descriptors if connections to the
 // service are neither established nor refused.
 func TestDialsEndWithTheirCalls(t *testing.T) {
-	silent := scripted.Silent(t)
+	silent := scripted.UnresponsiveAddr(t)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	d := New(ctx, Config{Service: netip.MustParseAddrPort(silent)}, func(balance.List, map[string]string) {}, slog.New(slog.DiscardHandler))
--- a/internal/scale/processes.go
+++ b/internal/scale/processes.go
@@ -68,8 +68,8 @@
 
 // measureFleet starts one fleet and measures it when all agents agree on the members.
 func (o ProcessRun) measureFleet(ctx context.Context, set *seriesSet, x float64, agents, listed int) (err error) {
-	if agents > cluster.Most || agents > MaxProcesses {
-		return fmt.Errorf("scale: %d agents exceed the maximum of %d", agents, min(cluster.Most, MaxProcesses))
+	if agents > cluster.MaxAgents || agents > MaxProcesses {
+		return fmt.Errorf("scale: %d agents exceed the maximum of %d", agents, min(cluster.MaxAgents, MaxProcesses))
 	}
 	o.Say("real processes: %d agents, %d backends", agents, listed)
 	server, err := newListServer(listed, 0)
--- a/internal/scripted/scripted.go
+++ b/internal/scripted/scripted.go
@@ -16,17 +16,17 @@
 	"lemonrail/internal/standin"
 )
 
-// Patience bounds every wait of a test. It is far longer than any wait should last.
-const Patience = 20 * time.Second
+// WaitTimeout bounds every wait of a test. It is far longer than any wait should last.
+const WaitTimeout = 20 * time.Second
 
-// Hello is a complete HTTP answer.
-const Hello = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
+// HelloResponse is a complete HTTP answer.
+const HelloResponse = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 
 // DeadAddr returns an address that refuses connections. It is bound, so that no other process gets it, but
 // nobody listens on it.
 func DeadAddr(t testing.TB) string {
 	t.Helper()
-	fd, addr, err := standin.Reserve()
+	fd, addr, err := standin.ReserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,8 +65,8 @@
 	return ln.Addr().String()
 }
 
-// Receive reads a request with its body.
-func Receive(r *bufio.Reader) (*http.Request, string, error) {
+// ReadRequest reads a request with its body.
+func ReadRequest(r *bufio.Reader) (*http.Request, string, error) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return nil, "", err
@@ -75,11 +75,11 @@
 	return req, string(body), err
 }
 
-// Always returns a handler for Backend that answers each request on a connection with the same bytes.
-func Always(answer string) func(net.Conn, *bufio.Reader) {
+// AnswerAlways returns a handler for Backend that answers each request on a connection with the same bytes.
+func AnswerAlways(answer string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, r *bufio.Reader) {
 		for {
-			if _, _, err := Receive(r); err != nil {
+			if _, _, err := ReadRequest(r); err != nil {
 				return
 			}
 			io.WriteString(c, answer)
@@ -93,15 +93,15 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		t.Fatal("no value arrived")
 	}
 	panic("unreachable")
 }
 
-// Counting starts a backend that counts its connections and the requests on them. restart closes all open
+// CountingBackend starts a backend that counts its connections and the requests on them. restart closes all open
 // connections.
-func Counting(t testing.TB) (addr string, conns, requests *atomic.Int64, restart func()) {
+func CountingBackend(t testing.TB) (addr string, conns, requests *atomic.Int64, restart func()) {
 	conns, requests = new(atomic.Int64), new(atomic.Int64)
 	var mu sync.Mutex
 	var open []net.Conn
@@ -111,11 +111,11 @@
 		open = append(open, c)
 		mu.Unlock()
 		for {
-			if _, _, err := Receive(r); err != nil {
+			if _, _, err := ReadRequest(r); err != nil {
 				return
 			}
 			requests.Add(1)
-			io.WriteString(c, Hello)
+			io.WriteString(c, HelloResponse)
 		}
 	})
 	return addr, conns, requests, func() {
--- a/internal/scripted/silent.go
+++ b/internal/scripted/silent.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Silent returns an address where connection attempts are neither accepted nor refused, like those to a
+// UnresponsiveAddr returns an address where connection attempts are neither accepted nor refused, like those to a
 // machine that has vanished: the listener's accept queue is full, so that the kernel lets further ones wait.
-func Silent(t testing.TB) string {
+func UnresponsiveAddr(t testing.TB) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/internal/standin/diameter.go
+++ b/internal/standin/diameter.go
@@ -22,11 +22,11 @@
 // DiameterConn is a connection of a DiameterNode, or of a client made by DialDiameter.
 type DiameterConn struct {
 	net.Conn
-	identity string
-	mu       sync.Mutex
-	Got      chan *diameter.Message // client only: all messages but base protocol requests
-	Goodbye  chan uint32            // client only: Disconnect-Cause of each DPR received
-	Stubborn bool                   // do not answer DPRs; set it before one can arrive
+	identity         string
+	mu               sync.Mutex
+	Received         chan *diameter.Message // client only: all messages but base protocol requests
+	DisconnectCauses chan uint32            // client only: Disconnect-Cause of each DPR received
+	IgnoreDPR        bool                   // do not answer DPRs; set it before one can arrive
 }
 
 // NewDiameterNode starts a node on a free loopback port.
@@ -68,8 +68,8 @@
 // Addr returns the address that the node listens on.
 func (n *DiameterNode) Addr() string { return n.ln.Addr().String() }
 
-// Each calls do for each open connection, holding the node's lock.
-func (n *DiameterNode) Each(do func(c *DiameterConn)) {
+// ForEachConn calls do for each open connection, holding the node's lock.
+func (n *DiameterNode) ForEachConn(do func(c *DiameterConn)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
@@ -80,7 +80,7 @@
 // Stop closes the listener and all connections, as when a process dies, and waits for the handlers.
 func (n *DiameterNode) Stop() {
 	n.ln.Close()
-	n.Each(func(c *DiameterConn) { c.Close() })
+	n.ForEachConn(func(c *DiameterConn) { c.Close() })
 	n.wait.Wait()
 }
 
@@ -99,13 +99,13 @@
 		}
 		if m.Request() && m.Application == diameter.AppBase && (m.Command == diameter.CapabilitiesExchange ||
 			m.Command == diameter.DeviceWatchdog || m.Command == diameter.DisconnectPeer) {
-			if m.Command == diameter.DisconnectPeer && c.Goodbye != nil {
+			if m.Command == diameter.DisconnectPeer && c.DisconnectCauses != nil {
 				cause := uint32(0)
 				if a := diameter.Find(m.AVPs, diameter.CodeDisconnectCause, 0); a != nil {
 					cause, _ = a.Uint32()
 				}
-				c.Goodbye <- cause
-				if c.Stubborn {
+				c.DisconnectCauses <- cause
+				if c.IgnoreDPR {
 					continue
 				}
 			}
@@ -145,13 +145,13 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &DiameterConn{Conn: nc, identity: identity, Got: make(chan *diameter.Message, 256), Goodbye: make(chan uint32, 8)}
+	c := &DiameterConn{Conn: nc, identity: identity, Received: make(chan *diameter.Message, 256), DisconnectCauses: make(chan uint32, 8)}
 	c.Send(&diameter.Message{Flags: diameter.FlagRequest, Command: diameter.CapabilitiesExchange, HopByHop: 1, EndToEnd: 1,
 		AVPs: []diameter.AVP{diameter.Str(diameter.CodeOriginHost, identity), diameter.Str(diameter.CodeOriginRealm, "example.net"),
 			diameter.U32(diameter.CodeAuthApplication, application)}})
 	go func() {
-		defer close(c.Got)
-		c.read(func(m *diameter.Message) { c.Got <- m })
+		defer close(c.Received)
+		c.read(func(m *diameter.Message) { c.Received <- m })
 	}()
 	return c, nil
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -160,12 +160,12 @@
 			born = time.UnixMilli(int64(h.BornMs))
 		}
 		listed[h.Host] = true
-		r.site.observer.Told(r.agent, h.Host, h.Health, born, now)
+		r.site.observer.StateReported(r.agent, h.Host, h.Health, born, now)
 	}
 	if l.Whole {
 		for _, id := range r.site.listedNodes() {
 			if !listed[id] {
-				r.site.observer.Told(r.agent, id, "gone", time.Time{}, now)
+				r.site.observer.StateReported(r.agent, id, "gone", time.Time{}, now)
 			}
 		}
 	}
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -95,7 +95,7 @@
 func (m *machine) listen() error {
 	for i := range m.site.scenario.Agents {
 		if i == len(m.addrs) {
-			fd, addr, err := Reserve()
+			fd, addr, err := ReserveAddr()
 			if err != nil {
 				return fmt.Errorf("node %s: %w", m.id, err)
 			}
@@ -111,9 +111,9 @@
 	return nil
 }
 
-// Reserve binds a loopback address without listening on it, so that connections are refused and no other
+// ReserveAddr binds a loopback address without listening on it, so that connections are refused and no other
 // process gets the address while a node is down.
-func Reserve() (fd int, addr string, err error) {
+func ReserveAddr() (fd int, addr string, err error) {
 	fd, err = syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return -1, "", os.NewSyscallError("socket", err)
@@ -200,7 +200,7 @@
 	m.working, m.queue, m.report = nil, nil, ""
 	m.processCtx, m.endProcess = context.WithCancel(m.site.ctx)
 	if !now.IsZero() {
-		m.site.observer.Started(id, now, float64(m.kind.Cores))
+		m.site.observer.NodeStarted(id, now, float64(m.kind.Cores))
 	}
 	return m.listen()
 }
@@ -417,12 +417,12 @@
 	m.mu.Lock()
 	node, life := m.id, m.processCtx
 	m.mu.Unlock()
-	ended := m.site.observer.Began(ledger.Attempt{Request: id, Agent: agent, Node: node, Zone: m.zone, Cell: m.block, First: began, Last: now})
+	ended := m.site.observer.AttemptStarted(ledger.Attempt{Request: id, Agent: agent, Node: node, Zone: m.zone, Cell: m.block, FirstByte: began, LastByte: now})
 	work := m.drawWork(class, n)
 	if first {
 		work += m.kind.HandshakeMs / 1000
 	}
-	if m.site.observer.Work(node, agent, now, work/m.kind.Speed) {
+	if m.site.observer.WorkSent(node, agent, now, work/m.kind.Speed) {
 		m.site.goTask(func() { m.site.nodeFailed(m) })
 	}
 	m.mu.Lock()
@@ -434,17 +434,17 @@
 	m.mu.Unlock()
 	switch {
 	case rejected:
-		ended(ledger.Ending{Turned: true})
+		ended(ledger.Outcome{Rejected: true})
 		answer(nc, 503, report+"X-Unprocessed: 1\r\n", "draining\n")
 		return true
 	case fails:
-		ended(ledger.Ending{})
+		ended(ledger.Outcome{})
 		answer(nc, 500, report, "failing fast\n")
 		return true
 	}
 	done := make(chan struct{})
 	if !m.submit(work, func() { close(done) }) {
-		ended(ledger.Ending{Turned: true})
+		ended(ledger.Outcome{Rejected: true})
 		answer(nc, 503, report+"X-Unprocessed: 1\r\n", "queue full\n")
 		return true
 	}
@@ -452,7 +452,7 @@
 		m.site.goTask(func() {
 			select {
 			case <-done:
-				ended(ledger.Ending{Ran: m.applyEffect(class, req, id)})
+				ended(ledger.Outcome{TookEffect: m.applyEffect(class, req, id)})
 			case <-life.Done():
 			}
 		})
@@ -475,7 +475,7 @@
 		return false
 	}
 	if !stop() {
-		ended(ledger.Ending{Ran: m.applyEffect(class, req, id)})
+		ended(ledger.Outcome{TookEffect: m.applyEffect(class, req, id)})
 		return false
 	}
 	m.mu.Lock()
@@ -483,17 +483,17 @@
 	m.mu.Unlock()
 	ran := m.applyEffect(class, req, id)
 	if unreadable {
-		ended(ledger.Ending{Ran: ran})
+		ended(ledger.Outcome{TookEffect: ran})
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n\x00\x01 spoilt")
 		return false
 	}
 	text := fmt.Sprintf("%s by %s, attempt %d\n", id, node, n)
 	if silent {
-		ended(ledger.Ending{Ran: ran})
+		ended(ledger.Outcome{TookEffect: ran})
 		m.holdSilent(nc)
 		return false
 	}
-	ended(ledger.Ending{Ran: ran, Answer: []byte(text)})
+	ended(ledger.Outcome{TookEffect: ran, AnswerBody: []byte(text)})
 	m.mu.Lock()
 	report = m.loadReport(n)
 	m.mu.Unlock()
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -19,14 +19,14 @@
 
 // Observer is told of the events at a site. *ledger.Ledger implements it.
 type Observer interface {
-	Began(ledger.Attempt) (ended func(ledger.Ending))
-	Work(node, agent string, at time.Time, amount float64) (falls bool)
-	Told(agent, node, state string, started, at time.Time)
-	Started(node string, at time.Time, rate float64)
+	AttemptStarted(ledger.Attempt) (ended func(ledger.Outcome))
+	WorkSent(node, agent string, at time.Time, amount float64) (falls bool)
+	StateReported(agent, node, state string, started, at time.Time)
+	NodeStarted(node string, at time.Time, rate float64)
 }
 
-// Happening is an entry of a site's log: a fault that began or ended, or its consequence.
-type Happening struct {
+// LogEntry is an entry of a site's log: a fault that began or ended, or its consequence.
+type LogEntry struct {
 	At   time.Duration // since the site's start
 	Text string
 }
@@ -50,14 +50,14 @@
 	staleness    float64 // additional delay of changes in s, by discovery_stale
 	keyTimes     map[string]time.Time
 	keyOrder     []string
-	log          []Happening
+	log          []LogEntry
 	err          error
 	moved        chan string // agents whose discovery address has changed
 	replacements int
 }
 
-// RulesOf returns the parameters of a scenario that the observer checks against.
-func RulesOf(sc *Scenario) ledger.Rules {
+// LedgerRules returns the parameters of a scenario that the observer checks against.
+func LedgerRules(sc *Scenario) ledger.Rules {
 	r := ledger.Rules{Classes: map[string]ledger.Class{}, AnswerGrace: ms(sc.Rules.AnswerGraceMs), DrainGrace: ms(sc.Rules.DrainGraceMs),
 		ColdShare: sc.Rules.ColdShare, Ramp: ms(sc.Rules.RampMs), FallMultiple: sc.Rules.FallMultiple, FallWindow: ms(sc.Rules.FallMs),
 		Slack: ms(sc.Rules.SlackMs)}
@@ -99,7 +99,7 @@
 		}
 		s.discoveries = append(s.discoveries, r)
 		for _, h := range hosts { // the list in the agent's configuration counts as reported to it
-			s.observer.Told(r.agent, h.Host, "ready", time.Time{}, s.start)
+			s.observer.StateReported(r.agent, h.Host, "ready", time.Time{}, s.start)
 		}
 	}
 	return s, nil
@@ -177,7 +177,7 @@
 }
 
 // Log returns the faults and their consequences so far.
-func (s *Site) Log() []Happening {
+func (s *Site) Log() []LogEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.log)
@@ -187,13 +187,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.log) < maxLogEntries {
-		s.log = append(s.log, Happening{time.Since(s.start), fmt.Sprintf(format, args...)})
+		s.log = append(s.log, LogEntry{time.Since(s.start), fmt.Sprintf(format, args...)})
 	}
 }
 
-// Moved returns a channel of agent names whose discovery address has changed: these agents need their new
+// DiscoveryMoved returns a channel of agent names whose discovery address has changed: these agents need their new
 // configuration and a SIGHUP.
-func (s *Site) Moved() <-chan string { return s.moved }
+func (s *Site) DiscoveryMoved() <-chan string { return s.moved }
 
 // FreeSlots returns the number of free slots of all serving nodes: requests that would be worked on at once.
 func (s *Site) FreeSlots() (free int) {
@@ -276,9 +276,9 @@
 	functions []func()
 }
 
-// Harm begins a fault now, ignoring AtS and ForS. The returned function ends the fault, if it is one that can
+// BeginFault begins a fault now, ignoring AtS and ForS. The returned function ends the fault, if it is one that can
 // end.
-func (s *Site) Harm(f FaultSpec) (end func(), err error) {
+func (s *Site) BeginFault(f FaultSpec) (end func(), err error) {
 	f.AtS, f.ForS, f.manualEnd = 0, 0, &manualEnd{}
 	sc := *s.scenario
 	sc.Faults = []FaultSpec{f}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -61,37 +61,37 @@
 type recorder struct {
 	mu       sync.Mutex
 	attempts []ledger.Attempt
-	outcomes []ledger.Ending
+	outcomes []ledger.Outcome
 	states   []string
 	falls    bool
 }
 
-func (n *recorder) Began(a ledger.Attempt) func(ledger.Ending) {
+func (n *recorder) AttemptStarted(a ledger.Attempt) func(ledger.Outcome) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.attempts = append(n.attempts, a)
-	return func(e ledger.Ending) {
+	return func(e ledger.Outcome) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.outcomes = append(n.outcomes, e)
 	}
 }
-func (n *recorder) Work(string, string, time.Time, float64) bool {
+func (n *recorder) WorkSent(string, string, time.Time, float64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.falls
 }
-func (n *recorder) Told(agent, node, state string, _, _ time.Time) {
+func (n *recorder) StateReported(agent, node, state string, _, _ time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.states = append(n.states, agent+" "+node+" "+state)
 }
-func (n *recorder) Started(string, time.Time, float64) {}
+func (n *recorder) NodeStarted(string, time.Time, float64) {}
 
-func (n *recorder) endings() []ledger.Ending {
+func (n *recorder) endings() []ledger.Outcome {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]ledger.Ending(nil), n.outcomes...)
+	return append([]ledger.Outcome(nil), n.outcomes...)
 }
 
 func open(t *testing.T, more string) (*Site, *recorder) {
@@ -174,7 +174,7 @@
 	if status, _, _, err := c.ask("d2", "none", ""); err != nil || status != 404 {
 		t.Errorf("an unknown class got %d, %v", status, err)
 	}
-	if n.attempts[0].Agent != "n1" || n.attempts[0].Node != "x" || n.attempts[0].Zone != "a" || string(n.endings()[0].Answer) != body || !n.endings()[0].Ran {
+	if n.attempts[0].Agent != "n1" || n.attempts[0].Node != "x" || n.attempts[0].Zone != "a" || string(n.endings()[0].AnswerBody) != body || !n.endings()[0].TookEffect {
 		t.Errorf("the observer recorded %+v, %+v", n.attempts, n.outcomes)
 	}
 }
@@ -189,7 +189,7 @@
 		}
 	}
 	e := n.endings()
-	if !e[0].Ran || e[1].Ran || !e[2].Ran {
+	if !e[0].TookEffect || e[1].TookEffect || !e[2].TookEffect {
 		t.Errorf("effects: %+v", e)
 	}
 }
@@ -221,7 +221,7 @@
 			}
 			if tt.ran {
 				for end := time.Now().Add(longWait); ; time.Sleep(time.Millisecond) {
-					if e := n.endings(); len(e) == 1 && e[0].Ran {
+					if e := n.endings(); len(e) == 1 && e[0].TookEffect {
 						break
 					}
 					if time.Now().After(end) {
@@ -401,7 +401,7 @@
 		t.Errorf("while discovery is down the watch got %+v", l)
 	}
 	s.applyFault(&FaultSpec{What: "discovery_moves"})
-	if name := <-s.Moved(); name != "n0" && name != "n1" {
+	if name := <-s.DiscoveryMoved(); name != "n0" && name != "n1" {
 		t.Errorf("moved: %q", name)
 	}
 	if moved, _ := s.known(t, 1); moved == addr {
--- a/internal/trial/day.go
+++ b/internal/trial/day.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// Part counts the requests of a class, a window or a whole day by their result.
-type Part struct {
+// Counts counts the requests of a class, a window or a whole day by their result.
+type Counts struct {
 	Requests    int64 `json:"requests"`
 	InTime      int64 `json:"in_time"`      // served within the aim
 	Late        int64 `json:"late"`         // served after the aim
@@ -144,7 +144,7 @@
 	Lost        int64 `json:"lost"`         // no complete answer, or none in time
 }
 
-func (p *Part) add(o *Part) {
+func (p *Counts) add(o *Counts) {
 	p.Requests += o.Requests
 	p.InTime += o.InTime
 	p.Late += o.Late
@@ -163,33 +163,33 @@
 
 // Outcome is the result of a day.
 type Outcome struct {
-	Day       string           `json:"day"`
-	Seed      uint64           `json:"seed"`
-	Agents    int              `json:"agents"`
-	Nodes     int              `json:"nodes"`
-	RatePerS  float64          `json:"rate_per_s"`
-	Part                       // all requests
-	Worth     float64          `json:"worth"` // share of the requests' full worth that was earned, by class and lateness
-	Classes   map[string]*Part `json:"classes"`
-	WindowS   float64          `json:"window_s"`
-	Windows   []*Part          `json:"windows"` // by the time at which requests were due
-	Latency   load.Quantiles   `json:"latency"` // of all served requests
-	RulesHeld bool             `json:"rules_held"`
-	Verdict   string           `json:"verdict"`
-	Site      []string         `json:"site,omitempty"`
+	Day       string             `json:"day"`
+	Seed      uint64             `json:"seed"`
+	Agents    int                `json:"agents"`
+	Nodes     int                `json:"nodes"`
+	RatePerS  float64            `json:"rate_per_s"`
+	Counts                       // all requests
+	Worth     float64            `json:"worth"` // share of the requests' full worth that was earned, by class and lateness
+	Classes   map[string]*Counts `json:"classes"`
+	WindowS   float64            `json:"window_s"`
+	Windows   []*Counts          `json:"windows"` // by the time at which requests were due
+	Latency   load.Quantiles     `json:"latency"` // of all served requests
+	RulesHeld bool               `json:"rules_held"`
+	Verdict   string             `json:"verdict"`
+	Site      []string           `json:"site,omitempty"`
 }
 
-// RefusedWithRoom returns the share of all requests that were refused while a node had a free slot.
-func (o *Outcome) RefusedWithRoom() float64 { return ratio(o.RefusedFree, o.Requests) }
+// RefusedWithFreeSlot returns the share of all requests that were refused while a node had a free slot.
+func (o *Outcome) RefusedWithFreeSlot() float64 { return ratio(o.RefusedFree, o.Requests) }
 
 // DayOptions configures how a day is played.
 type DayOptions struct {
-	Dir     string        // directory for the agents' configurations; must exist
-	Program string        // path of the agent's program; empty: agents run within this process
-	Log     io.Writer     // the agents' logs; nil: discarded
-	Seed    uint64        // 0: the seed of the day
-	Window  time.Duration // window of the outcome; 0: 1 s
-	Each    func()        // called for each request; nil: no call
+	Dir      string        // directory for the agents' configurations; must exist
+	Program  string        // path of the agent's program; empty: agents run within this process
+	Log      io.Writer     // the agents' logs; nil: discarded
+	Seed     uint64        // 0: the seed of the day
+	Window   time.Duration // window of the outcome; 0: 1 s
+	OnResult func()        // called for each request; nil: no call
 }
 
 // PlayDay plays a day against real agents.
@@ -201,7 +201,7 @@
 	if o.Window == 0 {
 		o.Window = time.Second
 	}
-	out := &Outcome{Day: d.Name, Seed: sc.Seed, Agents: sc.Agents, Classes: map[string]*Part{}, WindowS: o.Window.Seconds()}
+	out := &Outcome{Day: d.Name, Seed: sc.Seed, Agents: sc.Agents, Classes: map[string]*Counts{}, WindowS: o.Window.Seconds()}
 	for _, n := range sc.Nodes {
 		out.Nodes += n.Count
 	}
@@ -215,7 +215,7 @@
 			begun = s.Due
 		}
 		c := sc.Classes[slices.IndexFunc(sc.Classes, func(c standin.ClassSpec) bool { return c.Name == s.Request.Class })]
-		p := Part{Requests: 1}
+		p := Counts{Requests: 1}
 		requested += c.Worth
 		switch s.Outcome {
 		case load.Served:
@@ -234,18 +234,18 @@
 		default:
 			p.Lost = 1
 		}
-		out.Part.add(&p)
+		out.Counts.add(&p)
 		if out.Classes[c.Name] == nil {
-			out.Classes[c.Name] = &Part{}
+			out.Classes[c.Name] = &Counts{}
 		}
 		out.Classes[c.Name].add(&p)
 		i := int(max(0, s.Due.Sub(begun)) / o.Window)
 		for len(out.Windows) <= i {
-			out.Windows = append(out.Windows, &Part{})
+			out.Windows = append(out.Windows, &Counts{})
 		}
 		out.Windows[i].add(&p)
-		if o.Each != nil {
-			o.Each()
+		if o.OnResult != nil {
+			o.OnResult()
 		}
 	}
 	var next func() (*load.Request, error)
@@ -254,11 +254,11 @@
 		play.For = time.Duration(d.Load.Seconds * float64(time.Second))
 	}
 	r, err := Run(ctx, Options{Scenario: &sc, Dir: o.Dir, Program: o.Program, Log: o.Log, Window: o.Window, Clients: d.Load.Clients,
-		Opened: func(s *standin.Site) {
+		OnOpen: func(s *standin.Site) {
 			site.Store(s)
 			next = d.plan(s.Capacity(map[string]float64{sc.Classes[0].Name: d.Load.Share, sc.Classes[len(sc.Classes)-1].Name: 1 - d.Load.Share}), sc.Seed)
 		},
-		Next: func() (*load.Request, error) { return next() }, Play: play, Each: each, Refused: free.record})
+		Next: func() (*load.Request, error) { return next() }, Play: play, OnResult: each, OnRefused: free.record})
 	if r == nil {
 		return nil, err
 	}
--- a/internal/trial/day_test.go
+++ b/internal/trial/day_test.go
@@ -72,12 +72,12 @@
 	if o.Requests != 400 || o.InTime+o.Late != 400 || !o.RulesHeld || o.Worth < 0.99 {
 		t.Errorf("got %+v", o)
 	}
-	sum := Part{}
+	sum := Counts{}
 	for _, w := range o.Windows {
 		sum.add(w)
 	}
-	if sum != o.Part {
-		t.Errorf("the windows hold %+v, the day %+v", sum, o.Part)
+	if sum != o.Counts {
+		t.Errorf("the windows hold %+v, the day %+v", sum, o.Counts)
 	}
 }
 
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -31,17 +31,17 @@
 
 // Options configures a trial.
 type Options struct {
-	Scenario *standin.Scenario
-	Dir      string                        // directory for the agents' configurations; must exist
-	Program  string                        // path of the agent's program; empty: agents run within this process
-	Log      io.Writer                     // the agents' logs; nil: discarded
-	Next     func() (*load.Request, error) // returns the next request, io.EOF at the end
-	Play     load.PlayOptions              // Run sets Targets, Observer and Done
-	Window   time.Duration                 // window of the report; 0: 10 s
-	Each     func(*load.Sample)            // called for each request, never concurrently; nil: no call
-	Clients  int                           // number of clients in a closed loop; 0: open loop, at the requests' times
-	Opened   func(*standin.Site)           // called once the site is open; nil: no call
-	Refused  func(id string)               // called when a client receives a refusal, in the client's goroutine; nil: no call
+	Scenario  *standin.Scenario
+	Dir       string                        // directory for the agents' configurations; must exist
+	Program   string                        // path of the agent's program; empty: agents run within this process
+	Log       io.Writer                     // the agents' logs; nil: discarded
+	Next      func() (*load.Request, error) // returns the next request, io.EOF at the end
+	Play      load.PlayOptions              // Run sets Targets, Observer and Done
+	Window    time.Duration                 // window of the report; 0: 10 s
+	OnResult  func(*load.Sample)            // called for each request, never concurrently; nil: no call
+	Clients   int                           // number of clients in a closed loop; 0: open loop, at the requests' times
+	OnOpen    func(*standin.Site)           // called once the site is open; nil: no call
+	OnRefused func(id string)               // called when a client receives a refusal, in the client's goroutine; nil: no call
 }
 
 // Agents is a set of running agents of a site.
@@ -151,7 +151,7 @@
 
 // startProcess runs an agent as a separate process.
 func (a *Agents) startProcess(site *standin.Site, i int, name, path, program string, log io.Writer) (netip.AddrPort, error) {
-	fd, listen, err := standin.Reserve()
+	fd, listen, err := standin.ReserveAddr()
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
@@ -223,28 +223,28 @@
 	return fmt.Errorf("never ready: %w", last)
 }
 
-// Watch reports what a player's clients send and receive to a ledger.
-type Watch struct {
-	Ledger  *ledger.Ledger
-	Agent   map[string]string // agent names by target address
-	Refused func(id string)   // called when a client receives a refusal; nil: no call
+// LedgerObserver reports what a player's clients send and receive to a ledger.
+type LedgerObserver struct {
+	Ledger     *ledger.Ledger
+	AgentNames map[string]string // agent names by target address
+	OnRefused  func(id string)   // called when a client receives a refusal; nil: no call
 }
 
 // Sent reports that a request was written.
-func (w *Watch) Sent(s *load.Sample) {
-	w.Ledger.Sent(s.ID, s.Request.Class, w.Agent[s.Target], s.Sent, s.Request.Left)
+func (w *LedgerObserver) Sent(s *load.Sample) {
+	w.Ledger.RequestSent(s.ID, s.Request.Class, w.AgentNames[s.Target], s.Sent, s.Request.Left)
 }
 
 // Ended reports the answer that a client received.
-func (w *Watch) Ended(s *load.Sample) {
-	if s.Outcome == load.Refused && w.Refused != nil {
-		w.Refused(s.ID)
+func (w *LedgerObserver) Ended(s *load.Sample) {
+	if s.Outcome == load.Refused && w.OnRefused != nil {
+		w.OnRefused(s.ID)
 	}
 	switch s.Outcome {
 	case load.TimedOut:
 		// The client waited past its deadline. The ledger records no answer, which breaks a rule.
 	default:
-		w.Ledger.Got(s.ID, s.Ended, ledger.Answer{Status: s.Status, Body: s.Body, Begun: s.Begun, Unsent: s.First && s.Outcome == load.Broken})
+		w.Ledger.AnswerReceived(s.ID, s.Ended, ledger.Answer{Status: s.Status, Body: s.Body, Partial: s.Begun, FirstOnConnection: s.First && s.Outcome == load.Broken})
 	}
 }
 
@@ -253,7 +253,7 @@
 	if o.Window == 0 {
 		o.Window = 10 * time.Second
 	}
-	l := ledger.New(standin.RulesOf(o.Scenario))
+	l := ledger.New(standin.LedgerRules(o.Scenario))
 	site, err := standin.Open(o.Scenario, l)
 	if err != nil {
 		return nil, err
@@ -264,8 +264,8 @@
 			err = errors.Join(err, site.Close())
 		}
 	}()
-	if o.Opened != nil {
-		o.Opened(site)
+	if o.OnOpen != nil {
+		o.OnOpen(site)
 	}
 	agents, err := Start(site, o.Scenario, o.Dir, o.Program, o.Log)
 	if err != nil {
@@ -277,11 +277,11 @@
 	}
 	rec := load.NewRecorder(o.Window)
 	play := o.Play
-	play.Targets, play.Observer = agents.Targets, &Watch{l, names, o.Refused}
+	play.Targets, play.Observer = agents.Targets, &LedgerObserver{l, names, o.OnRefused}
 	play.Done = func(s *load.Sample) {
 		rec.Add(s)
-		if o.Each != nil {
-			o.Each(s)
+		if o.OnResult != nil {
+			o.OnResult(s)
 		}
 	}
 	reloadCtx, stopReloads := context.WithCancel(context.Background())
@@ -290,7 +290,7 @@
 	reloading.Go(func() {
 		for {
 			select {
-			case name := <-site.Moved():
+			case name := <-site.DiscoveryMoved():
 				if err := agents.Reload(name); err != nil {
 					select {
 					case reloadErr <- err:
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -128,7 +128,7 @@
 		t.Run(shape, func(t *testing.T) {
 			plan, g := generatedPlan(t, shape, 60, 6)
 			sent := map[int64]int{}
-			r, v := run(t, Options{Scenario: scenario(t, ""), Next: plan.Next, Window: 6 * time.Second, Each: func(s *load.Sample) { sent[s.Request.Seq]++ }})
+			r, v := run(t, Options{Scenario: scenario(t, ""), Next: plan.Next, Window: 6 * time.Second, OnResult: func(s *load.Sample) { sent[s.Request.Seq]++ }})
 			if r.Requests != g.Requests || r.Repeats != g.Repeats || int64(len(sent)) != g.Requests {
 				t.Errorf("played %d with %d repeats, the log has %+v", r.Requests, r.Repeats, g)
 			}
