--- a/cmd/lemonctl/load.go
+++ b/cmd/lemonctl/load.go
@@ -149,8 +149,8 @@
 					return nil, err
 				}
 				n++
-				q.At += shift
-				end = q.At
+				q.Offset += shift
+				end = q.Offset
 				return q, nil
 			}
 		}, func() error {
@@ -166,7 +166,7 @@
 	if p == nil {
 		return nil
 	}
-	return &load.SourceReport{Files: files, Read: p.Counts.Read, Unmatched: p.Mapper.Unmatched, Skipped: p.Counts.Skipped, Notes: p.Counts.Notes, Examples: p.Counts.First}
+	return &load.SourceReport{Files: files, Read: p.Counts.Read, Unmatched: p.Mapper.Unmatched, Skipped: p.Counts.Skipped, Repairs: p.Counts.Repairs, Examples: p.Counts.SkipExamples}
 }
 
 // Run plays the recordings and prints a report, also of a run that was interrupted.
@@ -175,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	o := load.PlayOptions{Speed: c.Speed, Limit: c.Limit, For: c.For, InFlight: c.InFlight, Seed: c.Seed, Marks: c.Marks}
+	o := load.PlayOptions{Speed: c.Speed, MaxRequests: c.Limit, MaxDuration: c.For, MaxInFlight: c.InFlight, Seed: c.Seed, MarkRepeats: c.Marks}
 	for _, t := range c.Target {
 		a, err := netip.ParseAddrPort(t)
 		if err != nil {
--- a/cmd/lemonctl/overhead.go
+++ b/cmd/lemonctl/overhead.go
@@ -33,8 +33,8 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
-	r, err := overhead.Measure(ctx, overhead.Options{Agent: c.Agent, Proxy: []string{self, "bare-proxy"}, Nodes: c.Nodes, Bytes: c.Bytes, Clients: c.Clients,
-		Seconds: c.Seconds, Rates: c.Rates, Rounds: c.Rounds, Changes: c.Changes, Dir: dir, Say: func(format string, args ...any) { fmt.Fprintf(s.err, format+"\n", args...) }})
+	r, err := overhead.Measure(ctx, overhead.Options{Agent: c.Agent, Proxy: []string{self, "bare-proxy"}, Nodes: c.Nodes, AnswerBytes: c.Bytes, Clients: c.Clients,
+		Seconds: c.Seconds, RatesPerS: c.Rates, Rounds: c.Rounds, ChangesPerS: c.Changes, Dir: dir, Progress: func(format string, args ...any) { fmt.Fprintf(s.err, format+"\n", args...) }})
 	if err != nil {
 		return err
 	}
--- a/cmd/lemonctl/site.go
+++ b/cmd/lemonctl/site.go
@@ -168,7 +168,7 @@
 	fmt.Fprintf(s.err, "starting %d agents and the site's nodes\n", sc.Agents)
 	progress := newProgress(s.err)
 	r, err := trial.Run(ctx, trial.Options{Scenario: sc, Dir: dir, Program: c.Agent, Log: logs, Next: p.Next, Window: window,
-		Play: load.PlayOptions{Speed: c.Speed, For: c.For, Seed: sc.Seed}, OnResult: progress.add})
+		Play: load.PlayOptions{Speed: c.Speed, MaxDuration: c.For, Seed: sc.Seed}, OnResult: progress.add})
 	progress.end()
 	if r == nil {
 		return err
--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -58,7 +58,7 @@
 		return fmt.Errorf("%s: %w (agent and zone come from the platform)", name, err)
 	}
 	for i, m := range f.Machine {
-		where := fmt.Sprintf("%s: line %d: machine %q", name, strict.Table(raw, "machine", i), m.Name)
+		where := fmt.Sprintf("%s: line %d: machine %q", name, strict.TableLine(raw, "machine", i), m.Name)
 		if err := checkMachine(m.Name, m.Region, m.Address); err != nil {
 			return fmt.Errorf("%s: %w", where, err)
 		}
--- a/internal/cluster/siteloss.go
+++ b/internal/cluster/siteloss.go
@@ -523,9 +523,9 @@
 		if rng.Float64() >= k.share {
 			k = &lossClasses[1]
 		}
-		q := &load.Request{At: time.Duration(at * float64(time.Second)), Class: k.name, Method: "GET", Target: "/" + k.name, Left: k.deadline, Origin: n, Seq: n}
+		q := &load.Request{Offset: time.Duration(at * float64(time.Second)), Class: k.name, Method: "GET", Target: "/" + k.name, TimeLeft: k.deadline, Origin: n, Seq: n}
 		if k.name == "sub" {
-			q.Method, q.Body, q.Effect = "POST", []byte(`{"for":"a rig"}`), fmt.Sprintf("%016x%016x", rng.Uint64(), uint64(n))
+			q.Method, q.Body, q.IdempotencyKey = "POST", []byte(`{"for":"a rig"}`), fmt.Sprintf("%016x%016x", rng.Uint64(), uint64(n))
 		}
 		return q, nil
 	}
--- a/internal/cluster/timetable.go
+++ b/internal/cluster/timetable.go
@@ -86,17 +86,17 @@
 		return nil, err
 	}
 	if t.Agents < 1 || t.Agents > MaxAgents {
-		return nil, fmt.Errorf("%s: line %d: agents: %d are not within 1 and %d", file, strict.Key(raw, "agents"), t.Agents, MaxAgents)
+		return nil, fmt.Errorf("%s: line %d: agents: %d are not within 1 and %d", file, strict.KeyLine(raw, "agents"), t.Agents, MaxAgents)
 	}
 	if t.Zones = max(1, t.Zones); t.Zones > 26 {
-		return nil, fmt.Errorf("%s: line %d: zones: %d are over 26", file, strict.Key(raw, "zones"), t.Zones)
+		return nil, fmt.Errorf("%s: line %d: zones: %d are over 26", file, strict.KeyLine(raw, "zones"), t.Zones)
 	}
 	if !(t.Seconds > 0 && t.Seconds <= 3600) {
 		return nil, fmt.Errorf("%s: seconds: %v is not within 0 and 3600", file, t.Seconds)
 	}
 	for i, e := range t.Events {
 		bad := func(key string, v any) error {
-			return fmt.Errorf("%s: line %d: event.%s: invalid value: %v", file, strict.Table(raw, "event", i), key, v)
+			return fmt.Errorf("%s: line %d: event.%s: invalid value: %v", file, strict.TableLine(raw, "event", i), key, v)
 		}
 		_, links := linkFaults[e.What]
 		switch {
--- a/internal/configuration/server/settings.go
+++ b/internal/configuration/server/settings.go
@@ -72,12 +72,12 @@
 
 // atKey returns an error about a top-level key.
 func (c *settingsCheck) atKey(key, format string, args ...any) error {
-	return c.atLine(strict.Key(c.raw, key), key, format, args...)
+	return c.atLine(strict.KeyLine(c.raw, key), key, format, args...)
 }
 
 // atMachine returns an error about a key of the nth [[machine]] table, counted from 0.
 func (c *settingsCheck) atMachine(n int, key, format string, args ...any) error {
-	return c.atLine(strict.Table(c.raw, "machine", n), "machine."+key, format, args...)
+	return c.atLine(strict.TableLine(c.raw, "machine", n), "machine."+key, format, args...)
 }
 
 func (c *settingsCheck) atLine(line int, key, format string, args ...any) error {
--- a/internal/diameter/relay/relay.go
+++ b/internal/diameter/relay/relay.go
@@ -114,7 +114,7 @@
 		}
 	}
 	invalid := func(table string, i int, key string, v any, what string) error {
-		return fmt.Errorf("%s: line %d: %s.%s: %v %s", file, strict.Table(raw, table, i), table, key, v, what)
+		return fmt.Errorf("%s: line %d: %s.%s: %v %s", file, strict.TableLine(raw, table, i), table, key, v, what)
 	}
 	for i, p := range c.Peers {
 		if !validIdentity(p.Identity) {
--- a/internal/duty/seat/settings.go
+++ b/internal/duty/seat/settings.go
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	invalid := func(key string, v any) error {
-		if line := strict.Key(raw, key); line > 0 {
+		if line := strict.KeyLine(raw, key); line > 0 {
 			return fmt.Errorf("%s: line %d: %s: %v is not a valid value", file, line, key, v)
 		}
 		return fmt.Errorf("%s: %s: %v is not a valid value", file, key, v)
@@ -90,7 +90,7 @@
 	}
 	for i, x := range s.Seats {
 		invalidSeat := func(key string, v any) error {
-			return fmt.Errorf("%s: line %d: seat.%s: %v is not a valid value", file, strict.Table(raw, "seat", i), key, v)
+			return fmt.Errorf("%s: line %d: seat.%s: %v is not a valid value", file, strict.TableLine(raw, "seat", i), key, v)
 		}
 		if x.Name == "" || len(x.Name) > duty.MaxNameBytes || slices.ContainsFunc(s.seats, func(p seatAddress) bool { return p.name == x.Name }) {
 			return nil, invalidSeat("name", fmt.Sprintf("%q", x.Name))
@@ -111,7 +111,7 @@
 			err = fmt.Errorf("lease_ms: %d is under four times act_ms", x.LeaseMs)
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%s: line %d: duty.%w", file, strict.Table(raw, "duty", i), err)
+			return nil, fmt.Errorf("%s: line %d: duty.%w", file, strict.TableLine(raw, "duty", i), err)
 		}
 		s.specs = append(s.specs, spec)
 	}
--- a/internal/load/fuzz_test.go
+++ b/internal/load/fuzz_test.go
@@ -27,8 +27,8 @@
 		n++
 		wire := string(encodeRequest(&Sample{Request: q, ID: "d1"}, "127.0.0.1:1", true))
 		head, _, _ := strings.Cut(wire, "\r\n\r\n")
-		if strings.Count(head, "\n") > 8 || strings.Count(head, "\n") != strings.Count(head, "\r\n") || q.At < 0 {
-			t.Fatalf("%q: sends %q at %v", text, wire, q.At)
+		if strings.Count(head, "\n") > 8 || strings.Count(head, "\n") != strings.Count(head, "\r\n") || q.Offset < 0 {
+			t.Fatalf("%q: sends %q at %v", text, wire, q.Offset)
 		}
 	}
 	var skipped int64
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -114,16 +114,16 @@
 
 // Counts adds up what was read, skipped and repaired.
 type Counts struct {
-	Read    int64            // entries read
-	Skipped map[string]int64 // by reason
-	Notes   map[string]int64 // repairs, by kind
-	First   []string         // the first skips, with place and detail
+	Read         int64            // entries read
+	Skipped      map[string]int64 // by reason
+	Repairs      map[string]int64 // repairs, by kind
+	SkipExamples []string         // the first skips, with place and detail
 }
 
 const maxExamples = 20 // skips and unmatched entries that are listed one by one
 
 // NewCounts returns empty counts.
-func NewCounts() *Counts { return &Counts{Skipped: map[string]int64{}, Notes: map[string]int64{}} }
+func NewCounts() *Counts { return &Counts{Skipped: map[string]int64{}, Repairs: map[string]int64{}} }
 
 // Skip counts err if it is a *Skip, and reports whether it is one.
 func (c *Counts) Skip(err error) bool {
@@ -132,11 +132,11 @@
 		return false
 	}
 	c.Skipped[s.Reason]++
-	if len(c.First) < maxExamples {
-		c.First = append(c.First, s.Error())
+	if len(c.SkipExamples) < maxExamples {
+		c.SkipExamples = append(c.SkipExamples, s.Error())
 	}
 	return true
 }
 
 // AddRepair counts one repair.
-func (c *Counts) AddRepair(repair string) { c.Notes[repair]++ }
+func (c *Counts) AddRepair(repair string) { c.Repairs[repair]++ }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -109,7 +109,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			list, counts := readEntries(t, tt.text, tt.o)
 			if got := summary(list); got != tt.want || len(counts.Skipped) > 0 {
-				t.Errorf("got\n%s\nwant\n%s\nskipped %v", got, tt.want, counts.First)
+				t.Errorf("got\n%s\nwant\n%s\nskipped %v", got, tt.want, counts.SkipExamples)
 			}
 		})
 	}
@@ -150,8 +150,8 @@
 			if tt.notes == nil {
 				tt.notes = map[string]int64{}
 			}
-			if got := summary(list); got != tt.want || !reflect.DeepEqual(counts.Skipped, tt.skipped) || !reflect.DeepEqual(counts.Notes, tt.notes) {
-				t.Errorf("got\n%s\nskipped %v, notes %v", got, counts.Skipped, counts.Notes)
+			if got := summary(list); got != tt.want || !reflect.DeepEqual(counts.Skipped, tt.skipped) || !reflect.DeepEqual(counts.Repairs, tt.notes) {
+				t.Errorf("got\n%s\nskipped %v, notes %v", got, counts.Skipped, counts.Repairs)
 			}
 		})
 	}
@@ -223,7 +223,7 @@
 				tt.skipped = map[string]int64{}
 			}
 			if got := summary(list); got != tt.want || !reflect.DeepEqual(counts.Skipped, tt.skipped) {
-				t.Errorf("got\n%s\nwant\n%s\nskipped %v", got, tt.want, counts.First)
+				t.Errorf("got\n%s\nwant\n%s\nskipped %v", got, tt.want, counts.SkipExamples)
 			}
 		})
 	}
@@ -249,7 +249,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			list, counts := readEntries(t, harHead+harEntryText("2026-07-14T04:30:00Z", "POST", "/alert-sub", tt.more)+"]}}", Options{})
 			if len(list) != 1 {
-				t.Fatalf("%d entries, %v", len(list), counts.First)
+				t.Fatalf("%d entries, %v", len(list), counts.SkipExamples)
 			}
 			e := list[0]
 			if string(e.Body) != tt.body || e.BodySize != tt.size || e.BodyCut != tt.cut {
@@ -325,8 +325,8 @@
 			if tt.notes == nil {
 				tt.notes = map[string]int64{}
 			}
-			if !reflect.DeepEqual(got, tt.want) || !reflect.DeepEqual(counts.Notes, tt.notes) {
-				t.Errorf("got %v, want %v; notes %v", got, tt.want, counts.Notes)
+			if !reflect.DeepEqual(got, tt.want) || !reflect.DeepEqual(counts.Repairs, tt.notes) {
+				t.Errorf("got %v, want %v; notes %v", got, tt.want, counts.Repairs)
 			}
 		})
 	}
@@ -468,7 +468,7 @@
 	e := &Entry{Method: "GET", Target: "/v2/fields/rain fall?key=7", Host: "api.internal", Status: 503, Fields: Fields{{"header.x-app", "advisory"}, {"header.x-coop", "anand"}}}
 	mapper := NewMapper(m, NewCounts())
 	q, err := mapper.Map(e)
-	if err != nil || q.Target != "/point-read/rain%20fall?key=7" || q.Key != "7" || q.Tenant != "anand" || q.Left != 500*time.Millisecond || q.Body != nil {
+	if err != nil || q.Target != "/point-read/rain%20fall?key=7" || q.Key != "7" || q.Tenant != "anand" || q.TimeLeft != 500*time.Millisecond || q.Body != nil {
 		t.Errorf("got %+v, %v", q, err)
 	}
 	e.Status = 404
@@ -497,7 +497,7 @@
 	r := NewRepeats(DefaultMapping())
 	base := time.Unix(1784003400, 0)
 	note := func(ms int, client, target, key string) *Request {
-		q := &Request{Time: base.Add(time.Duration(ms) * time.Millisecond), Client: client, Class: "c", Target: target, Effect: key, needsIdempotencyKey: true}
+		q := &Request{Time: base.Add(time.Duration(ms) * time.Millisecond), Client: client, Class: "c", Target: target, IdempotencyKey: key, needsIdempotencyKey: true}
 		r.Identify(q)
 		return q
 	}
@@ -519,12 +519,12 @@
 		{"the same key from another client, within the window", note(30000, "b", "/z", "k"), true, 8},
 		{"the same key beyond the window", note(95000, "b", "/z", "k"), false, 10},
 	} {
-		if tt.q.Repeat != tt.repeat || tt.q.Origin != tt.origin || tt.q.Effect == "" {
-			t.Errorf("%s: got repeat %v of %d, key %q", tt.name, tt.q.Repeat, tt.q.Origin, tt.q.Effect)
+		if tt.q.Repeat != tt.repeat || tt.q.Origin != tt.origin || tt.q.IdempotencyKey == "" {
+			t.Errorf("%s: got repeat %v of %d, key %q", tt.name, tt.q.Repeat, tt.q.Origin, tt.q.IdempotencyKey)
 		}
 	}
-	if again := note(95100, "b", "/z", "k"); again.Effect != "k" || first.Effect == "" {
-		t.Errorf("keys: %q, %q", again.Effect, first.Effect)
+	if again := note(95100, "b", "/z", "k"); again.IdempotencyKey != "k" || first.IdempotencyKey == "" {
+		t.Errorf("keys: %q, %q", again.IdempotencyKey, first.IdempotencyKey)
 	}
 	for i := range 2 * MaxRemembered {
 		note(100000, "a", fmt.Sprint("/", i), "")
@@ -559,10 +559,10 @@
 					t.Fatal(err)
 				}
 				classes[q.Class]++
-				plan = append(plan, fmt.Sprint(q.At, q.Class, q.Target, q.Repeat, q.Origin, q.Effect))
+				plan = append(plan, fmt.Sprint(q.Offset, q.Class, q.Target, q.Repeat, q.Origin, q.IdempotencyKey))
 			}
 			if int64(len(plan)) != g.Requests || !reflect.DeepEqual(classes, g.Classes) || p.Repeats.Found != g.Repeats || len(p.Counts.Skipped) > 0 || p.Mapper.Unmatched > 0 {
-				t.Errorf("%s, %s: %d requests, %v, %d repeats; the log has %+v; skipped %v", shape, format, len(plan), classes, p.Repeats.Found, g, p.Counts.First)
+				t.Errorf("%s, %s: %d requests, %v, %d repeats; the log has %+v; skipped %v", shape, format, len(plan), classes, p.Repeats.Found, g, p.Counts.SkipExamples)
 			}
 			plans = append(plans, plan)
 		}
--- a/internal/load/mapping.go
+++ b/internal/load/mapping.go
@@ -21,17 +21,17 @@
 
 // Request is one request to be sent.
 type Request struct {
-	At     time.Duration // time since the first request
-	Time   time.Time     // recorded time, as corrected by Order
-	Class  string
-	Method string
-	Target string // path and query; begins with a slash
-	Key    string // key of the data that the request reads or changes
-	Effect string // idempotency key; empty if none
-	Tenant string
-	Left   time.Duration // how long the client waits for the answer
-	Body   []byte
-	Client string
+	Offset         time.Duration // time since the first request
+	Time           time.Time     // recorded time, as corrected by Order
+	Class          string
+	Method         string
+	Target         string // path and query; begins with a slash
+	Key            string // key of the data that the request reads or changes
+	IdempotencyKey string // idempotency key; empty if none
+	Tenant         string
+	TimeLeft       time.Duration // how long the client waits for the answer
+	Body           []byte
+	Client         string
 
 	Repeat bool  // the client's repeat of an earlier request
 	Origin int64 // number of the first request of which this is a repeat, or its own number
@@ -120,7 +120,7 @@
 	}
 	for i := range m.Rules {
 		if err := m.Rules[i].compile(); err != nil {
-			return nil, fmt.Errorf("%s: line %d: rule %d: %w", file, strict.Table(raw, "rule", i), i+1, err)
+			return nil, fmt.Errorf("%s: line %d: rule %d: %w", file, strict.TableLine(raw, "rule", i), i+1, err)
 		}
 	}
 	return &m, nil
@@ -288,12 +288,12 @@
 		return &Skip{Reason: reason, File: e.File, Line: e.Line, Detail: detail}
 	}
 	in := &templateValues{entry: e, path: path, rawQuery: rawQuery}
-	q := &Request{Time: e.Time, Class: r.Class, Method: r.SendMethod, Client: e.Client, needsIdempotencyKey: r.NeedsIdempotencyKey, Left: time.Duration(r.TimeLeftMs * float64(time.Millisecond))}
+	q := &Request{Time: e.Time, Class: r.Class, Method: r.SendMethod, Client: e.Client, needsIdempotencyKey: r.NeedsIdempotencyKey, TimeLeft: time.Duration(r.TimeLeftMs * float64(time.Millisecond))}
 	for _, f := range []struct {
 		to   *string
 		text string
 		what string
-	}{{&q.Key, r.Key, "key"}, {&q.Effect, r.IdempotencyKey, "idempotency key"}, {&q.Tenant, r.Tenant, "tenant"}} {
+	}{{&q.Key, r.Key, "key"}, {&q.IdempotencyKey, r.IdempotencyKey, "idempotency key"}, {&q.Tenant, r.Tenant, "tenant"}} {
 		v, err := expand(f.text, in)
 		if err != nil {
 			return nil, skip(ReasonValue, err.Error())
@@ -311,7 +311,7 @@
 			if !ok {
 				return nil, skip(ReasonValue, fmt.Sprintf("time left %.40q", text))
 			}
-			q.Left = d
+			q.TimeLeft = d
 		}
 	}
 	if r.Target != "" {
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -70,7 +70,7 @@
 		if p.first.IsZero() {
 			p.first = q.Time
 		}
-		q.At = q.Time.Sub(p.first)
+		q.Offset = q.Time.Sub(p.first)
 		return q, nil
 	}
 }
@@ -88,7 +88,7 @@
 	Repeats   int64            `json:"repeats"`
 	Unmatched int64            `json:"unmatched"` // entries that match no rule
 	Skipped   map[string]int64 `json:"skipped"`   // by reason
-	Notes     map[string]int64 `json:"notes"`     // repairs, by kind
+	Repairs   map[string]int64 `json:"notes"`     // repairs, by kind
 	First     string           `json:"first"`     // RFC 3339
 	Last      string           `json:"last"`
 	SpanS     float64          `json:"span_s"`
@@ -129,8 +129,8 @@
 		in.Classes[q.Class]++
 		in.addRequest(q, window)
 	}
-	in.Repeats, in.Unmatched, in.Skipped, in.Notes = p.Repeats.Found, p.Mapper.Unmatched, p.Counts.Skipped, p.Counts.Notes
-	in.Examples, in.UnmatchedExamples = p.Counts.First, p.Mapper.UnmatchedExamples
+	in.Repeats, in.Unmatched, in.Skipped, in.Repairs = p.Repeats.Found, p.Mapper.Unmatched, p.Counts.Skipped, p.Counts.Repairs
+	in.Examples, in.UnmatchedExamples = p.Counts.SkipExamples, p.Mapper.UnmatchedExamples
 	if in.Requests > 0 {
 		in.First, in.Last = first.UTC().Format(time.RFC3339Nano), last.UTC().Format(time.RFC3339Nano)
 		in.SpanS = last.Sub(first).Seconds()
@@ -142,7 +142,7 @@
 }
 
 func (in *Inspection) addRequest(q *Request, window time.Duration) {
-	i := min(int(q.At/window), maxWindows-1)
+	i := min(int(q.Offset/window), maxWindows-1)
 	for len(in.Windows) <= i {
 		in.Windows = append(in.Windows, Window{T: float64(len(in.Windows)) * window.Seconds(), Classes: map[string]int64{}})
 	}
--- a/internal/load/player.go
+++ b/internal/load/player.go
@@ -29,23 +29,23 @@
 	Failed   Outcome = "failed"    // answered with any other status
 	Broken   Outcome = "broken"    // the connection ended without a complete answer
 	TimedOut Outcome = "timed out" // the client gave up at the end of its time
-	Unsent   Outcome = "unsent"    // not sent: InFlight requests were open, or connecting failed
+	Unsent   Outcome = "unsent"    // not sent: MaxInFlight requests were open, or connecting failed
 )
 
 // Sample is one request of a play and its outcome.
 type Sample struct {
-	Request *Request
-	ID      string    // correlation id
-	Target  string    // address of the agent
-	Due     time.Time // when it was scheduled to be sent
-	Sent    time.Time // when its last byte was written; zero if never
-	Ended   time.Time
-	Outcome Outcome
-	Status  int           // 0 if there was no complete answer
-	Body    []byte        // body of a 200
-	Begun   bool          // with Broken: part of an answer was received
-	First   bool          // it was the first request on its connection
-	After   time.Duration // Retry-After of the answer; 0 if none
+	Request       *Request
+	ID            string    // correlation id
+	Target        string    // address of the agent
+	Due           time.Time // when it was scheduled to be sent
+	Sent          time.Time // when its last byte was written; zero if never
+	Ended         time.Time
+	Outcome       Outcome
+	Status        int           // 0 if there was no complete answer
+	Body          []byte        // body of a 200
+	AnswerBegun   bool          // with Broken: part of an answer was received
+	NewConnection bool          // it was the first request on its connection
+	RetryAfter    time.Duration // Retry-After of the answer; 0 if none
 }
 
 // Observer is called as the player's clients send requests and get answers, from many goroutines at once.
@@ -56,19 +56,19 @@
 
 // PlayOptions define how a plan is played.
 type PlayOptions struct {
-	Targets  []netip.AddrPort // loopback addresses; requests are spread over them, those of one client go to the same
-	Speed    float64          // factor on the recorded speed; 2 is twice as fast; 0 for 1
-	Limit    int64            // maximum number of requests; 0 for all
-	For      time.Duration    // maximum duration; 0 for no bound
-	InFlight int              // maximum number of open requests; 0 for DefaultInFlight
-	Seed     uint64           // seed of the correlation ids
-	Marks    bool             // repeats carry X-Repeat: 1
-	Observer Observer         // may be nil
-	Done     func(*Sample)    // called for each request that has ended, never concurrently; may be nil
+	Targets     []netip.AddrPort // loopback addresses; requests are spread over them, those of one client go to the same
+	Speed       float64          // factor on the recorded speed; 2 is twice as fast; 0 for 1
+	MaxRequests int64            // maximum number of requests; 0 for all
+	MaxDuration time.Duration    // maximum duration; 0 for no bound
+	MaxInFlight int              // maximum number of open requests; 0 for DefaultMaxInFlight
+	Seed        uint64           // seed of the correlation ids
+	MarkRepeats bool             // repeats carry X-Repeat: 1
+	Observer    Observer         // may be nil
+	Done        func(*Sample)    // called for each request that has ended, never concurrently; may be nil
 }
 
-// DefaultInFlight is the default maximum number of open requests.
-const DefaultInFlight = 4096
+// DefaultMaxInFlight is the default maximum number of open requests.
+const DefaultMaxInFlight = 4096
 
 const (
 	maxIdleConns   = 1024 // per target
@@ -79,9 +79,9 @@
 // Totals summarise a play.
 type Totals struct {
 	Played   int64
-	Unsent   int64 // requests not sent because InFlight requests were open
+	Unsent   int64 // requests not sent because MaxInFlight requests were open
 	Stopped  bool  // the caller's context ended the play
-	Begun    time.Time
+	Started  time.Time
 	Finished time.Time
 }
 
@@ -93,7 +93,7 @@
 		return Totals{}, err
 	}
 	var all sync.WaitGroup
-	totals := Totals{Begun: time.Now()}
+	totals := Totals{Started: time.Now()}
 	sleep := time.NewTimer(0)
 	defer sleep.Stop()
 	<-sleep.C
@@ -108,7 +108,7 @@
 	}()
 	var failure error
 loop:
-	for o.Limit == 0 || totals.Played < o.Limit {
+	for o.MaxRequests == 0 || totals.Played < o.MaxRequests {
 		q, err := next()
 		if errors.Is(err, io.EOF) {
 			break
@@ -117,11 +117,11 @@
 			failure = err
 			break
 		}
-		at := time.Duration(float64(q.At) / o.Speed)
-		if o.For > 0 && at >= o.For {
+		at := time.Duration(float64(q.Offset) / o.Speed)
+		if o.MaxDuration > 0 && at >= o.MaxDuration {
 			break
 		}
-		due := totals.Begun.Add(at)
+		due := totals.Started.Add(at)
 		if wait := time.Until(due); wait > 0 {
 			sleep.Reset(wait)
 			select {
@@ -136,7 +136,7 @@
 		}
 		totals.Played++
 		s := &Sample{Request: q, ID: p.correlationID(totals.Played), Due: due}
-		if idle.Load() == 0 && workers >= o.InFlight {
+		if idle.Load() == 0 && workers >= o.MaxInFlight {
 			totals.Unsent++
 			s.Outcome, s.Ended = Unsent, time.Now()
 			p.reportDone(s)
@@ -171,17 +171,17 @@
 	if err != nil {
 		return Totals{}, err
 	}
-	if clients < 1 || clients > DefaultInFlight {
+	if clients < 1 || clients > DefaultMaxInFlight {
 		return Totals{}, fmt.Errorf("%d clients are not within 1 and the limit of open requests", clients)
 	}
-	totals := Totals{Begun: time.Now()}
+	totals := Totals{Started: time.Now()}
 	var mu sync.Mutex // guards totals, failure and next
 	var failure error
 	nextSample := func() *Sample {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
-		case failure != nil || o.Limit > 0 && totals.Played >= o.Limit || o.For > 0 && time.Since(totals.Begun) >= o.For:
+		case failure != nil || o.MaxRequests > 0 && totals.Played >= o.MaxRequests || o.MaxDuration > 0 && time.Since(totals.Started) >= o.MaxDuration:
 			return nil
 		case ctx.Err() != nil:
 			totals.Stopped = true
@@ -230,8 +230,8 @@
 	if !(o.Speed > 0) {
 		return nil, fmt.Errorf("speed %v is not above 0", o.Speed)
 	}
-	if o.InFlight <= 0 {
-		o.InFlight = DefaultInFlight
+	if o.MaxInFlight <= 0 {
+		o.MaxInFlight = DefaultMaxInFlight
 	}
 	p := &player{options: *o}
 	for _, t := range o.Targets {
@@ -282,14 +282,14 @@
 func (p *player) play(s *Sample) {
 	pool := p.poolFor(s.Request)
 	s.Target = pool.addr
-	text := encodeRequest(s, pool.addr, p.options.Marks)
+	text := encodeRequest(s, pool.addr, p.options.MarkRepeats)
 	for attempt := 0; ; attempt++ {
 		c, reused, err := pool.get(attempt > 0)
 		if err != nil {
 			s.Outcome = Unsent
 			break
 		}
-		s.First = !reused
+		s.NewConnection = !reused
 		retry := s.exchange(c, text, p.options.Observer)
 		if retry && reused && attempt == 0 {
 			// The server closed the idle connection before it read the request: retry once on a new connection.
@@ -317,12 +317,12 @@
 func encodeRequest(s *Sample, host string, marks bool) []byte {
 	q := s.Request
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Time-Left: %du\r\n", q.Method, q.Target, host, s.ID, q.Left.Microseconds())
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Time-Left: %du\r\n", q.Method, q.Target, host, s.ID, q.TimeLeft.Microseconds())
 	if q.Tenant != "" {
 		fmt.Fprintf(&b, "X-Account: %s\r\n", q.Tenant)
 	}
-	if q.Effect != "" && q.Method == http.MethodPost {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", q.Effect)
+	if q.IdempotencyKey != "" && q.Method == http.MethodPost {
+		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", q.IdempotencyKey)
 	}
 	if q.Repeat && marks {
 		b.WriteString("X-Repeat: 1\r\n")
@@ -338,7 +338,7 @@
 // exchange writes the request and reads the answer. retry reports whether the connection ended before any byte
 // of an answer; on a reused connection this may mean that the server never read the request.
 func (s *Sample) exchange(c *conn, text []byte, observer Observer) (retry bool) {
-	c.SetDeadline(time.Now().Add(s.Request.Left + answerGrace))
+	c.SetDeadline(time.Now().Add(s.Request.TimeLeft + answerGrace))
 	if _, err := c.Write(text); err != nil {
 		s.Outcome = Broken
 		return true
@@ -362,13 +362,13 @@
 		resp.Body.Close()
 	}
 	if err != nil {
-		s.Outcome, s.Begun = Broken, true
+		s.Outcome, s.AnswerBegun = Broken, true
 		return false
 	}
 	c.closing = resp.Close
 	s.Status = resp.StatusCode
 	if v, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && v >= 0 && v < 1e6 {
-		s.After = time.Duration(v * float64(time.Second))
+		s.RetryAfter = time.Duration(v * float64(time.Second))
 	}
 	switch s.Status {
 	case http.StatusOK:
--- a/internal/load/player_test.go
+++ b/internal/load/player_test.go
@@ -25,7 +25,7 @@
 			return nil, io.EOF
 		}
 		i++
-		return &Request{At: time.Duration(i-1) * every, Class: "point-read", Method: "GET", Target: fmt.Sprint("/point-read?key=", i), Left: 10 * time.Second,
+		return &Request{Offset: time.Duration(i-1) * every, Class: "point-read", Method: "GET", Target: fmt.Sprint("/point-read?key=", i), TimeLeft: 10 * time.Second,
 			Client: fmt.Sprint(i % 7), Seq: int64(i - 1), Origin: int64(i - 1)}, nil
 	}
 }
@@ -88,7 +88,7 @@
 	})
 	var got []string
 	_, err := Play(context.Background(), evenRequests(5, 20*time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, Done: func(s *Sample) {
-		got = append(got, fmt.Sprintf("%d %s %d %v %v", s.Request.Seq, s.Outcome, s.Status, s.Begun, s.After))
+		got = append(got, fmt.Sprintf("%d %s %d %v %v", s.Request.Seq, s.Outcome, s.Status, s.AnswerBegun, s.RetryAfter))
 	}})
 	if err != nil {
 		t.Fatal(err)
@@ -158,7 +158,7 @@
 	hold := make(chan struct{})
 	to := startServer(t, func(w http.ResponseWriter, r *http.Request) { <-hold })
 	n := 0
-	tot, err := Play(context.Background(), evenRequests(10, time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, InFlight: 3, Done: func(s *Sample) {
+	tot, err := Play(context.Background(), evenRequests(10, time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, MaxInFlight: 3, Done: func(s *Sample) {
 		if n++; n == 7 {
 			close(hold)
 		}
@@ -166,7 +166,7 @@
 	if err != nil || tot.Unsent != 7 {
 		t.Errorf("got %+v, %v", tot, err)
 	}
-	tot, err = Play(context.Background(), evenRequests(10, time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, Limit: 4})
+	tot, err = Play(context.Background(), evenRequests(10, time.Millisecond), PlayOptions{Targets: []netip.AddrPort{to}, MaxRequests: 4})
 	if err != nil || tot.Played != 4 {
 		t.Errorf("got %+v, %v", tot, err)
 	}
@@ -193,7 +193,7 @@
 		}
 		rec.Add(s)
 	}
-	r := rec.Report(Totals{Begun: begun, Finished: begun.Add(4 * time.Second)})
+	r := rec.Report(Totals{Started: begun, Finished: begun.Add(4 * time.Second)})
 	if r.RateError != 0.5 || r.MixError != 0.5 || r.Lateness.Max < 999 {
 		t.Errorf("rate error %v, mix error %v, lateness %+v", r.RateError, r.MixError, r.Lateness)
 	}
@@ -210,7 +210,7 @@
 		}
 		rec.Add(s)
 	}
-	r := rec.Report(Totals{Begun: begun, Finished: begun.Add(9000 * time.Second)})
+	r := rec.Report(Totals{Started: begun, Finished: begun.Add(9000 * time.Second)})
 	if r.Requests != 9000 || r.Repeats != 900 || len(r.Windows) > maxPlayedWindows || r.WindowS != 4 || r.RateError > 0.3 || r.Classes["point-read"].Outcomes[Refused] != 90 {
 		t.Errorf("got %d requests, %d repeats, %d windows of %v s, error %v", r.Requests, r.Repeats, len(r.Windows), r.WindowS, r.RateError)
 	}
--- a/internal/load/repeats.go
+++ b/internal/load/repeats.go
@@ -54,9 +54,9 @@
 		}
 	}
 	switch {
-	case q.Effect != "":
+	case q.IdempotencyKey != "":
 		entries = r.keyed
-		add("key", q.Class, q.Effect)
+		add("key", q.Class, q.IdempotencyKey)
 	case q.Client != "":
 		add("request", q.Client, q.Class, q.Target)
 		r.keyText = append(r.keyText, q.Body...)
@@ -67,20 +67,20 @@
 	if identifiable {
 		if element := r.byKey[key]; element != nil {
 			earlier := element.Value.(*rememberedRequest) // within its window, since older ones were dropped above
-			q.Repeat, q.Origin, q.Effect = true, earlier.origin, earlier.idempotencyKey
+			q.Repeat, q.Origin, q.IdempotencyKey = true, earlier.origin, earlier.idempotencyKey
 			r.Found++
 			earlier.lastTime = q.Time
 			entries.MoveToBack(element)
 			return
 		}
 	}
-	if q.needsIdempotencyKey && q.Effect == "" {
-		q.Effect = generatedKey(q.Seq)
+	if q.needsIdempotencyKey && q.IdempotencyKey == "" {
+		q.IdempotencyKey = generatedKey(q.Seq)
 	}
 	if !identifiable {
 		return
 	}
-	r.byKey[key] = entries.PushBack(&rememberedRequest{key: key, lastTime: q.Time, origin: q.Origin, idempotencyKey: q.Effect})
+	r.byKey[key] = entries.PushBack(&rememberedRequest{key: key, lastTime: q.Time, origin: q.Origin, idempotencyKey: q.IdempotencyKey})
 	for entries.Len() > MaxRemembered/2 {
 		r.dropOldest(entries)
 	}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -186,7 +186,7 @@
 	Read      int64            `json:"read"`
 	Unmatched int64            `json:"unmatched"`
 	Skipped   map[string]int64 `json:"skipped"`
-	Notes     map[string]int64 `json:"notes"`
+	Repairs   map[string]int64 `json:"notes"`
 	Examples  []string         `json:"examples"`
 }
 
@@ -208,7 +208,7 @@
 			last = i
 		}
 	}
-	if out.SpanS = t.Finished.Sub(t.Begun).Seconds(); out.SpanS > 0 {
+	if out.SpanS = t.Finished.Sub(t.Started).Seconds(); out.SpanS > 0 {
 		out.RatePerS = float64(out.Requests) / out.SpanS
 	}
 	for i, s := range r.windows[:min(len(r.windows), last+1)] {
@@ -260,7 +260,7 @@
 		for _, m := range []struct {
 			what string
 			m    map[string]int64
-		}{{"skipped", s.Skipped}, {"repaired", s.Notes}} {
+		}{{"skipped", s.Skipped}, {"repaired", s.Repairs}} {
 			for _, k := range sortedKeys(m.m) {
 				fmt.Fprintf(&b, "%-9s %d: %s\n", m.what, m.m[k], k)
 			}
@@ -289,8 +289,8 @@
 	for _, k := range sortedKeys(in.Skipped) {
 		fmt.Fprintf(&b, "skipped   %9d  %s\n", in.Skipped[k], k)
 	}
-	for _, k := range sortedKeys(in.Notes) {
-		fmt.Fprintf(&b, "repaired  %9d  %s\n", in.Notes[k], k)
+	for _, k := range sortedKeys(in.Repairs) {
+		fmt.Fprintf(&b, "repaired  %9d  %s\n", in.Repairs[k], k)
 	}
 	for _, e := range append(slices.Clone(in.Examples), in.UnmatchedExamples...) {
 		fmt.Fprintf(&b, "  %s\n", e)
--- a/internal/member/link/config.go
+++ b/internal/member/link/config.go
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	keyError := func(key string, err error) error {
-		if line := strict.Key(raw, key); line > 0 {
+		if line := strict.KeyLine(raw, key); line > 0 {
 			return fmt.Errorf("%s: line %d: %s: %w", file, line, key, err)
 		}
 		return fmt.Errorf("%s: %s: %w", file, key, err)
@@ -76,7 +76,7 @@
 	ids, addresses := map[member.ID]string{}, map[netip.AddrPort]string{}
 	for i, m := range s.Members {
 		memberError := func(key string, err error) error {
-			return fmt.Errorf("%s: line %d: member.%s: %w", file, strict.Table(raw, "member", i), key, err)
+			return fmt.Errorf("%s: line %d: member.%s: %w", file, strict.TableLine(raw, "member", i), key, err)
 		}
 		a, err := address(m.Address)
 		id := member.NameID(m.Name)
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -40,17 +40,17 @@
 
 // Options define what is measured.
 type Options struct {
-	Agent   string                           // path of the agent's program
-	Proxy   []string                         // command line of the bare proxy, to which its addresses are appended; see ServeProxy
-	Nodes   int                              // number of nodes
-	Bytes   int                              // size of an answer's body
-	Clients int                              // number of clients in the closed loop
-	Seconds float64                          // duration of each loop
-	Rates   []float64                        // fixed rates, in requests per second
-	Rounds  int                              // number of rounds
-	Dir     string                           // directory for the agent's configuration
-	Changes float64                          // changes per second of the list of nodes; 0 for none
-	Say     func(format string, args ...any) // reports progress; may be nil
+	Agent       string                           // path of the agent's program
+	Proxy       []string                         // command line of the bare proxy, to which its addresses are appended; see ServeProxy
+	Nodes       int                              // number of nodes
+	AnswerBytes int                              // size of an answer's body
+	Clients     int                              // number of clients in the closed loop
+	Seconds     float64                          // duration of each loop
+	RatesPerS   []float64                        // fixed rates, in requests per second
+	Rounds      int                              // number of rounds
+	Dir         string                           // directory for the agent's configuration
+	ChangesPerS float64                          // changes per second of the list of nodes; 0 for none
+	Progress    func(format string, args ...any) // reports progress; may be nil
 }
 
 // maxNodes is the maximum number of nodes; each listens on its own port.
@@ -98,26 +98,26 @@
 
 // Measure runs all rounds and returns the results.
 func Measure(ctx context.Context, o Options) (r *Report, err error) {
-	if o.Nodes < 1 || o.Nodes > maxNodes || o.Clients < 1 || o.Clients > 1024 || !(o.Seconds > 0) || o.Seconds > 600 || o.Rounds < 1 || o.Rounds > 100 || o.Bytes < 0 || o.Bytes > 1<<20 {
+	if o.Nodes < 1 || o.Nodes > maxNodes || o.Clients < 1 || o.Clients > 1024 || !(o.Seconds > 0) || o.Seconds > 600 || o.Rounds < 1 || o.Rounds > 100 || o.AnswerBytes < 0 || o.AnswerBytes > 1<<20 {
 		return nil, errors.New("nodes must be within 1 and 512, clients 1 and 1024, seconds above 0 and at most 600, rounds 1 and 100, bytes 0 and 1048576")
 	}
-	if !(o.Changes >= 0) || o.Changes > 1000 {
-		return nil, fmt.Errorf("%v changes a second are not within 0 and 1000", o.Changes)
+	if !(o.ChangesPerS >= 0) || o.ChangesPerS > 1000 {
+		return nil, fmt.Errorf("%v changes a second are not within 0 and 1000", o.ChangesPerS)
 	}
-	for _, rate := range o.Rates {
+	for _, rate := range o.RatesPerS {
 		if !(rate > 0) || rate > 1e5 {
 			return nil, fmt.Errorf("a rate of %v is not above 0 and at most 100000", rate)
 		}
 	}
-	if o.Say == nil {
-		o.Say = func(string, ...any) {}
+	if o.Progress == nil {
+		o.Progress = func(string, ...any) {}
 	}
-	nodes, closeNodes, err := startNodes(o.Nodes, o.Bytes)
+	nodes, closeNodes, err := startNodes(o.Nodes, o.AnswerBytes)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, closeNodes()) }()
-	disc, closeDisc, err := startDiscovery(nodes, o.Changes)
+	disc, closeDisc, err := startDiscovery(nodes, o.ChangesPerS)
 	if err != nil {
 		return nil, err
 	}
@@ -169,16 +169,16 @@
 	}
 	defer func() { err = errors.Join(err, restore()) }()
 	for _, w := range variants {
-		w.p50, w.p99 = make([][]float64, len(o.Rates)), make([][]float64, len(o.Rates))
+		w.p50, w.p99 = make([][]float64, len(o.RatesPerS)), make([][]float64, len(o.RatesPerS))
 	}
 	for round := range o.Rounds {
 		for _, w := range variants {
-			o.Say("round %d of %d: %s", round+1, o.Rounds, w.name)
+			o.Progress("round %d of %d: %s", round+1, o.Rounds, w.name)
 			if err := w.measureClosedLoop(ctx, o, uint64(round)); err != nil {
 				return nil, err
 			}
 		}
-		for i, rate := range o.Rates {
+		for i, rate := range o.RatesPerS {
 			for _, w := range variants {
 				if err := w.measureFixedRate(ctx, o, i, rate, uint64(round)); err != nil {
 					return nil, err
@@ -194,7 +194,7 @@
 				return nil, err
 			}
 		}
-		for i, rate := range o.Rates {
+		for i, rate := range o.RatesPerS {
 			w.row.Rates = append(w.row.Rates, RateLatency{rate, median(w.p50[i]), median(w.p99[i])})
 		}
 		r.Rows = append(r.Rows, &w.row)
@@ -213,9 +213,9 @@
 func requests(rate float64) func() (*load.Request, error) {
 	n := int64(0)
 	return func() (*load.Request, error) {
-		q := &load.Request{Class: "point-read", Method: "GET", Target: "/point-read/x", Left: 600 * time.Millisecond, Origin: n, Seq: n}
+		q := &load.Request{Class: "point-read", Method: "GET", Target: "/point-read/x", TimeLeft: 600 * time.Millisecond, Origin: n, Seq: n}
 		if rate > 0 {
-			q.At = time.Duration(float64(n) / rate * float64(time.Second))
+			q.Offset = time.Duration(float64(n) / rate * float64(time.Second))
 		}
 		n++
 		return q, nil
@@ -225,7 +225,7 @@
 // measureClosedLoop runs the closed loop once.
 func (w *variant) measureClosedLoop(ctx context.Context, o Options, seed uint64) error {
 	var served, notServed atomic.Int64
-	opt := load.PlayOptions{Targets: []netip.AddrPort{w.addr}, Seed: seed<<8 | 1, For: time.Duration(o.Seconds * float64(time.Second)), Done: func(s *load.Sample) {
+	opt := load.PlayOptions{Targets: []netip.AddrPort{w.addr}, Seed: seed<<8 | 1, MaxDuration: time.Duration(o.Seconds * float64(time.Second)), Done: func(s *load.Sample) {
 		if s.Outcome == load.Served {
 			served.Add(1)
 		} else {
@@ -244,7 +244,7 @@
 	if err != nil {
 		return err
 	}
-	w.requestsPerS = append(w.requestsPerS, float64(served.Load())/tot.Finished.Sub(tot.Begun).Seconds())
+	w.requestsPerS = append(w.requestsPerS, float64(served.Load())/tot.Finished.Sub(tot.Started).Seconds())
 	w.cpuUs = append(w.cpuUs, float64((after-before).Microseconds())/float64(max(1, served.Load())))
 	w.row.Answered += served.Load()
 	w.row.NotServed += notServed.Load()
@@ -254,7 +254,7 @@
 // measureFixedRate measures the latency at one rate once.
 func (w *variant) measureFixedRate(ctx context.Context, o Options, i int, rate float64, seed uint64) error {
 	var latencies []float64
-	opt := load.PlayOptions{Targets: []netip.AddrPort{w.addr}, Seed: seed<<8 | uint64(2+i), For: time.Duration(o.Seconds * float64(time.Second)), InFlight: 256, Done: func(s *load.Sample) {
+	opt := load.PlayOptions{Targets: []netip.AddrPort{w.addr}, Seed: seed<<8 | uint64(2+i), MaxDuration: time.Duration(o.Seconds * float64(time.Second)), MaxInFlight: 256, Done: func(s *load.Sample) {
 		if s.Outcome == load.Served {
 			latencies = append(latencies, float64(s.Ended.Sub(s.Sent).Nanoseconds())/1000)
 		} else {
--- a/internal/roster/file.go
+++ b/internal/roster/file.go
@@ -55,7 +55,7 @@
 	l := List{Seq: 1, Whole: true}
 	for i, s := range f.Servers {
 		invalid := func(key string, v any, problem string) (List, error) {
-			return List{}, fmt.Errorf("%s: line %d: server.%s: %v %s", file, strict.Table(raw, "server", i), key, v, problem)
+			return List{}, fmt.Errorf("%s: line %d: server.%s: %v %s", file, strict.TableLine(raw, "server", i), key, v, problem)
 		}
 		h := Host{Host: s.Host, Dial: s.Address, Site: s.Site, Class: s.Class, Block: s.Block, Health: cmp.Or(s.State, "ready"), Share: cmp.Or(s.Weight, 1)}
 		for _, setting := range []struct {
--- a/internal/site/file.go
+++ b/internal/site/file.go
@@ -240,5 +240,5 @@
 }
 
 func invalidValue(file string, raw []byte, table string, n int, key string, v any) error {
-	return fmt.Errorf("%s: line %d: %s.%s: invalid value %v", file, strict.Table(raw, table, n), table, key, v)
+	return fmt.Errorf("%s: line %d: %s.%s: invalid value %v", file, strict.TableLine(raw, table, n), table, key, v)
 }
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -45,8 +45,8 @@
 	return Decode(path, raw, into)
 }
 
-// Table returns the line number of the nth table [[name]], with n counted from 0; 0 if there is none.
-func Table(raw []byte, name string, n int) int {
+// TableLine returns the line number of the nth table [[name]], with n counted from 0; 0 if there is none.
+func TableLine(raw []byte, name string, n int) int {
 	for i, line := range strings.Split(string(raw), "\n") {
 		if head, _, _ := strings.Cut(strings.TrimSpace(line), "#"); strings.TrimSpace(head) == "[["+name+"]]" {
 			if n == 0 {
@@ -58,8 +58,8 @@
 	return 0
 }
 
-// Key returns the line number on which a top-level key is set, before any table; 0 if it isn't set.
-func Key(raw []byte, key string) int {
+// KeyLine returns the line number on which a top-level key is set, before any table; 0 if it isn't set.
+func KeyLine(raw []byte, key string) int {
 	for i, line := range strings.Split(string(raw), "\n") {
 		line = strings.TrimSpace(line)
 		if strings.HasPrefix(line, "[") {
--- a/internal/strict/strict_test.go
+++ b/internal/strict/strict_test.go
@@ -30,7 +30,7 @@
 
 func TestTable(t *testing.T) {
 	raw := []byte("a = 1\n[[rule]]\nx = 1\n\n [[rule]] # second\nx = 2\n")
-	if a, b, c := Table(raw, "rule", 0), Table(raw, "rule", 1), Table(raw, "rule", 2); a != 2 || b != 5 || c != 0 {
+	if a, b, c := TableLine(raw, "rule", 0), TableLine(raw, "rule", 1), TableLine(raw, "rule", 2); a != 2 || b != 5 || c != 0 {
 		t.Errorf("got %d, %d, %d", a, b, c)
 	}
 }
--- a/internal/trial/day.go
+++ b/internal/trial/day.go
@@ -84,8 +84,8 @@
 	switch {
 	case !(l.Seconds > 0) || l.Seconds > 3600:
 		return fmt.Errorf("load.seconds: %v is not within 0 and 3600", l.Seconds)
-	case l.Clients < 0 || l.Clients > load.DefaultInFlight:
-		return fmt.Errorf("load.clients: %d is not within 0 and %d", l.Clients, load.DefaultInFlight)
+	case l.Clients < 0 || l.Clients > load.DefaultMaxInFlight:
+		return fmt.Errorf("load.clients: %d is not within 0 and %d", l.Clients, load.DefaultMaxInFlight)
 	case l.Clients == 0 && (l.OfCapacity > 0) == (l.PerSecond > 0):
 		return fmt.Errorf("load: an open loop needs of_capacity or per_second")
 	case !(l.OfCapacity >= 0) || l.OfCapacity > 100 || !(l.PerSecond >= 0) || l.PerSecond > 1e5:
@@ -120,12 +120,12 @@
 		if rng.Float64() >= d.Load.Share {
 			c = &d.Site.Classes[1]
 		}
-		q := &load.Request{At: time.Duration(at * float64(time.Second)), Class: c.Name, Method: "GET", Target: "/" + c.Name,
-			Left: time.Duration(c.DeadlineMs * float64(time.Millisecond)), Origin: n, Seq: n}
+		q := &load.Request{Offset: time.Duration(at * float64(time.Second)), Class: c.Name, Method: "GET", Target: "/" + c.Name,
+			TimeLeft: time.Duration(c.DeadlineMs * float64(time.Millisecond)), Origin: n, Seq: n}
 		if c.Effect != "safe" {
 			q.Method, q.Body = "POST", []byte(`{"for":"a trial"}`)
 			if c.Effect == "keyed" {
-				q.Effect = fmt.Sprintf("%016x%016x", rng.Uint64(), uint64(n))
+				q.IdempotencyKey = fmt.Sprintf("%016x%016x", rng.Uint64(), uint64(n))
 			}
 		}
 		n++
@@ -249,9 +249,9 @@
 		}
 	}
 	var next func() (*load.Request, error)
-	play := load.PlayOptions{Seed: sc.Seed, InFlight: load.DefaultInFlight}
+	play := load.PlayOptions{Seed: sc.Seed, MaxInFlight: load.DefaultMaxInFlight}
 	if d.Load.Clients > 0 {
-		play.For = time.Duration(d.Load.Seconds * float64(time.Second))
+		play.MaxDuration = time.Duration(d.Load.Seconds * float64(time.Second))
 	}
 	r, err := Run(ctx, Options{Scenario: &sc, Dir: o.Dir, Program: o.Program, Log: o.Log, Window: o.Window, Clients: d.Load.Clients,
 		OnOpen: func(s *standin.Site) {
--- a/internal/trial/day_test.go
+++ b/internal/trial/day_test.go
@@ -90,10 +90,10 @@
 		x, _ := a()
 		y, _ := b()
 		z, _ := c()
-		if x.At != y.At || x.Class != y.Class || x.Effect != y.Effect {
+		if x.Offset != y.Offset || x.Class != y.Class || x.IdempotencyKey != y.IdempotencyKey {
 			t.Fatalf("%+v and %+v", x, y)
 		}
-		differ = differ || x.At != z.At
+		differ = differ || x.Offset != z.Offset
 	}
 	if !differ {
 		t.Error("another seed plans the same requests")
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -232,7 +232,7 @@
 
 // Sent reports that a request was written.
 func (w *LedgerObserver) Sent(s *load.Sample) {
-	w.Ledger.RequestSent(s.ID, s.Request.Class, w.AgentNames[s.Target], s.Sent, s.Request.Left)
+	w.Ledger.RequestSent(s.ID, s.Request.Class, w.AgentNames[s.Target], s.Sent, s.Request.TimeLeft)
 }
 
 // Ended reports the answer that a client received.
@@ -244,7 +244,7 @@
 	case load.TimedOut:
 		// The client waited past its deadline. The ledger records no answer, which breaks a rule.
 	default:
-		w.Ledger.AnswerReceived(s.ID, s.Ended, ledger.Answer{Status: s.Status, Body: s.Body, Partial: s.Begun, FirstOnConnection: s.First && s.Outcome == load.Broken})
+		w.Ledger.AnswerReceived(s.ID, s.Ended, ledger.Answer{Status: s.Status, Body: s.Body, Partial: s.AnswerBegun, FirstOnConnection: s.NewConnection && s.Outcome == load.Broken})
 	}
 }
 
