--- a/cmd/lemonctl/scale.go
+++ b/cmd/lemonctl/scale.go
@@ -52,14 +52,14 @@
 	report := scale.NewReport("lemonctl "+strings.Join(os.Args[min(1, len(os.Args)):], " "), buildCommit(), o.Seed)
 	report.Series = series
 	if o.HTML != "" {
-		if err := writeFile(o.HTML, func(w io.Writer) error { return report.Page(w) }); err != nil {
+		if err := writeFile(o.HTML, func(w io.Writer) error { return report.WriteHTML(w) }); err != nil {
 			return err
 		}
 	}
 	if o.JSON {
 		return printJSON(s.out, report)
 	}
-	return report.Text(s.out)
+	return report.WriteText(s.out)
 }
 
 // buildCommit returns the abbreviated commit that this binary was built from and whether the source had local
@@ -117,8 +117,8 @@
 		return nil, err
 	}
 	return withTempDir(func(dir string) ([]*scale.Series, error) {
-		return scale.ProcessRun{Program: c.Agent, Dir: dir, Members: deployedMembers, Agents: c.Agents, Listed: c.Listed, ListAgents: c.ListAgents,
-			Rest: c.Rest, Gap: c.Gap, Say: logf}.Run(ctx)
+		return scale.ProcessFleets{Program: c.Agent, Dir: dir, MembersConfig: deployedMembers, FleetSizes: c.Agents, ListLengths: c.Listed, ListFleetSize: c.ListAgents,
+			RestTime: c.Rest, ChangePause: c.Gap, Logf: logf}.Run(ctx)
 	})
 }
 
@@ -156,20 +156,20 @@
 }
 
 func (c *scaleHollowCmd) lists(ctx context.Context, logf func(string, ...any)) ([]*scale.Series, error) {
-	return scale.HollowLists{Agents: c.Agents, Listed: c.Listed, Rest: c.Rest, Changes: c.Changes, Gap: 100 * time.Millisecond, Outage: 3 * time.Second, Say: logf}.Run(ctx)
+	return scale.HollowLists{FleetSizes: c.Agents, ListLength: c.Listed, RestTime: c.Rest, Changes: c.Changes, ChangePause: 100 * time.Millisecond, Outage: 3 * time.Second, Logf: logf}.Run(ctx)
 }
 
 func (c *scaleHollowCmd) listBytes(ctx context.Context, logf func(string, ...any)) ([]*scale.Series, error) {
-	return scale.WholeList{Listed: c.Lengths, Rate: c.Rate, Patience: 30 * time.Second, Say: logf}.Run(ctx)
+	return scale.WholeList{ListLengths: c.Lengths, Rate: c.Rate, Timeout: 30 * time.Second, Logf: logf}.Run(ctx)
 }
 
 func (c *scaleHollowCmd) members(ctx context.Context, logf func(string, ...any)) ([]*scale.Series, error) {
-	return scale.HollowMembers{Agents: c.Agents, Rest: c.Rest, Leaves: 5, Seed: c.Seed, Say: logf}.Run(ctx)
+	return scale.HollowMembers{FleetSizes: c.Agents, RestTime: c.Rest, Leaves: 5, Seed: c.Seed, Logf: logf}.Run(ctx)
 }
 
 func (c *scaleHollowCmd) duties(ctx context.Context, logf func(string, ...any)) ([]*scale.Series, error) {
 	return withTempDir(func(dir string) ([]*scale.Series, error) {
-		return scale.HollowDuties{Agents: c.Agents, Rest: c.Rest, Releases: 3, Dir: dir, Seed: c.Seed, Say: logf}.Run(ctx)
+		return scale.HollowDuties{FleetSizes: c.Agents, RestTime: c.Rest, Releases: 3, Dir: dir, Seed: c.Seed, Logf: logf}.Run(ctx)
 	})
 }
 
@@ -198,8 +198,8 @@
 		return nil, err
 	}
 	return withTempDir(func(dir string) ([]*scale.Series, error) {
-		return scale.HollowConfiguration{Program: c.Control, Agents: c.Agents, Rest: c.Rest, Changes: c.Changes, Burst: c.Burst, Faults: c.Faults,
-			Dir: dir, Seed: c.Seed, Say: logf}.Run(ctx)
+		return scale.HollowConfiguration{Program: c.Control, FleetSizes: c.Agents, RestTime: c.Rest, Changes: c.Changes, Burst: c.Burst, Faults: c.Faults,
+			Dir: dir, Seed: c.Seed, Logf: logf}.Run(ctx)
 	})
 }
 
@@ -220,7 +220,7 @@
 	if err := checkSizes("--sizes", c.Sizes, 10000); err != nil {
 		return nil, err
 	}
-	return scale.SimulatedMembers{Sizes: c.Sizes, Lossy: c.Lossy, Apart: c.Apart, Seed: c.Seed, Say: logf}.Run(ctx)
+	return scale.SimulatedMembers{FleetSizes: c.Sizes, LossTime: c.Lossy, PartitionTime: c.Apart, Seed: c.Seed, Logf: logf}.Run(ctx)
 }
 
 // Run runs the experiment and prints its report.
@@ -239,7 +239,7 @@
 	if err := errors.Join(checkSizes("--listed", c.Listed, 100000), checkSizes("--calls", []int{c.Calls}, 10000000)); err != nil {
 		return nil, err
 	}
-	return scale.Decisions{Listed: c.Listed, Calls: c.Calls, Seed: c.Seed, Say: logf}.Run(ctx)
+	return scale.Decisions{ListLengths: c.Listed, Calls: c.Calls, Seed: c.Seed, Logf: logf}.Run(ctx)
 }
 
 // Run runs the experiment and prints its report.
@@ -272,7 +272,7 @@
 	if c.Small {
 		config.Services, config.Backends, config.Gateways, config.Rate, config.Warm = 2*c.Depth, 60, 3, 4000, time.Second
 	}
-	return scale.Calls{Config: config, Shares: c.Shares, Say: logf}.Run(ctx)
+	return scale.CallTrees{Config: config, FailureShares: c.Shares, Logf: logf}.Run(ctx)
 }
 
 // Run runs the experiment and prints its report.
--- a/internal/scale/calls.go
+++ b/internal/scale/calls.go
@@ -6,22 +6,22 @@
 	"lemonrail/internal/scale/calltree"
 )
 
-// Calls simulates calls that fan out as trees over services, with failing leaves (package calltree).
-type Calls struct {
-	Config calltree.Config // configuration of the baseline, without a fault
-	Shares []float64       // shares of leaf attempts that fail, one run each
-	Say    func(format string, args ...any)
+// CallTrees simulates calls that fan out as trees over services, with failing leaves (package calltree).
+type CallTrees struct {
+	Config        calltree.Config // configuration of the baseline, without a fault
+	FailureShares []float64       // shares of leaf attempts that fail, one run each
+	Logf          func(format string, args ...any)
 }
 
 // Run measures each share of failing attempts relative to a baseline without failures.
-func (o Calls) Run(ctx context.Context) ([]*Series, error) {
+func (o CallTrees) Run(ctx context.Context) ([]*Series, error) {
 	baseline, err := o.simulate(0)
 	if err != nil {
 		return nil, err
 	}
 	set := newSeriesSet(Simulated, "percent of leaf attempts that fail", sprintf("calls as trees, up to %d deep", o.Config.Depth))
 	o.addSeries(set, 0, baseline, baseline)
-	for _, share := range o.Shares {
+	for _, share := range o.FailureShares {
 		if ctx.Err() != nil {
 			return nil, context.Cause(ctx)
 		}
@@ -35,8 +35,8 @@
 }
 
 // simulate runs the simulation with a share of failing leaf attempts.
-func (o Calls) simulate(share float64) (calltree.Result, error) {
-	o.Say("calls as trees, %d deep: %g %% of leaf attempts fail", o.Config.Depth, 100*share)
+func (o CallTrees) simulate(share float64) (calltree.Result, error) {
+	o.Logf("calls as trees, %d deep: %g %% of leaf attempts fail", o.Config.Depth, 100*share)
 	c := o.Config
 	if share > 0 {
 		c.Fault, c.FailShare = calltree.FaultLeafAttempts, share
@@ -45,7 +45,7 @@
 }
 
 // addSeries appends the measurements of one run to the series.
-func (o Calls) addSeries(set *seriesSet, x float64, baseline, r calltree.Result) {
+func (o CallTrees) addSeries(set *seriesSet, x float64, baseline, r calltree.Result) {
 	more := calltree.Compare(baseline, r)
 	set.add("attempts over those without failures, all layers", "times", x, more.All)
 	set.add("attempts over those without failures, leaves", "times", x, more.Leaves)
--- a/internal/scale/decisions.go
+++ b/internal/scale/decisions.go
@@ -11,10 +11,10 @@
 
 // Decisions measures the cost of a call and of a list change in package balance alone, for lists of several lengths.
 type Decisions struct {
-	Listed []int
-	Calls  int // number of calls at each length
-	Seed   uint64
-	Say    func(format string, args ...any)
+	ListLengths []int
+	Calls       int // number of calls at each length
+	Seed        uint64
+	Logf        func(format string, args ...any)
 }
 
 const (
@@ -35,8 +35,8 @@
 // Run measures all list lengths.
 func (o Decisions) Run(ctx context.Context) ([]*Series, error) {
 	set := newSeriesSet(Simulated, "listed backends", "the decision module alone, 169 calls a second of its time")
-	for _, listed := range o.Listed {
-		o.Say("decisions: a list of %d backends", listed)
+	for _, listed := range o.ListLengths {
+		o.Logf("decisions: a list of %d backends", listed)
 		if err := o.measureLength(ctx, set, listed); err != nil {
 			return nil, err
 		}
--- a/internal/scale/hollowconfiguration.go
+++ b/internal/scale/hollowconfiguration.go
@@ -16,15 +16,15 @@
 // HollowConfiguration runs the configuration watchers of many agents in one process against four control processes, two
 // in each of two regions.
 type HollowConfiguration struct {
-	Program string        // path of lemoncontrol
-	Agents  []int         // fleet sizes
-	Rest    time.Duration // duration of the measurement without changes
-	Changes int           // number of changes that are measured sequentially
-	Burst   int           // number of changes made at intervals of burstInterval
-	Faults  bool          // also measure a mass restart, lost connections, a killed machine and a partition of the regions
-	Dir     string        // parent directory of the control processes' data
-	Seed    uint64
-	Say     func(format string, args ...any)
+	Program    string        // path of lemoncontrol
+	FleetSizes []int         // fleet sizes
+	RestTime   time.Duration // duration of the measurement without changes
+	Changes    int           // number of changes that are measured sequentially
+	Burst      int           // number of changes made at intervals of burstInterval
+	Faults     bool          // also measure a mass restart, lost connections, a killed machine and a partition of the regions
+	Dir        string        // parent directory of the control processes' data
+	Seed       uint64
+	Logf       func(format string, args ...any)
 }
 
 const (
@@ -46,8 +46,8 @@
 // Run measures all fleet sizes.
 func (o HollowConfiguration) Run(ctx context.Context) ([]*Series, error) {
 	set := newSeriesSet(Hollow, "agents", fmt.Sprintf("%d control processes in 2 regions, %d services", controlMachines, fleetServices))
-	for _, agents := range o.Agents {
-		o.Say("hollow agents: %d configuration watches, %d control processes", agents, controlMachines)
+	for _, agents := range o.FleetSizes {
+		o.Logf("hollow agents: %d configuration watches, %d control processes", agents, controlMachines)
 		if err := o.measureSize(ctx, set, agents); err != nil {
 			return nil, fmt.Errorf("%d agents: %w", agents, err)
 		}
@@ -199,7 +199,7 @@
 }
 
 func (r *configurationRun) measureRest(ctx context.Context) error {
-	usage, err := r.measureDuring(func() error { return pause(ctx, r.Rest) })
+	usage, err := r.measureDuring(func() error { return pause(ctx, r.RestTime) })
 	if err != nil {
 		return err
 	}
--- a/internal/scale/hollowconfiguration_test.go
+++ b/internal/scale/hollowconfiguration_test.go
@@ -19,8 +19,8 @@
 		t.Fatal(err)
 	}
 	const small, large = 6, 24
-	series, err := HollowConfiguration{Program: program, Agents: []int{small, large}, Rest: 2 * time.Second, Changes: 3, Burst: 5, Faults: true,
-		Dir: dir, Seed: 1, Say: t.Logf}.Run(ctx)
+	series, err := HollowConfiguration{Program: program, FleetSizes: []int{small, large}, RestTime: 2 * time.Second, Changes: 3, Burst: 5, Faults: true,
+		Dir: dir, Seed: 1, Logf: t.Logf}.Run(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/hollowduties.go
+++ b/internal/scale/hollowduties.go
@@ -20,12 +20,12 @@
 
 // HollowDuties runs the duty clients of many agents in one process against three voters with stores on disk.
 type HollowDuties struct {
-	Agents   []int         // fleet sizes
-	Rest     time.Duration // duration of the measurement without releases
-	Releases int           // number of sequential releases of the duty by its holder
-	Dir      string        // parent directory of the voters' stores
-	Seed     uint64
-	Say      func(format string, args ...any)
+	FleetSizes []int         // fleet sizes
+	RestTime   time.Duration // duration of the measurement without releases
+	Releases   int           // number of sequential releases of the duty by its holder
+	Dir        string        // parent directory of the voters' stores
+	Seed       uint64
+	Logf       func(format string, args ...any)
 }
 
 const (
@@ -51,8 +51,8 @@
 // Run measures all fleet sizes.
 func (o HollowDuties) Run(ctx context.Context) ([]*Series, error) {
 	set := newSeriesSet(Hollow, "agents", "3 voters, one duty with a lease of 3 s")
-	for _, agents := range o.Agents {
-		o.Say("hollow agents: %d duty clients, %d voters", agents, voters)
+	for _, agents := range o.FleetSizes {
+		o.Logf("hollow agents: %d duty clients, %d voters", agents, voters)
 		if err := o.measureSize(ctx, set, agents); err != nil {
 			return nil, err
 		}
@@ -106,7 +106,7 @@
 	}
 	set.addDurations("the first holder known to all, from its grant", x, took)
 	usage := startUsageSpan(&f.traffic)
-	if err := pause(ctx, o.Rest); err != nil {
+	if err := pause(ctx, o.RestTime); err != nil {
 		return err
 	}
 	spent, err := usage.end()
--- a/internal/scale/hollowlists.go
+++ b/internal/scale/hollowlists.go
@@ -14,13 +14,13 @@
 
 // HollowLists runs the list watches of many agents in one process against a simulated discovery service.
 type HollowLists struct {
-	Agents  []int         // fleet sizes
-	Listed  int           // number of backends in the list
-	Rest    time.Duration // duration of the measurement without changes
-	Changes int           // number of changes that are measured sequentially
-	Gap     time.Duration // pause between two changes
-	Outage  time.Duration // duration of a discovery outage at the end; 0: none
-	Say     func(format string, args ...any)
+	FleetSizes  []int         // fleet sizes
+	ListLength  int           // number of backends in the list
+	RestTime    time.Duration // duration of the measurement without changes
+	Changes     int           // number of changes that are measured sequentially
+	ChangePause time.Duration // pause between two changes
+	Outage      time.Duration // duration of a discovery outage at the end; 0: none
+	Logf        func(format string, args ...any)
 }
 
 // listFleet is the run of one fleet size.
@@ -33,10 +33,10 @@
 
 // Run measures all fleet sizes.
 func (o HollowLists) Run(ctx context.Context) ([]*Series, error) {
-	fixed := sprintf("%d listed backends", o.Listed)
+	fixed := sprintf("%d listed backends", o.ListLength)
 	set := newSeriesSet(Hollow, "agents", fixed)
-	for _, agents := range o.Agents {
-		o.Say("hollow agents: %d list watches, %d backends", agents, o.Listed)
+	for _, agents := range o.FleetSizes {
+		o.Logf("hollow agents: %d list watches, %d backends", agents, o.ListLength)
 		if err := o.measureSize(ctx, set, agents); err != nil {
 			return nil, err
 		}
@@ -46,7 +46,7 @@
 
 // measureSize measures one fleet size with a discovery service of its own.
 func (o HollowLists) measureSize(ctx context.Context, set *seriesSet, agents int) (err error) {
-	server, err := newListServer(o.Listed, 0)
+	server, err := newListServer(o.ListLength, 0)
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 func (o HollowLists) measureAfterStart(ctx context.Context, set *seriesSet, f *listFleet) error {
 	x := float64(f.agents)
 	usage := startUsageSpan(&f.server.traffic)
-	if err := pause(ctx, o.Rest); err != nil {
+	if err := pause(ctx, o.RestTime); err != nil {
 		return err
 	}
 	spent, err := usage.end()
@@ -114,7 +114,7 @@
 		for _, d := range arrived.durations {
 			all = append(all, d)
 		}
-		if err := pause(ctx, o.Gap); err != nil {
+		if err := pause(ctx, o.ChangePause); err != nil {
 			return err
 		}
 	}
--- a/internal/scale/hollowmembers.go
+++ b/internal/scale/hollowmembers.go
@@ -17,11 +17,11 @@
 
 // HollowMembers runs the membership protocol of many agents in one process, each with its own UDP socket.
 type HollowMembers struct {
-	Agents []int         // fleet sizes
-	Rest   time.Duration // duration of the measurement after all agents know each other
-	Leaves int           // number of agents that leave sequentially
-	Seed   uint64
-	Say    func(format string, args ...any)
+	FleetSizes []int         // fleet sizes
+	RestTime   time.Duration // duration of the measurement after all agents know each other
+	Leaves     int           // number of agents that leave sequentially
+	Seed       uint64
+	Logf       func(format string, args ...any)
 }
 
 // memberSettings has the values of deploy/members.toml.
@@ -50,8 +50,8 @@
 // Run measures all fleet sizes.
 func (o HollowMembers) Run(ctx context.Context) ([]*Series, error) {
 	set := newSeriesSet(Hollow, "agents", "membership as shipped: 250 ms between probes")
-	for _, agents := range o.Agents {
-		o.Say("hollow agents: %d memberships", agents)
+	for _, agents := range o.FleetSizes {
+		o.Logf("hollow agents: %d memberships", agents)
 		if err := o.measureSize(ctx, set, agents); err != nil {
 			return nil, err
 		}
@@ -85,7 +85,7 @@
 		return err
 	}
 	bytes, sent, began := f.bytes.Load(), f.sent.Load(), time.Now()
-	if err := pause(ctx, o.Rest); err != nil {
+	if err := pause(ctx, o.RestTime); err != nil {
 		return err
 	}
 	after, err := processorTime()
--- a/internal/scale/layers_test.go
+++ b/internal/scale/layers_test.go
@@ -81,7 +81,7 @@
 
 func TestHollowListsReachAllAgentsAtConstantCost(t *testing.T) {
 	t.Parallel()
-	all, err := HollowLists{Agents: []int{5, 20, 40}, Listed: 30, Changes: 4, Outage: 300 * time.Millisecond, Say: t.Logf}.Run(boundedContext(t))
+	all, err := HollowLists{FleetSizes: []int{5, 20, 40}, ListLength: 30, Changes: 4, Outage: 300 * time.Millisecond, Logf: t.Logf}.Run(boundedContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 
 func TestWholeListBytesAreLinearAndListArrivesAtHighRate(t *testing.T) {
 	t.Parallel()
-	all, err := WholeList{Listed: []int{10, 40, 160}, Rate: 1e6, Patience: testTimeout, Say: t.Logf}.Run(boundedContext(t))
+	all, err := WholeList{ListLengths: []int{10, 40, 160}, Rate: 1e6, Timeout: testTimeout, Logf: t.Logf}.Run(boundedContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 // that always takes longer on each watch, so that the agent never receives it.
 func TestWholeListAtLowRateIsNeverReceived(t *testing.T) {
 	t.Parallel()
-	all, err := WholeList{Listed: []int{200}, Rate: 8000, Patience: 9 * time.Second, Say: t.Logf}.Run(boundedContext(t))
+	all, err := WholeList{ListLengths: []int{200}, Rate: 8000, Timeout: 9 * time.Second, Logf: t.Logf}.Run(boundedContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 
 func TestHollowMembersConvergeAtBoundedRate(t *testing.T) {
 	t.Parallel()
-	all, err := HollowMembers{Agents: []int{8, 24}, Rest: time.Second, Leaves: 2, Seed: 1, Say: t.Logf}.Run(boundedContext(t))
+	all, err := HollowMembers{FleetSizes: []int{8, 24}, RestTime: time.Second, Leaves: 2, Seed: 1, Logf: t.Logf}.Run(boundedContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 
 func TestHollowDutiesNotifyAllAgentsOfNextHolder(t *testing.T) {
 	t.Parallel()
-	all, err := HollowDuties{Agents: []int{4, 12}, Rest: time.Second, Releases: 2, Dir: t.TempDir(), Seed: 1, Say: t.Logf}.Run(boundedContext(t))
+	all, err := HollowDuties{FleetSizes: []int{4, 12}, RestTime: time.Second, Releases: 2, Dir: t.TempDir(), Seed: 1, Logf: t.Logf}.Run(boundedContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 func TestSimulatedMembersStayWithinRateAndAreDeterministic(t *testing.T) {
 	t.Parallel()
 	run := func(seed uint64) []*Series {
-		all, err := SimulatedMembers{Sizes: []int{16, 32}, Lossy: 10 * time.Second, Apart: 30 * time.Second, Seed: seed, Say: t.Logf}.Run(boundedContext(t))
+		all, err := SimulatedMembers{FleetSizes: []int{16, 32}, LossTime: 10 * time.Second, PartitionTime: 30 * time.Second, Seed: seed, Logf: t.Logf}.Run(boundedContext(t))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -169,7 +169,7 @@
 
 func TestDecisionsSendEveryCallAtEachLength(t *testing.T) {
 	t.Parallel()
-	all, err := Decisions{Listed: []int{8, 100}, Calls: 200, Seed: 1, Say: t.Logf}.Run(boundedContext(t))
+	all, err := Decisions{ListLengths: []int{8, 100}, Calls: 200, Seed: 1, Logf: t.Logf}.Run(boundedContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,8 +191,8 @@
 	if err := os.Mkdir(filepath.Join(dir, "fleets"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	all, err := ProcessRun{Program: program, Dir: filepath.Join(dir, "fleets"), Members: quickMembers, Agents: []int{2, 4}, Listed: []int{8, 100}, ListAgents: 2,
-		Rest: 2 * time.Second, Gap: 100 * time.Millisecond, Say: t.Logf}.Run(boundedContext(t))
+	all, err := ProcessFleets{Program: program, Dir: filepath.Join(dir, "fleets"), MembersConfig: quickMembers, FleetSizes: []int{2, 4}, ListLengths: []int{8, 100}, ListFleetSize: 2,
+		RestTime: 2 * time.Second, ChangePause: 100 * time.Millisecond, Logf: t.Logf}.Run(boundedContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,7 +207,7 @@
 	t.Parallel()
 	c := calltree.DefaultConfig()
 	c.Services, c.Backends, c.Depth, c.Gateways, c.Rate, c.Warm, c.Measure = 18, 60, 9, 3, 4000, time.Second, time.Second
-	all, err := Calls{Config: c, Shares: []float64{0.05, 0.2}, Say: t.Logf}.Run(boundedContext(t))
+	all, err := CallTrees{Config: c, FailureShares: []float64{0.05, 0.2}, Logf: t.Logf}.Run(boundedContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/processes.go
+++ b/internal/scale/processes.go
@@ -11,18 +11,18 @@
 	"lemonrail/internal/standin"
 )
 
-// ProcessRun runs real agent processes without client traffic and measures the cost of their control work.
-type ProcessRun struct {
-	Program string // path of the agent
-	Dir     string // parent directory of the fleets
-	Members string // content of the agents' members file
-	Agents  []int  // fleet sizes, each measured with the longest list
-	Listed  []int  // list lengths, each measured with ListAgents agents
-	// ListAgents is the fleet size for the measurement of list lengths.
-	ListAgents int
-	Rest       time.Duration // duration of a measurement without changes, and again of one with changes
-	Gap        time.Duration // pause between two changes
-	Say        func(format string, args ...any)
+// ProcessFleets runs real agent processes without client traffic and measures the cost of their control work.
+type ProcessFleets struct {
+	Program       string // path of the agent
+	Dir           string // parent directory of the fleets
+	MembersConfig string // content of the agents' members file
+	FleetSizes    []int  // fleet sizes, each measured with the longest list
+	ListLengths   []int  // list lengths, each measured with ListFleetSize agents
+	// ListFleetSize is the fleet size for the measurement of list lengths.
+	ListFleetSize int
+	RestTime      time.Duration // duration of a measurement without changes, and again of one with changes
+	ChangePause   time.Duration // pause between two changes
+	Logf          func(format string, args ...any)
 }
 
 // processUsage is the mean resource usage of the agents of a fleet.
@@ -36,19 +36,19 @@
 }
 
 // Run measures growing lists with a fixed fleet size, then growing fleets with the longest list.
-func (o ProcessRun) Run(ctx context.Context) ([]*Series, error) {
+func (o ProcessFleets) Run(ctx context.Context) ([]*Series, error) {
 	longest := 0
-	for _, n := range o.Listed {
+	for _, n := range o.ListLengths {
 		longest = max(longest, n)
 	}
-	byLength := newSeriesSet(Processes, "listed backends", sprintf("%d agents", o.ListAgents))
-	for _, listed := range o.Listed {
-		if err := o.measureFleet(ctx, byLength, float64(listed), o.ListAgents, listed); err != nil {
+	byLength := newSeriesSet(Processes, "listed backends", sprintf("%d agents", o.ListFleetSize))
+	for _, listed := range o.ListLengths {
+		if err := o.measureFleet(ctx, byLength, float64(listed), o.ListFleetSize, listed); err != nil {
 			return nil, err
 		}
 	}
 	byAgents := newSeriesSet(Processes, "agents", sprintf("%d listed backends", longest))
-	for _, agents := range o.Agents {
+	for _, agents := range o.FleetSizes {
 		if err := o.measureFleet(ctx, byAgents, float64(agents), agents, longest); err != nil {
 			return nil, err
 		}
@@ -67,11 +67,11 @@
 )
 
 // measureFleet starts one fleet and measures it when all agents agree on the members.
-func (o ProcessRun) measureFleet(ctx context.Context, set *seriesSet, x float64, agents, listed int) (err error) {
+func (o ProcessFleets) measureFleet(ctx context.Context, set *seriesSet, x float64, agents, listed int) (err error) {
 	if agents > cluster.MaxAgents || agents > MaxProcesses {
 		return fmt.Errorf("scale: %d agents exceed the maximum of %d", agents, min(cluster.MaxAgents, MaxProcesses))
 	}
-	o.Say("real processes: %d agents, %d backends", agents, listed)
+	o.Logf("real processes: %d agents, %d backends", agents, listed)
 	server, err := newListServer(listed, 0)
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 	amend := func(_ int, config map[string]any) {
 		config["discovery"], config["known"] = server.addr, server.fullList()
 	}
-	c, err := cluster.Open(cluster.Options{Program: o.Program, Dir: dir, Scenario: sc, Members: o.Members, Seed: 1, Amend: amend})
+	c, err := cluster.Open(cluster.Options{Program: o.Program, Dir: dir, Scenario: sc, Members: o.MembersConfig, Seed: 1, Amend: amend})
 	if err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 }
 
 // measureCosts measures a fleet without and with list changes, and adds the costs per change.
-func (o ProcessRun) measureCosts(ctx context.Context, set *seriesSet, x float64, c *cluster.Cluster, server *listServer) error {
+func (o ProcessFleets) measureCosts(ctx context.Context, set *seriesSet, x float64, c *cluster.Cluster, server *listServer) error {
 	rest, err := o.measureDuring(ctx, c, server, func() error { return nil })
 	if err != nil {
 		return err
@@ -124,24 +124,24 @@
 	if err != nil {
 		return err
 	}
-	rate := float64(changes) / o.Rest.Seconds()
+	rate := float64(changes) / o.RestTime.Seconds()
 	set.add("processor time of an agent for a change", "ms", x, 1000*(busy.share-rest.share)/rate)
 	set.add("bytes from discovery to an agent for a change", "B", x, (busy.listBytes-rest.listBytes)/rate)
 	return nil
 }
 
 // measureDuring measures a fleet for o.Rest while do is called every o.Gap.
-func (o ProcessRun) measureDuring(ctx context.Context, c *cluster.Cluster, server *listServer, do func() error) (processUsage, error) {
+func (o ProcessFleets) measureDuring(ctx context.Context, c *cluster.Cluster, server *listServer, do func() error) (processUsage, error) {
 	before, sentBefore, err := sample(c, server)
 	if err != nil {
 		return processUsage{}, err
 	}
 	began := time.Now()
-	for time.Since(began) < o.Rest {
+	for time.Since(began) < o.RestTime {
 		if err := do(); err != nil {
 			return processUsage{}, err
 		}
-		if err := pause(ctx, o.Gap); err != nil {
+		if err := pause(ctx, o.ChangePause); err != nil {
 			return processUsage{}, err
 		}
 	}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -27,8 +27,8 @@
 	return &Report{Command: command, Commit: commit, Seed: seed, Cores: runtime.NumCPU(), Go: runtime.Version(), Load: loadAverage()}
 }
 
-// Text writes the report as plain text.
-func (r *Report) Text(w io.Writer) error {
+// WriteText writes the report as plain text.
+func (r *Report) WriteText(w io.Writer) error {
 	fmt.Fprintf(w, "%s\nseed %d, %d cores, %s, load average %s", r.Command, r.Seed, r.Cores, r.Go, r.Load)
 	if r.Commit != "" {
 		fmt.Fprintf(w, ", commit %s", r.Commit)
@@ -68,10 +68,10 @@
 	return strings.TrimSpace(fmt.Sprintf("%.4g %s", v, unit))
 }
 
-// Page writes the report as one HTML page with a plot for each series of more than one point.
-func (r *Report) Page(w io.Writer) error {
+// WriteHTML writes the report as one HTML page with a plot for each series of more than one point.
+func (r *Report) WriteHTML(w io.Writer) error {
 	var text strings.Builder
-	if err := r.Text(&text); err != nil {
+	if err := r.WriteText(&text); err != nil {
 		return err
 	}
 	var plots []template.HTML
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -18,10 +18,10 @@
 		t.Fatal(err)
 	}
 	var text, page strings.Builder
-	if err := r.Text(&text); err != nil {
+	if err := r.WriteText(&text); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Page(&page); err != nil {
+	if err := r.WriteHTML(&page); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"seed 3", "commit abcdef0", "bytes an agent", "0.1 B each, 100 to 450", "450 listed backends"} {
--- a/internal/scale/simulated.go
+++ b/internal/scale/simulated.go
@@ -11,11 +11,11 @@
 
 // SimulatedMembers runs the membership protocol in simulated time.
 type SimulatedMembers struct {
-	Sizes []int         // fleet sizes
-	Lossy time.Duration // simulated time of the runs without loss and with 30 % loss
-	Apart time.Duration // simulated time of a partition of the two regions
-	Seed  uint64
-	Say   func(format string, args ...any)
+	FleetSizes    []int         // fleet sizes
+	LossTime      time.Duration // simulated time of the runs without loss and with 30 % loss
+	PartitionTime time.Duration // simulated time of a partition of the two regions
+	Seed          uint64
+	Logf          func(format string, args ...any)
 }
 
 const lossShare = 0.3
@@ -32,14 +32,14 @@
 func (o SimulatedMembers) Run(ctx context.Context) ([]*Series, error) {
 	set := newSeriesSet(Simulated, "members", "membership as shipped, 8 zones")
 	ours := arena.Protocol{Name: "this", Make: arena.Membership(len(siteNames), nil)}
-	for _, n := range o.Sizes {
+	for _, n := range o.FleetSizes {
 		cases := []arena.Case{
-			{Name: "all is well", Members: n, Span: o.Lossy},
-			{Name: "30 % lost", Members: n, Span: o.Lossy, Loss: lossShare},
-			{Name: fmt.Sprintf("two regions apart for %v", o.Apart), Members: n, Span: o.Apart, Cut: cutRegions},
+			{Name: "all is well", Members: n, Span: o.LossTime},
+			{Name: "30 % lost", Members: n, Span: o.LossTime, Loss: lossShare},
+			{Name: fmt.Sprintf("two regions apart for %v", o.PartitionTime), Members: n, Span: o.PartitionTime, Cut: cutRegions},
 		}
 		for _, c := range cases {
-			o.Say("simulated time: %d members, %s", n, c.Name)
+			o.Logf("simulated time: %d members, %s", n, c.Name)
 			rows, err := arena.Compare(ctx, []arena.Case{c}, []arena.Protocol{ours}, o.Seed, io.Discard)
 			if err != nil {
 				return nil, err
--- a/internal/scale/wholelist.go
+++ b/internal/scale/wholelist.go
@@ -14,17 +14,17 @@
 
 // WholeList measures the size of a full list, and whether and when a client receives it at a limited rate.
 type WholeList struct {
-	Listed   []int         // list lengths
-	Rate     float64       // bytes per second from discovery to the client
-	Patience time.Duration // time after which the list counts as never received
-	Say      func(format string, args ...any)
+	ListLengths []int         // list lengths
+	Rate        float64       // bytes per second from discovery to the client
+	Timeout     time.Duration // time after which the list counts as never received
+	Logf        func(format string, args ...any)
 }
 
 // Run measures all list lengths.
 func (o WholeList) Run(ctx context.Context) ([]*Series, error) {
 	set := newSeriesSet(Hollow, "listed backends", sprintf("one client, discovery at %g bytes a second", o.Rate))
-	for _, listed := range o.Listed {
-		o.Say("a whole list of %d backends", listed)
+	for _, listed := range o.ListLengths {
+		o.Logf("a whole list of %d backends", listed)
 		if err := o.measureLength(ctx, set, listed); err != nil {
 			return nil, err
 		}
@@ -67,7 +67,7 @@
 	if err != nil {
 		return 0, false, 0, err
 	}
-	limited, cancel := context.WithTimeout(ctx, o.Patience)
+	limited, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
 	arrived := make(chan struct{}, 1)
 	onList := func(balance.List, map[string]string) {
