--- a/internal/admission/listener.go
+++ b/internal/admission/listener.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"lemonrail/internal/peek"
+	"lemonrail/internal/connstate"
 )
 
 const (
@@ -269,7 +269,7 @@
 		nc.SetReadDeadline(time.Now().Add(lingerPoll))
 		n, err := nc.Read(buf)
 		bytes -= n
-		if err != nil && (!errors.Is(err, os.ErrDeadlineExceeded) || peek.UnackedBytes(nc) == 0) {
+		if err != nil && (!errors.Is(err, os.ErrDeadlineExceeded) || connstate.UnackedBytes(nc) == 0) {
 			return
 		}
 	}
@@ -478,7 +478,7 @@
 		c.listener.mu.Unlock()
 		// A read past its deadline doesn't look for bytes that arrived at the same moment: without this check a
 		// close would drop a request that has arrived.
-		if (expired && betweenRequests || woken) && peek.Inspect(c.Conn) == peek.Readable {
+		if (expired && betweenRequests || woken) && connstate.Inspect(c.Conn) == connstate.Readable {
 			c.withGovernor(func(g *Governor, e *Entry, now time.Duration) { g.BytesArrived(e, now) })
 			c.retryRead(expired && betweenRequests)
 			continue
--- a/internal/admission/readahead.go
+++ b/internal/admission/readahead.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"lemonrail/internal/peek"
+	"lemonrail/internal/connstate"
 )
 
 const (
@@ -70,10 +70,10 @@
 			return
 		}
 	}
-	// Further bytes are not read; peek.PeerClosed detects the end of the client's side without reading them.
+	// Further bytes are not read; connstate.PeerClosed detects the end of the client's side without reading them.
 	tick := time.NewTicker(hangUpPollInterval)
 	defer tick.Stop()
-	for !peek.PeerClosed(nc) {
+	for !connstate.PeerClosed(nc) {
 		select {
 		case <-tick.C:
 		case <-a.stop:
@@ -92,7 +92,7 @@
 func (c *Conn) ClientGone() <-chan struct{} { return c.clientGone }
 
 // HungUp reports whether the client's side has ended, even if unread bytes precede its end.
-func (c *Conn) HungUp() bool { return peek.PeerClosed(c.Conn) }
+func (c *Conn) HungUp() bool { return connstate.PeerClosed(c.Conn) }
 
 // stopReadAhead stops readAhead, if it is running. The bytes that it read are returned by the next Read.
 func (c *Conn) stopReadAhead() {
--- a/internal/backend/http1/idle.go
+++ b/internal/backend/http1/idle.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"lemonrail/internal/core"
-	"lemonrail/internal/peek"
+	"lemonrail/internal/connstate"
 )
 
 // This file manages idle connections within the socket limit.
@@ -115,7 +115,7 @@
 
 // openAndEmpty reports whether an idle connection is open with nothing to read. A request on a connection that
 // the backend has closed would end as a reset, after which it can't be known whether the request ran.
-func (c *conn) openAndEmpty() bool { return peek.Inspect(c.Conn) == peek.Idle }
+func (c *conn) openAndEmpty() bool { return connstate.Inspect(c.Conn) == connstate.Idle }
 
 // EvictIdle closes the connection that has been idle for longest. It reports whether there was one.
 func (u *Upstream) EvictIdle() bool {
--- a/internal/peek/peek.go
+++ b/internal/connstate/connstate.go
@@ -1,5 +1,5 @@
-// Package peek reports the state of a connection without reading from it.
-package peek
+// Package connstate reports the state of a connection without reading from it.
+package connstate
 
 import (
 	"errors"
