--- a/cmd/lemonctl/control_test.go
+++ b/cmd/lemonctl/control_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lemonrail/internal/duty/seat"
+	"lemonrail/internal/duty/quorum"
 	"lemonrail/internal/site/driver"
 )
 
@@ -59,12 +59,12 @@
 }
 
 func TestDuties(t *testing.T) {
-	row := func(mine string) []seat.Row {
-		return []seat.Row{{Duty: "pace", Holder: "n1", Epoch: 4, LeaseMs: 3000, Mine: mine, State: `{"b":0.5}`}}
+	row := func(mine string) []quorum.Row {
+		return []quorum.Row{{Duty: "pace", Holder: "n1", Epoch: 4, LeaseMs: 3000, Mine: mine, State: `{"b":0.5}`}}
 	}
 	putPath := ""
-	x := newAgentStub(t, "/api/duties", &seat.Report{Agent: "n0", Duties: row("idle"), Seat: &seat.MemberReport{Name: "n0", Start: "distrusted", Why: "0001.log, byte 7: spoilt"}}, nil)
-	y := newAgentStub(t, "/api/duties", &seat.Report{Agent: "n1", Duties: row("holding")}, &putPath)
+	x := newAgentStub(t, "/api/duties", &quorum.Report{Agent: "n0", Duties: row("idle"), Seat: &quorum.MemberReport{Name: "n0", Start: "distrusted", Why: "0001.log, byte 7: spoilt"}}, nil)
+	y := newAgentStub(t, "/api/duties", &quorum.Report{Agent: "n1", Duties: row("holding")}, &putPath)
 	code, out, errOut := call(t, "", "duties", "show", x, y)
 	if code != 0 {
 		t.Fatal(errOut)
@@ -80,7 +80,7 @@
 	if code, _, errOut := call(t, "", "duties", "hand-on", y, "pace", "n2"); code != 0 || putPath != "/api/duties/pace/hand-on/n2" {
 		t.Errorf("exit %d, %s: %s", code, putPath, errOut)
 	}
-	notes := newAgentStub(t, "/api/duties", &seat.Report{Agent: "n2", Duties: []seat.Row{{Duty: "notes", Holder: "n2", Epoch: 3, State: `{"alive":4,"odd":[{"name":"n7","state":"dead"}]}`}}}, nil)
+	notes := newAgentStub(t, "/api/duties", &quorum.Report{Agent: "n2", Duties: []quorum.Row{{Duty: "notes", Holder: "n2", Epoch: 3, State: `{"alive":4,"odd":[{"name":"n7","state":"dead"}]}`}}}, nil)
 	if code, out, errOut := call(t, "", "members", "--from-keeper", x, notes); code != 0 || !strings.Contains(out, "n7") || !strings.Contains(out, `"holder": "n2"`) {
 		t.Errorf("exit %d: %s %s", code, out, errOut)
 	}
--- a/cmd/lemonctl/duties.go
+++ b/cmd/lemonctl/duties.go
@@ -13,7 +13,7 @@
 	"text/tabwriter"
 	"time"
 
-	"lemonrail/internal/duty/seat"
+	"lemonrail/internal/duty/quorum"
 )
 
 // dutiesShowCmd prints the holders of the duties and the state of the voters.
@@ -25,13 +25,13 @@
 // dutiesSnapshot holds the reports of all agents on the duties.
 type dutiesSnapshot struct {
 	At     time.Time               `json:"at"`
-	Agents map[string]*seat.Report `json:"agents"`           // by control address
+	Agents map[string]*quorum.Report `json:"agents"`           // by control address
 	Silent map[string]string       `json:"silent,omitempty"` // errors of failed calls, by control address
 }
 
 func fetchDuties(ctx context.Context, agents []string) *dutiesSnapshot {
 	l := &dutiesSnapshot{At: time.Now()}
-	l.Agents, l.Silent = fetchAll[seat.Report](ctx, agents, "/api/duties", "it holds no duties (started without -duties)")
+	l.Agents, l.Silent = fetchAll[quorum.Report](ctx, agents, "/api/duties", "it holds no duties (started without -duties)")
 	return l
 }
 
@@ -55,7 +55,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	// Agents may lag behind: of each duty, the row with the highest epoch is shown, and within an epoch the one with
 	// the most acts.
-	latest, agentStages := map[string]seat.Row{}, map[string][]string{}
+	latest, agentStages := map[string]quorum.Row{}, map[string][]string{}
 	for _, address := range slices.Sorted(maps.Keys(l.Agents)) {
 		for _, row := range l.Agents[address].Duties {
 			if previous, known := latest[row.Duty]; !known || row.Epoch > previous.Epoch || row.Epoch == previous.Epoch && row.Acts > previous.Acts {
@@ -158,11 +158,11 @@
 // the agents knows.
 func printFleetNotes(ctx context.Context, s streams, agents []string) error {
 	l := fetchDuties(ctx, agents)
-	var best *seat.Row
+	var best *quorum.Row
 	for _, address := range slices.Sorted(maps.Keys(l.Agents)) {
 		for i := range l.Agents[address].Duties {
 			row := &l.Agents[address].Duties[i]
-			if row.Duty == seat.NotesDuty && (best == nil || row.Epoch > best.Epoch || row.Epoch == best.Epoch && row.Acts > best.Acts) {
+			if row.Duty == quorum.NotesDuty && (best == nil || row.Epoch > best.Epoch || row.Epoch == best.Epoch && row.Acts > best.Acts) {
 				best = row
 			}
 		}
--- a/cmd/lemonrail/main.go
+++ b/cmd/lemonrail/main.go
@@ -18,7 +18,7 @@
 
 	"lemonrail/internal/agent"
 	"lemonrail/internal/diameter/relay"
-	"lemonrail/internal/duty/seat"
+	"lemonrail/internal/duty/quorum"
 	"lemonrail/internal/explain"
 	"lemonrail/internal/member/link"
 )
@@ -107,7 +107,7 @@
 		}
 	}
 	if paths.duties != "" {
-		s, err := seat.ReadSettings(paths.duties)
+		s, err := quorum.ReadSettings(paths.duties)
 		if err != nil {
 			return err
 		}
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -11,7 +11,7 @@
 
 	"lemonrail/balance"
 	"lemonrail/internal/diameter/relay"
-	"lemonrail/internal/duty/seat"
+	"lemonrail/internal/duty/quorum"
 	"lemonrail/internal/explain"
 	"lemonrail/internal/member/link"
 	"lemonrail/internal/roster"
@@ -45,7 +45,7 @@
 
 	members *link.Settings // nil: the agent takes no part in the membership
 	sites   *sitesSettings // nil: whole sites are not watched
-	duties  *seat.Settings // nil: the agent takes no part in duties
+	duties  *quorum.Settings // nil: the agent takes no part in duties
 
 	configuration *configurationSettings // nil: settings do not change while the agent runs
 
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -13,7 +13,7 @@
 
 	"lemonrail/internal/control"
 	"lemonrail/internal/duty"
-	"lemonrail/internal/duty/seat"
+	"lemonrail/internal/duty/quorum"
 	"lemonrail/internal/duty/store"
 	"lemonrail/internal/figures"
 	"lemonrail/internal/member"
@@ -23,7 +23,7 @@
 
 // WithDuties has the agent take part in duties, by the settings of a file. It is a voter if one of the file's seats has
 // its name.
-func (c *Config) WithDuties(s *seat.Settings) error {
+func (c *Config) WithDuties(s *quorum.Settings) error {
 	for _, p := range s.Seats {
 		if p.Name == c.Name && s.Folder == "" {
 			return errors.New("duties: folder: missing; a seat stores its votes there")
@@ -44,31 +44,31 @@
 		if p.Name != cfg.Name {
 			continue
 		}
-		o := seat.Options{Settings: s, Name: cfg.Name, FS: store.Dir(filepath.Join(s.Folder, cfg.Name)), Log: log}
+		o := quorum.Options{Settings: s, Name: cfg.Name, FS: store.Dir(filepath.Join(s.Folder, cfg.Name)), Log: log}
 		if members != nil {
 			d.fleet = &fleetView{link: members}
 			o.Members = d.fleet.liveness
 		}
 		var err error
-		if d.seat, err = seat.New(o); err != nil {
+		if d.seat, err = quorum.New(o); err != nil {
 			return nil, err
 		}
 	}
-	dutyTasks := map[string]seat.Task{}
+	dutyTasks := map[string]quorum.Task{}
 	if sites != nil {
-		dutyTasks[seat.PaceDuty] = &paceTask{sites: sites, fence: duty.NewFence(), fallback: time.Duration(s.FallbackS * float64(time.Second)), log: log}
+		dutyTasks[quorum.PaceDuty] = &paceTask{sites: sites, fence: duty.NewFence(), fallback: time.Duration(s.FallbackS * float64(time.Second)), log: log}
 	}
 	if members != nil {
 		if d.fleet == nil {
 			d.fleet = &fleetView{link: members}
 		}
-		dutyTasks[seat.NotesDuty] = &notesTask{fleet: d.fleet, log: log}
+		dutyTasks[quorum.NotesDuty] = &notesTask{fleet: d.fleet, log: log}
 	}
 	zone := ""
 	if z := cfg.Settings.Zone; z >= 0 && z < len(cfg.Names.Zones) {
 		zone = cfg.Names.Zones[z]
 	}
-	d.client = seat.NewClient(seat.ClientOptions{Settings: s, Name: cfg.Name, Zone: zone, Tasks: dutyTasks, Log: log})
+	d.client = quorum.NewClient(quorum.ClientOptions{Settings: s, Name: cfg.Name, Zone: zone, Tasks: dutyTasks, Log: log})
 	return &part{name: "duties",
 		start: func(t *tasks) {
 			if d.seat != nil {
@@ -90,9 +90,9 @@
 
 // duties holds the agent's client of the duties and, if it is a voter, its seat.
 type duties struct {
-	settings *seat.Settings
-	seat     *seat.Member // nil: the agent is not a voter
-	client   *seat.Client
+	settings *quorum.Settings
+	seat     *quorum.Member // nil: the agent is not a voter
+	client   *quorum.Client
 	fleet    *fleetView // nil: the agent takes no part in the membership
 }
 
--- a/internal/cluster/duties_test.go
+++ b/internal/cluster/duties_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"lemonrail/internal/cluster"
-	"lemonrail/internal/duty/seat"
+	"lemonrail/internal/duty/quorum"
 	"lemonrail/internal/standin"
 )
 
@@ -83,7 +83,7 @@
 	return holder, epoch
 }
 
-func notesRow(r *seat.Report) *seat.Row {
+func notesRow(r *quorum.Report) *quorum.Row {
 	for i := range r.Duties {
 		if r.Duties[i].Duty == "notes" {
 			return &r.Duties[i]
@@ -92,7 +92,7 @@
 	return nil
 }
 
-func report(t *testing.T, c *cluster.Cluster, agent int) *seat.Report {
+func report(t *testing.T, c *cluster.Cluster, agent int) *quorum.Report {
 	t.Helper()
 	r, err := c.Agents[agent].Duties()
 	must(t, err)
@@ -100,9 +100,9 @@
 }
 
 // waitForSeat waits until the report of an agent's seat satisfies so.
-func waitForSeat(t *testing.T, c *cluster.Cluster, agent int, what string, so func(*seat.MemberReport) bool) {
+func waitForSeat(t *testing.T, c *cluster.Cluster, agent int, what string, so func(*quorum.MemberReport) bool) {
 	t.Helper()
-	var last *seat.MemberReport
+	var last *quorum.MemberReport
 	if err := c.Until(patience, func() error {
 		r, err := c.Agents[agent].Duties()
 		if err != nil {
@@ -267,7 +267,7 @@
 		return all[len(all)-1]
 	}
 	identity := func(i int) string { return report(t, c, i).Seat.Identity }
-	votes := func(r *seat.MemberReport) bool { return r.Votes && r.Seats[r.Name] == r.Identity }
+	votes := func(r *quorum.MemberReport) bool { return r.Votes && r.Seats[r.Name] == r.Identity }
 	restart := func(i int, change func()) {
 		t.Helper()
 		must(t, c.Agents[i].Kill())
@@ -286,7 +286,7 @@
 		raw[len(raw)/2] ^= 4
 		must(t, os.WriteFile(segment(1), raw, 0o600))
 	})
-	waitForSeat(t, c, 1, "distrusted, with file and place", func(r *seat.MemberReport) bool {
+	waitForSeat(t, c, 1, "distrusted, with file and place", func(r *quorum.MemberReport) bool {
 		return !r.Votes && r.Start == "distrusted" && strings.Contains(r.Why, ".log, byte")
 	})
 	checkAllServe(t, c)
@@ -294,7 +294,7 @@
 
 	// The folder is lost: the seat returns as a new voter.
 	restart(1, func() { must(t, os.RemoveAll(folder(1))) })
-	waitForSeat(t, c, 1, "it votes as another", func(r *seat.MemberReport) bool { return votes(r) && r.Identity != old })
+	waitForSeat(t, c, 1, "it votes as another", func(r *quorum.MemberReport) bool { return votes(r) && r.Identity != old })
 
 	// An old copy of the folder is restored: the other seats know that more was promised, so the seat returns
 	// as a new voter.
@@ -321,7 +321,7 @@
 		must(t, os.MkdirAll(folder(1), 0o700))
 		must(t, os.WriteFile(name, copied, 0o600))
 	})
-	waitForSeat(t, c, 1, "it votes as another", func(r *seat.MemberReport) bool { return votes(r) && r.Identity != old })
+	waitForSeat(t, c, 1, "it votes as another", func(r *quorum.MemberReport) bool { return votes(r) && r.Identity != old })
 	if left, _ := filepath.Glob(filepath.Join(folder(1), "*.distrusted")); len(left) == 0 {
 		t.Error("the distrusted files were not kept")
 	}
@@ -331,7 +331,7 @@
 	c.Agents[2].FileLimit(512)
 	must(t, c.Agents[2].Start())
 	must(t, c.Ready(patience))
-	waitForSeat(t, c, 2, "it doesn't vote", func(r *seat.MemberReport) bool { return !r.Votes && r.Start == "distrusted" })
+	waitForSeat(t, c, 2, "it doesn't vote", func(r *quorum.MemberReport) bool { return !r.Votes && r.Start == "distrusted" })
 	checkAllServe(t, c)
 	must(t, c.Agents[2].Kill())
 	c.Agents[2].FileLimit(0)
@@ -345,15 +345,15 @@
 func TestSpareSeatTakesOver(t *testing.T) {
 	t.Parallel()
 	c := startDutiesClusterWith(t, 5, 4, "voters = 3\nreplace_s = 2\n"+quickDuties)
-	sits := func(r *seat.MemberReport) bool { return r.Votes && r.Seats[r.Name] == r.Identity }
+	sits := func(r *quorum.MemberReport) bool { return r.Votes && r.Seats[r.Name] == r.Identity }
 	waitForSeat(t, c, 1, "the agent is a voter", sits)
-	waitForSeat(t, c, 3, "the agent is not a voter yet", func(r *seat.MemberReport) bool { return r.Seats["n3"] == "" })
+	waitForSeat(t, c, 3, "the agent is not a voter yet", func(r *quorum.MemberReport) bool { return r.Seats["n3"] == "" })
 	must(t, c.Agents[1].Kill())
-	waitForSeat(t, c, 3, "the agent is a voter", func(r *seat.MemberReport) bool { return sits(r) && r.Seats["n1"] == "" && len(r.Seats) == 3 })
+	waitForSeat(t, c, 3, "the agent is a voter", func(r *quorum.MemberReport) bool { return sits(r) && r.Seats["n1"] == "" && len(r.Seats) == 3 })
 	waitForHolder(t, c, 0)
 	must(t, c.Agents[1].Start())
 	must(t, c.Ready(patience))
-	waitForSeat(t, c, 1, "the agent asks to join as a new voter", func(r *seat.MemberReport) bool { return r.Start == "join" && r.Seats["n1"] == "" })
+	waitForSeat(t, c, 1, "the agent asks to join as a new voter", func(r *quorum.MemberReport) bool { return r.Start == "join" && r.Seats["n1"] == "" })
 	// The replacement is a full voter: another of the first seats may fail.
 	must(t, c.Agents[0].Kill())
 	_, epoch := waitForHolder(t, c, 0)
--- a/internal/duty/seat/protocol.go
+++ b/internal/duty/quorum/protocol.go
@@ -1,4 +1,4 @@
-package seat
+package quorum
 
 import (
 	"time"
--- a/internal/duty/seat/seat.go
+++ b/internal/duty/quorum/seat.go
@@ -1,4 +1,4 @@
-// Package seat runs the quorum that decides who holds a duty: Seat is one voter of it
+// Package quorum runs the quorum that decides who holds a duty: Seat is one voter of it
 // (internal/replica/voter), Client is an agent's side, which sends commands to the voters and runs the tasks
 // of the duties that the agent holds. They talk over TCP (internal/replica/transport), on a port of their own.
 //
@@ -6,7 +6,7 @@
 // what they receive to it as functions on an inbox; outgoing messages are queued, and dropped when the queue
 // is full. A disk that fails or can't be trusted ends the voter's part in the quorum and nothing else: Report
 // tells which file and why, and the agent keeps serving.
-package seat
+package quorum
 
 import (
 	"context"
--- a/internal/scale/hollowduties.go
+++ b/internal/scale/hollowduties.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"lemonrail/internal/duty"
-	"lemonrail/internal/duty/seat"
+	"lemonrail/internal/duty/quorum"
 	"lemonrail/internal/duty/store"
 )
 
@@ -37,7 +37,7 @@
 // dutyFleet is the run of one fleet size.
 type dutyFleet struct {
 	agents  int
-	clients []*seat.Client
+	clients []*quorum.Client
 	traffic traffic
 
 	mu      sync.Mutex
@@ -78,14 +78,14 @@
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return errors.Join(err, closeAll(listeners[i:]))
 		}
-		s, err := seat.New(seat.Options{Settings: settings, Name: voterName(i), FS: store.Dir(dir), Listener: ln, Log: slog.New(slog.DiscardHandler)})
+		s, err := quorum.New(quorum.Options{Settings: settings, Name: voterName(i), FS: store.Dir(dir), Listener: ln, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			return errors.Join(err, closeAll(listeners[i:]))
 		}
 		running.Go(func() { s.Run(inner) })
 	}
 	for i := range agents {
-		c := seat.NewClient(seat.ClientOptions{Settings: settings, Name: fmt.Sprintf("agent-%d", i), Tasks: map[string]seat.Task{dutyName: &notificationRecorder{f, i}},
+		c := quorum.NewClient(quorum.ClientOptions{Settings: settings, Name: fmt.Sprintf("agent-%d", i), Tasks: map[string]quorum.Task{dutyName: &notificationRecorder{f, i}},
 			Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(o.Seed, uint64(i)))})
 		f.clients = append(f.clients, c)
 		running.Go(func() { c.Run(inner) })
@@ -158,7 +158,7 @@
 }
 
 // listen opens the voters' listeners and returns settings with their addresses.
-func (f *dutyFleet) listen() (*seat.Settings, []net.Listener, error) {
+func (f *dutyFleet) listen() (*quorum.Settings, []net.Listener, error) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "voters = %d\nfolder = \"unused\"\n", voters)
 	var listeners []net.Listener
@@ -171,7 +171,7 @@
 		fmt.Fprintf(&text, "[[seat]]\nname = %q\naddress = %q\n", voterName(i), ln.Addr())
 	}
 	fmt.Fprintf(&text, "[[duty]]\nname = %q\nlease_ms = %d\n", dutyName, dutyLeaseMs)
-	settings, err := seat.ParseSettings("hollow duties", []byte(text.String()))
+	settings, err := quorum.ParseSettings("hollow duties", []byte(text.String()))
 	if err != nil {
 		return nil, nil, errors.Join(err, closeAll(listeners))
 	}
@@ -256,8 +256,8 @@
 	agent int
 }
 
-// Step implements seat.Task.
+// Step implements quorum.Task.
 func (w *notificationRecorder) Step(time.Time, duty.Permit, []byte) ([]byte, bool) { return nil, false }
 
-// Observe implements seat.Task.
+// Observe implements quorum.Task.
 func (w *notificationRecorder) Observe(_ time.Time, d duty.Duty) { w.fleet.recordHolder(w.agent, d) }
