--- a/cmd/lemonctl/members.go
+++ b/cmd/lemonctl/members.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 	"time"
 
-	"lemonrail/internal/member/arena"
+	"lemonrail/internal/member/membersim"
 	"lemonrail/internal/member/link"
 )
 
@@ -248,23 +248,23 @@
 	if !(c.Hours >= 0 && c.Hours <= 1e6) {
 		return fmt.Errorf("--hours: %v is not within 0 and 1000000", c.Hours)
 	}
-	protocols := arena.Protocols()
+	protocols := membersim.Protocols()
 	if c.Only != "" {
-		protocols = slices.DeleteFunc(protocols, func(p arena.Protocol) bool { return p.Name != c.Only })
+		protocols = slices.DeleteFunc(protocols, func(p membersim.Protocol) bool { return p.Name != c.Only })
 		if len(protocols) == 0 {
 			return fmt.Errorf("--only: no protocol is called %q", c.Only)
 		}
 	}
-	cases := slices.DeleteFunc(arena.Cases(c.Sizes, c.Hours), func(k arena.Case) bool { return !strings.Contains(k.Name, c.Case) })
+	cases := slices.DeleteFunc(membersim.Cases(c.Sizes, c.Hours), func(k membersim.Case) bool { return !strings.Contains(k.Name, c.Case) })
 	if len(cases) == 0 {
 		return fmt.Errorf("--case: no case's name contains %q", c.Case)
 	}
-	rows, err := arena.Compare(ctx, cases, protocols, c.Seed, s.err)
+	rows, err := membersim.Compare(ctx, cases, protocols, c.Seed, s.err)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
 		return printJSON(s.out, map[string]any{"rows": rows})
 	}
-	return arena.Table(s.out, rows)
+	return membersim.Table(s.out, rows)
 }
--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -10,25 +10,25 @@
 	"pgregory.net/rapid"
 
 	"lemonrail/internal/member"
-	"lemonrail/internal/member/arena"
+	"lemonrail/internal/member/membersim"
 )
 
 const lanLatency = time.Millisecond
 
 // fleet is a simulated fleet of n members that know each other; member i is in zone i modulo zones.
 type fleet struct {
-	*arena.Arena
+	*membersim.Arena
 	t       testing.TB
 	changes map[int][]string // state changes, by the member that saw them
 }
 
-func newFleet(t testing.TB, n, zones int, net arena.Net, change func(*member.Config)) *fleet {
+func newFleet(t testing.TB, n, zones int, net membersim.Net, change func(*member.Config)) *fleet {
 	t.Helper()
 	if net.Latency[1] == 0 {
 		net.Latency = [2]time.Duration{lanLatency / 4, lanLatency}
 	}
 	net.Refuses = true
-	f := &fleet{Arena: arena.New(n, 7, net, arena.Membership(zones, change)), t: t, changes: map[int][]string{}}
+	f := &fleet{Arena: membersim.New(n, 7, net, membersim.Membership(zones, change)), t: t, changes: map[int][]string{}}
 	f.StartAll(100 * time.Millisecond)
 	f.RunUntil(8*time.Second + time.Duration(n)*10*time.Millisecond)
 	for i := range n {
@@ -36,7 +36,7 @@
 			t.Fatalf("member %d sees %d of %d alive at the start, standing %v", i, v.Alive, n, v.Standing)
 		}
 	}
-	f.OnStatusChange = func(by int, j arena.StatusChange) {
+	f.OnStatusChange = func(by int, j membersim.StatusChange) {
 		f.changes[by] = append(f.changes[by], fmt.Sprintf("%d %s", j.Member, [...]string{"lives", "suspected", "died"}[j.Status]))
 	}
 	return f
@@ -48,7 +48,7 @@
 	if n == nil {
 		f.t.Fatalf("member %d isn't running", i)
 	}
-	return n.(*arena.Member).View()
+	return n.(*membersim.Member).View()
 }
 
 func (f *fleet) state(at, of int) member.MemberInfo { return f.view(at).Members[of] }
@@ -87,7 +87,7 @@
 	f.t.Helper()
 	for i := range f.Size() {
 		if n := f.Node(i); n != nil {
-			if err := n.(*arena.Member).Audit(); err != nil {
+			if err := n.(*membersim.Member).Audit(); err != nil {
 				f.t.Errorf("member %d, %v: %v", i, f.Now, err)
 			}
 		}
@@ -132,7 +132,7 @@
 		{[]int{0, 1, 2, 3, 4, 5, 6}, time.Minute, 0, false},
 	} {
 		t.Run(fmt.Sprintf("%d of 7 for %v", len(tt.stopped), tt.span), func(t *testing.T) {
-			f := newFleet(t, 7, 1, arena.Net{}, nil)
+			f := newFleet(t, 7, 1, membersim.Net{}, nil)
 			for _, i := range tt.stopped {
 				f.Pause(i, tt.span)
 			}
@@ -156,11 +156,11 @@
 }
 
 func TestKilledMemberIsDetectedWithinSeconds(t *testing.T) {
-	f := newFleet(t, 50, 2, arena.Net{}, nil)
+	f := newFleet(t, 50, 2, membersim.Net{}, nil)
 	f.Kill(17, false)
 	f.checkConverged(4 * time.Second)
-	if k := f.Score.Known[17]; len(k) != 49 || arena.Percentile(k, 1) > 3*time.Second {
-		t.Errorf("death known to %d of 49 members, to the last one after %v", len(k), arena.Percentile(k, 1))
+	if k := f.Score.Known[17]; len(k) != 49 || membersim.Percentile(k, 1) > 3*time.Second {
+		t.Errorf("death known to %d of 49 members, to the last one after %v", len(k), membersim.Percentile(k, 1))
 	}
 	if s := f.state(0, 17); !s.Proved {
 		t.Error("the host's refusal didn't prove the death")
@@ -172,7 +172,7 @@
 }
 
 func TestVanishedMachineIsSuspectedThenDead(t *testing.T) {
-	f := newFleet(t, 50, 2, arena.Net{}, nil)
+	f := newFleet(t, 50, 2, membersim.Net{}, nil)
 	f.Kill(17, true)
 	f.RunUntil(f.Now + 4*time.Second)
 	if got := f.state(0, 17).State; got != member.Suspect {
@@ -273,7 +273,7 @@
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			f := newFleet(t, tt.n, 2, arena.Net{}, nil)
+			f := newFleet(t, tt.n, 2, membersim.Net{}, nil)
 			f.Net.Cut = tt.cut
 			f.RunUntil(f.Now + time.Minute)
 			if tt.n > 8 { // the members that receive nothing suspect the others once
@@ -301,7 +301,7 @@
 		return anyOf(cutBetween(under(n), from(n)), cutBetween(from(n), under(n)))
 	}
 	t.Run("halves", func(t *testing.T) {
-		f := newFleet(t, 8, 1, arena.Net{}, nil)
+		f := newFleet(t, 8, 1, membersim.Net{}, nil)
 		f.Net.Cut = halves(4)
 		f.RunUntil(f.Now + time.Minute)
 		f.checkNoFalseDeaths()
@@ -316,7 +316,7 @@
 		f.checkMaxChanges(8)
 	})
 	t.Run("5 and 2", func(t *testing.T) {
-		f := newFleet(t, 7, 1, arena.Net{}, nil)
+		f := newFleet(t, 7, 1, membersim.Net{}, nil)
 		f.Net.Cut = halves(5)
 		f.RunUntil(f.Now + 30*time.Second)
 		for i := range 7 {
@@ -328,11 +328,11 @@
 				t.Errorf("member %d has standing %v", i, v.Standing)
 			}
 		}
-		c := f.Node(5).(*arena.Member).Count()
+		c := f.Node(5).(*membersim.Member).Count()
 		if c.Living != 7 {
 			t.Errorf("a minority counts %d as living, want 7", c.Living)
 		}
-		if c := f.Node(0).(*arena.Member).Count(); c.Living != 5 || c.Possible != 7 {
+		if c := f.Node(0).(*membersim.Member).Count(); c.Living != 5 || c.Possible != 7 {
 			t.Errorf("the majority counts %d as living, %d as possible", c.Living, c.Possible)
 		}
 		f.Net.Cut = nil
@@ -340,7 +340,7 @@
 		f.checkMaxChanges(12) // the two learn that the five declared each of them dead, and then that they are alive
 	})
 	t.Run("three parts, and another partition while they heal", func(t *testing.T) {
-		f := newFleet(t, 9, 1, arena.Net{}, nil)
+		f := newFleet(t, 9, 1, membersim.Net{}, nil)
 		f.Net.Cut = func(a, b int) bool { return a%3 != b%3 }
 		f.RunUntil(f.Now + 20*time.Second)
 		f.checkNoFalseDeaths()
@@ -350,7 +350,7 @@
 		f.checkConverged(20 * time.Second)
 	})
 	t.Run("one dies and starts again on the other side", func(t *testing.T) {
-		f := newFleet(t, 7, 1, arena.Net{}, nil)
+		f := newFleet(t, 7, 1, membersim.Net{}, nil)
 		f.Net.Cut = halves(5)
 		f.RunUntil(f.Now + 10*time.Second)
 		f.Kill(6, false)
@@ -374,7 +374,7 @@
 func TestLossAndDelay(t *testing.T) {
 	for _, loss := range []float64{0.1, 0.3, 0.5} {
 		t.Run(fmt.Sprintf("%v lost", loss), func(t *testing.T) {
-			f := newFleet(t, 30, 1, arena.Net{Duplicated: 0.1}, nil)
+			f := newFleet(t, 30, 1, membersim.Net{Duplicated: 0.1}, nil)
 			f.Net.Loss = func(int, int) float64 { return loss }
 			f.RunUntil(f.Now + 10*time.Minute)
 			f.checkNoFalseDeaths()
@@ -383,7 +383,7 @@
 		})
 	}
 	t.Run("half lost in one zone", func(t *testing.T) {
-		f := newFleet(t, 30, 3, arena.Net{}, nil)
+		f := newFleet(t, 30, 3, membersim.Net{}, nil)
 		f.Net.Loss = func(a, b int) float64 {
 			if a%3 == 0 || b%3 == 0 {
 				return 0.5
@@ -396,7 +396,7 @@
 		f.checkConverged(10 * time.Second)
 	})
 	t.Run("two seconds late, now and then", func(t *testing.T) {
-		f := newFleet(t, 20, 1, arena.Net{}, nil)
+		f := newFleet(t, 20, 1, membersim.Net{}, nil)
 		f.Net.Delay = func(_, _ int, rng *rand.Rand) time.Duration {
 			if int(f.Now/(5*time.Second))%2 == 0 {
 				return time.Duration(rng.Float64() * float64(2*time.Second))
@@ -409,7 +409,7 @@
 		f.checkConverged(15 * time.Second)
 	})
 	t.Run("an hour old", func(t *testing.T) {
-		f := newFleet(t, 10, 1, arena.Net{}, nil)
+		f := newFleet(t, 10, 1, membersim.Net{}, nil)
 		f.Kill(4, false)
 		f.RunUntil(f.Now + 5*time.Second)
 		f.Start(4)
@@ -429,12 +429,12 @@
 
 func TestManyMembersChangeAtOnce(t *testing.T) {
 	t.Run("40 of 50 killed", func(t *testing.T) {
-		f := newFleet(t, 50, 2, arena.Net{}, nil)
+		f := newFleet(t, 50, 2, membersim.Net{}, nil)
 		for i := range 40 {
 			f.Kill(i, false)
 		}
 		f.checkConverged(8 * time.Second)
-		if c := f.Node(45).(*arena.Member).Count(); c.Living != 10 {
+		if c := f.Node(45).(*membersim.Member).Count(); c.Living != 10 {
 			t.Errorf("%d count as living, want 10", c.Living)
 		}
 		f.checkMaxChanges(84) // suspected and dead, for each; two may be suspected twice while most members change
@@ -444,9 +444,9 @@
 		f.checkConverged(10 * time.Second)
 	})
 	t.Run("a rolling restart", func(t *testing.T) {
-		f := newFleet(t, 20, 2, arena.Net{}, nil)
+		f := newFleet(t, 20, 2, membersim.Net{}, nil)
 		for i := range 20 {
-			f.Node(i).(*arena.Member).Leave(f.Now)
+			f.Node(i).(*membersim.Member).Leave(f.Now)
 			f.RunUntil(f.Now + 300*time.Millisecond)
 			f.Kill(i, false)
 			f.RunUntil(f.Now + 500*time.Millisecond)
@@ -457,7 +457,7 @@
 		f.checkNoneRefused(20)
 	})
 	t.Run("a start counter that went back", func(t *testing.T) {
-		f := newFleet(t, 7, 1, arena.Net{}, func(c *member.Config) { c.Start = 1000 - c.Start })
+		f := newFleet(t, 7, 1, membersim.Net{}, func(c *member.Config) { c.Start = 1000 - c.Start })
 		f.Kill(2, false)
 		f.RunUntil(f.Now + 5*time.Second)
 		f.Start(2)
@@ -485,7 +485,7 @@
 func TestStrangers(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		t.Run(fmt.Sprint(allowed), func(t *testing.T) {
-			a := arena.New(6, 7, arena.Net{Latency: [2]time.Duration{lanLatency / 4, lanLatency}, Refuses: true}, arena.Membership(1, func(c *member.Config) {
+			a := membersim.New(6, 7, membersim.Net{Latency: [2]time.Duration{lanLatency / 4, lanLatency}, Refuses: true}, membersim.Membership(1, func(c *member.Config) {
 				c.Strangers, c.Expected = allowed, 5
 				if c.Self == 5 {
 					c.Addr = netip.MustParseAddrPort("127.0.0.1:7946")
@@ -496,11 +496,11 @@
 			a.StartAll(0)
 			a.RunUntil(10 * time.Second)
 			for i := range 5 {
-				v := a.Node(i).(*arena.Member).View()
+				v := a.Node(i).(*membersim.Member).View()
 				if want := map[bool]int{true: 6, false: 5}[allowed]; v.Alive != want {
 					t.Errorf("member %d sees %d alive, want %d", i, v.Alive, want)
 				}
-				if c := a.Node(i).(*arena.Member).Counters(); !allowed && c.Strange == 0 {
+				if c := a.Node(i).(*membersim.Member).Counters(); !allowed && c.Strange == 0 {
 					t.Error("datagrams of strangers are not counted")
 				}
 			}
@@ -515,8 +515,8 @@
 		n := rapid.IntRange(2, 12).Draw(t, "members")
 		seed := rapid.Uint64().Draw(t, "seed")
 		loss := rapid.SampledFrom([]float64{0, 0.1, 0.3, 0.6}).Draw(t, "loss")
-		net := arena.Net{Latency: [2]time.Duration{lanLatency / 4, 5 * lanLatency}, Refuses: rapid.Bool().Draw(t, "refuses"), Duplicated: 0.05}
-		a := arena.New(n, seed, net, arena.Membership(2, nil))
+		net := membersim.Net{Latency: [2]time.Duration{lanLatency / 4, 5 * lanLatency}, Refuses: rapid.Bool().Draw(t, "refuses"), Duplicated: 0.05}
+		a := membersim.New(n, seed, net, membersim.Membership(2, nil))
 		highest := map[[3]int]uint64{}
 		lives := make([]int, n)
 		check := func() {
@@ -524,7 +524,7 @@
 				if a.Node(i) == nil {
 					continue
 				}
-				for _, m := range a.Node(i).(*arena.Member).View().Members {
+				for _, m := range a.Node(i).(*membersim.Member).View().Members {
 					rank := uint64(m.Start)<<17 | uint64(m.Incarnation)<<1
 					if m.State == member.Dead || m.State == member.Left {
 						rank |= 1
@@ -562,7 +562,7 @@
 				a.Net.Cut = nil
 			case "leave":
 				if m := a.Node(target); m != nil {
-					m.(*arena.Member).Leave(a.Now)
+					m.(*membersim.Member).Leave(a.Now)
 					a.RunUntil(a.Now + time.Second)
 					a.Kill(target, false)
 				}
@@ -578,7 +578,7 @@
 			if a.Node(i) == nil {
 				continue
 			}
-			v := a.Node(i).(*arena.Member).View()
+			v := a.Node(i).(*membersim.Member).View()
 			if digest == 0 {
 				digest = v.Digest
 			}
@@ -596,8 +596,8 @@
 
 // A note reaches all members soon, over packet loss too, and is dropped when the life of its member ends.
 func TestNotesSpread(t *testing.T) {
-	f := newFleet(t, 20, 2, arena.Net{Loss: func(int, int) float64 { return 0.2 }}, nil)
-	f.Node(3).(*arena.Member).SetNote(f.Now, []byte("abc"))
+	f := newFleet(t, 20, 2, membersim.Net{Loss: func(int, int) float64 { return 0.2 }}, nil)
+	f.Node(3).(*membersim.Member).SetNote(f.Now, []byte("abc"))
 	f.RunUntil(f.Now + 3*time.Second)
 	for i := range 20 {
 		if got := f.state(i, 3).Note; got != "abc" {
@@ -614,7 +614,7 @@
 // The number of datagrams that a member sends does not grow with the fleet, idle or during failures.
 func TestTrafficDoesNotGrowWithFleet(t *testing.T) {
 	for _, n := range []int{10, 200} {
-		f := newFleet(t, n, 1, arena.Net{}, nil)
+		f := newFleet(t, n, 1, membersim.Net{}, nil)
 		sentBefore := f.Sent
 		f.RunUntil(f.Now + 10*time.Second)
 		if each := float64(f.Sent-sentBefore) / float64(n) / 10; each > 9 {
--- a/internal/member/arena/arena.go
+++ b/internal/member/membersim/arena.go
@@ -1,11 +1,11 @@
-// Package arena simulates failure detectors in virtual time: many members in one process, a network that
+// Package membersim simulates failure detectors in virtual time: many members in one process, a network that
 // loses, duplicates, delays and cuts, and processes that are stopped, killed and restarted. It compares the
 // states that members report with the true ones. Tests of internal/member and lemonctl use it; it does not
 // model real machines.
 //
 // An Arena is not safe for concurrent use. The same seed gives the same run: events of the same instant are handled in
 // the order in which they were queued.
-package arena
+package membersim
 
 import (
 	"cmp"
--- a/internal/member/arena/protocols.go
+++ b/internal/member/membersim/protocols.go
@@ -1,4 +1,4 @@
-package arena
+package membersim
 
 import (
 	"math"
--- a/internal/scale/simulated.go
+++ b/internal/scale/simulated.go
@@ -6,7 +6,7 @@
 	"io"
 	"time"
 
-	"lemonrail/internal/member/arena"
+	"lemonrail/internal/member/membersim"
 )
 
 // SimulatedMembers runs the membership protocol in simulated time.
@@ -31,16 +31,16 @@
 // Run measures all fleet sizes.
 func (o SimulatedMembers) Run(ctx context.Context) ([]*Series, error) {
 	set := newSeriesSet(Simulated, "members", "membership as shipped, 8 zones")
-	ours := arena.Protocol{Name: "this", Make: arena.Membership(len(siteNames), nil)}
+	ours := membersim.Protocol{Name: "this", Make: membersim.Membership(len(siteNames), nil)}
 	for _, n := range o.FleetSizes {
-		cases := []arena.Case{
+		cases := []membersim.Case{
 			{Name: "all is well", Members: n, Span: o.LossTime},
 			{Name: "30 % lost", Members: n, Span: o.LossTime, Loss: lossShare},
 			{Name: fmt.Sprintf("two regions apart for %v", o.PartitionTime), Members: n, Span: o.PartitionTime, Cut: cutRegions},
 		}
 		for _, c := range cases {
 			o.Logf("simulated time: %d members, %s", n, c.Name)
-			rows, err := arena.Compare(ctx, []arena.Case{c}, []arena.Protocol{ours}, o.Seed, io.Discard)
+			rows, err := membersim.Compare(ctx, []membersim.Case{c}, []membersim.Protocol{ours}, o.Seed, io.Discard)
 			if err != nil {
 				return nil, err
 			}
@@ -51,7 +51,7 @@
 }
 
 // row appends the results of one case to the series.
-func (o SimulatedMembers) row(set *seriesSet, name string, r *arena.Row) {
+func (o SimulatedMembers) row(set *seriesSet, name string, r *membersim.Row) {
 	x := float64(r.Members)
 	set.add(name+", false deaths", "", x, float64(r.FalseDeaths))
 	set.add(name+", changes a member-minute", "/min", x, r.Changes)
