--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -18,7 +18,7 @@
 	upstream "lemonrail/internal/backend/http1"
 	"lemonrail/internal/core"
 	"lemonrail/internal/explain"
-	"lemonrail/internal/figures"
+	"lemonrail/internal/metrics"
 	front "lemonrail/internal/front/http1"
 	"lemonrail/internal/roster"
 )
@@ -126,7 +126,7 @@
 	}
 	up := upstream.New(&cfg.Settings, sockets, log)
 	l.Backend = up
-	l.Figures = figures.New(cfg.Names.Classes)
+	l.Figures = metrics.New(cfg.Names.Classes)
 	up.CountAttempts(&l.Figures.Attempts)
 
 	diameter, err := diameterPart(cfg, l, up, log)
--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -18,7 +18,7 @@
 	"lemonrail/internal/configuration/watch"
 	"lemonrail/internal/control"
 	"lemonrail/internal/core"
-	"lemonrail/internal/figures"
+	"lemonrail/internal/metrics"
 	front "lemonrail/internal/front/http1"
 	"lemonrail/internal/strict"
 )
@@ -224,11 +224,11 @@
 }
 
 // configurationGauges returns the metrics of a watch.
-func configurationGauges(w *watch.Watcher) []figures.Gauge {
+func configurationGauges(w *watch.Watcher) []metrics.Gauge {
 	age := func(since func(watch.Status) time.Time) func() int64 {
 		return func() int64 { return ageMs(since(w.Status())) }
 	}
-	return []figures.Gauge{
+	return []metrics.Gauge{
 		{Name: "configuration_revision_age_ms", Value: age(func(s watch.Status) time.Time { return s.AppliedAt })},
 		{Name: "configuration_control_age_ms", Value: age(func(s watch.Status) time.Time { return s.LastContact })},
 		{Name: "configuration_changes", Value: func() int64 { return int64(w.Status().Changes) }},
--- a/internal/agent/controlapi.go
+++ b/internal/agent/controlapi.go
@@ -10,7 +10,7 @@
 
 	"lemonrail/internal/control"
 	"lemonrail/internal/core"
-	"lemonrail/internal/figures"
+	"lemonrail/internal/metrics"
 	"lemonrail/internal/pool"
 	"lemonrail/internal/takeover"
 )
@@ -18,12 +18,12 @@
 // controlAPI serves the operators' calls at the control listener.
 type controlAPI struct {
 	loop           *core.Loop
-	figures        *figures.Metrics
+	figures        *metrics.Metrics
 	ready          func() bool
 	stopping       atomic.Bool
 	processes      *processGroup // nil: this process is the only one of its agent
 	readyAnnounced atomic.Bool   // other processes of this agent know that this one serves
-	gauges         []figures.Gauge
+	gauges         []metrics.Gauge
 	routes         []control.Route // further routes, of the other parts
 }
 
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -15,7 +15,7 @@
 	"lemonrail/internal/duty"
 	"lemonrail/internal/duty/quorum"
 	"lemonrail/internal/duty/store"
-	"lemonrail/internal/figures"
+	"lemonrail/internal/metrics"
 	"lemonrail/internal/member"
 	"lemonrail/internal/member/link"
 	"lemonrail/internal/site/driver"
@@ -129,10 +129,10 @@
 	}
 }
 
-func (d *duties) gauges() []figures.Gauge {
-	all := []figures.Gauge{{Name: "duties_held", Value: d.client.HeldCount}}
+func (d *duties) gauges() []metrics.Gauge {
+	all := []metrics.Gauge{{Name: "duties_held", Value: d.client.HeldCount}}
 	if d.seat != nil {
-		all = append(all, figures.Gauge{Name: "duties_seat_votes", Value: d.seat.Votes}, figures.Gauge{Name: "duties_seat_leads", Value: d.seat.Leads})
+		all = append(all, metrics.Gauge{Name: "duties_seat_votes", Value: d.seat.Votes}, metrics.Gauge{Name: "duties_seat_leads", Value: d.seat.Leads})
 	}
 	return all
 }
--- a/internal/agent/parts.go
+++ b/internal/agent/parts.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"lemonrail/internal/control"
-	"lemonrail/internal/figures"
+	"lemonrail/internal/metrics"
 )
 
 // part is a component of an agent: created from the configuration, started, asked for its readiness and stopped together
@@ -23,7 +23,7 @@
 	close     func()                      // releases resources, in the reverse order
 
 	routes []control.Route
-	gauges []figures.Gauge
+	gauges []metrics.Gauge
 }
 
 // tasks holds the goroutines of an agent's parts.
@@ -106,7 +106,7 @@
 	return all
 }
 
-func (ps parts) gauges() (all []figures.Gauge) {
+func (ps parts) gauges() (all []metrics.Gauge) {
 	for _, p := range ps {
 		all = append(all, p.gauges...)
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"lemonrail/balance"
-	"lemonrail/internal/figures"
+	"lemonrail/internal/metrics"
 	"lemonrail/internal/pool"
 )
 
@@ -148,7 +148,7 @@
 	Lists    ListSource
 	Peers    Peers    // nil where agents don't exchange messages
 	Observer Observer // nil: no observer
-	Figures  *figures.Metrics
+	Figures  *metrics.Metrics
 	settings *balance.Settings // in force; replaced by Reconfigure, never modified
 
 	events         []balance.Event  // events for the next step
--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -20,7 +20,7 @@
 	"lemonrail/balance"
 	"lemonrail/internal/admission"
 	"lemonrail/internal/core"
-	"lemonrail/internal/figures"
+	"lemonrail/internal/metrics"
 	"lemonrail/internal/http1"
 	"lemonrail/internal/wire"
 )
@@ -56,7 +56,7 @@
 	Names    wire.Names
 	Memory   int64       // bytes of memory that the process may use; 0: unknown
 	Ready    atomic.Bool // the state that /up reports
-	Figures  *figures.Metrics
+	Figures  *metrics.Metrics
 
 	maxRetryAfter atomic.Int64 // set by Advise, in nanoseconds plus 1; 0: Settings.MaxRetryAfter applies
 }
@@ -127,10 +127,10 @@
 	beginAnswer(conn, w)
 	outcome := results[a.Kind]
 	if err := writeAnswer(conn, w, a); err != nil && a.Kind == core.Served {
-		outcome = figures.Errors
+		outcome = metrics.Errors
 	}
 	s.Figures.CountResponse(c.Event.Class, outcome)
-	if outcome == figures.Errors && a.Kind == core.Served {
+	if outcome == metrics.Errors && a.Kind == core.Served {
 		panic(http.ErrAbortHandler) // the client sees a truncated answer: short of its length, or without the last chunk
 	}
 }
@@ -152,8 +152,8 @@
 }
 
 // results maps the kind of an answer to the result that metrics count.
-var results = map[core.Kind]figures.Result{core.Served: figures.OK, core.Refused: figures.Shed,
-	core.Failed: figures.Errors, core.Duplicate: figures.Errors}
+var results = map[core.Kind]metrics.Result{core.Served: metrics.OK, core.Refused: metrics.Shed,
+	core.Failed: metrics.Errors, core.Duplicate: metrics.Errors}
 
 // beginAnswer records that an answer is about to be written, and adds "Connection: close" if it is the last on
 // its connection. A client that doesn't read it holds the connection for answerWriteTimeout at the most.
@@ -281,7 +281,7 @@
 		if retryAfter := s.RetryAfter(); retryAfter > 0 {
 			w.Header().Set("Retry-After", formatSeconds(retryAfter))
 		}
-		s.Figures.CountResponse(class, figures.Shed)
+		s.Figures.CountResponse(class, metrics.Shed)
 	}
 	if err != nil {
 		return nil, status, err
--- a/internal/member/link/link.go
+++ b/internal/member/link/link.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"lemonrail/internal/control"
-	"lemonrail/internal/figures"
+	"lemonrail/internal/metrics"
 	"lemonrail/internal/member"
 )
 
@@ -346,7 +346,7 @@
 }
 
 // Gauges returns the metrics of the membership.
-func (l *Link) Gauges() []figures.Gauge {
-	return []figures.Gauge{{Name: "members_alive", Value: l.alive.Load}, {Name: "members_majority", Value: l.majority.Load},
+func (l *Link) Gauges() []metrics.Gauge {
+	return []metrics.Gauge{{Name: "members_alive", Value: l.alive.Load}, {Name: "members_majority", Value: l.majority.Load},
 		{Name: "members_changes", Value: l.changes.Load}}
 }
--- a/internal/figures/figures.go
+++ b/internal/metrics/figures.go
@@ -1,6 +1,6 @@
-// Package figures holds the metrics of one agent process and writes them in the Prometheus text format. Everything in
+// Package metrics holds the metrics of one agent process and writes them in the Prometheus text format. Everything in
 // it is safe for concurrent use and does not block.
-package figures
+package metrics
 
 import (
 	"bytes"
--- a/internal/figures/figures_test.go
+++ b/internal/metrics/figures_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"bytes"
--- a/internal/site/driver/driver.go
+++ b/internal/site/driver/driver.go
@@ -18,7 +18,7 @@
 
 	"lemonrail/balance"
 	"lemonrail/internal/core"
-	"lemonrail/internal/figures"
+	"lemonrail/internal/metrics"
 	"lemonrail/internal/member"
 	"lemonrail/internal/site"
 )
@@ -341,7 +341,7 @@
 }
 
 // Gauges returns the driver's metrics.
-func (d *Driver) Gauges() []figures.Gauge {
-	return []figures.Gauge{{Name: "sites_lost", Value: d.lostSites.Load}, {Name: "sites_doubted", Value: d.doubtedSites.Load},
+func (d *Driver) Gauges() []metrics.Gauge {
+	return []metrics.Gauge{{Name: "sites_lost", Value: d.lostSites.Load}, {Name: "sites_doubted", Value: d.doubtedSites.Load},
 		{Name: "sites_cut", Value: d.cutSites.Load}, {Name: "sites_plans", Value: d.plansSolved.Load}, {Name: "sites_plans_failed", Value: d.plansFailed.Load}}
 }
