--- a/cmd/lemonctl/duties.go
+++ b/cmd/lemonctl/duties.go
@@ -24,9 +24,9 @@
 
 // dutiesSnapshot holds the reports of all agents on the duties.
 type dutiesSnapshot struct {
-	At     time.Time               `json:"at"`
+	At     time.Time                 `json:"at"`
 	Agents map[string]*quorum.Report `json:"agents"`           // by control address
-	Silent map[string]string       `json:"silent,omitempty"` // errors of failed calls, by control address
+	Silent map[string]string         `json:"silent,omitempty"` // errors of failed calls, by control address
 }
 
 func fetchDuties(ctx context.Context, agents []string) *dutiesSnapshot {
--- a/cmd/lemonctl/members.go
+++ b/cmd/lemonctl/members.go
@@ -10,8 +10,8 @@
 	"text/tabwriter"
 	"time"
 
-	"lemonrail/internal/member/membersim"
 	"lemonrail/internal/member/link"
+	"lemonrail/internal/member/membersim"
 )
 
 // requestTimeout limits a call to a control address; an agent answers within a second.
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -18,8 +18,8 @@
 	upstream "lemonrail/internal/backend/http1"
 	"lemonrail/internal/core"
 	"lemonrail/internal/explain"
-	"lemonrail/internal/metrics"
 	front "lemonrail/internal/front/http1"
+	"lemonrail/internal/metrics"
 	"lemonrail/internal/roster"
 )
 
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -43,8 +43,8 @@
 	diameter            *relay.Rules // nil: the agent does not speak Diameter
 	diameterClassOffset int          // index in Settings.Classes of the first class of Diameter
 
-	members *link.Settings // nil: the agent takes no part in the membership
-	sites   *sitesSettings // nil: whole sites are not watched
+	members *link.Settings   // nil: the agent takes no part in the membership
+	sites   *sitesSettings   // nil: whole sites are not watched
 	duties  *quorum.Settings // nil: the agent takes no part in duties
 
 	configuration *configurationSettings // nil: settings do not change while the agent runs
--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -18,8 +18,8 @@
 	"lemonrail/internal/configuration/watch"
 	"lemonrail/internal/control"
 	"lemonrail/internal/core"
-	"lemonrail/internal/metrics"
 	front "lemonrail/internal/front/http1"
+	"lemonrail/internal/metrics"
 	"lemonrail/internal/strict"
 )
 
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -15,9 +15,9 @@
 	"lemonrail/internal/duty"
 	"lemonrail/internal/duty/quorum"
 	"lemonrail/internal/duty/store"
-	"lemonrail/internal/metrics"
 	"lemonrail/internal/member"
 	"lemonrail/internal/member/link"
+	"lemonrail/internal/metrics"
 	"lemonrail/internal/site/driver"
 )
 
--- a/internal/backend/http1/idle.go
+++ b/internal/backend/http1/idle.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"lemonrail/internal/core"
 	"lemonrail/internal/connstate"
+	"lemonrail/internal/core"
 )
 
 // This file manages idle connections within the socket limit.
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -410,7 +410,9 @@
 }
 
 // Duties returns the agent's report on duties.
-func (a *Agent) Duties() (*quorum.Report, error) { return getJSON[quorum.Report](a.Control, "/api/duties") }
+func (a *Agent) Duties() (*quorum.Report, error) {
+	return getJSON[quorum.Report](a.Control, "/api/duties")
+}
 
 // Members returns the agent's report on the fleet's members.
 func (a *Agent) Members() (*link.Report, error) { return membersReport(a.Control) }
--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -20,8 +20,8 @@
 	"lemonrail/balance"
 	"lemonrail/internal/admission"
 	"lemonrail/internal/core"
-	"lemonrail/internal/metrics"
 	"lemonrail/internal/http1"
+	"lemonrail/internal/metrics"
 	"lemonrail/internal/wire"
 )
 
--- a/internal/member/link/link.go
+++ b/internal/member/link/link.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"lemonrail/internal/control"
-	"lemonrail/internal/metrics"
 	"lemonrail/internal/member"
+	"lemonrail/internal/metrics"
 )
 
 const (
--- a/internal/site/driver/driver.go
+++ b/internal/site/driver/driver.go
@@ -18,8 +18,8 @@
 
 	"lemonrail/balance"
 	"lemonrail/internal/core"
-	"lemonrail/internal/metrics"
 	"lemonrail/internal/member"
+	"lemonrail/internal/metrics"
 	"lemonrail/internal/site"
 )
 
