--- a/balance/api.go
+++ b/balance/api.go
@@ -146,7 +146,7 @@
 	Gone                  // removed
 )
 
-// Backend is one entry of the list.
+// Backend is one entry of the list of backends.
 type Backend struct {
 	ID      string
 	State   BackendState
@@ -230,7 +230,7 @@
 		// ZoneWeights is the weight of a zone's backends in picks, by zone. At 0 they get trial requests only and
 		// don't count in the limit. A zone beyond the end has the weight 1.
 		ZoneWeights    []float64
-		WeightsPlanned bool // Share plans where load goes, so that picks ignore the price of crossing zones
+		WeightsPlanned bool // ZoneWeights plan where load goes: picks ignore the price of crossing zones
 		// AdmitShares is the share of a class, by class, that waits for room if there is none at once. The rest is
 		// refused at once while admitted requests wait. A class beyond the end is admitted in full. If a
 		// class is admitted in part, clients' repeats are the first to be refused.
@@ -247,8 +247,8 @@
 	// must have accepted them. They apply to requests that come later; a request keeps the settings that it
 	// came with. What the Balancer has learned stays.
 	Reconfigure struct{ Settings Settings }
-	// Fleet says how many agents are alive, if that is known; until then Settings.Balancers holds. Living is
-	// the number that counts as sending requests, Possible the maximum that may be alive, and Away the
+	// Fleet says how many agents are alive, if that is known; until then Settings.Balancers holds. Alive is
+	// the number that counts as sending requests, MaxAlive the maximum that may be alive, and Departed the
 	// numbers of those that have left or died, whose demand is dropped.
 	Fleet struct {
 		Alive, MaxAlive int
--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// send starts an attempt of r at t. It alone starts attempts, and it checks the rules last.
+// send starts an attempt of r at t. It alone starts attempts, and it checks last that t is up, that the rule
+// on repeats (mayAttempt) allows the attempt and that r has time left.
 func (b *Balancer) send(r *request, t *backend) {
 	if t.State != Up || !b.mayAttempt(r, t) || b.now >= r.deadline {
 		b.finish(r, NoTime)
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -2,7 +2,8 @@
 
 // This file holds the state, the event dispatch (Step) and the event handlers. The interface (settings,
 // events, actions) is in api.go. Every choice a balancer makes is in the files that the key policy of
-// deploy/balancer.toml lists; attempt.go alone starts attempts and ends requests, and checks the four rules.
+// deploy/balancer.toml lists; attempt.go alone starts attempts and ends requests, and checks last that an
+// attempt is allowed and that a request gets one final answer.
 
 import (
 	"cmp"
@@ -19,13 +20,13 @@
 	now      time.Duration
 	actions  []Action // of the current step
 
-	backends     []*backend // in the order in which they were first listed, without those forgotten
-	byID         map[string]*backend
-	kindSlowness map[int]*slowness // by Backend.Kind
-	requests     map[string]*request
-	held         []*request         // waiting for room within the limit, oldest first
-	timers       map[int64]*request // by token, the pending timers of requests
-	lastToken    int64              // the latest timer token used
+	backends     []*backend          // in the order in which they were first listed, without those forgotten
+	byID         map[string]*backend // backends by Backend.ID
+	kindSlowness map[int]*slowness   // by Backend.Kind
+	requests     map[string]*request // by Request.ID: those without a final answer or with open attempts
+	held         []*request          // waiting for room within the limit, oldest first
+	timers       map[int64]*request  // by token, the pending timers of requests
+	lastToken    int64               // the latest timer token used
 
 	maxBalancers int     // agents that may be alive at most; Settings.Balancers are those known to be alive
 	processShare float64 // share of this agent's limit and retry tokens that this process may use
@@ -34,40 +35,40 @@
 	inFlight     int     // attempts without an outcome
 	stuck        int     // attempts in flight that use no room: at backends out of use, or overdue
 	perBackend   float64 // attempts that all agents together may have in flight, per backend in use
-	up, warm     int     // backends that are up by the list; of these, those past their cold start
+	up, warm     int     // backends that are up by the list, and those of them past their cold start
 	capacity     float64 // backends in use, each counted by its warmth
 	meanWeight   float64 // mean Backend.Weight of the backends that are up
 	meanDelay    float64 // running mean of latency over aim
 	// Running mean of attempt.concurrency, over the same attempts as meanDelay.
 	meanConcurrency float64
-	baseDelay       float64 // the low of meanDelay: the delay without queues
-	cutAt           time.Duration
-	savedTime       float64 // attempt time that the limit allowed and that was not used, ns
-	savedAt         time.Duration
+	baseDelay       float64       // falls with meanDelay and rises very slowly: the delay without queues
+	cutAt           time.Duration // when the limit was last cut
+	savedTime       float64       // attempt time that the limit allowed and that was not used, ns
+	savedAt         time.Duration // when savedTime was last updated
 	roomTimer       int64         // token of the timer for room that saved time will give; 0: none is pending
 	delaySampledAt  time.Duration // when meanDelay last took a sample
 
-	meanDemand         float64 // running mean of attempts in flight plus requests held
-	demandUpdatedAt    time.Duration
-	peerDemands        []demand // by the number of the agent
-	limitShare         float64  // this process's share of the limit of all agents
-	demandSinceSent    float64  // integral over time of the demand since the last message to peers
-	demandSentAt       time.Duration
-	sendIntervalFactor float64 // jitter of the interval before the next message to peers
+	meanDemand         float64       // running mean of attempts in flight plus requests held
+	demandUpdatedAt    time.Duration // when meanDemand was last updated
+	peerDemands        []demand      // by the number of the agent
+	limitShare         float64       // this process's share of the limit of all agents
+	demandSinceSent    float64       // integral over time of the demand since the last message to peers
+	demandSentAt       time.Duration // when the last message to peers was sent
+	sendIntervalFactor float64       // jitter of the interval before the next message to peers
 
 	meanWorkLeft float64 // running mean of the share of work that known keys leave
 	// Running mean of the attempts that other agents had at a backend, by load reports.
 	meanOtherLoad     float64
-	staleShare        float64 // running share of reports older than the attempt they came with
-	parallelism       float64 // most attempts that a backend reported to work on at once; 0: not reported
-	servedWork        float64 // work that warm backends served lately, decaying over the fall window
-	servedCount       float64 // requests that this work came in
-	servedDecayedAt   time.Duration
-	subscribeFailures int   // failed subscriptions in a row
-	subscribeTimer    int64 // token of the timer for the next Subscribe; 0: none is pending
-	sites             Sites
-	onNote            func(Note) // receives the notes; nil: Explain is off
-	stateNotedAt      time.Duration
+	staleShare        float64       // running share of reports older than the attempt they came with
+	parallelism       float64       // most attempts that a backend reported to run at once; 0: none reported
+	servedWork        float64       // work that warm backends served lately, decaying over the fall window
+	servedCount       float64       // requests that this work came in
+	servedDecayedAt   time.Duration // when servedWork and servedCount last decayed
+	subscribeFailures int           // failed subscriptions in a row
+	subscribeTimer    int64         // token of the timer for the next Subscribe; 0: none is pending
+	sites             Sites         // the latest Sites event, less the trials made
+	onNote            func(Note)    // receives the notes; nil: Explain is off
+	stateNotedAt      time.Duration // when the last note of kind NoteState was emitted
 }
 
 // New returns a Balancer that knows no backends. All its random choices come from seed.
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -28,6 +28,7 @@
 	keyedCell
 )
 
+// settings returns settings with a class for each effect and group of repeats, for a single agent.
 func settings() balance.Settings {
 	class := func(e balance.Effect, g balance.Group) balance.Class {
 		return balance.Class{Aim: 400 * ms, Deadline: 2000 * ms, Worth: 1, Effect: e, Group: g, Window: 300 * ms}
@@ -58,10 +59,10 @@
 	t       *testing.T
 	b       *balance.Balancer
 	now     time.Duration
-	sent    map[string][]string // the backends of each request's attempts, in order
-	timers  []balance.TimerFired
-	due     []time.Duration
-	actions []balance.Action // of the last step
+	sent    map[string][]string  // the backends of each request's attempts, in order
+	timers  []balance.TimerFired // pending timers
+	due     []time.Duration      // when each of them fires
+	actions []balance.Action     // of the last step
 }
 
 func newRig(t *testing.T, s balance.Settings, seed uint64, list []balance.Backend) *rig {
@@ -615,7 +616,7 @@
 	round(100, even)
 	round(400, even)
 	for _, b := range []string{"a", "b", "c", "d"} {
-		if soon[b] < 15 { // about 8 errors each, and 4 uses within 300 ms of each
+		if soon[b] < 15 { // without an ejection: about 8 errors, each with 4 uses in the 300 ms after it
 			t.Errorf("%s was used %d times soon after an error", b, soon[b])
 		}
 	}
@@ -727,8 +728,8 @@
 	}
 }
 
-// Incidents i37feae and i28e3f7: under overload a cold backend must get more than its certain share of what
-// a warm one serves, and stay well below FallMultiple times that share.
+// Incidents i37feae and i28e3f7: under overload a cold backend must get more than its warmth, as a share of
+// what a warm one serves, and stay well below FallMultiple times that share.
 func TestColdShareUnderOverload(t *testing.T) {
 	list := backends(5)
 	r := newRig(t, settings(), 9, list)
@@ -781,7 +782,7 @@
 	}
 }
 
-// A single heavy request could overload a cold backend.
+// A cold backend gets light requests but no heavy one, since a single heavy request could overload it.
 func TestColdGetsNoHeavyRequest(t *testing.T) {
 	list := backends(3)
 	r := newRig(t, settings(), 9, list)
@@ -1096,7 +1097,7 @@
 		}
 	}
 	for id, n := range warm {
-		if n > 18 { // three mean shares of six
+		if n > 18 { // three times the mean share of six attempts per backend
 			t.Errorf("%s holds %d in flight", id, n)
 		}
 	}
@@ -1139,7 +1140,9 @@
 	inFlight := func(usual time.Duration) (n int) {
 		r := newRig(t, settings(), 1, backends(2))
 		r.serve(1500, safe, usual)
-		r.serve(200, safe, 98*ms) // between a fifth and a quarter of the aim
+		// 0.245 of the aim. The target is 0.2 of it after a usual latency of 40 ms, so that the limit is cut,
+		// and at least 0.25 after one of 98 ms, so that it is not.
+		r.serve(200, safe, 98*ms)
 		for i := range 40 {
 			id := fmt.Sprint("q", i)
 			r.request(id, safe)
@@ -1405,8 +1408,8 @@
 	}
 }
 
-// In large fleets, a thousand agents that each round their share of the limit up to one attempt overload the
-// backends.
+// In large fleets, a thousand agents that each rounded their share of the limit up to one attempt would
+// overload the backends.
 func TestQuietAgentStaysWithinLimitShare(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
--- a/balance/constants.go
+++ b/balance/constants.go
@@ -31,7 +31,7 @@
 	// Minimum of a request's expected latency over the mean: requests of little work wait in queues as well.
 	minWorkFactor       = 0.5
 	maxWorkFactor       = 4.0  // maximum of a request's expected latency over the mean
-	maxColdCost         = 2.0  // bound on the cost of a request for a cold backend, in mean costs
+	maxColdCost         = 2.0  // maximum expected latency of a cold backend's request, over its class's mean
 	reportFadeLatencies = 10.0 // mean latencies over which a load report fades to the mean of all backends
 	maxStaleShare       = 0.1  // share of stale load reports from which on reports don't steer picks
 	minOtherLoad        = 0.1  // attempts added to load reports, so that one of 0 gives a finite weight
--- a/balance/dropped_attempt_test.go
+++ b/balance/dropped_attempt_test.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// After a ListFailed with Within, the next Subscribe comes within that time for any number of agents and
-// failures, so that changes missed by a broken watch arrive soon. Without Within the wait grows with the
-// fleet.
+// After a ListFailed with RetryWithin, the next Subscribe comes within that time for any number of agents
+// and failures, so that changes missed by a broken watch arrive soon. Without RetryWithin the wait grows with
+// the fleet.
 func TestSubscribeRetryWithin(t *testing.T) {
 	for _, agents := range []int{1, 5, 300} {
 		longest := time.Duration(0)
--- a/balance/explain.go
+++ b/balance/explain.go
@@ -14,7 +14,7 @@
 	NoTime                  // the wait before the next attempt would outlast the time left
 	NoAttemptAllowed        // no further attempt is allowed by number, group or window
 	NeverSent               // the agent could not send the attempt
-	SiteLost                // a site is lost, the request is not admitted by Sites.Admit, and there was no room
+	SiteLost                // a site is lost, Sites.AdmitShares does not admit the request, and there was no room
 )
 
 var reasonNames = [...]string{"", "repeat-no-room", "too-late", "no-backend", "no-tokens", "no-time", "no-attempt", "never-sent", "site-lost"}
@@ -67,15 +67,15 @@
 	Limit       float64       // this agent's limit, before rounding
 	LimitShare  float64       // this agent's share of the limit of all agents
 	InFlight    int           // attempts in flight
-	Stuck       int           // of these, those at backends out of use, and overdue ones
-	Overdue     int           // of the stuck ones, those at backends in use
+	Stuck       int           // attempts in flight that use no room: at backends out of use, or overdue
+	Overdue     int           // the stuck attempts that are at backends in use
 	Held        int           // requests that wait for room
-	Up, InUse   int           // backends that are up by the list; of these, those neither ejected nor down
+	Up, InUse   int           // backends that are up by the list, and those of them neither ejected nor down
 	Idle        int           // backends in use where this agent has no attempt
 	Capacity    float64       // backends in use, each counted by its warmth
 	MeanDelay   float64       // running mean of latency over aim
-	BaseDelay   float64       // the low of Delay: the delay without queues
-	TargetDelay float64       // the target that the limit keeps Delay to
+	BaseDelay   float64       // falls with MeanDelay and rises very slowly: the delay without queues
+	TargetDelay float64       // the target that the limit keeps MeanDelay to
 	MeanLatency time.Duration // mean latency over the classes
 	SavedTime   time.Duration // saved attempt time below the limit
 	ErrorShare  float64       // recent share of errors over all backends
@@ -99,8 +99,8 @@
 // stateNoteInterval is the minimum time between two notes of kind NoteState.
 const stateNoteInterval = 100 * time.Millisecond
 
-// Explain makes the Balancer pass notes on its refusals, failures, limit cuts and state to tell from now on;
-// nil ends that. It changes no decision. tell is called within Step and must not call the Balancer.
+// Explain makes the Balancer pass notes on its refusals, failures, limit cuts and state to the function tell
+// from now on; nil ends that. It changes no decision. tell is called within Step and must not call the Balancer.
 func (b *Balancer) Explain(tell func(Note)) { b.onNote, b.stateNotedAt = tell, 0 }
 
 // emitNote completes n with the current state and passes it on.
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -51,21 +51,21 @@
 	d.arriveSkewed(0.7*d.capacity()/4, 4*time.Second)
 	d.run(d.now + 6*time.Second)
 	n := d.total()
-	if d.refused > n/25 { // was 6 %
+	if d.refused > n/25 { // earlier, 6 % were refused
 		t.Errorf("%d of %d refused at 0.7 of capacity", d.refused, n)
 	}
 	t.Logf("%d of %d refused, %d in time", d.refused, n, d.inTime)
 }
 
 // discoverySim simulates a fleet whose agents subscribe to the list at one service. The service handles
-// calls in order, also those that the caller has given up, since it can't know.
+// calls in order, also those that the caller has given up, since it doesn't know that.
 type discoverySim struct {
 	*simulation
-	callsPerSecond float64       // calls that the service handles in a second
-	patience       time.Duration // after which a call fails
-	maxWaiting     int           // calls that may wait
-	freeAt         time.Duration // when the service will have handled all calls
-	calls          []time.Duration
+	callsPerSecond float64               // calls that the service handles in a second
+	patience       time.Duration         // time without an answer after which a call fails
+	maxWaiting     int                   // calls that may wait; the service rejects further ones
+	freeAt         time.Duration         // when the service will have handled all calls
+	calls          []time.Duration       // when each call was made
 	listedAt       map[int]time.Duration // when an agent got the list
 }
 
--- a/balance/key_affinity_test.go
+++ b/balance/key_affinity_test.go
@@ -52,7 +52,7 @@
 	if got := share(true); got < 0.8 {
 		t.Errorf("%.2f of a key's requests went to its usual backend, want 0.8 at least", got)
 	}
-	if got := share(false); got > 0.5 { // 0.25 or so by chance
+	if got := share(false); got > 0.5 { // by chance, a key's most used backend of 8 gets 0.25 or so
 		t.Errorf("without warm keys %.2f of a key's requests went to one backend", got)
 	}
 }
@@ -70,7 +70,7 @@
 			same += other[key][to]
 		}
 	}
-	if same < 140 { // 25 by chance
+	if same < 140 { // by chance it would be one key in 8, 25
 		t.Errorf("two agents chose the same backend for %d of 200 keys", same)
 	}
 }
--- a/balance/limit_share.go
+++ b/balance/limit_share.go
@@ -13,7 +13,7 @@
 
 const (
 	evenLimitShare          = 0.25 // share of the limit that is split evenly whatever the demand, for bursts
-	demandIntervalLatencies = 4.0  // minimum of mean latencies between two messages
+	demandIntervalLatencies = 4.0  // minimum gap between two messages of an agent, in mean latencies
 	demandBytesPerRequest   = 32.0 // bytes sent to all peers together that one request pays for
 	demandFadeIntervals     = 20.0 // message intervals over which a peer's demand fades
 	demandTag               = 0xd1 // first byte of a message; the demand follows, in 256ths of an attempt
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -17,37 +17,40 @@
 type simulation struct {
 	now    time.Duration
 	rng    *rand.Rand
-	queue  simEventQueue
-	seq    int
+	queue  simEventQueue // functions to call at later times
+	seq    int           // last number of an event or request
 	nodes  map[string]*simNode
 	agents []*balance.Balancer
-	open   map[string]*simRequest
+	open   map[string]*simRequest // requests without an end, by ID
 
-	resets   func(node string, n int) bool // whether the connection of a node's nth answer breaks
-	slowdown func(now time.Duration) float64
+	resets   func(node string, n int) bool                  // whether the connection of a node's nth answer breaks
+	slowdown func(now time.Duration) float64                // factor of the work of attempts that begin now
 	deliver  func(d *simulation, from, to int, data []byte) // carries a peer message; nil: whole, after 10 ms
 
-	served, inTime, refused, failed int
-	refusedIdle                     int // requests refused while a node that was up had a free core
-	peerBytes                       int // bytes of peer messages delivered
-	endedAt                         []time.Duration
-	servedAt                        []time.Duration
+	served, inTime, refused, failed int             // requests by their end; inTime: those served within the aim
+	refusedIdle                     int             // requests refused while a node that was up had a free core
+	peerBytes                       int             // bytes of peer messages delivered
+	endedAt                         []time.Duration // arrival times of the requests that have ended
+	servedAt                        []time.Duration // when requests were served
 }
 
+// simNode is a backend of the simulation.
 type simNode struct {
-	cores, busy, answers int
-	down, silent         bool
+	cores, busy, answers int             // cores, busy cores, and attempts worked off
+	down, silent         bool            // down: it refuses connections; silent: it neither answers nor accepts connections
 	startedAt            time.Duration   // when it last started cold; 0: long ago
 	sentAt               []time.Duration // when attempts were sent to it
-	waiting              []func()
+	waiting              []func()        // queue: each begins the work of an attempt
 }
 
+// simRequest is a client's request that has not ended.
 type simRequest struct {
 	agent     int
 	arrivedAt time.Duration
 	attempts  int
 }
 
+// simEvent is a function to call at a time; of two at the same time, the one with the lower seq comes first.
 type simEvent struct {
 	at  time.Duration
 	seq int
@@ -97,6 +100,7 @@
 	return d
 }
 
+// at schedules a call of do at t, or now if t is past.
 func (d *simulation) at(t time.Duration, do func()) {
 	d.seq++
 	heap.Push(&d.queue, simEvent{max(t, d.now), d.seq, do})
@@ -112,6 +116,7 @@
 	d.now = max(d.now, until)
 }
 
+// step passes an event to an agent and carries out its actions.
 func (d *simulation) step(agent int, e balance.Event) {
 	for _, a := range d.agents[agent].Step(d.now, []balance.Event{e}) {
 		switch a := a.(type) {
@@ -144,6 +149,7 @@
 	}
 }
 
+// end ends a request that is still open and counts its end in count.
 func (d *simulation) end(id string, count *int) {
 	if r := d.open[id]; r != nil {
 		*count++
@@ -152,6 +158,7 @@
 	}
 }
 
+// request makes a new request arrive at an agent now.
 func (d *simulation) request(agent int) {
 	d.seq++
 	id := fmt.Sprint("q", d.seq)
@@ -159,6 +166,7 @@
 	d.step(agent, balance.Request{ID: id, TimeLeft: simTimeLeft})
 }
 
+// send plays an attempt at its node and passes its outcome to the agent.
 func (d *simulation) send(agent int, a balance.Send) {
 	r, n := d.open[a.Request], d.nodes[a.Backend]
 	if r == nil {
@@ -237,6 +245,7 @@
 	}
 }
 
+// total returns the number of requests that have ended.
 func (d *simulation) total() int { return d.served + d.refused + d.failed }
 
 // capacity returns the requests that all nodes can serve in a second.
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -105,14 +105,15 @@
 	return 1
 }
 
-// siteBarsRequest reports whether r may not begin at t since its site has just come back (see Sites.Gentle).
+// siteBarsRequest reports whether r may not begin at t since its site has just come back (see
+// Sites.SafeOnlyZones).
 func (b *Balancer) siteBarsRequest(t *backend, r *request) bool {
 	return t.Zone >= 0 && t.Zone < len(b.sites.SafeOnlyZones) && b.sites.SafeOnlyZones[t.Zone] &&
 		r.terms.Effect != Safe && len(r.attempts) == 0 && r.onlyBackend == ""
 }
 
-// mayTrySite reports whether r may be the trial request of t's site (see Sites.Trial). Only a safe first try
-// may.
+// mayTrySite reports whether r may be the trial request of t's site (see Sites.TrialZones). Only a safe first
+// try may.
 func (b *Balancer) mayTrySite(t *backend, r *request) bool {
 	return t.Zone < len(b.sites.TrialZones) && b.sites.TrialZones[t.Zone] && r.terms.Effect == Safe &&
 		len(r.attempts) == 0 && !r.repeat
--- a/balance/reconfigure_test.go
+++ b/balance/reconfigure_test.go
@@ -91,7 +91,7 @@
 	}{
 		{"Classes[1].Aim", func(s *balance.Settings) { s.Classes[1].Aim = 0 }},
 		{"Classes[0].Deadline", func(s *balance.Settings) { s.Classes[0].Deadline = -1 }},
-		{"Classes[0].Deadline", func(s *balance.Settings) { s.Classes[0].Deadline = 2001 * ms }}, // above the longest at the start
+		{"Classes[0].Deadline", func(s *balance.Settings) { s.Classes[0].Deadline = 2001 * ms }}, // above the longest deadline at the start
 		{"Classes", func(s *balance.Settings) { s.Classes = nil }},
 		{"Classes", func(s *balance.Settings) { s.Classes = s.Classes[:1] }},
 		{"Tenants", func(s *balance.Settings) { s.Tenants = nil }},
@@ -108,7 +108,7 @@
 	}
 }
 
-// randomChange returns a random valid change of the settings in force.
+// randomChange returns a copy of s with a random valid change.
 func randomChange(rng *rand.Rand, s balance.Settings) balance.Settings {
 	s.Classes = slices.Clone(s.Classes)
 	for i := range s.Classes {
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -11,7 +11,8 @@
 	"lemonrail/balance"
 )
 
-// auditor checks the four rules from events and actions alone: it records them and models no backend.
+// auditor checks the four rules (one final answer to each request in time, repeats only where allowed, drains
+// kept, no cold backend overloaded) from events and actions alone: it records them and models no backend.
 type auditor struct {
 	s        balance.Settings
 	now      time.Duration
@@ -37,22 +38,24 @@
 	leftAt   time.Duration // when its client left; answers in the same step are allowed
 	stream   bool
 
-	maxAttempts  int // by the settings in force when it came
+	maxAttempts  int // by the settings that applied when it came
 	secondCopies bool
 }
 
+// auditedSend is one attempt of a request.
 type auditedSend struct {
 	backend    string
 	at         time.Duration
-	out        bool
+	out        bool // it has no outcome yet
 	mayHaveRun bool // set once it has ended
 }
 
+// auditedBackend is what the auditor knows about a backend.
 type auditedBackend struct {
 	balance.Backend
-	removedAt time.Duration // when the list said that it drains or is gone; 0: it is up
-	started   time.Duration // when it started, by the list; 0: it is warm
-	sends     []time.Duration
+	removedAt time.Duration   // when the list said that it drains or is gone; 0: it is up
+	started   time.Duration   // when it started, by the list; 0: it is warm
+	sends     []time.Duration // when attempts were sent to it since it started
 }
 
 func newAuditor(s balance.Settings) *auditor {
@@ -67,10 +70,12 @@
 		ramp: min(a.loosestCold.ramp, s.RampTime)}
 }
 
+// fault records a broken rule.
 func (a *auditor) fault(format string, args ...any) {
 	a.faults = append(a.faults, fmt.Sprintf("at %v: ", a.now)+fmt.Sprintf(format, args...))
 }
 
+// event records an event that the Balancer gets in the current step.
 func (a *auditor) event(e balance.Event) {
 	switch e := e.(type) {
 	case balance.Request:
@@ -129,6 +134,7 @@
 	}
 }
 
+// action checks an action of the Balancer against the rules and records it.
 func (a *auditor) action(act balance.Action) {
 	switch act := act.(type) {
 	case balance.Send:
@@ -158,6 +164,7 @@
 	}
 }
 
+// final checks and records the final answer to a request. It returns the request, nil if it is unknown.
 func (a *auditor) final(id string) *auditedRequest {
 	r := a.requests[id]
 	switch {
@@ -173,6 +180,8 @@
 	return r
 }
 
+// send checks an attempt against the rules (open requests and listed backends only, number of attempts,
+// repeats, draining and cold backends) and records it.
 func (a *auditor) send(act balance.Send) {
 	r, b := a.requests[act.Request], a.backends[act.Backend]
 	if r == nil || b == nil {
@@ -265,7 +274,7 @@
 }
 
 // playRandomEventsWith is playRandomEvents with further events at the beginning of each step, made from the
-// settings in force. It passes each action to decided.
+// current settings. It passes each action to decided.
 func playRandomEventsWith(t *testing.T, seed uint64, steps int, further func(balance.Settings) []balance.Event, decided func(balance.Action)) *auditor {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
--- a/balance/sites_test.go
+++ b/balance/sites_test.go
@@ -43,7 +43,7 @@
 		t.Fatalf("sent %v with b lost", by)
 	}
 	// One safe request tries the lost site, with time left for another attempt; the next only after another
-	// Trial.
+	// Sites event with TrialZones.
 	r.step(balance.Sites{ZoneWeights: []float64{1, 0, 1}, TrialZones: []bool{false, true}})
 	if by := r.zones(20, 1); by['b'] != 0 {
 		t.Errorf("a keyed request tried a lost site: %v", by)
@@ -85,7 +85,7 @@
 	}
 }
 
-// While there is room no request is refused, whatever Admit says. At the limit, requests that are not
+// While there is room no request is refused, whatever AdmitShares says. At the limit, requests that are not
 // admitted are refused at once, and admitted ones wait.
 func TestUnadmittedClassIsRefusedOnlyAtLimit(t *testing.T) {
 	r := newThreeSitesRig(t, 3)
--- a/cmd/lemonctl/clusterloss.go
+++ b/cmd/lemonctl/clusterloss.go
@@ -29,7 +29,7 @@
 
 // lossRow is the result of one run: the loss of a site under one strategy.
 type lossRow struct {
-	Way    string              `json:"way"`
+	Way    string              `json:"way"` // name of the strategy
 	Result *cluster.LossResult `json:"result"`
 }
 
--- a/cmd/lemonctl/diameter.go
+++ b/cmd/lemonctl/diameter.go
@@ -20,7 +20,7 @@
 type decodedMessage struct {
 	Offset int64 `json:"at"` // of the first byte, from the start of the file
 	diameter.Tree
-	Invalid string `json:"wrong,omitempty"`
+	Invalid string `json:"wrong,omitempty"` // error of the check against the dictionary; empty: none
 }
 
 // Run decodes the messages in order and stops at the first one that cannot be decoded.
--- a/cmd/lemonctl/diameterpeers.go
+++ b/cmd/lemonctl/diameterpeers.go
@@ -95,9 +95,9 @@
 type serveCounts struct {
 	Requests      int64 `json:"requests"`
 	Retransmitted int64 `json:"retransmitted"` // received with the T flag
-	Busy          int64 `json:"busy"`
-	Silent        int64 `json:"silent"`
-	Broken        int64 `json:"broken"`
+	Busy          int64 `json:"busy"`          // answered with 3004 (too busy)
+	Silent        int64 `json:"silent"`        // given no answer
+	Broken        int64 `json:"broken"`        // on which the server closed the connection
 }
 
 // Run serves until ctx is done or --for has passed, then prints the counts.
--- a/cmd/lemonctl/sitesplan.go
+++ b/cmd/lemonctl/sitesplan.go
@@ -20,11 +20,11 @@
 
 // sitePlan is the outcome of one loss under each strategy.
 type sitePlan struct {
-	Remain      []float64             `json:"remain"`
-	Description string                `json:"what"`
-	Ways        map[string]*site.Plan `json:"ways"`
-	Load        []float64             `json:"load"` // of each site under the plan, in requests of mean work per second
-	Seconds     float64               `json:"solved_in_s"`
+	Remain      []float64             `json:"remain"`      // share of its capacity that each site has left
+	Description string                `json:"what"`        // the loss, such as "lost: a; half of: b"
+	Ways        map[string]*site.Plan `json:"ways"`        // by the name of the strategy
+	Load        []float64             `json:"load"`        // of each site under the plan, in requests of mean work per second
+	Seconds     float64               `json:"solved_in_s"` // time that solving for the plan took
 }
 
 // Run prints the plans for the given loss. Without one it prints those for the undisturbed state and for the loss of
--- a/cmd/lemonctl/sitesshow.go
+++ b/cmd/lemonctl/sitesshow.go
@@ -41,7 +41,7 @@
 	return l
 }
 
-// printText prints a line for each site and state that agents hold it for.
+// printText prints a line for each site, state and cause of the state, with the agents that report them.
 func (l *sitesSnapshot) printText(w io.Writer) error {
 	type group struct {
 		agents []string
@@ -82,7 +82,7 @@
 }
 
 // sitesPage writes an HTML page that plots, for each site, the attempts per second of all agents together and the
-// number of agents that hold the site for lost or cut.
+// number of agents that consider the site lost or cut.
 func sitesPage(w io.Writer, snapshots []*sitesSnapshot) error {
 	var names []string
 	for _, l := range snapshots {
--- a/cmd/lemonrail/configuration_test.go
+++ b/cmd/lemonrail/configuration_test.go
@@ -105,8 +105,8 @@
 // configState holds the parts of the answer to GET /api/config that the tests check.
 type configState struct {
 	InForce map[configuration.Scope]configuration.Position `json:"in_force"`
-	Kept    bool                                           `json:"kept"`
-	Changed []struct {
+	Kept    bool                                           `json:"kept"` // the documents in force were restored from disk
+	Changed []struct {                                     // settings that differ from those of the start file
 		Setting string `json:"setting"`
 		Now     any    `json:"now"`
 	} `json:"changed"`
--- a/cmd/lemonrail/members_test.go
+++ b/cmd/lemonrail/members_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Two processes of one agent are one member, which the later process stands for. During the replacement no other agent
+// Two processes of one agent are one member, which the later process represents. During the replacement no other agent
 // may regard the member as dead or departed, and the earlier process must not announce its departure.
 func TestUpgradeKeepsOneMember(t *testing.T) {
 	var peerAddrs [2]string
--- a/cmd/lemonrail/memory_test.go
+++ b/cmd/lemonrail/memory_test.go
@@ -122,7 +122,7 @@
 	remaining    int
 	sent         int
 	resume       chan struct{}
-	reachedPause *sync.WaitGroup
+	reachedPause *sync.WaitGroup // counts down when the pause begins
 	paused       bool
 }
 
--- a/cmd/lemonrail/unsafe_upgrade_test.go
+++ b/cmd/lemonrail/unsafe_upgrade_test.go
@@ -18,9 +18,9 @@
 // sends the function that ends it.
 type attemptRecorder struct {
 	mu       sync.Mutex
-	attempts map[string]int
-	arrived  chan string
-	finish   chan func(net.Conn)
+	attempts map[string]int      // number of attempts, by request id
+	arrived  chan string         // receives the id of each request that is held
+	finish   chan func(net.Conn) // the test sends how a held request ends; closed: its connection breaks
 }
 
 func (l *attemptRecorder) backend(t *testing.T) string {
@@ -48,8 +48,8 @@
 	})
 }
 
-// maxStopTime is shorter than the time that a planned stop leaves for answers here. On a slower machine the client
-// may get the answer of the stop for an attempt that may have run.
+// maxStopTime is shorter than the time that a planned stop leaves for answers here. On a slower machine the stop may
+// end first: the client may then get 502 for an attempt that may have run, which the test accepts only after this time.
 const maxStopTime = 3 * time.Second
 
 // The process of an unsafe request is replaced while an attempt is in flight. However the attempt ends, the client gets
--- a/cmd/lemonrail/upgrade_cases_test.go
+++ b/cmd/lemonrail/upgrade_cases_test.go
@@ -23,9 +23,9 @@
 	addr string
 
 	mu      sync.Mutex
-	seq     int
-	hosts   []string // one JSON object per backend
-	changed chan struct{}
+	seq     int           // number of the list, which rises with each change
+	hosts   []string      // one JSON object per backend
+	changed chan struct{} // closed and replaced on each change
 }
 
 func newFakeDiscovery(t *testing.T, backends ...string) *fakeDiscovery {
--- a/cmd/lemonrail/upgrade_test.go
+++ b/cmd/lemonrail/upgrade_test.go
@@ -23,10 +23,10 @@
 // platform owns the clients' listener and starts processes of the built program on it.
 type platform struct {
 	t            *testing.T
-	bin          string
-	dir          string // TMPDIR of all processes
-	config       string
-	listenerFile *os.File
+	bin          string   // path of the built program
+	dir          string   // TMPDIR of all processes
+	config       string   // path of the processes' configuration file
+	listenerFile *os.File // the clients' listener, which the processes inherit
 	url          string
 }
 
@@ -66,9 +66,9 @@
 type instance struct {
 	p          *platform
 	cmd        *exec.Cmd
-	controlURL string
-	done       chan struct{}
-	err        error // the process's exit error, valid once done is closed
+	controlURL string        // URL of the process's control listener
+	done       chan struct{} // closed once the process has ended
+	err        error         // the process's exit error, valid once done is closed
 	log        bytes.Buffer
 }
 
--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -3,7 +3,7 @@
 
 import _ "embed"
 
-// Load is the text of load.toml, which defines how recorded entries become requests.
+// Load is the text of load.toml: the default rules by which the load player maps the entries of recorded logs to requests.
 //
 //go:embed load.toml
 var Load string
--- a/internal/admission/governor.go
+++ b/internal/admission/governor.go
@@ -141,7 +141,7 @@
 	waiting      bool          // a new connection waits for room
 	lastWaitAt   time.Duration // when a new connection last had to wait
 	everWaited   bool          // lastWaitAt is set
-	draining     bool          // answers end their connections
+	draining     bool          // each answer ends its connection
 	keepIdle     bool          // while draining, idle connections are not closed
 }
 
@@ -170,7 +170,7 @@
 	Admit        bool          // accept it: call Open
 	Refuse       bool          // send a short refusal: call BeginRefusal
 	RequestClose []*Entry      // connections to wake: each either closes or has received bytes and stays
-	Wait         time.Duration // if neither: decide again after this long, or when a connection has closed
+	Wait         time.Duration // with neither Admit nor Refuse: decide again after this long, or when a connection has closed
 }
 
 // Decide decides about one new connection. While it waits, all later ones wait in the listener's backlog.
@@ -443,8 +443,10 @@
 	g.counts.Refusing++
 }
 
-// MaxFinalRefusals returns how many connections may be refused at a time once accepting has ended. The
-// descriptors that are then left may be used for refusals too, except for those of requests in progress.
+// MaxFinalRefusals returns how many connections may be refused at a time once the listener closes. It then needs
+// no free descriptors for new clients, so refusals may use them: up to finalRefusals, or MaxRefusals if that is
+// more. The descriptors of open connections and of the backend connections that requests in progress need don't
+// count as free.
 func (g *Governor) MaxFinalRefusals() int {
 	limit := max(g.cfg.MaxRefusals, finalRefusals)
 	if by := &g.counts.ByState; g.cfg.MaxDescriptors > 0 {
@@ -453,7 +455,7 @@
 	return max(g.cfg.MaxRefusals, limit)
 }
 
-const finalRefusals = 64
+const finalRefusals = 64 // connections refused at a time while the listener closes, if that many descriptors are free
 
 // EndRefusal ends a refusal that BeginRefusal began.
 func (g *Governor) EndRefusal() { g.counts.Refusing-- }
--- a/internal/admission/governor_test.go
+++ b/internal/admission/governor_test.go
@@ -32,7 +32,8 @@
 	return &governorHarness{t: t, governor: g, entries: map[string]*Entry{}}
 }
 
-// open opens connections and brings each into the state that the prefix of its name gives.
+// open opens connections and brings each into the state that the prefix of its name gives: new, head, body, hand (for
+// StateProcessing) or idle.
 func (b *governorHarness) open(names ...string) {
 	for _, name := range names {
 		e := b.governor.Open(b.now, name)
--- a/internal/admission/listener.go
+++ b/internal/admission/listener.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// boundBacklogAccept bounds the next accept of a listener that is closing. The kernel has already accepted the
-// connections in the backlog, so each of them must be answered.
+// boundBacklogAccept bounds the next accept of a listener that is closing: until is when it ends without a
+// connection. The kernel has already accepted the connections in the backlog, so each of them must be answered.
 func (l *Listener) boundBacklogAccept() (until time.Time, draining bool) {
 	select {
 	case <-l.stopped:
@@ -340,6 +340,7 @@
 	}
 }
 
+// wakeAll calls request, which requests the close of connections, and wakes the readers of those it returns.
 func (l *Listener) wakeAll(request func(*Governor, time.Duration) []*Entry) {
 	l.mu.Lock()
 	requested := request(l.governor, l.now())
@@ -358,7 +359,7 @@
 
 	mu          sync.Mutex
 	deadline    time.Time     // for reads, as set by the server
-	woken       bool          // a past deadline is in force to wake the reader
+	woken       bool          // the socket has a past read deadline, to wake the reader
 	head        []byte        // received bytes of the next head
 	ignoreHead  bool          // received bytes do not belong to a head
 	readAhead   *readAhead    // reads while a request is being processed; nil: not running
--- a/internal/admission/listener_test.go
+++ b/internal/admission/listener_test.go
@@ -37,10 +37,10 @@
 	done     chan struct{}
 
 	mu    sync.Mutex
-	reads map[string]int // by id
-	held  map[string]chan struct{}
+	reads map[string]int           // how often a request was read completely, by id
+	held  map[string]chan struct{} // closed when the handler may answer a request, by id; see holdAnswer
 
-	opened, closed atomic.Int64
+	opened, closed atomic.Int64 // number of calls of the Hooks
 }
 
 func newTestServer(t *testing.T, cfg Config) *testServer {
@@ -205,7 +205,7 @@
 // completely. The seed decides how many bytes have been sent when the new connection arrives, and whether the
 // answer is being written.
 func TestRequestRacesEviction(t *testing.T) {
-	for _, granted := range []time.Duration{0, time.Hour} {
+	for _, granted := range []time.Duration{0, time.Hour} { // MinIdle: with an hour the request must be served
 		t.Run(fmt.Sprintf("granted %v", granted), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(*seed, uint64(granted)))
 			cfg := Config{MaxConnections: 1, MaxRefusals: 1, NewGrace: 0, StallTimeout: 0, MinIdle: granted, AdmitTimeout: testTimeout}
@@ -503,8 +503,8 @@
 	}
 }
 
-// exhaustedListener fails its next accepts for lack of descriptors, as often as failures says, once release is
-// closed.
+// exhaustedListener fails its next accepts for lack of descriptors, as many as failures says. Each of them returns only
+// once release is closed.
 type exhaustedListener struct {
 	net.Listener
 	failures atomic.Int64
@@ -534,7 +534,7 @@
 	kept, silent := s.dial(t), s.dial(t)
 	kept.exchange("before")
 	s.waitForCounts(t, "both have come", func(c Counts) bool { return c.Held == 2 })
-	for sc.calls.Load() < 3 { // the third accept has passed the check for failures
+	for sc.calls.Load() < 3 { // until the third accept has passed the check for failures, so that it succeeds
 		runtime.Gosched()
 	}
 	sc.failures.Store(3)
--- a/internal/admission/readahead.go
+++ b/internal/admission/readahead.go
@@ -23,11 +23,11 @@
 // and the kernel's buffer the end of a client can't be seen without reading on: its request ends at its
 // deadline.
 type readAhead struct {
-	data  []byte
-	err   error // set when the client's side has ended or failed
-	total *atomic.Int64
-	stop  chan struct{}
-	done  chan struct{}
+	data  []byte        // bytes read ahead
+	err   error         // set when the client's side has ended or failed
+	total *atomic.Int64 // Listener.readAheadBytes
+	stop  chan struct{} // closed to end reading
+	done  chan struct{} // closed once reading has ended
 }
 
 // startReadAhead starts reading while a request is being processed; the next Read of the connection stops it.
--- a/internal/agent/client_disconnect_test.go
+++ b/internal/agent/client_disconnect_test.go
@@ -18,12 +18,12 @@
 type observingBalancer struct {
 	*balance.Balancer
 	mu             sync.Mutex
-	requested      chan string    // ids of requests that the balancer received
-	failed         chan string    // ids of requests with a failed attempt
-	left           chan string    // ids of requests whose client has left
-	sends          map[string]int // count by request id
-	sentAfterLeave []string       // ids of requests sent after their client had left
-	abandoned      map[string]bool
+	requested      chan string     // ids of requests that the balancer received
+	failed         chan string     // ids of requests with a failed attempt
+	left           chan string     // ids of requests whose client has left
+	sends          map[string]int  // number of Send decisions, by request id
+	sentAfterLeave []string        // ids of requests sent after their client had left
+	abandoned      map[string]bool // requests whose client has left, by id
 }
 
 func (s *observingBalancer) Step(now time.Duration, events []balance.Event) []balance.Action {
@@ -69,11 +69,11 @@
 type disconnectRig struct {
 	*observingBalancer
 	t       *testing.T
-	base    string
-	release func()
+	base    string // URL for clients
+	release func() // lets the backend answer requests "fill..."
 
 	mu       sync.Mutex
-	received map[string]int
+	received map[string]int // how often the backend received a request, by id
 }
 
 func newDisconnectRig(t *testing.T) *disconnectRig {
@@ -111,6 +111,7 @@
 	return l
 }
 
+// dial sends a request on a new connection, and returns once the balancer has received it.
 func (l *disconnectRig) dial(id string) net.Conn {
 	c, err := net.Dial("tcp", strings.TrimPrefix(l.base, "http://"))
 	if err != nil {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -20,23 +20,23 @@
 
 // Config is an agent's configuration, as the platform and the optional files give it.
 type Config struct {
-	Name      string
-	Listen    netip.AddrPort
-	Discovery netip.AddrPort
+	Name      string         // the agent's name
+	Listen    netip.AddrPort // where clients connect
+	Discovery netip.AddrPort // the discovery service; invalid: none, if a file lists the backends
 	Control   netip.AddrPort // where operators call; invalid: no control API
 	ListenFD  int            // inherited descriptor of the clients' listener; 0: open Listen instead
 	SharedDir string         // folder shared by the processes of this agent while one replaces another; empty: there is only one process
-	Seed      uint64
-	MemoryMB  int64 // limit on memory; 0: unknown
-	Sockets   int   // limit on file descriptors; 0: unknown
+	Seed      uint64         // seed of the agent's random choices
+	MemoryMB  int64          // limit on memory; 0: unknown
+	Sockets   int            // limit on file descriptors; 0: unknown
 
 	PeerListen netip.AddrPort   // invalid: no peer messages
 	Peers      []netip.AddrPort // indexed by the agents' numbers
-	PeersAll   netip.AddrPort
+	PeersAll   netip.AddrPort   // address that reaches all agents of the tier
 
 	Settings balance.Settings
-	Names    wire.Names
-	Known    roster.List
+	Names    wire.Names  // names of the classes, tenants, zones and kinds of backends that Settings knows by index
+	Known    roster.List // backends to use until discovery sends a list
 
 	Explain explain.Config // whether decisions are explained, and where they are written
 
@@ -154,14 +154,14 @@
 	maxCountedDeadline = 3 * time.Second
 	killDelay          = 700 * time.Millisecond
 	killMargin         = 250 * time.Millisecond
-	drainDelayShare    = 0.8 // share of the time for answers for which connections are kept
+	drainDelayShare    = 0.8 // share of the time for answers for which clients' connections are kept after a stop begins
 
 	// A request that races with the close of its idle connection is sent again on a new connection: the listener stays
 	// open for it for this share of the time that is left once idle connections are closed.
 	reconnectShare = 0.5
 
-	// New connections keep coming for up to 0.4 s after a stop begins, and a request that races with the close of its
-	// idle connection needs another one.
+	// After a stop begins the listener stays open at least this long: new connections keep coming for up to 0.4 s, and a request
+	// that races with the close of its idle connection needs another one.
 	listenTime = 600 * time.Millisecond
 )
 
--- a/internal/agent/configuration.go
+++ b/internal/agent/configuration.go
@@ -25,9 +25,9 @@
 
 // configurationSettings holds the settings for following the control machines, from the file and from the platform.
 type configurationSettings struct {
-	place    configuration.Place
-	machines []configuration.Machine
-	folder   string
+	place    configuration.Place     // of this agent; it decides which documents apply
+	machines []configuration.Machine // control machines to choose from
+	folder   string                  // where documents are saved for a restart; empty: nowhere
 }
 
 // configurationFile is the format of the file.
@@ -98,10 +98,10 @@
 	server *front.Server
 
 	mu      sync.Mutex
-	current balance.Settings // in force
+	current balance.Settings // settings that are in force
 }
 
-// resolve returns the settings that result from applying d to the start's, or an error that says why this agent can't
+// resolve returns the settings that result from applying d to those of the start, or an error that says why this agent can't
 // apply them.
 func (c *settingsApplier) resolve(d *configuration.Document) (*balance.Settings, error) {
 	next, err := d.Apply(c.cfg.Settings, c.cfg.Names)
@@ -223,7 +223,7 @@
 		gauges: configurationGauges(watcher)}, nil
 }
 
-// configurationGauges returns the metrics of a watch.
+// configurationGauges returns the metrics of following the control machines.
 func configurationGauges(w *watch.Watcher) []metrics.Gauge {
 	age := func(since func(watch.Status) time.Time) func() int64 {
 		return func() int64 { return ageMs(since(w.Status())) }
@@ -253,8 +253,8 @@
 	ControlAge int64                                          `json:"control_age_ms"`  // since the last data from control; -1: none yet
 	Revision   int64                                          `json:"revision_age_ms"` // since the last change took effect; -1: no change yet
 	Kept       bool                                           `json:"kept"`            // the documents in force were restored from disk
-	InForce    map[configuration.Scope]configuration.Position `json:"in_force"`
-	Digest     string                                         `json:"digest"`
+	InForce    map[configuration.Scope]configuration.Position `json:"in_force"`        // position of the document in force, by scope
+	Digest     string                                         `json:"digest"`          // of the effective document, which all scopes together make
 	Refused    []configuration.Refusal                        `json:"refused"`
 	Changed    []settingChange                                `json:"changed"` // settings that differ from those of the start
 }
--- a/internal/agent/configuration_test.go
+++ b/internal/agent/configuration_test.go
@@ -111,7 +111,7 @@
 
 // configuredAgent is an agent that follows a control machine.
 type configuredAgent struct {
-	clients, controlURL string
+	clients, controlURL string // URLs for clients and for operators
 	stop                context.CancelFunc
 	done                <-chan error
 }
@@ -149,11 +149,11 @@
 	return s
 }
 
-// observedSite is a ledger of the requests between clients and backends that fail now and then.
+// observedSite records in a ledger the requests between the test's clients and its backends, which fail now and then.
 type observedSite struct {
 	*ledger.Ledger
 	seed  uint64
-	calls atomic.Int64
+	calls atomic.Int64 // requests that clients have sent
 }
 
 func newObservedSite(seed uint64) *observedSite {
@@ -385,7 +385,7 @@
 	first.stop()
 	await(t, first.done)
 
-	// order lists the settings and requests that the balancer of a new process receives, up to the first request.
+	// order starts a new process, sends it a request, and lists what its balancer receives: changes of settings, then the request.
 	order := func() (kinds []string) {
 		bal := newScripted(sendAll)
 		a := startConfiguredAgent(t, config(deadAddr(t)), bal, quiet)
@@ -419,7 +419,8 @@
 	}
 }
 
-// storedSettingsApplyFirst reports whether the balancer has the stored settings once the part has been started.
+// storedSettingsApplyFirst reports whether the balancer has received the stored settings by the time that the part which
+// follows control has been started.
 func storedSettingsApplyFirst(t *testing.T, cfg *Config) bool {
 	t.Helper()
 	bal := newScripted(func(balance.Event) []balance.Action { return nil })
--- a/internal/agent/controlapi.go
+++ b/internal/agent/controlapi.go
@@ -19,11 +19,11 @@
 type controlAPI struct {
 	loop           *core.Loop
 	figures        *metrics.Metrics
-	ready          func() bool
-	stopping       atomic.Bool
-	processes      *processGroup // nil: this process is the only one of its agent
-	readyAnnounced atomic.Bool   // other processes of this agent know that this one serves
-	gauges         []metrics.Gauge
+	ready          func() bool     // all parts are ready
+	stopping       atomic.Bool     // a planned stop has begun: the process is no longer ready
+	processes      *processGroup   // nil: this process is the only one of its agent
+	readyAnnounced atomic.Bool     // other processes of this agent know that this one serves
+	gauges         []metrics.Gauge // metrics of all parts
 	routes         []control.Route // further routes, of the other parts
 }
 
--- a/internal/agent/descriptors_test.go
+++ b/internal/agent/descriptors_test.go
@@ -207,7 +207,8 @@
 	t.Logf("limit %d: %d held at rest, %d at most; %d requests served, %d refused", limit, rest, peak, served, refused)
 }
 
-// usualClients send n requests each, which are served or refused; a request whose connection was closed reached no backend.
+// usualClients has clients send n requests each, and counts those served and those refused. A request whose connection was
+// closed counts as refused, and must not have reached a backend.
 func usualClients(t *testing.T, p *agentProcess, got *receivedAttempts, clients, n int) (served, refused int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -144,12 +144,12 @@
 	fence        *duty.Fence
 	fallback     time.Duration // how long ramps apply without new ones; then the agent's own ramps apply again
 	log          *slog.Logger
-	published    string // state that Step returned last
-	appliedActs  uint64 // of the ramps applied last, like appliedEpoch
-	appliedEpoch duty.Epoch
+	published    string     // state that Step returned last
+	appliedActs  uint64     // Duty.Acts of the ramps applied last
+	appliedEpoch duty.Epoch // Duty.Epoch of the ramps applied last
 }
 
-// Step publishes the ramps below 1, whenever they differ from those published last.
+// Step publishes the ramps of the sites whose share is below 1, whenever they differ from those published last.
 func (p *paceTask) Step(_ time.Time, _ duty.Permit, _ []byte) ([]byte, bool) {
 	ramps := p.sites.RampShares()
 	reduced := map[string]float64{}
@@ -194,10 +194,10 @@
 
 // fleetNotes is the state that the holder publishes.
 type fleetNotes struct {
-	By        string            `json:"by"` // name of the holder
-	Alive     int               `json:"alive"`
-	Expected  int               `json:"expected"`
-	Majority  bool              `json:"majority"`
+	By        string            `json:"by"`             // name of the holder
+	Alive     int               `json:"alive"`          // number of members that are alive
+	Expected  int               `json:"expected"`       // size of the complete fleet
+	Majority  bool              `json:"majority"`       // the holder sees more than half of the expected fleet
 	Unhealthy []unhealthyMember `json:"odd,omitempty"`  // at most maxUnhealthyMembers
 	Omitted   int               `json:"more,omitempty"` // number of further unhealthy members
 }
@@ -297,7 +297,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	dead, alive = map[string]time.Duration{}, map[string]bool{}
-	if f.latest == nil || !f.latest.Majority() { // a minority must not declare seats vacant
+	if f.latest == nil || !f.latest.Majority() { // a minority must not declare the seats of voters vacant
 		return dead, alive
 	}
 	for name, at := range f.deadSince {
--- a/internal/agent/hostile_clients_test.go
+++ b/internal/agent/hostile_clients_test.go
@@ -363,7 +363,7 @@
 		t.Run(name, func(t *testing.T) { // a new agent each: for a while after it has turned a client away, it keeps no connection
 			c := newClientMix(t)
 			cfg := testConfig(t, c.backend(t, 10))
-			cfg.Sockets = reservedSockets + 7 // four for clients, one request in hand
+			cfg.Sockets = reservedSockets + 7 // room for four clients while one of them has a request in hand
 			base, _, _ := startAgent(t, cfg, stepFunc(sendAll))
 			kept := dial(t, base)
 			r := bufio.NewReader(kept)
--- a/internal/agent/members.go
+++ b/internal/agent/members.go
@@ -50,7 +50,7 @@
 	return m, nil
 }
 
-// membersPart comes after the peers' part: its farewell is sent over that part's socket.
+// membersPart comes after the peers' part: the message with which the agent leaves is sent over that part's socket.
 func membersPart(m *link.Link) *part {
 	if m == nil {
 		return &part{name: "members"}
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -24,11 +24,11 @@
 // membership, which begin with member.Tag.
 type peers struct {
 	conn            *net.UDPConn
-	addrs           []netip.AddrPort // indexed by the agents' numbers
-	broadcast       netip.AddrPort
-	self            int
-	indexes         map[netip.AddrPort]int
-	queue           chan datagram
+	addrs           []netip.AddrPort       // indexed by the agents' numbers
+	broadcast       netip.AddrPort         // reaches all agents of the tier
+	self            int                    // this agent's number
+	indexes         map[netip.AddrPort]int // the agents' numbers by address
+	queue           chan datagram          // to be sent
 	log             *slog.Logger
 	balancerEnabled bool // the balancer's messages are allowed
 
@@ -37,8 +37,8 @@
 
 // memberLink receives the socket's events for the membership. Its methods must not block.
 type memberLink interface {
-	Received(from netip.AddrPort, data []byte)
-	Refused(to netip.AddrPort)
+	Received(from netip.AddrPort, data []byte) // a datagram of the membership has come
+	Refused(to netip.AddrPort)                 // nobody listens at to, where a datagram was sent
 }
 
 type datagram struct {
--- a/internal/agent/process_disconnect_test.go
+++ b/internal/agent/process_disconnect_test.go
@@ -24,7 +24,7 @@
 // receivedAttempts records when a backend received which requests.
 type receivedAttempts struct {
 	mu sync.Mutex
-	at map[string][]time.Time
+	at map[string][]time.Time // by request id
 }
 
 func (a *receivedAttempts) record(id string) {
@@ -130,6 +130,8 @@
 // each request waited for comes: the time of a retry, free capacity, an established connection. On SIGCONT an agent finds
 // both events at once, and must not begin an attempt for a client that has left.
 func TestClientsLeaveStoppedAgents(t *testing.T) {
+	// Numbers of agents whose requests wait for a retry, of clients of each agent, of clients of the one agent that lacks
+	// capacity, and of agents that wait for a connection to their backend.
 	const retrying, each, held, dialling = 8, 18, 150, 4
 	var got receivedAttempts
 	release := make(chan struct{})
@@ -217,7 +219,7 @@
 }
 
 // Clients leave at any moment of their requests' retries while their agent, on one processor, is overloaded or runs for a
-// quarter of the time: of 400, at most two attempts may begin more than 0.1 s after the close.
+// quarter of the time: for the 400 clients, at most two attempts in all may begin more than 0.1 s after their client's close.
 func TestClientsLeaveUnderLoad(t *testing.T) {
 	t.Run("busy", func(t *testing.T) {
 		t.Parallel()
--- a/internal/agent/process_test.go
+++ b/internal/agent/process_test.go
@@ -71,15 +71,15 @@
 type agentProcess struct {
 	t               testing.TB
 	name            string
-	address         string // of the listener for clients
-	control         string // of the control listener
-	dir             string
-	env             []string
-	descriptorLimit int // limit on descriptors; 0: this process's limit
+	address         string   // of the listener for clients
+	control         string   // of the control listener
+	dir             string   // folder of the configuration and the log
+	env             []string // environment variables of the process
+	descriptorLimit int      // limit on descriptors; 0: this process's limit
 
 	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{}
+	cmd   *exec.Cmd     // the process that was started last
+	ended chan struct{} // closed once cmd has ended
 }
 
 // newAgentProcess reserves the addresses of an agent; start starts its process.
--- a/internal/agent/processgroup.go
+++ b/internal/agent/processgroup.go
@@ -63,7 +63,7 @@
 // processGroup coordinates a process with the other processes of its agent.
 type processGroup struct {
 	claim           *takeover.Claim
-	shared          takeover.State // at the time when this process registered
+	shared          takeover.State // state that the agent's processes share, as it was when this process registered
 	loop            *core.Loop
 	peers           core.Peers                          // nil: no peer messages
 	members         *link.Link                          // nil: no membership
@@ -76,7 +76,7 @@
 
 	adoptedVersion int64   // of the shared state adopted last; owned by the loop
 	handedOver     bool    // a successor exchanges messages with peers from now on; owned by the loop
-	budgetShare    float64 // of the agent's budget, as passed last to the balancer
+	budgetShare    float64 // share of the agent's limit and retry tokens that was passed to the balancer last
 }
 
 // newProcessGroup registers this process among those of the agent; it returns nil where the processes share no folder.
--- a/internal/agent/restart_test.go
+++ b/internal/agent/restart_test.go
@@ -118,7 +118,7 @@
 		name      string
 		subscribe bool
 		discovery *failingDiscovery
-		full      *lateListener
+		full      *lateListener // a discovery that is at its limit of connections until it is opened; nil: discovery is used
 	}
 	var kinds []kind
 	for i, subscribe := range []bool{false, true} {
@@ -180,7 +180,7 @@
 		t.Errorf("%d of %d restarted processes were ready within %v", ready, len(restarted), readyWithin)
 	}
 
-	time.Sleep(3 * time.Second) // calls keep failing
+	time.Sleep(3 * time.Second) // calls keep failing, so that agents wait longer before they try again
 	reached := time.Now()
 	for _, k := range kinds {
 		if k.full != nil {
--- a/internal/agent/sites.go
+++ b/internal/agent/sites.go
@@ -16,7 +16,7 @@
 // sitesSettings holds the contents of the file on sites.
 type sitesSettings struct {
 	file    *site.File
-	problem site.Problem
+	problem site.Problem // load and capacity of all sites, from the file
 }
 
 // WithSites has the agent watch whole sites, as raw, the text of a file, says. Errors refer to the file as name.
@@ -82,7 +82,7 @@
 		routes: sites.Routes(), gauges: sites.Gauges()}, sites, nil
 }
 
-// excludeZone takes a whole zone out, or puts it back if out is false.
+// excludeZone excludes all backends of a zone, or includes them again if out is false.
 func (s *controlAPI) excludeZone(ctx context.Context, zone int, out bool) error {
 	if s.processes == nil {
 		return s.runInLoop(ctx, func() error {
--- a/internal/backend/diameter/backend.go
+++ b/internal/backend/diameter/backend.go
@@ -38,7 +38,7 @@
 	ConnectTimeout time.Duration // how long an attempt waits for a connection with capabilities exchanged
 	Window         int           // maximum number of pending attempts on a connection
 	Peer           diameter.PeerConfig
-	OnLeaving      func(id string, leaves bool) // called after a DPR and after reopening; may be nil
+	OnLeaving      func(id string, leaves bool) // called with true after a server's DPR, with false once it is open again; may be nil
 	Log            *slog.Logger
 }
 
@@ -82,19 +82,19 @@
 	lastAttempt     uint64
 	opened          chan struct{} // closed while requests may be sent, replaced when they no longer may
 	open            bool
-	timer           *time.Timer
+	timer           *time.Timer   // for the state machine's next Tick
 	lastID          uint32        // identifier of the last request of the base protocol
 	identity        string        // Origin-Host of the server's CEA
 	leaving         bool          // the server sent a DPR and has not been opened since
 	noConnectBefore time.Duration // set by a DPR
-	stopped         bool
-	lastNotified    chan struct{} // closed when the last call of Config.Leaves has returned
+	stopped         bool          // the backend was closed: no new connection is made
+	lastNotified    chan struct{} // closed when the last call of Config.OnLeaving has returned
 }
 
-// attempt is a pending attempt.
+// attempt is a request that was queued for a server and has no result yet.
 type attempt struct {
 	id   uint64
-	hop  uint32
+	hop  uint32 // Hop-by-Hop identifier
 	item *item
 	done chan core.Response
 }
@@ -107,6 +107,7 @@
 	permit *core.Permit // nil for messages of the base protocol
 }
 
+// itemState is how far the writing of an item has come.
 type itemState uint8
 
 const (
@@ -180,8 +181,8 @@
 	}
 }
 
-// BackendByIdentity returns the backend whose server has an identity: in the rules, or else in the CEA of a connected
-// server.
+// BackendByIdentity returns the ID of the backend whose server has the given Diameter identity (Origin-Host): by the
+// rules, or else by the CEA of a connected server.
 func (b *Backend) BackendByIdentity(identity string) (id string, ok bool) {
 	if id, ok = b.cfg.Rules.HostByIdentity(identity); ok {
 		return id, true
@@ -527,8 +528,8 @@
 	return true
 }
 
-// setLeaving calls Config.Leaves in a goroutine, since the caller holds s.mu and the callback may block.
-// Calls are made in the order of the events.
+// setLeaving sets s.leaving and calls Config.OnLeaving in a goroutine, since the caller holds s.mu and the
+// callback may block. Calls are made in the order of the events.
 func (s *server) setLeaving(leaves bool) {
 	s.leaving = leaves
 	if s.b.cfg.OnLeaving == nil {
@@ -627,7 +628,8 @@
 	return core.Response{Result: balance.ConnectFailed}
 }
 
-// CloseIdleExcept disconnects from all servers that are not wanted.
+// CloseIdleExcept disconnects from all servers for which wanted returns false: the core makes no attempts at them
+// any longer. Each gets a DPR; answers to its pending attempts are still received before the connection closes.
 func (b *Backend) CloseIdleExcept(wanted func(core.Target) bool) {
 	b.mu.Lock()
 	var leave []*server
--- a/internal/backend/http1/answers_test.go
+++ b/internal/backend/http1/answers_test.go
@@ -14,8 +14,8 @@
 	"lemonrail/internal/http1"
 )
 
-// A connection that breaks while others to its backend survive doesn't show the end of the process; one that
-// breaks together with all others may.
+// A connection that breaks while others to its backend survive doesn't show that the backend's process has ended; one
+// that breaks together with all others may.
 func TestReportsSurvivingConnections(t *testing.T) {
 	for _, all := range []bool{false, true} {
 		t.Run(fmt.Sprint("all break ", all), func(t *testing.T) {
--- a/internal/backend/http1/conn.go
+++ b/internal/backend/http1/conn.go
@@ -26,10 +26,10 @@
 // conn is a connection to a backend that carries one request at a time.
 type conn struct {
 	net.Conn
-	limited   *io.LimitedReader
-	r         *bufio.Reader
+	limited   *io.LimitedReader // bounds the bytes read of one answer
+	r         *bufio.Reader     // reads from limited
 	idleSince time.Time
-	attempts  *atomic.Int64
+	attempts  *atomic.Int64 // Upstream.attempts
 }
 
 // errBrokenAnswer marks an answer that can't be parsed or ended early. The backend is reachable and has run the
--- a/internal/backend/http1/idle.go
+++ b/internal/backend/http1/idle.go
@@ -17,8 +17,8 @@
 
 // Sockets counts the process's client and backend connections against its limit.
 type Sockets struct {
-	Limit         int64 // 0: unlimited
-	Open          atomic.Int64
+	Limit         int64        // 0: unlimited
+	Open          atomic.Int64 // client and backend connections that are open
 	idleThreshold atomic.Int64 // open connections from which idle ones are closed; 0: Limit applies
 }
 
--- a/internal/backend/http1/stream.go
+++ b/internal/backend/http1/stream.go
@@ -14,10 +14,10 @@
 	conn      *conn
 	body      io.Reader
 	deadline  time.Time // of the client
-	knownLong bool      // by its Content-Length; others count as long once more than maxBufferedBody has been read
+	knownLong bool      // long by its Content-Length; others count as long once more than maxBufferedBody has been read
 	bytesRead int
 	complete  bool
-	release   func()
+	release   func() // returns the connection to the idle ones, or closes it
 	closeOnce sync.Once
 }
 
--- a/internal/backend/http1/upstream.go
+++ b/internal/backend/http1/upstream.go
@@ -29,7 +29,7 @@
 
 	// An answer that has begun and stalls for this long is broken.
 	stallTimeout = 100 * time.Millisecond
-	// An answer that may be long and isn't complete by then is streamed; its first bytes are waited for.
+	// An answer that may be long and isn't complete by then is streamed, once its first bytes have come.
 	firstPartWait   = 10 * time.Millisecond
 	initialBodySize = 16 << 10 // initial buffer for a body, unless its length is shorter
 
@@ -40,7 +40,7 @@
 	// an answer arrive by then, and could otherwise be taken for the next answer.
 	reuseDelay = 10 * time.Millisecond
 
-	idleShare          = 0.75 // of the time after which a backend closes an idle connection
+	idleShare          = 0.75 // idle connections are closed after this share of the time after which a backend closes them
 	defaultIdleTimeout = time.Minute
 	probeTimeout       = time.Second
 )
@@ -134,7 +134,7 @@
 	return u.busy[to] > 0 || slices.ContainsFunc(u.idle[to], (*conn).openAndEmpty)
 }
 
-// addBusy changes the number of connections with an attempt on them by n.
+// addBusy adds n to the number of connections to a backend with an attempt on them.
 func (u *Upstream) addBusy(to core.Target, n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/backend/http1/upstream_test.go
+++ b/internal/backend/http1/upstream_test.go
@@ -266,7 +266,7 @@
 			t.Errorf("got %v", r.Result)
 		}
 	}
-	u.sockets.Open.Add(1) // a client's socket; no idle connection is left after Evict
+	u.sockets.Open.Add(1) // a client's socket; no idle connection is left after EvictIdle
 	u.EvictIdle()
 	if r := exchangeRested(t, u, two, readRequest); r.Result != balance.NotSent { // not the backend's fault
 		t.Errorf("got %v with no socket available", r.Result)
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,5 +1,5 @@
 // Package chart renders measurements as one self-contained HTML page: curves over time as SVG, without scripts
-// and external resources. It is written by hand because the plotting libraries that were considered draw image
+// and external resources. It uses no plotting library because those that were considered draw image
 // files or need scripts in the page.
 package chart
 
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -46,8 +46,8 @@
 	Scenario *standin.Scenario // the site, and the number of agents
 	Members  string            // text of the agents' members file; empty: no membership
 	Sites    string            // text of the agents' sites file; empty: agents don't watch sites
-	Duties   string            // text of the agents' duties file, without the seats; empty: no duties
-	Seats    int               // number of seats; the first Seats agents have one each
+	Duties   string            // text of the agents' duties file, without the [[seat]] tables, which the cluster adds; empty: no duties
+	Seats    int               // number of agents, from the first, that have a seat: a voter of the quorum that grants duties
 	Args     []string          // additional arguments of each agent; DIR stands for the agent's own folder
 	Seed     uint64            // seed of random faults of links
 	Observer standin.Observer  // observer of the site; nil: a ledger that ignores attempts
@@ -61,10 +61,10 @@
 	options        Options
 	Site           *standin.Site
 	Agents         []*Agent
-	links          [][]*udpLink // by sender and receiver
+	links          [][]*udpLink // by sender and receiver; on the diagonal: no link, but the agent's own peer address
 	broadcastLinks []*udpLink   // by sender; a datagram goes to all other agents
-	seatAddrs      []string     // real addresses of the seats, without links
-	tcpLinks       [][]*tcpLink
+	seatAddrs      []string     // addresses on which the seats listen, without links; by agent
+	tcpLinks       [][]*tcpLink // from agent to seat
 	startedAt      time.Time
 	stop           chan struct{}
 	tasks          sync.WaitGroup
@@ -81,19 +81,19 @@
 	cluster     *Cluster
 	index       int
 	peerAddr    netip.AddrPort // its own peer address, which links send to
-	config      string
-	dir         string
-	reservedFDs []int
+	config      string         // path of the configuration file
+	dir         string         // path of the folder for the configuration and stored state
+	reservedFDs []int          // descriptors that keep the addresses Listen and Control bound between processes
 
 	mu       sync.Mutex
 	cmd      *exec.Cmd
 	exited   chan struct{}
 	exitErr  error
-	stopped  bool
+	stopped  bool // by SIGSTOP
 	stopSlow chan struct{}
-	starts   int
+	starts   int // number of processes started so far
 
-	fileLimit uint64
+	fileLimit uint64 // maximum size of a file that the process writes, in bytes; 0: no limit
 }
 
 var clusterCount atomic.Uint32
@@ -585,7 +585,7 @@
 	return netip.Addr{}, errors.New("cluster: no free loopback address")
 }
 
-// peerPort is the peer port of the first agent; the nth agent has peerPort + n, on the cluster's own address.
+// peerPort is the peer port of the first agent, agent 0; agent n has peerPort + n, on the cluster's own address.
 const peerPort = 7946
 
 // SiteText returns the scenario of a small site with one node per zone, for tests of the agents alone.
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -20,6 +20,7 @@
 
 const (
 	patience = 30 * time.Second // far longer than any wait should take on an idle machine
+	// The period is that of deploy/members.toml, for tests that count changes of a member's state: delays of a busy machine must not cause any.
 	// The shipped period, for tests that count changes of state: delays of a busy machine must not cause any.
 	calmMembers  = "period_ms = 250\npause_ms = 30000\nrate = 60\n"
 	quickMembers = "period_ms = 100\npause_ms = 3000\nrate = 100\nfolder = \"DIR/keep\"\n"
@@ -163,8 +164,9 @@
 	return r
 }
 
-// A stopped agent is suspected, but not held for dead before its time, and each other agent sees two changes
-// in all. Agents that were all stopped together accuse nobody after they continue.
+// A stopped agent is suspected, and not declared dead before the time for that has passed: each other agent counts two
+// changes of its state in all, to suspect and back. Agents that were all stopped together declare nobody dead after they
+// continue.
 func TestStoppedProcesses(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 7, 1, calmMembers)
--- a/internal/cluster/duties_test.go
+++ b/internal/cluster/duties_test.go
@@ -20,7 +20,7 @@
 
 const quickDuties = "act_ms = 100\ntick_ms = 20\ndrift = 0.05\n[[duty]]\nname = \"notes\"\nlease_ms = 1200\n"
 
-// startDutiesCluster runs n agents, of which the first three have seats, and waits until the duty is held.
+// startDutiesCluster runs n agents, of which the first three have seats (are voters), and waits until the duty is held.
 func startDutiesCluster(t *testing.T, n int) *cluster.Cluster {
 	return startDutiesClusterWith(t, n, 3, quickDuties)
 }
--- a/internal/cluster/links.go
+++ b/internal/cluster/links.go
@@ -16,7 +16,7 @@
 
 // Fault is what a link does to datagrams in one direction.
 type Fault struct {
-	Cut    bool
+	Cut    bool             // every datagram is dropped
 	Loss   float64          // share of datagrams lost
 	Double float64          // share of datagrams sent twice
 	Delay  [2]time.Duration // minimum and maximum; if they differ, datagrams may be reordered
@@ -28,7 +28,7 @@
 // udpLink carries datagrams from one agent to another, or to all others.
 type udpLink struct {
 	c         *Cluster
-	from, to  int
+	from, to  int            // indexes of the agents; to may be broadcast
 	addr      netip.AddrPort // address that the sending agent sends to
 	agentAddr netip.AddrPort // on the diagonal of Cluster.links: the agent's own address
 	conn      *net.UDPConn
@@ -36,9 +36,10 @@
 	mu      sync.Mutex
 	fault   Fault
 	rng     *rand.Rand
-	stalled [][]byte
+	stalled [][]byte // datagrams that are held while fault.Stall is set
 }
 
+// broadcast, as the receiver of a udpLink, stands for all other agents.
 const broadcast = -1
 
 func (c *Cluster) openLinks(n int) error {
--- a/internal/cluster/shrink.go
+++ b/internal/cluster/shrink.go
@@ -18,33 +18,33 @@
 type Shrink struct {
 	Program  string
 	Dir      string
-	Members  string  // text of the agents' members file; empty: no membership
-	Agents   int     // number of agents at the start
-	Left     int     // number of agents after the kill
-	Share    float64 // load as a share of the site's capacity, constant over the run
-	Before   time.Duration
-	After    time.Duration
+	Members  string        // text of the agents' members file; empty: no membership
+	Agents   int           // number of agents at the start
+	Left     int           // number of agents after the kill
+	Share    float64       // load as a share of the site's capacity, constant over the run
+	Before   time.Duration // duration of the run before the kill
+	After    time.Duration // duration of the run after the kill
 	Seed     uint64
 	Progress io.Writer
 }
 
 // ShrinkWindow counts the requests that were due within one second of a Shrink.
 type ShrinkWindow struct {
-	Asked   int `json:"asked"`
-	InTime  int `json:"in_time"`
-	Late    int `json:"late"`
+	Asked   int `json:"asked"`   // requests that were due
+	InTime  int `json:"in_time"` // served within the aim
+	Late    int `json:"late"`    // served after the aim
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
 }
 
 // ShrinkResult is the result of a Shrink.
 type ShrinkResult struct {
-	Before   []ShrinkWindow `json:"before"`
-	After    []ShrinkWindow `json:"after"`
-	Held     bool           `json:"rules_held"`
+	Before   []ShrinkWindow `json:"before"`     // by second before the kill
+	After    []ShrinkWindow `json:"after"`      // by second after the kill
+	Held     bool           `json:"rules_held"` // whether no rule of the ledger was broken
 	Verdict  string         `json:"verdict"`
-	Living   int            `json:"living"` // members that a remaining agent counts as living at the end; 0: it has no view
-	Sum      ShrinkWindow   `json:"sum_after"`
+	Living   int            `json:"living"`    // members that a remaining agent counts as living at the end; 0: it has no view
+	Sum      ShrinkWindow   `json:"sum_after"` // sum of After
 	RatePerS float64        `json:"rate_per_s"`
 }
 
--- a/internal/cluster/siteloss.go
+++ b/internal/cluster/siteloss.go
@@ -23,12 +23,12 @@
 // optional further fault.
 type Loss struct {
 	Seed  uint64  `json:"seed"`
-	What  string  `json:"what"`  // key of Losses
-	Also  string  `json:"also"`  // key of Besides
+	What  string  `json:"what"`  // key of LossKinds
+	Also  string  `json:"also"`  // key of SideFaults
 	Share float64 `json:"share"` // load as a share of the capacity of all sites
-	AtS   float64 `json:"at_s"`
-	ForS  float64 `json:"for_s"`
-	EndS  float64 `json:"end_s"`
+	AtS   float64 `json:"at_s"`  // time of the loss
+	ForS  float64 `json:"for_s"` // duration of the loss
+	EndS  float64 `json:"end_s"` // duration of the run
 }
 
 // LossKinds describes the ways in which site b can be lost.
@@ -44,7 +44,7 @@
 	"flaps":      "it is gone and comes back cold, twice in the time",
 }
 
-// SideFaults describes the further faults.
+// SideFaults describes the further faults that can accompany the loss of site b.
 var SideFaults = map[string]string{
 	"":        "nothing",
 	"stale":   "discovery tells of changes 5 s late",
@@ -82,10 +82,11 @@
 
 var (
 	lossSites   = []string{"a", "b", "c"}
-	siteShares  = []float64{0.4, 0.3, 0.3} // of the clients, by site
+	siteShares  = []float64{0.4, 0.3, 0.3} // shares of the clients, by site
 	lossClasses = []requestClass{{"read", 0.6, 1, 300 * time.Millisecond, 600 * time.Millisecond}, {"sub", 0.4, 5, 400 * time.Millisecond, 800 * time.Millisecond}}
 )
 
+// requestClass is a class of the experiment's requests; a request served within aim earns worth.
 type requestClass struct {
 	name          string
 	share         float64
@@ -103,8 +104,8 @@
 
 // outage is a span of time in which a node of site b is unusable, and whether the node starts cold afterwards.
 type outage struct {
-	node       int
-	from, till float64
+	node       int     // index of the node in site b
+	from, till float64 // seconds since the start of the run
 	cold       bool
 }
 
@@ -287,15 +288,15 @@
 type LossResult struct {
 	Loss    Loss           `json:"loss"`
 	Windows []LossWindow   `json:"windows"`
-	Served  float64        `json:"served"`        // served worth from the loss on, as a share of the best
+	Served  float64        `json:"served"`        // worth of the served requests from the loss on, as a share of the sum of Best
 	Soon    float64        `json:"three_to_five"` // as Served, from 3 s to 5 s after the loss
 	After   float64        `json:"after_s"`       // time from the loss until 95 % of the best is served; the whole span if it never is
 	Return  float64        `json:"return_s"`      // time from the end of the loss until 95 % of the best is served
-	Wave    float64        `json:"wave"`          // maximum of the attempts at site b in its ramp, divided by the usual attempts times its warmth
-	Refused map[string]int `json:"refused"`       // by class
-	Asked   map[string]int `json:"asked"`
-	InTime  map[string]int `json:"in_time"`
-	Held    bool           `json:"rules_held"`
+	Wave    float64        `json:"wave"`          // maximum, over the windows of the ramp of site b, of its attempts divided by the usual number times its warmth
+	Refused map[string]int `json:"refused"`       // number of refused requests, by class
+	Asked   map[string]int `json:"asked"`         // number of requests, by class
+	InTime  map[string]int `json:"in_time"`       // number of requests served within the aim, by class
+	Held    bool           `json:"rules_held"`    // whether no rule of the ledger was broken
 	Verdict string         `json:"verdict"`
 	States  map[string]int `json:"states,omitempty"` // number of agents by their state of site b, 2 s after its loss
 }
@@ -305,7 +306,7 @@
 	*ledger.Ledger
 	mu       sync.Mutex
 	start    time.Time
-	attempts [][]int
+	attempts [][]int // by window of length lossWindow and by site
 }
 
 func (c *countingLedger) AttemptStarted(a ledger.Attempt) func(ledger.Outcome) {
--- a/internal/cluster/sites_test.go
+++ b/internal/cluster/sites_test.go
@@ -104,7 +104,7 @@
 	return c
 }
 
-// waitForState waits until the given agents hold a site for one of some states.
+// waitForState waits until each of the given agents reports a site to be in one of the given states.
 func waitForState(t *testing.T, c *cluster.Cluster, agents []int, site string, states ...string) {
 	t.Helper()
 	var last *driver.Report
--- a/internal/cluster/tcplinks.go
+++ b/internal/cluster/tcplinks.go
@@ -11,8 +11,8 @@
 	"lemonrail/internal/standin"
 )
 
-// TCP links connect each agent to each seat of the duties. They follow the faults of the UDP links between the
-// two agents, each direction separately. A cut or a stall holds bytes back without closing the connection, as
+// TCP links connect each agent to each seat (voter) of the quorum that grants duties. They follow the faults of the UDP links
+// between the two agents, each direction separately. A cut or a stall holds bytes back without closing the connection, as
 // a network does. A delay applies to each chunk, and a lost chunk arrives tcpLossDelay late, as after a
 // retransmission.
 const (
@@ -21,13 +21,13 @@
 	tcpChunkBytes = 32 << 10
 )
 
-// tcpLink carries the connections from one agent to one seat.
+// tcpLink carries the connections from one agent to the seat of another.
 type tcpLink struct {
 	c        *Cluster
-	from, to int
+	from, to int // indexes of the agents
 	ln       net.Listener
 	mu       sync.Mutex
-	open     map[net.Conn]bool
+	open     map[net.Conn]bool // connections to be closed with the link
 	closed   bool
 }
 
--- a/internal/cluster/timetable.go
+++ b/internal/cluster/timetable.go
@@ -30,7 +30,7 @@
 type Event struct {
 	AtS  float64  `toml:"at_s"`
 	ForS float64  `toml:"for_s"` // 0: to the end of the timetable
-	What string   `toml:"what"`  // key of Whats
+	What string   `toml:"what"`  // key of EventKinds
 	From []string `toml:"from"`  // faults of links: senders
 	To   []string `toml:"to"`    // faults of links: receivers
 	Both bool     `toml:"both"`  // faults of links: also in the other direction
--- a/internal/cluster/usage.go
+++ b/internal/cluster/usage.go
@@ -65,13 +65,13 @@
 	Program string
 	Dir     string
 	Agents  int
-	Seats   int // 0: no duties at all, for comparison
-	LeaseMs int
+	Seats   int // number of agents with a seat (voter); 0: no duties at all, for comparison
+	LeaseMs int // lease of a duty, in milliseconds
 	Members string
 	For     time.Duration
 }
 
-// IdleCostResult holds the medians over the agents with a seat and over those without.
+// IdleCostResult holds the medians over the agents with a seat (voter of the quorum that grants duties) and over those without.
 type IdleCostResult struct {
 	Agents      int     `json:"agents"`
 	Seats       int     `json:"seats"`
@@ -79,7 +79,7 @@
 	OtherCPU    float64 `json:"other_core_share"` // share of a core used by an agent without a seat
 	SeatKB      int64   `json:"seat_resident_kb"`
 	OtherKB     int64   `json:"other_resident_kb"`
-	WrittenPerS float64 `json:"written_bytes_a_second"` // by a seat, to disk
+	WrittenPerS float64 `json:"written_bytes_a_second"` // bytes that an agent with a seat writes to disk, per second
 	SyncsPerS   float64 `json:"syncs_a_second"`
 }
 
--- a/internal/configuration/client/client.go
+++ b/internal/configuration/client/client.go
@@ -101,7 +101,7 @@
 const (
 	outcomeFinal      outcome = iota // written, or refused for good
 	outcomeNotWritten                // this attempt wrote nothing; another machine may write the change
-	outcomeUnknown
+	outcomeUnknown                   // the change may or may not have been written
 )
 
 func outcomeOf(err error) outcome {
--- a/internal/configuration/document_check.go
+++ b/internal/configuration/document_check.go
@@ -10,9 +10,9 @@
 
 // Upper bounds of values. They guard against typing errors and overflow.
 const (
-	maxTimeMs   = 24 * 60 * 60 * 1000
-	maxAttempts = 64
-	maxNumber   = 1e12 // for worth, requests per second and similar values
+	maxTimeMs   = 24 * 60 * 60 * 1000 // of all times in milliseconds: a day
+	maxAttempts = 64                  // of limits.attempts
+	maxNumber   = 1e12                // of worth, requests per second and similar values
 )
 
 // Check returns an error that begins with the path of the first field with an invalid value. The rules of a
--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -9,20 +9,20 @@
 // Follower is the agent's side of a watch. It assembles the updates, checks the documents, returns the
 // effective document to apply, and reports which revisions are in force.
 //
-//	follower.Connected()                  // a watch begins: request it with follower.Have()
-//	result := follower.Take(update)       // for each line; on ResultNeedsWhole end the watch, begin a new one after a pause
+//	follower.Connected()                  // a watch begins: request it with follower.Positions()
+//	result := follower.Receive(update)    // for each line; on ResultNeedsWhole end the watch, begin a new one after a pause
 //	effective, ok := follower.Pending()   // after each Connected and Take: apply it, then call
-//	follower.Applied(effective)           // or follower.Failed(effective, err), and check Pending again
+//	follower.Applied(effective)           // or follower.ApplyFailed(effective, err), and check Pending again
 //	follower.Report()                     // send it when a watch is answered, when it has changed, and periodically
 type Follower struct {
 	place         Place
-	check         func(effective *Document) error
-	scopes        []Scope // that apply to the agent, from the widest to the narrowest
+	check         func(effective *Document) error // returns an error for an effective document that the agent can't apply
+	scopes        []Scope                         // that apply to the agent, from the widest to the narrowest
 	states        map[Scope]*followedScope
 	moreExpected  bool // the last update announced further updates that take effect together with it
 	applyOneByOne bool // applying several changed scopes at once has failed
 
-	inForce    *Effective         // never nil
+	inForce    *Effective         // the effective document that the agent works with; never nil
 	pending    *Effective         // to be applied; nil: it is in force already, or not evaluated yet
 	evaluated  bool               // pending and the refusals reflect all updates so far
 	lastFailed map[Scope]Position // positions that could not be applied last; not offered again before the next update
@@ -63,7 +63,7 @@
 	Positions map[Scope]Position // revisions that it was merged from
 	Digest    string             // of Document
 
-	sources map[Scope]scopeDocument
+	sources map[Scope]scopeDocument // revisions that Document was merged from, with their texts
 }
 
 // ResultKind is the kind of the result of an update.
@@ -107,7 +107,7 @@
 
 // Connected records that a new watch begins. Incomplete parts of the last watch are discarded, and an
 // incomplete set of updates takes effect as far as it was received, so a document may be pending afterwards.
-// Call it before Have.
+// Call it before Positions.
 func (f *Follower) Connected() {
 	f.moreExpected = false
 	for _, state := range f.states {
@@ -130,7 +130,7 @@
 	return have
 }
 
-// ScopesNeedingWhole returns the scopes with an update that could not be used. A new watch from Have receives their
+// ScopesNeedingWhole returns the scopes with an update that could not be used. A new watch from Positions receives their
 // whole documents.
 func (f *Follower) ScopesNeedingWhole() (scopes []Scope) {
 	for _, scope := range f.scopes {
--- a/internal/configuration/follower_parts.go
+++ b/internal/configuration/follower_parts.go
@@ -6,7 +6,7 @@
 type partAssembly struct {
 	first    Update // the first part
 	nextPart int    // number of the part expected next
-	text     []byte
+	text     []byte // texts of the parts received so far, joined
 }
 
 // assemble adds a part. With the last part it returns the whole text.
--- a/internal/configuration/follower_state.go
+++ b/internal/configuration/follower_state.go
@@ -48,7 +48,7 @@
 	return stateHeader + " " + hex.EncodeToString(sum[:]) + "\n"
 }
 
-// RestoreState restores what Kept returned in an earlier process of the same agent, to be offered by Pending.
+// RestoreState restores what MarshalState returned in an earlier process of the same agent, to be offered by Pending.
 // Call it before the first watch. If the state is damaged, of another place or of a later Format, it returns
 // an error and changes nothing.
 func (f *Follower) RestoreState(text []byte) error {
--- a/internal/configuration/messages.go
+++ b/internal/configuration/messages.go
@@ -4,8 +4,9 @@
 
 // HTTP/1.1 paths of the control process. Errors are answered with an ErrorBody and a 4xx or 5xx status.
 const (
-	// WatchPath: GET with WatchQuery's parameters; the answer is chunked, with one Update per line and an
-	// empty line every Heartbeat.
+	// WatchPath: GET with the parameters agent, region, zone, service, format and, for each scope that the agent
+	// has a document of, have=SCOPE@REVISION.EPOCH. The answer is chunked, with one Update per line and an empty
+	// line every 2 s as a heartbeat.
 	WatchPath       = "/configuration/watch"
 	ReportPath      = "/configuration/report"      // POST a Report of what an agent has in force: 204
 	PutPath         = "/configuration/put"         // POST a Change: answers an Accepted
@@ -68,8 +69,8 @@
 type Report struct {
 	Place
 	Format  int                `json:"format"`
-	InForce map[Scope]Position `json:"in_force"`
-	Digest  string             `json:"digest"` // of the effective document
+	InForce map[Scope]Position `json:"in_force"` // revisions in force, by scope
+	Digest  string             `json:"digest"`   // of the effective document
 	Refused []Refusal          `json:"refused,omitempty"`
 	// Leaving is set if the agent stops as planned and has nothing in force any more. A Tracker then forgets
 	// the agent.
@@ -96,10 +97,10 @@
 type Status struct {
 	Scope Scope `json:"scope"`
 	Position
-	Everywhere  bool          `json:"everywhere"`
-	Agents      int           `json:"agents"` // number of agents to which the scope applies
-	InForce     int           `json:"in_force"`
-	Behind      []AgentBehind `json:"behind,omitempty"`
+	Everywhere  bool          `json:"everywhere"`            // see InForce
+	Agents      int           `json:"agents"`                // number of agents to which the scope applies
+	InForce     int           `json:"in_force"`              // number of those agents that have the revision in force
+	Behind      []AgentBehind `json:"behind,omitempty"`      // those that don't
 	Unreachable []string      `json:"unreachable,omitempty"` // machines that didn't answer, so agents may be missing
 }
 
--- a/internal/configuration/pacer.go
+++ b/internal/configuration/pacer.go
@@ -11,9 +11,9 @@
 
 // Pacer is a token bucket for the bytes sent to one agent.
 type Pacer struct {
-	rate, burst float64
-	tokens      float64 // bytes that may be sent at once; below 0 while bytes taken earlier wait to be sent
-	updatedAt   time.Duration
+	rate, burst float64       // bytes per second; bytes that the full bucket holds
+	tokens      float64       // bytes that may be sent at once; below 0 while bytes taken earlier wait to be sent
+	updatedAt   time.Duration // when tokens was last computed
 }
 
 // NewPacer returns a full bucket.
--- a/internal/configuration/registry.go
+++ b/internal/configuration/registry.go
@@ -147,8 +147,8 @@
 	return document, nil
 }
 
-// Limits on the metadata of a change.
-const maxReasonBytes = 1024 // bytes of the reason
+// maxReasonBytes limits the reason that the author of a change gives.
+const maxReasonBytes = 1024
 
 // validateMetadata checks all fields of a change but the document.
 func (r *Registry) validateMetadata(c Change) *ErrorBody {
--- a/internal/configuration/registry_snapshot.go
+++ b/internal/configuration/registry_snapshot.go
@@ -17,7 +17,7 @@
 
 type scopeSnapshot struct {
 	Latest Revision       `json:"latest"`
-	Steps  []reversePatch `json:"steps"`
+	Steps  []reversePatch `json:"steps"` // the scope's reverse patches, the newest first
 }
 
 // Snapshot returns the encoded state. Equal states have equal snapshots.
--- a/internal/configuration/rig/agent_test.go
+++ b/internal/configuration/rig/agent_test.go
@@ -21,7 +21,7 @@
 type testAgent struct {
 	place    configuration.Place
 	cancel   context.CancelFunc
-	finished chan struct{}
+	finished chan struct{} // closed once the agent's goroutine has ended
 
 	mu       sync.Mutex
 	follower *configuration.Follower
--- a/internal/configuration/rig/links.go
+++ b/internal/configuration/rig/links.go
@@ -22,13 +22,13 @@
 // connection, as a failed network does; they are delivered once the direction is healed.
 type network struct {
 	mu        sync.Mutex
-	cut       map[direction]bool
-	changed   chan struct{} // closed and replaced on each change of cut
+	cut       map[direction]bool // directions that are held back
+	changed   chan struct{}      // closed and replaced on each change of cut
 	listeners []net.Listener
-	open      map[net.Conn]bool
+	open      map[net.Conn]bool // connections to be closed with the network
 	closed    bool
-	done      chan struct{}
-	tasks     sync.WaitGroup
+	done      chan struct{}  // closed by close
+	tasks     sync.WaitGroup // the network's goroutines
 }
 
 func newNetwork() *network {
--- a/internal/configuration/rig/rig.go
+++ b/internal/configuration/rig/rig.go
@@ -39,7 +39,7 @@
 	Folder   string              // in which each machine has a folder for its files and log
 	Regions  map[string][]string // machine names by region
 	TickMs   int                 // raft tick; 0: 30
-	SettleS  float64             // see server.Settings
+	SettleS  float64             // seconds after the start in which the machines don't report the agents' status yet, see server.Settings
 	ExtraEnv []string            // added to the environment of the processes, such as GOMAXPROCS=1
 }
 
@@ -60,11 +60,11 @@
 type Machine struct {
 	Name    string
 	Region  string
-	Address string // of its HTTP server, without a link
+	Address string // of its HTTP server, reached directly and not through a link
 	Folder  string
 
-	rig          *Rig
-	groups       map[string]string // raft addresses by group, without links
+	rig          *Rig              // that runs the machine
+	groups       map[string]string // raft addresses by group, reached directly and not through links
 	reservedFDs  []int             // file descriptors that reserve the addresses
 	settingsPath string
 
@@ -72,7 +72,7 @@
 	maxFileBytes int64 // that the process may write to any one file; 0: no limit
 	process      *exec.Cmd
 	exited       chan struct{} // closed once the process has ended
-	exitErr      error
+	exitErr      error         // error with which the process ended, valid once exited is closed
 }
 
 // Build builds lemoncontrol from this module's source into a folder. It needs the go command.
--- a/internal/configuration/selector.go
+++ b/internal/configuration/selector.go
@@ -21,13 +21,13 @@
 const (
 	MaxFirstWait    = time.Second       // longest wait before the first attempt of a process
 	BaseFailureWait = time.Second       // longest wait after the first failure; doubles with each further one
-	MaxFailureWait  = 2 * time.Second   // a change must be in force within 9 s even if 30% of connections fail
+	MaxFailureWait  = 2 * time.Second   // limit of the wait after failures, so that a change is in force within 9 s even if 30% of connections fail
 	StableAfter     = 10 * time.Second  // a watch that has lasted this long resets the count of failures
-	ReturnAfter     = 30 * time.Second  // min time at another machine of the region before a preferred one is tried
+	ReturnAfter     = 30 * time.Second  // shortest time at another machine of the region before a preferred one is tried
 	ReturnSpread    = 120 * time.Second // agents return evenly spread over this time after ReturnAfter
-	// The same while at a machine of another region. These are short because that machine doesn't get the
-	// changes of the agent's own region while the regions are partitioned, and those have to be in force
-	// within seconds.
+	// AwayReturnAfter and AwayReturnSpread take the place of ReturnAfter and ReturnSpread while a machine of
+	// another region is watched. They are short because that machine doesn't get the changes of the agent's
+	// own region while the regions are partitioned, and those have to be in force within seconds.
 	AwayReturnAfter  = 2 * time.Second
 	AwayReturnSpread = 4 * time.Second
 )
@@ -37,16 +37,16 @@
 // scopes. After a failure it moves to the next machine after a wait with full jitter, and after a random time
 // returns to a preferred one.
 type Selector struct {
-	random   func() float64
-	region   string    // region of the agent
-	machines []Machine // in order of preference
-	current  int       // index of the machine that is watched or tried
-	failures int       // consecutive failures
-
-	connected   bool
-	connectedAt time.Duration
-	candidate   int // index of the preferred machine to try next, less than current
-	returnAt    time.Duration
+	random   func() float64 // uniformly distributed in [0, 1)
+	region   string         // region of the agent
+	machines []Machine      // in order of preference
+	current  int            // index of the machine that is watched or tried
+	failures int            // consecutive failures
+
+	connected   bool          // the watch of the current machine is established
+	connectedAt time.Duration // when it was established
+	candidate   int           // index of the preferred machine to try next, less than current
+	returnAt    time.Duration // when to try the candidate
 }
 
 // NewSelector returns the selector of an agent. random returns uniformly distributed numbers in [0, 1).
@@ -136,7 +136,7 @@
 	return s.machines[s.candidate], true
 }
 
-// ReturnFinished records whether the machine of Return could be reached. If not, a preferred machine is tried again
+// ReturnFinished records whether the machine of ReturnTarget could be reached. If not, a preferred machine is tried again
 // later.
 func (s *Selector) ReturnFinished(now time.Duration, reached bool) {
 	if !s.connected || s.current == 0 {
--- a/internal/configuration/selector_test.go
+++ b/internal/configuration/selector_test.go
@@ -31,7 +31,7 @@
 	}
 	t.Logf("450 agents: %v", first)
 	for name, n := range first {
-		if n < 101 || n > 124 { // within 10% of 112.5; the hash of the names is deterministic
+		if n < 101 || n > 124 { // over about 10% off 112.5, half of a region's agents; the hash of the names is deterministic
 			t.Errorf("%s is preferred by %d of 225", name, n)
 		}
 	}
@@ -144,7 +144,7 @@
 	wantNext(1)
 }
 
-// A watch that ends soon after it was established doesn't reset the wait; one that lasted HeldAfter does.
+// A watch that ends soon after it was established doesn't reset the wait; one that lasted StableAfter does.
 func TestSelectorCountsConsecutiveFailures(t *testing.T) {
 	s := NewSelector(agentAt("east", 1), controlMachines, newRand(1).Float64)
 	for range 5 {
--- a/internal/configuration/server/fake_test.go
+++ b/internal/configuration/server/fake_test.go
@@ -17,10 +17,10 @@
 // fakeGroup is an in-memory replicated log. A command proposed at its leader is applied by all members at once.
 type fakeGroup struct {
 	mu         sync.Mutex
-	leader     string
-	members    map[string]*group
-	epoch      uint64
-	proposeErr error // returned by Propose after the command was applied
+	leader     string            // name of the machine that leads the group
+	members    map[string]*group // by machine
+	epoch      uint64            // raft term
+	proposeErr error             // returned by Propose after the command was applied
 }
 
 // fakeReplica is one machine's member of a fakeGroup.
@@ -28,7 +28,7 @@
 	name    string
 	fake    *fakeGroup
 	votes   bool
-	reads   int
+	reads   int   // calls of Read
 	readErr error // returned by Read at the leader
 }
 
--- a/internal/configuration/server/group.go
+++ b/internal/configuration/server/group.go
@@ -29,7 +29,7 @@
 	mu          sync.Mutex
 	registry    *configuration.Registry
 	applied     []configuration.Revision // made by the command that is being applied
-	subscribers map[chan struct{}]bool
+	subscribers map[chan struct{}]bool   // to be signaled when the registry may have changed
 }
 
 func newGroup(name string, history *history, log *slog.Logger) *group {
--- a/internal/configuration/server/server.go
+++ b/internal/configuration/server/server.go
@@ -33,15 +33,15 @@
 
 // Timeouts.
 const (
-	headerTimeout      = 5 * time.Second
-	idleTimeout        = time.Minute
+	headerTimeout      = 5 * time.Second  // to read the header of a request
+	idleTimeout        = time.Minute      // of a kept connection without a request
 	callTimeout        = 20 * time.Second // of any call but a watch, from its header to the last byte of the response
 	readTimeout        = 3 * time.Second  // to confirm a majority before a read
 	proposeTimeout     = 3 * time.Second  // to propose a change, here or at the leader
 	probeTimeout       = time.Second      // to check that a machine answers
-	localStatusTimeout = 2 * time.Second
-	shutdownTimeout    = 5 * time.Second
-	routeTimeoutTicks  = 30 // raft ticks for which a call looks for the leader: three elections
+	localStatusTimeout = 2 * time.Second  // to get another machine's agents
+	shutdownTimeout    = 5 * time.Second  // for calls in flight when the process ends
+	routeTimeoutTicks  = 30               // raft ticks for which a call looks for the leader: three elections
 )
 
 // UpPath is the path that answers 200 once the machine's groups are started.
@@ -50,14 +50,14 @@
 // Server is the control process of one machine.
 type Server struct {
 	settings   Settings
-	own        MachineConfig
+	own        MachineConfig // this machine's entry in the settings
 	log        *slog.Logger
 	groups     map[string]*group // by name; only those in which this machine votes
 	history    *history
-	peers      *http.Client
+	peers      *http.Client  // for calls to other control machines
 	watchSlots chan struct{} // holds a value for each open watch
 	stopping   chan struct{} // closed when the process ends
-	ready      atomic.Bool
+	ready      atomic.Bool   // all groups are started
 	started    time.Time
 
 	trackerMu sync.Mutex
@@ -201,7 +201,7 @@
 // limitedListener closes connections over its limit at once, so that their clients try another machine.
 type limitedListener struct {
 	net.Listener
-	slots chan struct{}
+	slots chan struct{} // holds a value for each open connection
 }
 
 func newLimitedListener(listener net.Listener, maxOpen int) *limitedListener {
--- a/internal/configuration/server/settings.go
+++ b/internal/configuration/server/settings.go
@@ -19,8 +19,8 @@
 	Region   string          `toml:"region"`   // of this machine
 	Address  string          `toml:"address"`  // on which the HTTP server listens, HOST:PORT
 	Folder   string          `toml:"folder"`   // for the raft logs, the votes and the history
-	TickMs   int             `toml:"tick_ms"`  // raft tick; an election starts after ten ticks without a heartbeat
-	SettleS  float64         `toml:"settle_s"` // after the start, while some agents may not have connected yet
+	TickMs   int             `toml:"tick_ms"`  // raft tick in milliseconds; an election starts after ten ticks without a heartbeat
+	SettleS  float64         `toml:"settle_s"` // seconds after the start in which some agents may not have connected yet
 	Machines []MachineConfig `toml:"machine"`
 }
 
--- a/internal/configuration/server/watch.go
+++ b/internal/configuration/server/watch.go
@@ -117,7 +117,7 @@
 	groups  []*group // those that write the agent's scopes
 	place   configuration.Place
 	have    map[configuration.Scope]configuration.Position // the agent's positions after all updates sent so far
-	changed chan struct{}
+	changed chan struct{}                                  // receives a value when a group's registry may have changed
 	pacer   *configuration.Pacer
 
 	writer     http.ResponseWriter
--- a/internal/configuration/status.go
+++ b/internal/configuration/status.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Applied returns whether a revision of a scope, or a later one, is in force everywhere, by the statuses that
+// InForce returns whether a revision of a scope, or a later one, is in force everywhere, by the statuses that
 // the reachable machines have of their agents. The newest status of each agent counts, and the agent is
 // connected if it is at any machine. Everywhere requires at least one agent, all agents connected and at the
 // revision, and no unreachable machine.
--- a/internal/configuration/timetable_test.go
+++ b/internal/configuration/timetable_test.go
@@ -24,11 +24,11 @@
 type missingGuard string
 
 const (
-	allGuards          missingGuard = ""
+	allGuards          missingGuard = ""                   // nothing is disabled
 	withoutCheck       missingGuard = "check"              // the agent doesn't check effective documents
 	withoutOrder       missingGuard = "order"              // the agent accepts older revisions
 	withoutDigest      missingGuard = "digest"             // the agent doesn't compare digests
-	withoutFrom        missingGuard = "digest and from"    // nor a patch's base revision, which digests would detect too
+	withoutFrom        missingGuard = "digest and from"    // the agent compares neither digests, which would detect a wrong base too, nor a patch's base revision
 	withEarlyReports   missingGuard = "apply, then report" // the agent reports before it applies
 	withoutReportReset missingGuard = "report anew"        // a new watch doesn't invalidate earlier reports
 )
@@ -44,16 +44,16 @@
 	missing       missingGuard
 	failure       string // the first violation found
 	now           time.Duration
-	epoch         uint64
-	logs          map[string][]logEntry
-	leaders       map[string]*Registry // by group; they have applied the whole log
-	history       map[Scope]map[uint64]string
+	epoch         uint64                      // of the leaders of all groups
+	logs          map[string][]logEntry       // by group
+	leaders       map[string]*Registry        // by group; they have applied the whole log
+	history       map[Scope]map[uint64]string // document of each revision
 	machines      []*simulatedMachine
 	agents        []*simulatedAgent
-	allowRefusals bool     // generate documents that some agents refuse
-	proposed      []Change // proposed changes, which may be sent again
-	answers       map[string]Accepted
-	counts        map[string]int
+	allowRefusals bool                // generate documents that some agents refuse
+	proposed      []Change            // proposed changes, which may be sent again
+	answers       map[string]Accepted // first answer to each change, by its ID
+	counts        map[string]int      // how often each kind of event has happened, such as "restarts"
 }
 
 type logEntry struct {
@@ -73,8 +73,8 @@
 	names       wire.Names
 	follower    *Follower
 	watches     []*simulatedWatch
-	reportDue   bool // a report has to be sent
-	savedStates [][]byte
+	reportDue   bool     // a report has to be sent
+	savedStates [][]byte // all that the agent's processes have saved on disk, the latest last
 
 	document      *Document          // that the load balancer works with
 	positions     map[Scope]Position // revisions of which document is made
@@ -84,8 +84,8 @@
 
 type simulatedWatch struct {
 	machine *simulatedMachine
-	sent    map[Scope]Position
-	lines   [][]byte
+	sent    map[Scope]Position // the agent's positions after all lines sent so far
+	lines   [][]byte           // sent, but not delivered yet
 }
 
 var simulatedScopes = []Scope{
--- a/internal/configuration/tracker.go
+++ b/internal/configuration/tracker.go
@@ -11,8 +11,8 @@
 // Tracker holds what one control machine knows of the agents that watch it or have reported to it. Times are
 // readings of the machine's monotonic clock, with an arbitrary zero.
 type Tracker struct {
-	machine string
-	started time.Duration
+	machine string        // name of the control machine
+	started time.Duration // when the machine started
 	agents  map[agentKey]*trackedAgent
 
 	keepReportsOnConnect bool // set by a test that shows why a new watch must invalidate earlier reports
@@ -47,7 +47,7 @@
 }
 
 // Settled reports whether the machine has run for SettleTime. Before that it may not know all agents, and
-// must be counted as unreachable for Applied.
+// must be counted as unreachable for InForce.
 func (t *Tracker) Settled(now time.Duration) bool { return now-t.started >= SettleTime }
 
 // Connected records that an agent has begun a watch; call it before the watch is answered. It invalidates the
--- a/internal/configuration/watch/stream.go
+++ b/internal/configuration/watch/stream.go
@@ -30,10 +30,10 @@
 type stream struct {
 	machine configuration.Machine
 	conn    net.Conn
-	lines   chan line // the last one has an error
-	closed  chan struct{}
-	once    sync.Once
-	reader  sync.WaitGroup
+	lines   chan line      // the last one has an error
+	closed  chan struct{}  // closed by close
+	once    sync.Once      // makes a second close harmless
+	reader  sync.WaitGroup // the goroutine that reads lines
 }
 
 // line is one line of a watch.
--- a/internal/connstate/connstate.go
+++ b/internal/connstate/connstate.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is the state of a connection as Look finds it.
+// State is the state of a connection as Inspect finds it.
 type State uint8
 
 const (
--- a/internal/core/client_left_test.go
+++ b/internal/core/client_left_test.go
@@ -24,7 +24,7 @@
 }
 
 // Guards against an attempt that is written although the client has left, when the loop does not know of it
-// yet, as in a process that was stopped: the attempt is not written, the module gets Abandoned before the
+// yet, as in a process that was stopped: the attempt is not written, the decision module gets Abandoned before the
 // attempt's outcome, and the loop and the front are both done with the call.
 func TestClientLeftBeforeTheLoopKnows(t *testing.T) {
 	for _, left := range []bool{false, true} {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,7 +1,7 @@
-// Package core executes the decisions of the decision module. It owns the module, the open calls and the
-// timers on one goroutine (Run) and is independent of any protocol. A front parses requests into calls and
-// writes their answers; a Backend makes the attempts, each on its own goroutine, and posts their results.
-// Only the loop decides the outcome of an attempt and the answer to a call, so that each has exactly one.
+// Package core executes the decisions of the decision module (package balance). It owns the module, the open
+// calls and the timers on one goroutine (Run) and is independent of any protocol. A front parses requests
+// into calls and writes their answers; a Backend makes the attempts, each on its own goroutine, and posts their
+// results. Only the loop decides the outcome of an attempt and the answer to a call, so that each has exactly one.
 //
 // Bounds: the inbox holds inboxSize events, and posting blocks while it is full. The fronts' admission limits
 // the number of calls and timers. The ids of the last maxRecentIDs finished calls are kept.
@@ -26,7 +26,7 @@
 	Step(now time.Duration, events []balance.Event) []balance.Action
 }
 
-// clock converts between wall-clock times and the module's time, the duration since the Unix epoch, so that
+// clock converts between wall-clock times and the decision module's time, the duration since the Unix epoch, so that
 // start times in lists convert and 0 lies far in the past. It advances with the monotonic clock alone, so
 // that steps of the system clock have no effect.
 type clock struct{ start time.Time }
@@ -37,7 +37,7 @@
 	return time.Duration(c.start.UnixNano()) + t.Sub(c.start)
 }
 
-// time converts a module time back to a wall-clock time; it is the inverse of at.
+// time converts a time of the decision module back to a wall-clock time; it is the inverse of at.
 func (c clock) time(d time.Duration) time.Time {
 	return c.start.Add(d - time.Duration(c.start.UnixNano()))
 }
@@ -67,14 +67,15 @@
 	CloseIdleExcept(wanted func(Target) bool) // closes the idle connections to all targets for which wanted is false
 }
 
-// ListSource is the source of the list of backends.
+// ListSource is the source of the list of backends. Its methods carry out the actions of the same names
+// (balance.Subscribe, Unsubscribe and FetchList).
 type ListSource interface {
 	Subscribe()
 	Unsubscribe()
 	Fetch()
 }
 
-// Peers sends data to one other agent or to all of them (balance.EveryPeer). Tell never blocks.
+// Peers sends data to one other agent or to all of them (balance.EveryPeer). Send never blocks.
 type Peers interface{ Send(to int, data []byte) }
 
 // Kind is the kind of an Answer.
@@ -97,12 +98,12 @@
 
 // Call is a client's open request. The loop owns the fields below Reply.
 type Call struct {
-	Event           balance.Request // Left is filled in by the loop
+	Event           balance.Request // TimeLeft is filled in by the loop
 	Request         any             // the request as the Backend takes it
 	Deadline        time.Time
 	UploadAllowance time.Duration // part of the time until Deadline that is reserved for receiving the rest of the body
 	Reply           chan Answer   // buffered, with room for the one final answer
-	HasClientLeft   func() bool   // reports whether the client has left, called from any goroutine; nil: only Left says so
+	HasClientLeft   func() bool   // reports whether the client has left, called from any goroutine; nil: only Loop.Left reports it
 
 	attempts []*attempt // in the order of their Sends
 	pending  int        // number of attempts that have not ended
@@ -113,7 +114,7 @@
 type attempt struct {
 	backend    string
 	addr       string
-	sent       time.Time
+	sent       time.Time // when the Send was executed
 	cancel     context.CancelFunc
 	permit     *Permit
 	ended      bool
@@ -123,7 +124,7 @@
 // Observer observes the events of the loop. Its methods run on the loop's goroutine and must not block.
 type Observer interface {
 	Arrived(class int, repeat bool)
-	Listed(list balance.List) // as passed to the module
+	Listed(list balance.List) // as passed to the decision module
 	Ended(backend string, r Response, latency time.Duration)
 }
 
@@ -149,24 +150,24 @@
 	Peers    Peers    // nil where agents don't exchange messages
 	Observer Observer // nil: no observer
 	Figures  *metrics.Metrics
-	settings *balance.Settings // in force; replaced by Reconfigure, never modified
+	settings *balance.Settings // those that apply now; replaced by Reconfigure, never modified
 
 	events         []balance.Event  // events for the next step
 	calls          map[string]*Call // by request id: open calls, and answered ones with pending attempts
 	recent         *recentIDs
-	addrs          map[string]string
+	addrs          map[string]string // addresses of the listed backends, by ID
 	pool           *pool.Pool
 	timers         timers
-	figuresUpdated time.Time // when the figures of the list were last updated
-	afterStep      []func()  // called once the module has processed all queued events
+	figuresUpdated time.Time // when the metrics of the list were last updated
+	afterStep      []func()  // called once the decision module has processed all queued events
 	stopDeadline   time.Time // end of a planned stop, when every call must have its answer; zero: none
 }
 
 // recentIDs holds the ids of the calls that ended last, at most maxRecentIDs of them.
 type recentIDs struct {
 	ids  map[string]bool
-	ring []string
-	next int
+	ring []string // the ids in the order of their calls' ends, overwritten in a circle
+	next int      // position in ring of the oldest id
 }
 
 const maxRecentIDs = 4096 // three seconds at 1,300 requests a second, longer than any client waits
@@ -248,7 +249,7 @@
 // called on the loop's goroutine; other goroutines Post a function that calls it.
 func (l *Loop) Event(e balance.Event) { l.events = append(l.events, e) }
 
-// Reconfigure puts new settings in force between two steps, for the module and the loop alike. They apply to
+// Reconfigure replaces the settings between two steps, for the decision module and the loop alike. They apply to
 // calls that arrive afterwards. They must have passed balance.Settings.CheckChange and must not be modified any
 // more.
 func (l *Loop) Reconfigure(s *balance.Settings) {
@@ -259,7 +260,7 @@
 // Arrived accepts a client's request.
 func (l *Loop) Arrived(c *Call) {
 	if l.calls[c.Event.ID] != nil || l.recent.has(c.Event.ID) {
-		// Rejects an id that is or was recently in use: the module would take the second request for the
+		// Rejects an id that is or was recently in use: the decision module would take the second request for the
 		// first and not answer it, and a backend would receive a request that already has its answer.
 		c.Reply <- Answer{Kind: Duplicate}
 		return
@@ -271,12 +272,12 @@
 	e := c.Event
 	e.TimeLeft = time.Until(c.Deadline) - c.UploadAllowance
 	l.Event(e)
-	// Guarantees an answer: if the module still owes one when half of the grace is over, the call fails here
-	// and the module is told, as on the bench.
+	// Guarantees an answer: if the decision module still owes one when half of the grace (AnswerGrace) is over,
+	// the call fails here and the module gets Abandoned.
 	l.timers.add(timer{at: l.answerDeadline(c), call: c})
 }
 
-// answerDeadline returns the time at which the loop fails a call if the module has not answered it.
+// answerDeadline returns the time at which the loop fails a call that has no answer from the decision module yet.
 func (l *Loop) answerDeadline(c *Call) time.Time {
 	at := c.Deadline.Add(l.settings.AnswerGrace / 2)
 	if !l.stopDeadline.IsZero() && l.stopDeadline.Before(at) {
@@ -306,7 +307,7 @@
 	}
 }
 
-// Left tells the loop that a call's client has left.
+// Left records that a call's client has left.
 func (l *Loop) Left(c *Call) {
 	select {
 	case a := <-c.Reply: // the answer was sent while the client left
@@ -356,7 +357,7 @@
 }
 
 // withdrawAttempts withdraws attempts that have not been written if their backend no longer accepts requests
-// or has another address. The module then chooses among the other backends again.
+// or has another address. The decision module then chooses among the other backends again.
 func (l *Loop) withdrawAttempts() {
 	for _, c := range l.calls {
 		for _, a := range c.attempts {
@@ -375,7 +376,7 @@
 	}
 }
 
-// attemptEnded records the result of a call's attempt n and passes it to the module. The first attempt with
+// attemptEnded records the result of a call's attempt n and passes it to the decision module. The first attempt with
 // the result OK answers the call.
 func (l *Loop) attemptEnded(c *Call, n int, backend string, r Response) {
 	a := c.attempts[n]
@@ -417,20 +418,20 @@
 	l.publishList(l.pool.ApplyList(list))
 }
 
-// SetLeaving records that a backend announced that it accepts no new requests, or that it is back. The module
-// sees it as draining at once, although the list may still show it as up for seconds.
+// SetLeaving records that a backend announced that it accepts no new requests, or that it is back. The decision
+// module sees it as draining at once, although the list may still show it as up for seconds.
 func (l *Loop) SetLeaving(id string, leaving bool) {
 	l.applyChange(l.pool.SetLeaving(id, leaving))
 }
 
-// applyChange tells the module about changed backends; a nil change does nothing.
+// applyChange passes changed backends to the decision module; a nil change does nothing.
 func (l *Loop) applyChange(c pool.Change) {
 	if c != nil {
 		l.publishList(balance.List{Kind: balance.ListDelta, Backends: c})
 	}
 }
 
-// publishList passes a list to the module and the observer, and withdraws the attempts that it rules out.
+// publishList passes a list to the decision module and the observer, and withdraws the attempts that it rules out.
 func (l *Loop) publishList(list balance.List) {
 	l.withdrawAttempts()
 	l.Event(list)
@@ -450,10 +451,10 @@
 	}
 }
 
-// Now returns the current time as the module measures it.
+// Now returns the current time as the decision module measures it.
 func (l *Loop) Now() time.Duration { return l.clock.now() }
 
-// At converts t to the module's time.
+// At converts t to the decision module's time.
 func (l *Loop) At(t time.Time) time.Duration { return l.clock.at(t) }
 
 // ExcludeZone excludes a whole zone manually, or includes it again. The zone's backends drain, also those
@@ -471,7 +472,7 @@
 	l.applyChange(l.pool.MarkZoneRestarted(zone, l.clock.now()))
 }
 
-// Exclude excludes a backend manually: the module sees it as draining until Include.
+// Exclude excludes a backend manually: the decision module sees it as draining until Include.
 func (l *Loop) Exclude(id string) error {
 	c, err := l.pool.Exclude(id)
 	l.applyChange(c)
@@ -499,14 +500,14 @@
 	l.applyChange(l.pool.ReplaceExcludedZones(zones, l.clock.now()))
 }
 
-// AfterStep has f called once the module has processed all queued events and its actions have been executed. f
+// AfterStep has f called once the decision module has processed all queued events and its actions have been executed. f
 // must not block.
 func (l *Loop) AfterStep(f func()) { l.afterStep = append(l.afterStep, f) }
 
-// figuresInterval is the maximum age of the loop's figures.
+// figuresInterval is the maximum age of the metrics that the loop updates.
 const figuresInterval = 100 * time.Millisecond
 
-// UpdateFigures updates the figures of the list if they are older than maxAge.
+// UpdateFigures updates the metrics of the list, the listed and the ejected backends, if they are older than maxAge.
 func (l *Loop) UpdateFigures(maxAge time.Duration) {
 	now := time.Now()
 	if l.Figures == nil || now.Sub(l.figuresUpdated) < maxAge {
@@ -544,7 +545,7 @@
 	}
 }
 
-// execute executes one action of the module.
+// execute executes one action of the decision module.
 func (l *Loop) execute(a balance.Action) {
 	switch a := a.(type) {
 	case balance.Send:
@@ -636,7 +637,7 @@
 // deadline.
 type timer struct {
 	at    time.Time
-	token int64
+	token int64 // of the SetTimer action
 	call  *Call
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -32,7 +32,7 @@
 }
 
 // Guards against two answers to a call whose backend answers at the same time as the call's deadline expires:
-// the first of the two events counts, and neither the client nor the module gets a second end.
+// the first of the two events counts, and neither the client nor the decision module gets a second end.
 func TestAnswerRacesWithTimeout(t *testing.T) {
 	for _, served := range []bool{true, false} {
 		l, c := newTestLoop(nil)
@@ -68,7 +68,7 @@
 	}
 }
 
-// Every Send of the module gets one outcome, even for a call that has ended or a backend that was never
+// Every Send of the decision module gets one outcome, even for a call that has ended or a backend that was never
 // listed.
 func TestEverySendHasAnOutcome(t *testing.T) {
 	l, c := newTestLoop(nil)
@@ -97,8 +97,8 @@
 	}
 }
 
-// A server that announces its leave drains at once although the list shows it as up. It is used again when it
-// announces its return or when the list shows a later start.
+// A backend that announces that it accepts no new requests drains at once although the list shows it as up. It
+// is used again when it announces its return or when the list shows a later start.
 func TestLeavingBackendDrains(t *testing.T) {
 	l, _ := newTestLoop(nil)
 	states := func() (got string) {
@@ -171,7 +171,7 @@
 
 // An attempt is not written once nobody waits for its answer (the client left, the call was answered, the
 // deadline passed) or its backend is not to receive it (listed as draining, gone or at another address,
-// manually excluded with or without its zone, or it announced its leave). The wait of an attempt that has not
+// manually excluded with or without its zone, or it announced that it leaves). The wait of an attempt that has not
 // begun is interrupted.
 func TestPermitIsRevoked(t *testing.T) {
 	for name, act := range map[string]func(l *Loop, c *Call, list func(balance.BackendState, string)){
--- a/internal/diameter/dictionary.go
+++ b/internal/diameter/dictionary.go
@@ -216,8 +216,8 @@
 	return d.checkList(m.AVPs, rules, true, limits, 0)
 }
 
-// checkList validates the AVPs of a message or a group. open has no effect: AVPs that no rule names are
-// allowed.
+// checkList validates the AVPs of a message or a group. AVPs that no rule names are allowed, whatever open is: it
+// has no effect.
 func (d *Dictionary) checkList(list []AVP, rules []AVPRule, open bool, limits Limits, depth int) error {
 	for i := range list {
 		a := &list[i]
--- a/internal/diameter/overload/overload.go
+++ b/internal/diameter/overload/overload.go
@@ -59,8 +59,8 @@
 // Reporter counts answers and computes overload reports.
 type Reporter struct {
 	cfg           Config
-	refused       int // of the answers in this interval
-	answered      int // in this interval
+	refused       int // number of refusals among the answers in this interval
+	answered      int // number of answers in this interval
 	intervalStart time.Duration
 	started       bool          // intervalStart is set
 	reduction     float64       // share that clients should currently hold back
@@ -97,7 +97,7 @@
 		return
 	}
 	r.intervalStart += time.Duration(intervals) * r.cfg.Interval
-	// A few answers are not significant, but while clients hold back requests no more can be expected.
+	// A few answers are too few to start a reduction, but while clients hold back requests no more can be expected.
 	if r.answered >= r.cfg.MinAnswers || r.reduction > 0 && r.answered > 0 {
 		r.adjust(float64(r.refused) / float64(r.answered))
 		intervals--
--- a/internal/diameter/overload/overload_test.go
+++ b/internal/diameter/overload/overload_test.go
@@ -18,7 +18,7 @@
 	return r
 }
 
-// recordSecond records answers within one second and returns the report at its end.
+// recordSecond records answers within one second, some of them refusals, and returns the report at its end.
 func recordSecond(r *Reporter, second int, ended, refused int) (Report, bool) {
 	for i := range ended {
 		r.Record(i < refused, time.Duration(second)*time.Second+time.Duration(i))
@@ -31,7 +31,7 @@
 func TestReportSequence(t *testing.T) {
 	r := newReporter(t)
 	for i, step := range []struct {
-		ended, refused int
+		ended, refused int // answers in the second, and the refusals among them
 		want           Report
 		reported       bool
 	}{
@@ -158,7 +158,8 @@
 			if served < 30*s.capacity*85/100 {
 				t.Errorf("load factor %v, compliance %v: %d served of %d possible", factor, compliance, served, 30*s.capacity)
 			}
-			// Requests of clients that don't comply may exceed the capacity by themselves.
+			// The requests of clients that don't comply, and the tenth that the others still send, may exceed the
+			// capacity by themselves.
 			unavoidable := max(0, (1-compliance*0.9)*factor-1) / max(1, (1-compliance*0.9)*factor)
 			if share := float64(refused) / float64(served+refused); share > unavoidable+0.15 {
 				t.Errorf("load factor %v, compliance %v: share %.2f of the requests is refused, %.2f is unavoidable", factor, compliance, share, unavoidable)
--- a/internal/diameter/relay/relay.go
+++ b/internal/diameter/relay/relay.go
@@ -66,11 +66,11 @@
 	Command     uint32 `toml:"command"`
 	RequestType uint32 `toml:"request_type"` // CC-Request-Type; 0: any
 	Action      *int64 `toml:"action"`       // Requested-Action; absent: any
-	AimMs       int64  `toml:"aim_ms"`
-	DeadlineMs  int64  `toml:"deadline_ms"`
-	Effect      string `toml:"effect"` // safe, keyed or unsafe
-	Group       string `toml:"group"`  // for keyed: the servers among which a repeat is dropped: all, zone or cell
-	WindowMs    int64  `toml:"window_ms"`
+	AimMs       int64  `toml:"aim_ms"`       // an answer within this time earns the full worth
+	DeadlineMs  int64  `toml:"deadline_ms"`  // the time that a client waits, over all attempts
+	Effect      string `toml:"effect"`       // safe, keyed or unsafe
+	Group       string `toml:"group"`        // for keyed: the servers among which a repeat is dropped: all, zone or cell
+	WindowMs    int64  `toml:"window_ms"`    // for keyed: servers drop repeats for this time after the first send
 }
 
 var (
@@ -215,7 +215,7 @@
 // Address returns the Diameter address of a backend, given its address in the list.
 func (r *Rules) Address(host, listed string) string { return cmp.Or(r.addressByHost[host], listed) }
 
-// HostByIdentity returns the backend whose server has an identity in the file.
+// HostByIdentity returns the backend whose server has the given Diameter identity in the file.
 func (r *Rules) HostByIdentity(identity string) (host string, ok bool) {
 	host, ok = r.hostByIdentity[strings.ToLower(identity)]
 	return host, ok
--- a/internal/diameter/relay/table.go
+++ b/internal/diameter/relay/table.go
@@ -56,6 +56,7 @@
 	keptBytes int      // total size of the kept answers
 }
 
+// entry is a pending request with its waiters, or an answered one with its answer.
 type entry struct {
 	origin     Origin
 	waiters    []Waiter
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -55,7 +55,7 @@
 		{Command{Kind: Define, Duty: "pace", Spec: Spec{Name: "pace", Lease: 2 * lease, Eligible: []string{"c"}}}, Done, "", 2},
 		{Command{Kind: Claim, Duty: "pace", Agent: "a"}, Ineligible, "", 2},
 		{Command{Kind: Claim, Duty: "pace", Agent: "c"}, Done, "c", 3},
-		// The holder counts its lease with the other length.
+		// The holder counts its lease with the length that it was granted: it can't change while the duty is held.
 		{Command{Kind: Define, Duty: "pace", Spec: spec()}, AlreadyHeld, "c", 3},
 		{Command{Kind: Release, Duty: "pace", Agent: "c", Epoch: 3}, Done, "", 3},
 		{Command{Kind: kindCount, Duty: "pace"}, Invalid, "", 3},
@@ -70,7 +70,7 @@
 }
 
 // The leader finds a lease expired while a command that extends the lease is already in the log. The expiry
-// must be refused, since the holder has been told that its lease goes on; otherwise two agents would hold the
+// must be refused, since the holder gets the answer that its lease goes on; otherwise two agents would hold the
 // duty.
 func TestExpiryCrossesRenewal(t *testing.T) {
 	for _, kind := range []Kind{Renew, SaveState} {
@@ -191,24 +191,26 @@
 	grantor       *Grantor
 	clocks        Clocks
 	agents        []*Holder
-	clockRate     []float64
-	paused        []bool // a paused agent does nothing until it is resumed
-	commands      [][]Command
-	answers       [][]Answer
-	acts          []act // actions that have not arrived yet
+	clockRate     []float64   // speed of each agent's clock relative to true time
+	paused        []bool      // a paused agent does nothing until it is resumed
+	commands      [][]Command // of each agent, on their way to the voters
+	answers       [][]Answer  // to each agent, on their way
+	acts          []act       // actions that have not arrived yet
 	fence         *Fence
-	violation     string
-	maxEpoch      Epoch // highest epoch of an accepted action
+	violation     string // the last rule found broken; empty: none
+	maxEpoch      Epoch  // highest epoch of an accepted action
 	disabled      disabledGuards
-	leaderChanges int
+	leaderChanges int // number of events 8 so far
 }
 
+// act is an action that an agent has started under a permit.
 type act struct {
 	agent int
 	p     Permit
 }
 
-// disabledGuards selects safety measures to switch off, to verify that the tests notice their absence.
+// disabledGuards selects safety measures to switch off, to verify that the tests notice their absence: the margin
+// for the clocks' drift, the fence, and the check of MayAct before an action.
 type disabledGuards struct{ drift, fence, check bool }
 
 func newWorld(g disabledGuards) *world {
@@ -233,6 +235,7 @@
 
 const eventKinds = 15
 
+// event plays event number e, which is below eventKinds, and then checks that at most one agent may act.
 func (w *world) event(e int) {
 	i := e % 2
 	switch e {
@@ -290,7 +293,7 @@
 			}
 		}
 	}
-	if e == 14 {
+	if e == 14 { // expired leases are ended
 		w.expire()
 	}
 	may := 0
--- a/internal/duty/fence.go
+++ b/internal/duty/fence.go
@@ -10,7 +10,7 @@
 	Refused uint64 // number of refused actions
 }
 
-// ErrFenced reports an action of a holder that has been superseded: a later holder has acted since.
+// FencedError reports an action of a holder that has been superseded: a later holder has acted since.
 type FencedError struct {
 	Duty           string
 	Epoch, Highest Epoch // the epoch of the action, and the highest one seen
@@ -34,5 +34,5 @@
 	return nil
 }
 
-// Highest returns the highest epoch of a duty that Pass has accepted.
+// Highest returns the highest epoch of a duty that Admit has accepted.
 func (f *Fence) Highest(duty string) Epoch { return f.highest[duty] }
--- a/internal/duty/grantor.go
+++ b/internal/duty/grantor.go
@@ -26,6 +26,7 @@
 	grants  map[string]grant
 }
 
+// grant is the lease of a duty's current holder, as the Grantor counts it.
 type grant struct {
 	epoch         Epoch
 	extendedAt    time.Duration // when the last command that extended the lease was applied, or this voter became leader
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -43,8 +43,8 @@
 type Holder struct {
 	cfg            HolderConfig
 	rng            *rand.Rand
-	now            time.Duration
-	wanted         bool
+	now            time.Duration // the latest time passed in
+	wanted         bool          // the agent is available for the duty
 	stage          Stage
 	epoch          Epoch
 	leaseEnd       time.Duration // on the agent's clock; no action is allowed from then on
@@ -58,8 +58,8 @@
 	nextSendAt time.Duration // when the next command is due; 0: none is
 	pending    map[uint64]pendingCommand
 	lastID     uint64
-	failures   int
-	changes    []Change
+	failures   int      // commands sent since the last success, at most 5: sets the backoff
+	changes    []Change // not taken by TakeChanges yet
 }
 
 // pendingCommand is a command whose answer has not arrived yet.
@@ -157,7 +157,7 @@
 	case h.stage == Idle && h.wanted && a.Holder == "" && h.nextSendAt == 0:
 		h.nextSendAt = h.now + h.claimDelay(holds)
 	case h.stage == Idle && a.Holder != "":
-		h.nextSendAt = 0 // until the duty is seen to be free
+		h.nextSendAt = 0 // no claim until the duty is seen to be free
 	}
 	return out
 }
--- a/internal/duty/quorum/client.go
+++ b/internal/duty/quorum/client.go
@@ -26,10 +26,10 @@
 }
 
 const (
-	pollInterval   = 250 * time.Millisecond
-	stepInterval   = 500 * time.Millisecond
-	maxHistory     = 128
-	maxSilentPolls = 4 // polls without a message of the leader, after which the leader counts as unknown
+	pollInterval   = 250 * time.Millisecond // between requests for the table
+	stepInterval   = 500 * time.Millisecond // between calls of Task.Step
+	maxHistory     = 128                    // number of events kept for Report
+	maxSilentPolls = 4                      // polls without a message of the leader, after which the leader counts as unknown
 )
 
 // ClientOptions configure a Client.
@@ -54,17 +54,17 @@
 	connections  sync.WaitGroup
 	dialers      map[string]*transport.Dialer
 	voterNames   []string
-	leader       string
-	holders      map[string]*duty.Holder
-	states       map[string][]byte // states of the duties that this agent holds, as last saved
-	lastStep     map[string]time.Duration
-	lastPoll     time.Duration
+	leader       string                   // name of the voter that leads, as far as it is known; empty: unknown
+	holders      map[string]*duty.Holder  // by duty
+	states       map[string][]byte        // states of the duties that this agent holds, as last saved
+	lastStep     map[string]time.Duration // time of the last call of Task.Step, by duty
+	lastPoll     time.Duration            // time of the last request for the table, on the client's clock
 	table        []duty.Duty
 	tableSource  string        // voter that sent the table
 	tableAt      time.Duration // when the table was received; 0: never
-	history      []Event
-	heldCount    atomic.Int64
-	pollCount    int
+	history      []Event       // the last maxHistory events
+	heldCount    atomic.Int64  // number of duties held at the last iteration
+	pollCount    int           // number of requests for the table so far
 	leaderSeenAt time.Duration // when the last message of the leader was received
 }
 
--- a/internal/duty/quorum/client_control.go
+++ b/internal/duty/quorum/client_control.go
@@ -8,6 +8,7 @@
 	"lemonrail/internal/duty"
 )
 
+// runOnLoop runs do on the goroutine of Run, and waits until it has returned.
 func (c *Client) runOnLoop(ctx context.Context, do func()) error {
 	done := make(chan struct{})
 	select {
--- a/internal/duty/quorum/client_report.go
+++ b/internal/duty/quorum/client_report.go
@@ -35,12 +35,12 @@
 	Epoch   duty.Epoch `json:"epoch"`
 	LeaseMs int64      `json:"lease_ms"`
 	Zone    string     `json:"zone,omitempty"`
-	Next    string     `json:"next,omitempty"` // agent named to take over
-	Ready   bool       `json:"ready,omitempty"`
-	Acts    uint64     `json:"acts"`
+	Next    string     `json:"next,omitempty"`  // agent named to take over
+	Ready   bool       `json:"ready,omitempty"` // that agent can begin at once
+	Acts    uint64     `json:"acts"`            // number of times that State was saved, over all holders
 	State   string     `json:"state,omitempty"`
-	Mine    string     `json:"mine"` // this agent's stage: idle, asking, holding, handing on, releasing
-	LeftMs  int64      `json:"left_ms,omitempty"`
+	Mine    string     `json:"mine"`              // this agent's stage: idle, asking, holding, handing on, releasing
+	LeftMs  int64      `json:"left_ms,omitempty"` // rest of the lease in milliseconds, if this agent holds the duty
 }
 
 // MemberReport is the status of a voter.
@@ -50,14 +50,14 @@
 	Votes    bool              `json:"votes"`
 	Leads    bool              `json:"leads"`
 	Leader   string            `json:"leader"`
-	Start    string            `json:"start"`
-	Why      string            `json:"why"` // why the voter takes no part in the quorum, or how it started
-	Seats    map[string]string `json:"seats"`
+	Start    string            `json:"start"` // duty.StartAction by its name, or "distrusted" after a fault
+	Why      string            `json:"why"`   // why the voter takes no part in the quorum, or how it started
+	Seats    map[string]string `json:"seats"` // identities of the quorum's members, by name
 	Term     uint64            `json:"term"`
 	Applied  uint64            `json:"applied"`
 	Written  uint64            `json:"bytes_written"`
 	Syncs    uint64            `json:"syncs"`
-	Garbled  int64             `json:"garbled"`
+	Garbled  int64             `json:"garbled"` // number of invalid frames and messages received
 }
 
 // Report returns the state of the agent's duties.
--- a/internal/duty/quorum/commands.go
+++ b/internal/duty/quorum/commands.go
@@ -9,13 +9,13 @@
 	"lemonrail/internal/replica/voter"
 )
 
-const maxPendingReplies = 4096 // commands whose answers have not been sent yet
+const maxPendingReplies = 4096 // limit of the commands whose answers have not been sent yet
 
 // commandRequest is a command sent to a voter; commandReply is its result, or tells which voter is the leader.
 type commandRequest struct{ Command duty.Command }
 
 type commandReply struct {
-	Agent  string
+	Agent  string // the agent that sent the command
 	Answer duty.Answer
 	Asked  bool   // the replying voter is the leader, and Answer is the command's result
 	Leader string // name of the leader; empty: not known
@@ -23,9 +23,9 @@
 
 // tableReply is the table as a voter knows it, which may lag behind the leader's.
 type tableReply struct {
-	Seat   string
-	Leader string
-	Leads  bool
+	Seat   string // name of the replying voter
+	Leader string // name of the leader; empty: not known
+	Leads  bool   // the replying voter is the leader
 	Duties []duty.Duty
 }
 
--- a/internal/duty/quorum/handover_test.go
+++ b/internal/duty/quorum/handover_test.go
@@ -9,8 +9,8 @@
 	"lemonrail/internal/duty"
 )
 
-// gapsWithoutHolder returns, for n seeds, how long no agent may act, in simulated time: after the holder was
-// killed, after it released the duty, or after it handed the duty on.
+// gapsWithoutHolder returns, for n seeds, how long no agent may act, in simulated time and sorted: after the holder
+// was killed, after it released the duty, or after it handed the duty on, as end says.
 func gapsWithoutHolder(t testing.TB, lease time.Duration, end string, n int) (all []time.Duration) {
 	for seed := range n {
 		x := newSim(t, uint64(1000+seed), disabledGuards{})
@@ -92,9 +92,9 @@
 	}
 }
 
-// Counts unnecessary changes of holder in an hour: without faults, and with one of the five processes paused
-// for 1 to 5 s each minute, with every link's frames up to a fifth of a second late. A pause that outlasts a
-// lease makes its change of holder necessary.
+// Counts the epochs of an hour, and so the unnecessary changes of holder: without faults, and with one of the five
+// processes paused for 1 to 5 s each minute. Frames take 1 to 8 ms, rounded up to the simulation's steps. A pause
+// that outlasts a lease makes its change of holder necessary.
 func TestHandoversPerHour(t *testing.T) {
 	if *seedCount < 500 {
 		t.Skip("long measurement: needs -timetables 500")
--- a/internal/duty/quorum/member.go
+++ b/internal/duty/quorum/member.go
@@ -1,8 +1,8 @@
-// Package quorum runs the quorum that decides who holds a duty: Seat is one voter of it
+// Package quorum runs the quorum that decides who holds a duty: Member is one voter of it
 // (internal/replica/voter), Client is an agent's side, which sends commands to the voters and runs the tasks
 // of the duties that the agent holds. They talk over TCP (internal/replica/transport), on a port of their own.
 //
-// A Seat is owned by one goroutine (Run), which also owns the voter, the store and the table. Connections pass
+// A Member is owned by one goroutine (Run), which also owns the voter, the store and the table. Connections pass
 // what they receive to it as functions on an inbox; outgoing messages are queued, and dropped when the queue
 // is full. A disk that fails or can't be trusted ends the voter's part in the quorum and nothing else: Report
 // tells which file and why, and the agent keeps serving.
@@ -31,7 +31,7 @@
 	defineInterval = time.Second
 )
 
-// Options configure a Seat.
+// Options configure a Member.
 type Options struct {
 	Settings *Settings
 	Name     string // name of the agent, and of its voter
@@ -62,11 +62,11 @@
 	grantor        *duty.Grantor
 	waiters        map[string][]func(duty.Answer)
 	pendingReplies int
-	lastDefined    time.Duration
-	lastIteration  time.Duration
+	lastDefined    time.Duration // when the duties' definitions were last compared with the settings
+	lastIteration  time.Duration // when iterate was last called
 
-	invalidFrames          atomic.Int64
-	leadsGauge, votesGauge atomic.Int64
+	invalidFrames          atomic.Int64 // number of invalid frames and messages received
+	leadsGauge, votesGauge atomic.Int64 // 1 while the voter leads, and while it takes part in the quorum; else 0
 }
 
 // New listens on the voter's address. Run opens the store, which may be slow.
--- a/internal/duty/quorum/protocol.go
+++ b/internal/duty/quorum/protocol.go
@@ -10,7 +10,7 @@
 // Kinds of frames between voters, and between clients and voters.
 const (
 	frameRaft         = transport.KindHello + 1 + iota // a raft message, between voters
-	frameCheckIn                                       // asks what was promised under an identity
+	frameCheckIn                                       // a starting voter asks what it had promised under its identity
 	frameCheckInReply                                  // the reply to it
 	frameCommand                                       // a command, from a client
 	frameCommandReply                                  // the command's result
--- a/internal/duty/quorum/settings.go
+++ b/internal/duty/quorum/settings.go
@@ -15,13 +15,13 @@
 type Settings struct {
 	Fleet  string `toml:"fleet"`  // connections of other fleets are refused
 	Folder string `toml:"folder"` // directory of the voter's log and votes
-	// Size of the quorum (1, 3, 5 or 7); the first seats form it initially, the others are spares.
+	// Size of the quorum (1, 3, 5 or 7); the first of Seats form it initially, the others are spares.
 	Voters    int     `toml:"voters"`
 	Drift     float64 `toml:"drift"`      // share by which one clock may run faster or slower than another
 	ActMs     int     `toml:"act_ms"`     // maximum duration of one action under a duty
 	TickMs    int     `toml:"tick_ms"`    // raft tick; the election timeout is ten ticks
 	ReplaceS  float64 `toml:"replace_s"`  // time for which a voter has to be dead before a spare replaces it; 0: never
-	FallbackS float64 `toml:"fallback_s"` // time without news of a duty, after which agents act on their own
+	FallbackS float64 `toml:"fallback_s"` // time for which agents follow the ramps that the holder of PaceDuty published last; then they act on their own
 	Seats     []struct {
 		Name    string `toml:"name"` // name of the agent
 		Address string `toml:"address"`
@@ -37,7 +37,7 @@
 	specs []duty.Spec
 }
 
-// seatAddress is the name and the address of a voter.
+// seatAddress is the name and the address of an agent with a voter.
 type seatAddress struct {
 	name string
 	addr netip.AddrPort
--- a/internal/duty/quorum/simulation_test.go
+++ b/internal/duty/quorum/simulation_test.go
@@ -49,28 +49,28 @@
 	procs        []*proc
 	blocked      [simAgents][simAgents]bool // blocked links, by sender and receiver
 	wires        []*wire
-	acts         []*simAct
+	acts         []*simAct // actions that have not arrived at the target yet
 	fence        *duty.Fence
-	operations   []porcupine.Operation
-	holders      map[duty.Epoch]string
-	savedActs    uint64 // highest number of acts that was confirmed as saved
-	violation    string
-	droppingDisk int
-	holdings     int
+	operations   []porcupine.Operation // actions that have arrived, and whether the fence accepted them
+	holders      map[duty.Epoch]string // the agent that acted in each epoch
+	savedActs    uint64                // highest number of acts that was confirmed as saved
+	violation    string                // the first rule found broken; empty: none
+	droppingDisk int                   // index of the process whose disk drops syncs; -1: none
+	holdings     int                   // how often an agent began to hold the duty
 }
 
 type proc struct {
 	sim       *sim
 	index     int
 	name      string
-	clockRate float64
+	clockRate float64 // speed of the process's clock relative to simulated time
 	up        bool
-	stopped   bool
+	stopped   bool // paused
 	disk      *store.FaultyDisk
 	seat      *Member
 	client    *Client
-	life      int
-	acts      uint64
+	life      int    // number of starts
+	acts      uint64 // lower bound of the count that Step continues; never set, since the duty's state carries the count
 }
 
 // wire is the two ends of a connection between two processes; frames queued at one end are delivered to the
@@ -78,23 +78,25 @@
 type wire struct {
 	from, to int
 	a, b     *transport.Conn // a at from, b at to
-	lives    [2]int
+	lives    [2]int          // proc.life at from and to when the ends were made; -1: the end at to is still missing
 	receiveA func(*transport.Conn, transport.Kind, []byte)
 	receiveB func(*transport.Conn, transport.Kind, []byte)
-	inFlight []delayedFrame
+	inFlight []delayedFrame // frames taken from either end and not delivered yet
 }
 
+// delayedFrame is a frame on its way between the ends of a wire.
 type delayedFrame struct {
 	arrives time.Duration
-	toB     bool
+	toB     bool // on its way to the end b, not a
 	bytes   []byte
 }
 
+// simAct is an action of a holder on its way to the target.
 type simAct struct {
 	epoch   duty.Epoch
 	agent   int
-	call    time.Duration
-	arrives time.Duration
+	call    time.Duration // when the agent started the action
+	arrives time.Duration // when the target gets it
 }
 
 func newSim(t testing.TB, seed uint64, disabled disabledGuards) *sim {
@@ -150,7 +152,7 @@
 	}
 }
 
-// connect links a dialer's connection to a voter, once both are up.
+// connect attaches one end of a new connection to a dialer; deliver creates the voter's end once both processes are up.
 func (x *sim) connect(p *proc, _ netip.AddrPort, to int, d *transport.Dialer, heard func(*transport.Conn, transport.Kind, []byte)) {
 	w := &wire{from: p.index, to: to, a: transport.Detached(fmt.Sprint("p", to)), receiveA: heard}
 	w.lives = [2]int{p.life, -1}
@@ -185,7 +187,7 @@
 	}
 	x.holders[permit.Epoch] = p.name
 	delay := time.Duration(x.rng.Float64() * float64(50*time.Millisecond))
-	if x.rng.IntN(4) == 0 { // paused between check and write, or delayed on the way
+	if x.rng.IntN(4) == 0 { // late: the agent is paused between check and write, or the action is delayed on the way
 		delay = time.Duration(x.rng.Float64() * float64(simMaxDelay))
 	}
 	x.acts = append(x.acts, &simAct{permit.Epoch, p.index, x.now, x.now + delay})
@@ -291,7 +293,8 @@
 	x.acts = kept
 }
 
-// trustDisk forges the other voters' check-in replies: nothing was promised.
+// trustDisk makes a starting voter rely on its disk: it passes in forged check-in replies of all voters, by which
+// the voter has promised them nothing that could be missing.
 func (p *proc) trustDisk() {
 	for i := range simSeats {
 		reply, err := json.Marshal(duty.CheckInReply{Seat: fmt.Sprint("p", i), ID: uint64(i + 1)})
@@ -381,7 +384,8 @@
 	},
 }
 
-// run plays a timetable: faults for ten seconds after a start of two, then four seconds without faults.
+// run plays a timetable: two seconds without faults, ten with faults, then four without. It returns the violation
+// that it found, or an empty string.
 func (x *sim) run() string {
 	// raft draws its election timeouts from this reader; nothing else in this process reads it during a run.
 	original := crand.Reader
@@ -428,8 +432,8 @@
 }
 
 // Seeds that once led to violations: an expiry that crossed with a renewal gave the duty to two agents; a disk
-// that dropped the leader's syncs went unnoticed, for entries whose majority the leader had counted itself
-// into.
+// that dropped the leader's syncs went unnoticed, for entries that were committed by a majority that included the
+// leader itself.
 func TestTimetableRegressions(t *testing.T) {
 	for _, seed := range []uint64{2069, 2651, 7238, 8582, 4479, 5367, 6479, 7876} {
 		if b := newSim(t, seed, disabledGuards{}).run(); b != "" {
--- a/internal/duty/startup.go
+++ b/internal/duty/startup.go
@@ -13,7 +13,7 @@
 type StartupCheck struct {
 	cfg     StartupConfig
 	replies map[string]CheckInReply // the latest reply of each other voter, by name
-	since   time.Duration
+	since   time.Duration           // when the check began
 }
 
 // StartupConfig is what a voter knows about itself when it starts.
@@ -24,7 +24,7 @@
 	ID         uint64  // identity of the store
 	Empty      bool    // the store has promised nothing
 	Stored     Promise // what the disk holds; Voted is the term of Vote
-	Vote       uint64  // the identity that got its vote
+	Vote       uint64  // identity of the voter that got this voter's vote in that term
 }
 
 // Promise is what a voter has promised to another one: the term and index of the log that it confirmed as
@@ -38,8 +38,8 @@
 
 // CheckInReply is the reply of a voter to one that is starting.
 type CheckInReply struct {
-	Seat    string
-	ID      uint64
+	Seat    string            // name of the replying voter
+	ID      uint64            // its identity
 	Empty   bool              // the replying voter has promised nothing itself
 	Sits    bool              // the replying voter takes part in the quorum
 	Seats   map[uint64]string // the current members of the quorum as the replying voter knows them, by identity
@@ -75,7 +75,7 @@
 	Initial map[uint64]string
 }
 
-// NewStartupCheck returns a Seating that has received no replies.
+// NewStartupCheck returns a StartupCheck that has received no replies.
 func NewStartupCheck(c StartupConfig, now time.Duration) *StartupCheck {
 	return &StartupCheck{cfg: c, replies: map[string]CheckInReply{}, since: now}
 }
--- a/internal/duty/startup_test.go
+++ b/internal/duty/startup_test.go
@@ -13,7 +13,7 @@
 		own     StartupConfig
 		replies []CheckInReply
 		want    StartAction
-		at      time.Duration
+		at      time.Duration // time since the check began
 	}{
 		{"first start, all have answered", StartupConfig{Name: "s1", ID: 1, Empty: true}, []CheckInReply{{Seat: "s2", ID: 2, Empty: true}, {Seat: "s3", ID: 3, Empty: true}}, Bootstrap, 0},
 		{"first start, one has not answered", StartupConfig{Name: "s1", ID: 1, Empty: true}, []CheckInReply{{Seat: "s2", ID: 2, Empty: true}}, Wait, 0},
@@ -50,7 +50,7 @@
 	lives := map[string]bool{"s4": true}
 	for _, tt := range []struct {
 		name    string
-		came    map[string]uint64
+		came    map[string]uint64 // identities of the candidates that ask to be admitted, by name
 		dead    map[string]time.Duration
 		out, in uint64
 	}{
--- a/internal/duty/store/faultydisk.go
+++ b/internal/duty/store/faultydisk.go
@@ -12,12 +12,12 @@
 
 // FaultyDisk is an FS in memory for tests, which can fail at a given step or drop syncs without an error.
 type FaultyDisk struct {
-	// Number of the step (create, write, sync, rename, remove, sync of the folder) from which all fail; 0: none.
+	// Number of the step (create, write, sync, rename, remove, sync of the folder) from which on every step fails; 0: none.
 	FailAt     int
 	DropsSyncs bool // syncs succeed but store nothing while this is set
 
 	rng         *rand.Rand
-	steps       int
+	steps       int                    // number of steps taken
 	files       map[string]*faultyFile // as processes see them, synced or not
 	syncedNames map[string]bool        // names that survive Kill, since the folder was synced
 }
--- a/internal/duty/store/store.go
+++ b/internal/duty/store/store.go
@@ -15,7 +15,7 @@
 // checksum doesn't match, or damage before the last record, means that confirmed data was lost: ErrCorrupt. A
 // disk that confirmed syncs without storing the data, or a restored old copy of the folder, looks like a valid
 // earlier state and can't be detected locally: whoever opens the store has to ask the other voters what this
-// one has promised them (State.Behind).
+// one has promised them (Store.Behind).
 //
 // bbolt was considered (docs/design/duties.md): its data pages carry no checksum, so that a flipped bit in
 // them goes undetected.
@@ -81,16 +81,16 @@
 type Store struct {
 	*raft.MemoryStorage // the stored state, for raft to read
 	fs                  FS
-	id                  uint64
-	hard                *pb.HardState
-	segmentName         string // file name of the segment that is written to
-	file                File
-	nextSequence        uint64
-	segmentSize         int64
-	segmentNumber       uint64
-	failure             error
-	Written             uint64 // bytes written since the store was opened
-	Syncs               uint64
+	id                  uint64        // the voter's identity, drawn at random when the folder was created
+	hard                *pb.HardState // the latest term, vote and commit index
+	segmentName         string        // file name of the segment that is written to
+	file                File          // the open file of that segment
+	nextSequence        uint64        // sequence number of the next record
+	segmentSize         int64         // in bytes
+	segmentNumber       uint64        // the number in segmentName
+	failure             error         // the first error of a write; every further write fails with it
+	Written             uint64        // bytes written since the store was opened
+	Syncs               uint64        // file syncs since the store was opened
 }
 
 // Open reads the stored state. A folder without segments gets the identity newID, and empty is true then.
@@ -356,7 +356,8 @@
 // HardState returns the stored hard state.
 func (s *Store) HardState() *pb.HardState { return s.hard }
 
-// State is how far a voter's log reaches, as other voters have been told.
+// State is a term and the index of the last log entry: what a voter has stored, or has confirmed to other
+// voters as stored.
 type State struct{ Term, Index uint64 }
 
 // State returns the current term and the index of the last entry.
--- a/internal/duty/store/store_test.go
+++ b/internal/duty/store/store_test.go
@@ -134,7 +134,7 @@
 					t.Fatalf("byte %d, bit %d: was read back as %s", at, bit, got)
 				}
 				commit := func(s string) string { return s[:strings.Index(s, "commit")] + s[strings.Index(s, "voters"):] }
-				if !s.Behind(State{2, 7}) && commit(got) != commit(want) { // the committed index is no promise
+				if !s.Behind(State{2, 7}) && commit(got) != commit(want) { // compared without the committed index, which is no promise
 					t.Fatalf("byte %d, bit %d: the missing record would go unnoticed", at, bit)
 				}
 				cut++
--- a/internal/duty/table.go
+++ b/internal/duty/table.go
@@ -272,7 +272,8 @@
 		switch {
 		case d.Holder == "" || d.Epoch != c.Epoch:
 			return NotHolder
-		// The command crossed with a renewal that the holder has been told of: two agents could act at once.
+			// The lease was extended after the Grantor had found it expired, and the holder may already rely on the
+			// answer: if the duty were free now, two agents could act at once.
 		case d.Kept != c.Kept:
 			return Stale
 		}
@@ -330,7 +331,7 @@
 	case d == nil:
 		d = &Duty{}
 		t.duties[c.Duty] = d
-	case d.Holder != "" && c.Spec.Lease != d.Lease: // the holder's lease is counted with the old length
+	case d.Holder != "" && c.Spec.Lease != d.Lease: // the holder counts its lease with the old length, which stays until it ends
 		return AlreadyHeld
 	}
 	d.Spec = c.Spec
--- a/internal/exercise/exercise.go
+++ b/internal/exercise/exercise.go
@@ -138,9 +138,9 @@
 	report  *Report
 	conn    *standin.DiameterConn
 	name    string
-	firstID uint32 // identifier of its first request
-	pending map[uint32]*request
-	ended   map[uint32]bool
+	firstID uint32              // identifier of its first request
+	pending map[uint32]*request // requests without an answer, by End-to-End identifier
+	ended   map[uint32]bool     // End-to-End identifiers of the requests that were answered or abandoned
 }
 
 type request struct {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -2,7 +2,7 @@
 // attempts in flight, and summarizes such records. It is off unless a configuration file such as
 // deploy/explain.toml is given.
 //
-// The module calls Writer.Tell in its own goroutine. Tell puts a copy of the note into a bounded queue and
+// The module calls Writer.Write in its own goroutine. Write puts a copy of the note into a bounded queue and
 // returns; another goroutine writes the notes as JSON lines. Notes that do not fit into the queue are counted,
 // and the count is written with the next note, so that a reader knows of the gap. A file that reaches its
 // maximum size replaces NAME.old, so that the latest notes are kept in at most twice that size.
@@ -42,54 +42,55 @@
 	return c, nil
 }
 
-// Record is a note in the form in which it is written, one JSON object per line. Times are in milliseconds.
+// Record is a note of the decision module (balance.Note) in the form in which it is written, one JSON object per line.
+// Times are in milliseconds.
 type Record struct {
 	Agent   string  `json:"agent,omitempty"`
-	At      float64 `json:"at_ms"` // Unix time
-	Kind    string  `json:"note"`  // state, refused, failed, cut
-	Skipped uint64  `json:"skipped,omitempty"`
+	At      float64 `json:"at_ms"`             // Unix time
+	Kind    string  `json:"note"`              // state, refused, failed, cut
+	Skipped uint64  `json:"skipped,omitempty"` // number of notes lost before this one because the queue was full
 
 	Request  string  `json:"request,omitempty"`
 	Class    string  `json:"class,omitempty"`
 	Reason   string  `json:"why,omitempty"`
-	Waited   float64 `json:"waited_ms,omitempty"`
+	Waited   float64 `json:"waited_ms,omitempty"` // why the request was refused or failed
 	Left     float64 `json:"left_ms,omitempty"`
-	Aim      float64 `json:"aim_ms,omitempty"`
-	Repeat   bool    `json:"repeat,omitempty"`
-	Attempts int     `json:"attempts,omitempty"`
+	Aim      float64 `json:"aim_ms,omitempty"`   // time until the client stops waiting
+	Repeat   bool    `json:"repeat,omitempty"`   // time until an answer earns less; negative: in the past
+	Attempts int     `json:"attempts,omitempty"` // attempts made for the request
 
-	PerBackend float64 `json:"per_backend"`
-	Part       float64 `json:"part"`
-	Fraction   float64 `json:"fraction"`
+	PerBackend float64 `json:"per_backend"` // attempts that all agents may have in flight, per backend in use
+	Part       float64 `json:"part"`        // this agent's part of the limit on attempts in flight
+	Fraction   float64 `json:"fraction"`    // Part as a share of the limit of all agents
 	InFlight   int     `json:"in_flight"`
-	Stuck      int     `json:"stuck"`
+	Stuck      int     `json:"stuck"` // attempts in flight that use no room: at backends out of use, or overdue
 	Overdue    int     `json:"overdue"`
-	Held       int     `json:"held"`
-	Up         int     `json:"up"`
-	Used       int     `json:"used"`
-	Idle       int     `json:"idle"`
-	Free       int     `json:"free"`
-	Capacity   float64 `json:"capacity"`
-	Delay      float64 `json:"delay"`
-	Base       float64 `json:"base"`
-	Aimed      float64 `json:"aimed"`
-	Usual      float64 `json:"usual_ms"`
-	Spare      float64 `json:"spare_ms"`
-	Errors     float64 `json:"errors"`
-	Tokens     float64 `json:"tokens"`
+	Held       int     `json:"held"`     // requests that wait for room
+	Up         int     `json:"up"`       // backends that are up by the list
+	Used       int     `json:"used"`     // backends in use: up, and neither ejected nor down
+	Idle       int     `json:"idle"`     // backends in use where this agent has no attempt
+	Free       int     `json:"free"`     // backends that could take an attempt now
+	Capacity   float64 `json:"capacity"` // backends in use, each counted by its warmth
+	Delay      float64 `json:"delay"`    // running mean of latency over aim
+	Base       float64 `json:"base"`     // slow low of Delay: the delay without queues
+	Aimed      float64 `json:"aimed"`    // the target that the limit keeps Delay to
+	Usual      float64 `json:"usual_ms"` // mean latency over the classes
+	Spare      float64 `json:"spare_ms"` // saved attempt time below the limit
+	Errors     float64 `json:"errors"`   // recent share of errors over all backends
+	Tokens     float64 `json:"tokens"`   // tokens in the retry bucket
 
 	Backends []Backend `json:"backends,omitempty"`
 }
 
-// Backend is the module's state of one backend, part of a note of kind state.
+// Backend is the decision module's state of one backend, part of a note of kind state.
 type Backend struct {
 	ID      string  `json:"id"`
-	Out     int     `json:"out"`
-	Down    bool    `json:"down,omitempty"`
-	Ejected float64 `json:"ejected_ms,omitempty"` // time since the ejection
-	Strikes float64 `json:"strikes,omitempty"`
-	Warmth  float64 `json:"warmth"`
-	Slow    float64 `json:"slow"`
+	Out     int     `json:"out"`                  // this agent's attempts at the backend
+	Down    bool    `json:"down,omitempty"`       // its process looks gone
+	Ejected float64 `json:"ejected_ms,omitempty"` // remaining time of the ejection; 0: the backend is not ejected
+	Strikes float64 `json:"strikes,omitempty"`    // count of recent ejections, reduced by served attempts
+	Warmth  float64 `json:"warmth"`               // share of its full capacity that it has by now at least
+	Slow    float64 `json:"slow"`                 // latency over the mean of all backends; 0: no answer yet
 }
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
@@ -116,7 +117,7 @@
 	agent    string
 	classes  []string
 	notes    chan balance.Note
-	skipped  atomic.Uint64
+	skipped  atomic.Uint64 // notes that found the queue full since the last one written
 	out      io.Writer
 	file     *os.File // nil: notes go to standard error
 	path     string
@@ -144,7 +145,7 @@
 	return w, nil
 }
 
-// Write queues a note and never blocks. Only the goroutine that runs the module may call it.
+// Write queues a note and never blocks. Only the goroutine that runs the decision module may call it.
 func (w *Writer) Write(n balance.Note) {
 	select {
 	case w.notes <- n:
@@ -153,7 +154,7 @@
 	}
 }
 
-// Close writes the queued notes, ends the writer and returns the first error of writing. Tell must not be
+// Close writes the queued notes, ends the writer and returns the first error of writing. Write must not be
 // called afterwards.
 func (w *Writer) Close() error {
 	close(w.notes)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// Tell must not block the module's goroutine: notes that find the queue full are counted.
+// Write must not block the goroutine of the decision module: notes that find the queue full are counted.
 func TestFullQueueCountsSkippedNotes(t *testing.T) {
 	w := &Writer{notes: make(chan balance.Note, 2)}
 	for range 5 {
--- a/internal/explain/fleet.go
+++ b/internal/explain/fleet.go
@@ -34,24 +34,24 @@
 // FleetWindow summarizes a fleet over a span of time. Sums are over the agents; each agent counts with the
 // mean of its states in the window.
 type FleetWindow struct {
-	T         float64        `json:"t"`
+	T         float64        `json:"t"`         // start, in seconds since the start of the first window
 	Agents    int            `json:"agents"`    // with at least one state note
-	InFlight  float64        `json:"in_flight"` // sum
+	InFlight  float64        `json:"in_flight"` // sum of the attempts in flight
 	Part      float64        `json:"part"`      // sum of the agents' parts of the limit on attempts in flight
-	Stuck     float64        `json:"stuck"`     // sum
-	Held      float64        `json:"held"`      // sum
+	Stuck     float64        `json:"stuck"`     // sum of the attempts in flight at backends out of use, or overdue
+	Held      float64        `json:"held"`      // sum of the requests that wait for room
 	MinUp     int            `json:"up_least"`  // smallest and largest number of backends up, over the agents
 	MaxUp     int            `json:"up_most"`
-	Used      float64        `json:"used"`     // mean
-	Capacity  float64        `json:"capacity"` // mean
-	Delay     float64        `json:"delay"`    // mean
-	Aimed     float64        `json:"aimed"`    // mean
-	Tokens    float64        `json:"tokens"`   // mean
-	Dry       int            `json:"dry"`      // agents whose bucket held less than the price of a retry at some time
+	Used      float64        `json:"used"`     // mean number of backends in use
+	Capacity  float64        `json:"capacity"` // mean of the backends in use, each counted by its warmth
+	Delay     float64        `json:"delay"`    // mean of latency over aim
+	Aimed     float64        `json:"aimed"`    // mean of the target for Delay
+	Tokens    float64        `json:"tokens"`   // mean number of tokens in the retry bucket
+	Dry       int            `json:"dry"`      // agents whose retry bucket held fewer tokens than a retry takes at some time
 	Ejections float64        `json:"ejections"`
 	Refused   map[string]int `json:"refused,omitempty"`
 	Failed    map[string]int `json:"failed,omitempty"`
-	Cuts      int            `json:"cuts"`
+	Cuts      int            `json:"cuts"`       // cuts of the agents' limits on attempts in flight
 	ListFails int            `json:"list_fails"` // failed calls to discovery, from the logs
 
 	states map[string]*agentStates
@@ -66,7 +66,7 @@
 type FleetBackend struct {
 	ID          string  `json:"id"`
 	States      int     `json:"states"`  // state notes of all agents
-	Out         float64 `json:"out"`     // mean number of attempts per state
+	Out         float64 `json:"out"`     // mean number of attempts in flight there, per state note
 	Ejected     float64 `json:"ejected"` // share of the states in which the agent had ejected the backend
 	Down        float64 `json:"down"`    // share of the states in which the agent took the backend for gone
 	Cold        float64 `json:"cold"`    // share of the states in which the agent took the backend for cold
@@ -77,7 +77,7 @@
 const (
 	maxAgents   = 10000
 	maxBackends = 4096
-	retryTokens = 5 // the price of a retry
+	retryTokens = 5 // tokens that a retry takes
 )
 
 // NewFleet returns an empty summary with windows of the given length in seconds.
--- a/internal/explain/report.go
+++ b/internal/explain/report.go
@@ -19,18 +19,18 @@
 	T        float64        `json:"t"` // s since the first note
 	Refused  map[string]int `json:"refused,omitempty"`
 	Failed   map[string]int `json:"failed,omitempty"`
-	Cuts     int            `json:"cuts"`
+	Cuts     int            `json:"cuts"`   // cuts of the limit on attempts in flight
 	States   int            `json:"states"` // number of state notes behind the means
-	Part     float64        `json:"part"`
+	Part     float64        `json:"part"`   // this agent's part of the limit on attempts in flight
 	InFlight float64        `json:"in_flight"`
-	Stuck    float64        `json:"stuck"`
-	Held     float64        `json:"held"`
-	Up       float64        `json:"up"`
-	Used     float64        `json:"used"`
-	Capacity float64        `json:"capacity"`
-	Delay    float64        `json:"delay"`
-	Aimed    float64        `json:"aimed"`
-	Tokens   float64        `json:"tokens"`
+	Stuck    float64        `json:"stuck"`    // attempts in flight at backends out of use, or overdue
+	Held     float64        `json:"held"`     // requests that wait for room
+	Up       float64        `json:"up"`       // backends up by the list
+	Used     float64        `json:"used"`     // backends in use
+	Capacity float64        `json:"capacity"` // backends in use, each counted by its warmth
+	Delay    float64        `json:"delay"`    // latency over aim
+	Aimed    float64        `json:"aimed"`    // target for Delay
+	Tokens   float64        `json:"tokens"`   // tokens in the retry bucket
 }
 
 // Group summarizes the requests of one class that were refused or failed for one reason.
@@ -42,7 +42,7 @@
 	Count           int     `json:"count"`
 	Waited          float64 `json:"waited_p50_ms"`
 	Left            float64 `json:"left_p50_ms"`
-	WithIdleBackend int     `json:"with_idle_backend"` // of them, while a backend in use had none of this agent's attempts
+	WithIdleBackend int     `json:"with_idle_backend"` // requests refused or failed while a backend in use had none of this agent's attempts
 }
 
 // Agent is the summary of one agent's notes.
--- a/internal/front/diameter/front.go
+++ b/internal/front/diameter/front.go
@@ -38,7 +38,7 @@
 	Limits            relay.Limits
 	Overload          overload.Config // for clients that accept overload reports
 	Peer              diameter.PeerConfig
-	BackendByIdentity func(identity string) (backend string, ok bool) // returns the backend whose server has an identity
+	BackendByIdentity func(identity string) (backend string, ok bool) // returns the backend whose server has this Diameter identity
 	Connections       int                                             // maximum number; further ones are closed at once
 	CERTimeout        time.Duration                                   // time limit for a client's CER
 	Log               *slog.Logger
@@ -61,14 +61,14 @@
 	table    *relay.Table
 	conns    map[uint64]*conn
 	lastConn uint64
-	calls    uint64
-	stopping bool // a planned stop has begun: a DPR was sent to the clients, pending requests are still answered
+	calls    uint64 // number of requests passed to the core
+	stopping bool   // a planned stop has begun: a DPR was sent to the clients, pending requests are still answered
 	closed   bool
 }
 
 // New returns a front that passes requests to loop.
 func New(cfg Config, loop *core.Loop) (*Front, error) {
-	load, err := overload.New(cfg.Overload, uint64(time.Now().Unix())<<20) // above those of an earlier process
+	load, err := overload.New(cfg.Overload, uint64(time.Now().Unix())<<20) // sequence numbers above those of an earlier process
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 	peer        *diameter.Peer
 	name        string // the client's identity; empty until its CER was accepted
 	timer       *time.Timer
-	lastID      uint32
+	lastID      uint32 // identifier of the last request of the base protocol
 	closed      bool
 	dpaReceived bool // the client has answered the DPR of a planned stop, or its connection is to be closed
 }
--- a/internal/front/diameter/front_test.go
+++ b/internal/front/diameter/front_test.go
@@ -137,8 +137,8 @@
 	return m.Result()
 }
 
-// newRequest returns a request with new ids: action 2 is safe, others are keyed; kind 0 gives one that
-// matches no class.
+// newRequest returns a request with new ids, the CC-Request-Type kind and the Requested-Action action: action 2 is
+// safe, others are keyed; kind 0 gives one that matches no class.
 func (s *relaySite) newRequest(kind, action uint32) *diameter.Message {
 	id := s.ids.Add(1)
 	m := &diameter.Message{Flags: diameter.FlagRequest | diameter.FlagProxiable, Command: diameter.CreditControl,
@@ -482,8 +482,8 @@
 	}
 }
 
-// While requests are refused, clients that accept overload reports are told by how much to reduce their
-// traffic; others get plain refusals. Once all requests are served again the end of the overload is reported.
+// While requests are refused, clients that accept overload reports get reports of the share by which to reduce
+// their traffic; others get plain refusals. Once all requests are served again the end of the overload is reported.
 func TestOverloadIsReported(t *testing.T) {
 	var busy atomic.Bool
 	busy.Store(true)
--- a/internal/front/diameter/ledger_test.go
+++ b/internal/front/diameter/ledger_test.go
@@ -126,8 +126,8 @@
 	for _, n := range s.nodes {
 		l.StateReported("relay", n.Identity, "ready", time.Time{}, time.Now())
 	}
-	const clients, each, out = 4, 150, 8
-	third := make(chan struct{}, clients)
+	const clients, each, out = 4, 150, 8  // each: requests of a client; out: how many of them it has pending at most
+	third := make(chan struct{}, clients) // gets a value from each client that has sent a third of its requests
 	deadlines := map[string]time.Duration{"balance-check": time.Second, "charge": 2 * time.Second, "other": 5 * time.Second}
 	var wait sync.WaitGroup
 	for range clients {
@@ -138,7 +138,7 @@
 				result         uint32
 			}
 			open := map[uint32]*request{} // by End-to-End id
-			ids := map[uint32]string{}
+			ids := map[uint32]string{}    // Session-Ids by End-to-End id
 			awaited := 0
 			send := func(i int) {
 				m := s.newRequest([]uint32{4, 1, 0}[i%3], []uint32{2, 0, 0}[i%3])
--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -52,13 +52,13 @@
 // Server serves client requests. Each request gets one answer, as the loop decides.
 type Server struct {
 	Loop     *core.Loop
-	Settings *balance.Settings // settings at the start; Advise replaces MaxRetryAfter
-	Names    wire.Names
-	Memory   int64       // bytes of memory that the process may use; 0: unknown
-	Ready    atomic.Bool // the state that /up reports
+	Settings *balance.Settings // settings at the start; SetMaxRetryAfter replaces MaxRetryAfter
+	Names    wire.Names        // names of the classes and tenants that Settings knows by index
+	Memory   int64             // bytes of memory that the process may use; 0: unknown
+	Ready    atomic.Bool       // the state that /up reports
 	Figures  *metrics.Metrics
 
-	maxRetryAfter atomic.Int64 // set by Advise, in nanoseconds plus 1; 0: Settings.MaxRetryAfter applies
+	maxRetryAfter atomic.Int64 // set by SetMaxRetryAfter, in nanoseconds plus 1; 0: Settings.MaxRetryAfter applies
 }
 
 // HTTP returns the server of client connections. Its timeouts protect against clients that connect and send
@@ -375,7 +375,7 @@
 	conn    *admission.Conn
 	body    io.Reader
 	started time.Time
-	read    int64
+	read    int64 // bytes read so far
 }
 
 func (b *bodyReader) Read(p []byte) (int, error) {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -27,7 +27,7 @@
 type Answer struct {
 	Header http.Header
 	Body   []byte
-	More   io.ReadCloser // nil: Body is complete. The owner closes it; an error but io.EOF: answer incomplete
+	More   io.ReadCloser // nil: Body is complete. The owner closes it; an error other than io.EOF: the answer is incomplete
 	Length int64         // with More: length of the whole body; -1: unknown
 }
 
@@ -41,9 +41,9 @@
 // Request is a client's request in the form in which it is forwarded, without the header for the time left,
 // which the backend inserts between Head and Rest. Attempts share it.
 type Request struct {
-	Head, Rest []byte // Head: the request line; Rest: the other headers and the empty line
-	Body       []byte // the whole body, or with Stream its first part
-	Stream     *Stream
+	Head, Rest []byte  // Head: the request line; Rest: the other headers and the empty line
+	Body       []byte  // the whole body, or with Stream its first part
+	Stream     *Stream // the rest of the body; nil: Body is complete
 	Method     string
 }
 
--- a/internal/http1/stream.go
+++ b/internal/http1/stream.go
@@ -22,6 +22,7 @@
 	readerDone chan struct{} // closed when the attempt stops reading
 }
 
+// streamState is how far the reading of a Stream has come.
 type streamState uint8
 
 const (
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -48,7 +48,7 @@
 	Classes map[string]Class
 
 	AnswerGrace  time.Duration // time after a request's deadline within which an answer still counts
-	DrainGrace   time.Duration // time for which an agent that was told of a drain may still send to the node
+	DrainGrace   time.Duration // time for which an agent may still send to a node after discovery reported to it that the node drains
 	ColdShare    float64       // share of its capacity that a node has when it starts
 	Ramp         time.Duration // time from a node's start until it has its full capacity
 	FallMultiple float64       // a cold node fails if it is sent more than this multiple of its capacity ...
@@ -145,13 +145,13 @@
 	started    time.Time // zero: long ago, so the node is warm
 	rate       float64   // capacity when warm, in seconds of work per second
 	recentWork []work    // work sent to the node within the last FallWindow while it was cold
-	failed     bool
+	failed     bool      // failed under too much work
 }
 
 type work struct {
 	at    time.Time
 	agent string
-	work  float64
+	work  float64 // in seconds of work
 }
 
 const (
@@ -165,8 +165,8 @@
 
 	mu           sync.Mutex
 	requests     map[string]*request
-	deadlines    []deadline // when each request may be settled, in order of their ends
-	stateReports map[[2]string][]stateReport
+	deadlines    []deadline                  // when each request ends at the latest; settle checks and forgets it Rules.Settle later
+	stateReports map[[2]string][]stateReport // by agent and node
 	nodes        map[string]*coldNode
 	knownStarts  map[[2]string]nodeStart // by agent and node
 
@@ -279,7 +279,7 @@
 	l.verdict.Attempts++
 	x := &attempt{Attempt: a}
 	r := l.requestRecord(a.Request)
-	if len(r.attempts) == 0 && r.sent.IsZero() { // Sent may be called later for this request
+	if len(r.attempts) == 0 && r.sent.IsZero() { // RequestSent may be called later for this request
 		l.deadlines = append(l.deadlines, deadline{a.Request, a.LastByte.Add(time.Minute)})
 	}
 	r.attempts = append(r.attempts, x)
@@ -328,7 +328,7 @@
 	if last == nil || last.state == "ready" {
 		return
 	}
-	// After "draining" the agent may have been told "gone" as well: the grace runs from the first report.
+	// After "draining" discovery may have reported "gone" to the agent as well: the grace runs from the first report.
 	since := last.at
 	for i := len(list) - 1; i >= 0; i-- {
 		if list[i].at.After(x.FirstByte) {
@@ -436,7 +436,7 @@
 	}
 	delete(l.requests, id)
 	slices.SortStableFunc(r.attempts, func(a, b *attempt) int { return a.FirstByte.Compare(b.FirstByte) })
-	if r.sent.IsZero() { // no client recorded by Sent
+	if r.sent.IsZero() { // no client recorded by RequestSent
 		for _, a := range r.attempts {
 			l.addBreach(Breach{Rule: RuleNoRequestLost, At: a.FirstByte, Request: id, Node: a.Node, Agent: a.Agent, Evidence: "came to a node though no client sent it"})
 		}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -19,7 +19,7 @@
 		AnswerGrace: 20 * ms, DrainGrace: 500 * ms, ColdShare: 0.5, Ramp: 10000 * ms, FallMultiple: 2, FallWindow: 1000 * ms, Slack: 50 * ms}
 }
 
-// play records the events of one request in a ledger.
+// exchange records the events of one request in a ledger.
 type exchange struct{ l *Ledger }
 
 func (p exchange) sent(class string) { p.l.RequestSent("d1", class, "n0", at(0), 1000*ms) }
--- a/internal/load/player.go
+++ b/internal/load/player.go
@@ -164,7 +164,7 @@
 }
 
 // PlayClosed runs a number of clients that each send the plan's next request as soon as the previous one is
-// answered: a closed loop. It ignores the plan's times; For still applies. A closed loop sends less when answers
+// answered: a closed loop. It ignores the plan's times; PlayOptions.MaxDuration still applies. A closed loop sends less when answers
 // are slow, so latency has to be measured with Play.
 func PlayClosed(ctx context.Context, clients int, next func() (*Request, error), o PlayOptions) (Totals, error) {
 	p, err := newPlayer(&o)
--- a/internal/load/repeats.go
+++ b/internal/load/repeats.go
@@ -16,7 +16,7 @@
 // request (class, target, body) of the same client, within a window. A repeat keeps its own time and number;
 // its origin is the first request, whose idempotency key it shares.
 type Repeats struct {
-	window, keyWindow time.Duration
+	window, keyWindow time.Duration // windows of requests without and with an idempotency key
 	byKey             map[[sha256.Size]byte]*list.Element
 	keyText           []byte     // buffer of the text that is hashed to a key of byKey
 	unkeyed, keyed    *list.List // of *rememberedRequest, the oldest first; keyed ones are remembered for longer
@@ -29,7 +29,7 @@
 type rememberedRequest struct {
 	key            [sha256.Size]byte
 	lastTime       time.Time // of the request or its latest repeat
-	origin         int64
+	origin         int64     // number of the first request
 	idempotencyKey string
 }
 
--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -118,10 +118,10 @@
 
 func TestStoppedMembersAreDeadOnlyAfterPause(t *testing.T) {
 	for _, tt := range []struct {
-		stopped    []int
+		stopped    []int // members that are stopped for span, then resume
 		span       time.Duration
-		maxChanges int // maximum changes seen by each member that wasn't stopped
-		dies       bool
+		maxChanges int  // maximum changes seen by each member that wasn't stopped
+		dies       bool // whether a stopped member is to be declared dead
 	}{
 		{[]int{3}, time.Second, 0, false},
 		{[]int{3}, 3 * time.Second, 2, false},
--- a/internal/member/index.go
+++ b/internal/member/index.go
@@ -12,9 +12,9 @@
 
 // index holds all members in several orders.
 type index struct {
-	order   []*peer        // by ID, for a deterministic iteration
-	rings   [rings][]*peer // by position on each ring
-	buckets [buckets][]*peer
+	order   []*peer          // by ID, for a deterministic iteration
+	rings   [rings][]*peer   // by position on each ring
+	buckets [buckets][]*peer // by ID modulo buckets; a digest covers the records of a bucket
 }
 
 func byID(p *peer, id ID) int { return cmp.Compare(p.id, id) }
@@ -63,10 +63,10 @@
 
 // peerCounts holds counts of members. All but alive leave this agent out.
 type peerCounts struct {
-	open     int // life has not ended, as far as known
-	known    int // of open: a record was received
-	doubting int // of known: doubts itself
-	alive    int // in state Alive, this agent included
+	open     int // members whose life has not ended, as far as known
+	known    int // of open: members of which a record was received
+	doubting int // of known: members that doubt themselves
+	alive    int // members in state Alive, this agent included
 }
 
 // adjustCounts adds n times p to the counts: -1 before a change of p, 1 after it.
@@ -97,11 +97,11 @@
 // updateQueue holds peers whose records are gossiped, in tiers by number of sends. A peer is in one tier at
 // most.
 type updateQueue struct {
-	tiers [][]*peer
-	n     int
+	tiers [][]*peer // by number of sends so far
+	n     int       // queued peers in all tiers
 }
 
-// maxTiers bounds the send counts that are told apart.
+// maxTiers is the number of tiers. Peers sent maxTiers-1 times or more share the last one.
 const maxTiers = 96
 
 func (q *updateQueue) add(p *peer) {
--- a/internal/member/link/link.go
+++ b/internal/member/link/link.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	inboxSize       = 512 // datagrams and calls in the queue
+	inboxSize       = 512 // maximum datagrams and calls that wait for Run
 	maxTickInterval = time.Second
 	leaveWait       = 300 * time.Millisecond // time given to leave announcements
 )
@@ -32,7 +32,7 @@
 	Settings *Settings
 	Name     string
 	Zone     string           // used if the settings have none
-	Self     member.ID        // Nobody: derived from a hash of the name
+	Self     member.ID        // NoID: derived from a hash of the name
 	Peers    []netip.AddrPort // indexed by agent number, this agent included; empty: use the settings' list
 	Seed     uint64
 	Send     func(to netip.AddrPort, data []byte) // must not block; may drop the datagram
@@ -45,8 +45,8 @@
 type Link struct {
 	options   Options
 	member    *member.Member
-	addrs     map[member.ID]netip.AddrPort
-	ids       map[netip.AddrPort]member.ID
+	addrs     map[member.ID]netip.AddrPort // addresses of the listed agents
+	ids       map[netip.AddrPort]member.ID // the reverse of addrs
 	startedAt time.Time
 	inbox     chan func()
 	ended     chan struct{}
@@ -56,7 +56,7 @@
 	alive     atomic.Int64
 	majority  atomic.Int64
 	changes   atomic.Int64
-	lastCount member.Count
+	lastCount member.Count // the latest count that was passed to OnCount
 }
 
 // New creates a membership; Run starts it.
@@ -270,8 +270,8 @@
 	Majority    bool            `json:"majority"`
 	Expected    int             `json:"expected"`
 	Alive       int             `json:"alive"`
-	Living      int             `json:"living"`
-	Possible    int             `json:"possible"`
+	Living      int             `json:"living"`   // see member.Count
+	Possible    int             `json:"possible"` // see member.Count
 	Muted       bool            `json:"muted,omitempty"`
 	At          time.Time       `json:"at"`
 	Members     []Row           `json:"members"`
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -134,7 +134,7 @@
 	maxListInDoubt         = 12   // maximum entries on the list of an agent that doubts itself
 	longList               = 6    // a list with more entries is published less often
 	probeReserve           = 0.4  // share of the send burst that gossip and sync leave to probes
-	refusalSpacing         = 1    // minimum periods between two refusals that count separately
+	refusalSpacing         = 1    // periods after a counted refusal in which further refusals by that agent's host don't count
 	slowProbeInterval      = 2    // minimum periods between probes of an agent that has failed for long
 	failingProbesPerPeriod = 1    // probes per period shared by all agents that have failed for long
 	maxLocalHealth         = 3    // the probe timeout is extended to at most 1 + this many periods
@@ -155,7 +155,7 @@
 	maxObserversPerRing = 5
 	contactsPerPeriod   = 2                // observers contacted per period while this agent doubts itself
 	maxCorrections      = 8                // newer records returned to a sender of outdated ones
-	maxRelays           = 64               // maximum pending indirect probes for other agents
+	maxRelays           = 64               // maximum indirect probes under way for other agents
 	syncOdds            = 4                // while updates spread, one in this many pings with a different digest starts a sync
 	maxSyncBuckets      = 4                // buckets sent at once to an agent that lacks most records
 	healthStep          = 0.5              // extension of the probe timeout per sign of local slowness, in periods
@@ -183,9 +183,9 @@
 type Counters struct {
 	Sent, Received   uint64
 	Bytes            uint64 // bytes sent
-	Held             uint64 // datagrams not sent because of Config.Rate
-	Foreign, Garbled uint64 // other fleet or protocol version; truncated or malformed
-	Strange          uint64 // unknown sender, or a sender ID that doesn't match the address
+	Held             uint64 // datagrams not sent, since they would have exceeded Config.Rate
+	Foreign, Garbled uint64 // received from another fleet or protocol version; truncated or malformed
+	Strange          uint64 // received from an unknown sender, or with a sender ID that doesn't match the address
 	Wakes            uint64 // times that this agent noticed that it had been stalled
 }
 
@@ -195,35 +195,35 @@
 	rng *rand.Rand
 
 	now, startedAt time.Duration
-	lastTick       time.Duration
-	noEndsUntil    time.Duration
-	seq            uint32
-	tokens         float64
-	tokensAt       time.Duration
-	peers          map[ID]*peer
+	lastTick       time.Duration // last advance of the clock, by a Tick or any other call
+	noEndsUntil    time.Duration // before this time this agent declares no death
+	seq            uint32        // sequence number of the last probe
+	tokens         float64       // datagrams that may be sent now: a token bucket with rate Config.Rate
+	tokensAt       time.Duration // when tokens was last refilled
+	peers          map[ID]*peer  // all members, this agent included
 	index
 	counts       peerCounts
 	pending      []*peer // peers that the next evaluate examines
 	sparePending []*peer // spare backing array for pending
 	reporters    []*peer // peers with entries on their lists; entries may have gone since
 	self         *peer
-	leaving      bool
-	leaveRounds  int
-	digests      [buckets]uint32
+	leaving      bool            // Leave was called
+	leaveRounds  int             // rounds of leave messages sent so far
+	digests      [buckets]uint32 // by bucket: XOR of the hashes of its members' records
 	nextProbe    time.Duration
-	lastReceived time.Duration
+	lastReceived time.Duration // last datagram from any agent, or refusal by a host
 	nextGossip   time.Duration
-	probes       int
-	slots        map[ID]*slot
-	slotList     []*slot
-	probeOrder   []ID    // remaining round-robin order of probes outside the observed agents
-	localHealth  float64 // 0: healthy, up to maxLocalHealth; extends timeouts by as many periods
-	wasAlarmed   bool
+	probes       int          // regular probe periods so far; every randomEvery-th probes outside the observed agents
+	slots        map[ID]*slot // probe state by agent
+	slotList     []*slot      // the same slots in a deterministic order
+	probeOrder   []ID         // remaining round-robin order of probes outside the observed agents
+	localHealth  float64      // 0: healthy, up to maxLocalHealth; extends timeouts by as many periods
+	wasAlarmed   bool         // the self-check ran in the last probe period
 	sample       [2 * maxSample]outcome
 	sampleCount  int
 	updates      updateQueue // records that are still gossiped
 	relays       []relay
-	listChanged  bool
+	listChanged  bool   // this agent's list differs from its published record
 	note         string // published in this agent's record
 	nextPublish  time.Duration
 	dirty        bool // an input of evaluate has changed
@@ -234,10 +234,10 @@
 	ringsChanged bool    // assignObservers must run again
 	subjects     []*peer // agents that this one observes, in ring order
 	observers    []*peer // agents that observe this one, as far as known
-	contactIndex int
+	contactIndex int     // which of observers are contacted next while this agent doubts itself
 	out          []Datagram
 	changes      []Change
-	number       uint64
+	number       uint64 // View.Number: sum of the ranks of all records
 	changeCount  uint64 // changes of this member's view so far
 	counters     Counters
 }
@@ -361,7 +361,7 @@
 	m.dirty, m.listChanged = true, true
 }
 
-// Receive processes a datagram. from is the agent that owns the sender's address; Nobody: the address is
+// Receive processes a datagram. from is the agent that owns the sender's address; NoID: the address is
 // not listed.
 func (m *Member) Receive(now time.Duration, from ID, data []byte) {
 	m.advance(now)
