--- a/internal/member/membersim/compare.go
+++ b/internal/member/membersim/compare.go
@@ -26,7 +26,7 @@
 // until one death is known is simulated.
 type Protocol struct {
 	Name       string
-	Make       NodeFactory
+	Make       NodeFactory // starts its members
 	MaxMembers int
 }
 
@@ -34,13 +34,13 @@
 type Case struct {
 	Name    string
 	Members int
-	Span    time.Duration
-	Loss    float64
-	Pauses  bool // each minute one member in ten is stopped for 1 to 5 s
-	Kills   int  // processes to kill, evenly over Span
-	Vanish  bool // kill their hosts too
-	Cut     func(n int) func(from, to int) bool
-	Runs    int // number of seeds; 0: 1
+	Span    time.Duration                       // simulated time during which faults occur
+	Loss    float64                             // share of datagrams lost
+	Pauses  bool                                // each minute one member in ten is stopped for 1 to 5 s
+	Kills   int                                 // processes to kill, evenly over Span
+	Vanish  bool                                // kill their hosts too
+	Cut     func(n int) func(from, to int) bool // returns Net.Cut for n members
+	Runs    int                                 // number of seeds; 0: 1
 }
 
 const (
@@ -65,12 +65,12 @@
 	Members      int     `json:"members"`
 	MemberHours  float64 `json:"member_hours"`
 	FalseDeaths  int     `json:"false_deaths"`
-	PerHour      float64 `json:"false_deaths_a_member_hour"`
-	Suspicions   int     `json:"false_suspicions"`
-	Changes      float64 `json:"changes_a_member_minute"` // of a member's view
-	Noticed      Spread  `json:"noticed"`                 // time until a death was suspected or known, per other member
-	Known        Spread  `json:"known"`                   // time until a death was known
-	Untold       int     `json:"untold"`                  // pairs of a death and a running member that doesn't know it
+	PerHour      float64 `json:"false_deaths_a_member_hour"` // false deaths per member-hour
+	Suspicions   int     `json:"false_suspicions"`           // times that a running member was suspected
+	Changes      float64 `json:"changes_a_member_minute"`    // of a member's view
+	Noticed      Spread  `json:"noticed"`                    // time until a death was suspected or known, per other member
+	Known        Spread  `json:"known"`                      // time until a death was known
+	Untold       int     `json:"untold"`                     // pairs of a death and a running member that doesn't know it
 	Datagrams    float64 `json:"datagrams_a_member_second"`
 	Bytes        float64 `json:"bytes_a_member_second"`
 	RealSeconds  float64 `json:"real_seconds"`
@@ -81,7 +81,7 @@
 type Spread struct {
 	P50  float64 `json:"p50_s"`
 	P99  float64 `json:"p99_s"`
-	Last float64 `json:"last_s"`
+	Last float64 `json:"last_s"` // the longest
 }
 
 func newSpread(d []time.Duration) Spread {
--- a/internal/member/membersim/simulation.go
+++ b/internal/member/membersim/simulation.go
@@ -51,8 +51,8 @@
 
 // Net is the behaviour of the network. The functions may be nil.
 type Net struct {
-	Loss       func(from, to int) float64 // share of datagrams lost
-	Cut        func(from, to int) bool
+	Loss       func(from, to int) float64                       // share of datagrams lost
+	Cut        func(from, to int) bool                          // whether all datagrams are lost
 	Delay      func(from, to int, rng *rand.Rand) time.Duration // added to the latency
 	Latency    [2]time.Duration                                 // minimum and maximum transit time
 	Duplicated float64                                          // share of datagrams delivered twice
@@ -67,11 +67,11 @@
 
 type process struct {
 	node    Node
-	life    int
+	life    int // number of starts so far
 	up      bool
-	refuses bool // its host refuses datagrams while it is down
-	stopped bool
-	backlog []delivery
+	refuses bool          // its host refuses datagrams while it is down
+	stopped bool          // suspended by Stop or Pause
+	backlog []delivery    // datagrams buffered while stopped
 	wakeAt  time.Duration // time of the queued wake-up; 0: none
 }
 
@@ -90,14 +90,14 @@
 	seed           uint64
 	members        []*process
 	queue          events
-	sequence       uint64
-	runningCount   int // running members
-	refusalBuckets map[[2]int]*tokenBucket
-
-	Sent, Bytes    uint64
-	downAt         map[int]time.Duration
-	knownDead      map[[2]int]bool // pairs of observer and member: the observer sees the member as dead
-	noticed        map[[2]int]bool // the observer has suspected an ended member or seen it as dead
+	sequence       uint64                  // number of events queued so far
+	runningCount   int                     // running members
+	refusalBuckets map[[2]int]*tokenBucket // limits refusals, by refusing host and receiver
+
+	Sent, Bytes    uint64                // datagrams sent by all members, and their bytes
+	downAt         map[int]time.Duration // when members that are not running were killed
+	knownDead      map[[2]int]bool       // pairs of observer and member: the observer sees the member as dead
+	noticed        map[[2]int]bool       // pairs of observer and ended member: the observer has suspected it or seen it as dead
 	Score          Score
 	OnStatusChange func(by int, j StatusChange) // may be nil
 }
@@ -109,14 +109,14 @@
 
 // Score compares reported states with the true ones.
 type Score struct {
-	FalseDeaths     int // a running member was seen as dead
-	FalseSuspicions int
-	Changes         int
-	MemberSeconds   float64
+	FalseDeaths     int     // times that a member saw a running one as dead
+	FalseSuspicions int     // times that a member suspected a running one
+	Changes         int     // status changes seen by all members
+	MemberSeconds   float64 // running time of all members together
 	// By the member that ended: the times from its end until each other member suspected it, and saw it as
 	// dead.
 	Noticed, Known map[int][]time.Duration
-	firstNotice    map[int][]time.Duration // time until the first of both
+	firstNotice    map[int][]time.Duration // the times until the earlier of the two
 }
 
 func newScore() Score {
@@ -129,7 +129,7 @@
 	do       func()
 	to       int // if do is nil: the receiver of a delivery or refusal, or the member to wake
 	from     int // sender; wakeUp; or the refusing member plus the number of members
-	life     int
+	life     int // of the member to wake; the event is ignored in its later lives
 	data     any
 }
 
--- a/internal/member/packet.go
+++ b/internal/member/packet.go
@@ -33,7 +33,7 @@
 const ageUnit = 10 * time.Millisecond
 
 const (
-	buckets        = 16
+	buckets        = 16 // groups of members, by ID; the records of a group share a digest
 	headerBytes    = 1 + 1 + 2 + 1 + 4 + 4
 	minRecordBytes = 1 + 4 + 4 + 2 // an end record
 )
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -13,7 +13,7 @@
 	subject  bool // observed; otherwise the slot is dropped after an answer
 	probeNow bool // another observer lists the agent: probe at the next tick
 	sample   bool // the result counts in the self-check
-	mark     mark
+	mark     mark // how the agent is unreachable, as this agent's list says; 0: not listed
 
 	waiting  bool // for an answer to seq until due
 	seq      uint32
@@ -22,13 +22,13 @@
 	due      time.Duration // timeout of the pending probe
 	nextAt   time.Duration // when a failing agent is probed again
 
-	failing         bool
+	failing         bool          // a probe has failed, and none was answered since
 	failSince       time.Duration // when the first failed probe was sent
 	failures        int           // consecutive failed probes
 	evidenceAt      time.Duration // last indirect contact since failSince; -1: none
-	targetHearsSelf bool          // the indirect ack says that the agent hears this one directly
-	refusals        int
-	refusedAt       time.Duration
+	targetHearsSelf bool          // the indirect ack says that the agent receives this one's datagrams directly
+	refusals        int           // refusals by its host since the last datagram from it, at least refusalSpacing apart
+	refusedAt       time.Duration // last counted refusal
 }
 
 // reset discards all probe results.
@@ -235,8 +235,8 @@
 		n = 0
 	}
 	asked := m.pickPeers(n, s.p)
-	// One helper is the failed agent's successor on a ring, which the failed agent itself probes: it hears
-	// an agent that sends but receives nothing.
+	// One helper is the failed agent's successor on a ring, which the failed agent itself probes: it still receives
+	// datagrams of an agent that can send but receives nothing.
 	if len(asked) > 0 {
 		if h := m.successor(s.failures/2%rings, s.p.ringPositions[s.failures/2%rings], s.p.ringPositions[s.failures/2%rings]); h != nil && h != s.p {
 			asked[len(asked)-1] = h
@@ -438,7 +438,7 @@
 }
 
 // recordEvidence records that another agent had contact at a time with an agent that fails here; hears is
-// whether that agent hears this one directly.
+// whether the failing agent receives this one's datagrams directly.
 func (m *Member) recordEvidence(pk *packet, at time.Duration, hears bool) {
 	s := m.slots[pk.target]
 	if s == nil || !s.failing || !s.matchesProbe(pk.seq) || at < s.failSince || at <= s.evidenceAt {
--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -21,7 +21,7 @@
 	markNoOutbound                   // it receives nothing directly from the listing agent
 	markUnreachable                  // neither a direct nor an indirect probe reaches it
 	markRefused                      // its host reported that no process listens
-	markConfirmable                  // unreachable for long enough, or refused often enough, for a death
+	markConfirmable                  // unreachable for Config.Pause, or refused at least twice: counts for a declaration of death
 )
 
 // entry is one agent on the list in another agent's record.
@@ -92,7 +92,7 @@
 	ringPositions [rings]uint64
 
 	state         State
-	since         time.Duration
+	since         time.Duration // when it entered state
 	clearingSince time.Duration // suspect: since when too few observers accuse it; 0: enough do
 	heardAt       time.Duration // last direct datagram; -1: none
 	lastAckAt     time.Duration // last answered probe; -1: none
@@ -101,7 +101,8 @@
 	sendCount     int           // sends so far
 	slot          *slot         // nil: no probe state
 
-	accusers, confirmers, refusers int // counts of observers that list it, as of the last evaluate
+	// How many observers list it, as of the last evaluate: as unreachable; of these, as confirmable; of these, as refused.
+	accusers, confirmers, refusers int
 
 	pending         bool // in Member.pending
 	reporting       bool // in Member.reporters
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -50,7 +50,7 @@
 type Change struct {
 	At       time.Duration
 	Sequence uint64 // number of this agent's changes so far, this one included
-	Member   ID     // Nobody: the change is of this agent's standing
+	Member   ID     // NoID: the change is of this agent's standing
 	From, To State
 	Proved   bool // Dead: its host reported that no process listens
 	Standing Standing
@@ -80,9 +80,9 @@
 	Digest   uint64
 	Changes  uint64 // changes that this agent has seen since its start
 	Standing Standing
-	Expected int
-	Alive    int
-	Zones    int
+	Expected int          // size of the complete fleet
+	Alive    int          // members in state Alive, this agent included
+	Zones    int          // number of different zones of the members
 	Members  []MemberInfo // sorted by ID, this agent included
 }
 
@@ -153,6 +153,7 @@
 	return c
 }
 
+// maxChanges is the greatest number of changes kept for Changes.
 const maxChanges = 4096
 
 // recordChange queues a change for Changes; the oldest one is dropped beyond maxChanges.
@@ -179,9 +180,9 @@
 
 // Count is the number of agents that users of a view have to allow for.
 type Count struct {
-	Living   int // agents to be counted as serving
-	Possible int // agents that may be serving in the worst case; at least Living
-	Away     []ID
+	Living   int  // agents to be counted as serving
+	Possible int  // agents that may be serving in the worst case; at least Living
+	Away     []ID // the expected agents that Living leaves out
 }
 
 // Count returns how many agents have to be counted as serving. Agents that left, or whose host reported
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -32,7 +32,7 @@
 	PoolEjected atomic.Int64 // backends on the list that are avoided: excluded by operators or by the balancer
 }
 
-// New returns the figures for the classes of these names.
+// New returns metrics for the classes of the given names.
 func New(classes []string) *Metrics {
 	return &Metrics{classes: classes, responses: make([][resultCount]atomic.Int64, len(classes))}
 }
@@ -53,7 +53,7 @@
 	Value func() int64
 }
 
-// Text returns the figures in the Prometheus text format, followed by the extra gauges.
+// Text returns the metrics in the Prometheus text format, followed by the extra gauges.
 func (f *Metrics) Text(extra ...Gauge) []byte {
 	var b bytes.Buffer
 	for i, class := range f.classes {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,7 +1,7 @@
-// Package pool combines the list of backends with overrides from other sources: backends that announced their
-// leave, backends and zones that operators excluded, and backends that were included again. The decision
-// module gets the result in the form of an ordinary list. The package performs no I/O, has no clock and
-// starts no goroutine; a Pool belongs to the owner of the decision module.
+// Package pool combines the list of backends with overrides from other sources: backends that announced that
+// they accept no new requests, backends and zones that operators excluded, and backends that were included
+// again. The decision module (package balance) gets the result in the form of an ordinary list. The package
+// performs no I/O, has no clock and starts no goroutine; a Pool belongs to the owner of the decision module.
 //
 // Bounds: the state of a backend is kept while it is listed. Excluded backends are kept until they are
 // included again, at most MaxExcluded of them.
@@ -33,7 +33,7 @@
 	leaving           map[string]bool            // listed backends that announced that they accept no new requests
 	excluded          map[string]bool            // manually excluded, listed or not
 	includedAt        map[string]time.Duration   // listed backends that were manually included again, and when
-	adoptedIncludedAt map[string]time.Duration   // as passed to ReplaceExcluded, listed or not
+	adoptedIncludedAt map[string]time.Duration   // times passed to the last ReplaceExcluded, of backends listed or not
 	excludedZones     map[int]bool               // zones that are manually excluded as a whole
 }
 
@@ -55,7 +55,7 @@
 			p.forget(b.ID)
 			continue
 		}
-		if b.Started > before[b.ID].Started { // a new process, not the one that announced its leave
+		if b.Started > before[b.ID].Started { // a new process, not the one that announced that it accepts no new requests
 			delete(p.leaving, b.ID)
 		}
 		p.listed[b.ID] = b
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -11,6 +11,7 @@
 	"lemonrail/balance"
 )
 
+// up returns a list entry of a backend that is up.
 func up(id string, started time.Duration) balance.Backend {
 	return balance.Backend{ID: id, Started: started}
 }
@@ -95,7 +96,7 @@
 	}
 }
 
-// For any order of operations, the module never sees an excluded or leaving backend as up, and its last state
+// For any order of operations, the decision module never sees an excluded or leaving backend as up, and its last state
 // of each backend equals what a whole list would show.
 func TestModuleStateMatchesPool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/replica/history_test.go
+++ b/internal/replica/history_test.go
@@ -25,10 +25,10 @@
 	*world
 	clients         []*client
 	operations      []porcupine.Operation
-	refused         map[string]bool // IDs of commands that were not proposed: no member may execute them
-	done            map[string]bool // IDs of commands that were reported as done
-	unrelatedToDisk bool            // the failure can't be the result of a disk that drops syncs
-	counts          struct{ done, refused, unknown, resent int }
+	refused         map[string]bool                              // IDs of commands that were not proposed: no member may execute them
+	done            map[string]bool                              // IDs of commands that were reported as done
+	unrelatedToDisk bool                                         // the failure can't be the result of a disk that drops syncs
+	counts          struct{ done, refused, unknown, resent int } // operations by outcome, and attempts that were resent
 }
 
 type client struct {
@@ -39,9 +39,9 @@
 // operation is what a client wants done, and its current attempt.
 type operation struct {
 	input   input
-	called  time.Duration
-	unknown bool // an earlier attempt may have been executed
-	tries   int
+	called  time.Duration // when the operation began
+	unknown bool          // an earlier attempt may have been executed
+	tries   int           // attempts so far
 
 	target      *process
 	incarnation int           // of the target when the attempt was sent
@@ -264,7 +264,7 @@
 		seed := *firstTimetable + n
 		h := newHistory(t, seed, injectedFaults{})
 		switch found := h.run(); {
-		case found != "" && h.promisesLost && !h.unrelatedToDisk: // docs/design/duties.md, what a disk may do
+		case found != "" && h.promisesLost && !h.unrelatedToDisk: // tolerated in one of 100 timetables: docs/design/duties.md, what a disk may do
 			untolerated++
 			t.Logf("timetable %d, a disk drops syncs and a member that knows its promises was missing: %s; %s", seed, found, replay(seed))
 		case found != "":
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxWaiting              = 1024 // requests that wait for a confirmation by the majority, and confirmed reads
+	maxWaiting              = 1024 // of requests that wait for a confirmation by the majority, and of confirmed reads
 	maxProposed             = 4096 // commands that were proposed and have no result yet
 	confirmElectionTimeouts = 2    // a confirmation must arrive within this many election timeouts
 
--- a/internal/replica/sim_test.go
+++ b/internal/replica/sim_test.go
@@ -46,11 +46,11 @@
 // command gets the result of its first execution.
 type register struct {
 	Value     string
-	Epoch     uint64
-	Results   map[string]string
-	Order     []string // IDs of the commands in the order of execution
-	panics    bool     // Apply panics
-	violation string   // set if the raft term of the entries decreased
+	Epoch     uint64            // raft term of the last entry
+	Results   map[string]string // by command ID
+	Order     []string          // IDs of the commands in the order of execution
+	panics    bool              // Apply panics
+	violation string            // set if the raft term of the entries decreased
 }
 
 // command writes New to a register. With Swap it does so only if the value is Old.
@@ -112,7 +112,7 @@
 	cut          [][]bool // cut[from][to]: no frame is delivered in this direction
 	links        []*link
 	violation    string // an invariant that was broken; empty: none
-	promisesLost bool   // beyond what is tolerated: a disk dropped syncs while a member that may know its promises was away or restarted
+	promisesLost bool   // a disk dropped syncs while a member that may know its promises was away or restarted: the loss may go unnoticed
 }
 
 type process struct {
@@ -125,7 +125,7 @@
 	disk        *store.FaultyDisk
 	replica     *Replica
 	machine     *register
-	incarnation int
+	incarnation int // number of starts
 }
 
 // link is a connection that one process has dialled to another.
--- a/internal/replica/transport/conn.go
+++ b/internal/replica/transport/conn.go
@@ -26,7 +26,7 @@
 	Magic          string                 // name and version of the protocol
 	Group          string                 // a connection of another group is refused
 	Name           string                 // of the local end
-	KindCount      Kind                   // number of kinds including the hello; a frame of kind Kinds or above is invalid
+	KindCount      Kind                   // number of kinds including the hello; a frame of this kind or above is invalid, pings apart
 	PingInterval   time.Duration          // interval of pings; 0: none are sent
 	SilenceTimeout time.Duration          // a connection that receives no frame for this long is closed
 	Admit          func(name string) bool // reports whether a remote end of this name is accepted; nil: all are
@@ -55,11 +55,11 @@
 
 // Conn is a connection to another process. Sent frames are queued and written by a separate goroutine.
 type Conn struct {
-	socket    net.Conn // nil: detached, see Detached
-	queue     chan []byte
+	socket    net.Conn    // nil: detached, see Detached
+	queue     chan []byte // encoded frames that are not written yet
 	closeOnce sync.Once
-	done      chan struct{}
-	peer      string
+	done      chan struct{} // closed by Close
+	peer      string        // name of the remote end
 }
 
 func newConn(socket net.Conn) *Conn {
--- a/internal/replica/transport/transport_test.go
+++ b/internal/replica/transport/transport_test.go
@@ -60,7 +60,7 @@
 type pair struct {
 	server           *Server
 	dialer           *Dialer
-	atServer, atDial chan string
+	atServer, atDial chan string // "name of the sender, content" of each frame that arrived
 	invalid          chan error
 	cancel           context.CancelFunc
 	ended            sync.WaitGroup
@@ -167,7 +167,7 @@
 	}
 }
 
-// Pings keep an idle connection open and aren't passed to the handler; without pings it is closed after Silence.
+// Pings keep an idle connection open and aren't passed to the handler; without pings it is closed after SilenceTimeout.
 func TestPingsPreventSilenceTimeout(t *testing.T) {
 	for _, ping := range []time.Duration{0, 5 * time.Millisecond} {
 		served, dialled := protocol("server"), protocol("client")
--- a/internal/replica/voter/membership.go
+++ b/internal/replica/voter/membership.go
@@ -215,7 +215,7 @@
 	}
 	delete(v.membership.Members, details.Out)
 	v.membership.Members[details.In] = details.Name
-	v.membersChanged = true // an empty member accepts only a snapshot whose configuration contains it
+	v.membersChanged = true // lets compact take a snapshot: the new, empty member accepts only one whose configuration contains it
 	v.log.Info("member replaced", "member", details.Name, "identity", IdentityText(details.In), "instead of", IdentityText(details.Out))
 	return nil
 }
--- a/internal/replica/voter/messages.go
+++ b/internal/replica/voter/messages.go
@@ -18,7 +18,7 @@
 // Kinds of messages.
 const (
 	KindRaft         Kind = iota // pb.Message
-	KindCheckIn                  // identity: asks what was promised under it
+	KindCheckIn                  // identity: asks what the sender has promised under it
 	KindCheckInReply             // duty.CheckInReply
 	KindJoin                     // identity: asks to become a voter
 )
@@ -134,7 +134,7 @@
 }
 
 // recordPromise remembers the log position and votes that a message's sender has promised to this member. A sender whose
-// disk has lost them is told when it checks in.
+// disk has lost them learns of them from the reply to its check-in.
 func (v *Voter) recordPromise(m *pb.Message) {
 	promise := v.promises[m.GetFrom()]
 	kind, term := m.GetType(), m.GetTerm()
--- a/internal/replica/voter/voter.go
+++ b/internal/replica/voter/voter.go
@@ -132,7 +132,8 @@
 	return v.node.Propose(data)
 }
 
-// ReadIndex requests confirmation that a majority follows this leader. Host.Confirmed reports it with the same context.
+// ReadIndex requests confirmation that a majority follows this leader. Host.ReadIndexConfirmed reports it with the same
+// context.
 func (v *Voter) ReadIndex(context []byte) {
 	if v.node != nil {
 		v.node.ReadIndex(context)
--- a/internal/roster/failures_test.go
+++ b/internal/roster/failures_test.go
@@ -55,10 +55,10 @@
 
 	mu            sync.Mutex
 	reachable     bool
-	seq           int64
+	seq           int64         // version of the list
 	changed       chan struct{} // closed with each change
 	unreachable   chan struct{} // closed when the service becomes unreachable
-	responseDelay time.Duration
+	responseDelay time.Duration // time before each response that does not fail
 }
 
 // dial returns the client's end of a connection, and answers the call at the other end.
@@ -203,9 +203,10 @@
 	d     *Client
 	bal   *balance.Balancer
 	start time.Time
-	known int64
+	known int64 // highest version delivered
 }
 
+// step passes an event to the decision module, if there is one, and carries out its actions.
 func (f *follower) step(e balance.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -225,6 +226,7 @@
 	}
 }
 
+// knownVersion returns the highest version of the list that the client has delivered.
 func (f *follower) knownVersion() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -314,7 +316,7 @@
 
 // Guards against changes that become known late after failures: whatever calls were refused, hung or answered
 // in part, in any order, with lists that are pushed or requested on demand by a small or large fleet, from a
-// service that may be slow, the module knows a change 6 s after discovery had it and was reachable.
+// service that may be slow, the decision module knows a change 6 s after discovery had it and was reachable.
 func TestChangeIsKnownAfterFailures(t *testing.T) {
 	seeds := uint64(300)
 	if one := os.Getenv("SEED"); one != "" {
--- a/internal/roster/file.go
+++ b/internal/roster/file.go
@@ -26,13 +26,13 @@
 	Host    string  `toml:"host"`    // the backend's id
 	Address string  `toml:"address"` // IP address and port
 	Site    string  `toml:"site"`    // one of the settings' zone names; empty: the first
-	Class   string  `toml:"class"`   // one of the settings' kind names; empty: the first
+	Class   string  `toml:"class"`   // the backend's kind, one of the settings' kind names; empty: the first
 	Block   int     `toml:"block"`   // the backend's cell, a small group that drops repeated requests together
 	Weight  float64 `toml:"weight"`  // 0: the default of 1
 	State   string  `toml:"state"`   // ready or draining; empty: ready
 }
 
-const maxServers = 4096
+const maxServers = 4096 // entries of a file
 
 // ReadServers reads and checks a file. Errors name the file, the line and the key.
 func ReadServers(path string, names wire.Names) (List, error) {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,7 +1,7 @@
 // Package roster is the client of the discovery service. It fetches or watches the list of backends, parses
 // it and delivers it in the order of its versions. It makes no decisions: where lists are requested on
-// demand, the decision module determines when. A Client's Run and its one goroutine per call end with the
-// context given to New.
+// demand, the decision module (package balance) determines when. A Client's Run and its one goroutine per
+// call end with the context given to New.
 package roster
 
 import (
@@ -102,7 +102,7 @@
 
 // Client follows the list of backends and passes each update to deliver at once.
 type Client struct {
-	onDemand bool // the module requests lists; otherwise Run keeps a watch open
+	onDemand bool // the decision module requests lists (Subscribe, Fetch); otherwise Run keeps a watch open
 	names    wire.Names
 	deliver  func(list balance.List, addrs map[string]string)
 	log      *slog.Logger
@@ -113,9 +113,9 @@
 	openTimeout    time.Duration // a call that has no response for this long has failed
 	after          func(time.Duration) <-chan time.Time
 
-	mu            sync.Mutex // held while a list is delivered, so the loop must never wait for it
-	url           string     // of the list
-	seq           int64
+	mu            sync.Mutex         // held while a list is delivered, so the loop must never wait for it
+	url           string             // of the list
+	seq           int64              // version of the last list
 	moves         int                // number of times the service was replaced by another
 	needWholeList bool               // the service has delivered no list yet, or an outdated delta
 	cancelWatch   context.CancelFunc // ends the open watch; nil: there has been none
@@ -160,7 +160,7 @@
 
 func listURL(service netip.AddrPort) string { return "http://" + service.String() + "/discovery/hosts" }
 
-// SetService switches to another service. The list stays in force until the new service delivers one.
+// SetService switches to another service. The last list stays in use until the new service delivers one.
 func (d *Client) SetService(service netip.AddrPort) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -188,10 +188,10 @@
 // source is the service that a call goes to, and its state when the call began. A list from a service that
 // has been replaced since then is ignored.
 type source struct {
-	url           string
-	since         int64
-	needWholeList bool
-	moves         int
+	url           string // of the list
+	since         int64  // version of the last list
+	needWholeList bool   // as Client.needWholeList
+	moves         int    // as Client.moves; it differs once the service has been replaced
 }
 
 // Deliver delivers a list. An invalid entry counts as gone: a backend that can't be parsed can't be used, and
@@ -200,7 +200,7 @@
 	deliverList(l, kind, d.names, d.deliver, d.log)
 }
 
-// deliverList converts a list to the module's form and passes it to deliver. Invalid entries count as gone.
+// deliverList converts a list to a balance.List and passes it to deliver. Invalid entries count as gone.
 func deliverList(l List, kind balance.ListKind, names wire.Names, deliver func(balance.List, map[string]string), log *slog.Logger) {
 	list := balance.List{Kind: kind, Version: l.Seq}
 	addrs := map[string]string{}
@@ -339,7 +339,7 @@
 // accept delivers a list unless it is outdated.
 func (d *Client) accept(l List, from source, fromWatch bool) error {
 	d.mu.Lock()
-	defer d.mu.Unlock() // held while delivering, so that lists reach the module in the order of their versions
+	defer d.mu.Unlock() // held while delivering, so that lists reach the decision module in the order of their versions
 	if from.moves != d.moves && fromWatch {
 		return errors.New("the watched service was replaced")
 	}
@@ -351,7 +351,7 @@
 		return fmt.Errorf("list: seq: %d after %d: the whole list is requested", l.Seq, d.seq)
 	}
 	// A fetched list that is older than one from a watch or another service would bring drained backends
-	// back. The module still needs a response to its call, so it gets a list without changes.
+	// back. The decision module still needs a response to its call, so it gets a list without changes.
 	if from.moves != d.moves || !fromWatch && !d.needWholeList && l.Seq < d.seq {
 		l = List{Seq: d.seq}
 	} else {
@@ -401,7 +401,7 @@
 		for {
 			_, lastReceived, err := d.follow(ctx)
 			if errors.Is(err, errServiceReplaced) && ctx.Err() == nil {
-				continue // the module's subscription holds for the new service too
+				continue // the decision module's subscription holds for the new service too
 			}
 			if ctx.Err() == nil { // not ended by Unsubscribe
 				d.reportFailure(err, lastReceived)
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -22,6 +22,7 @@
 	srv   *httptest.Server
 }
 
+// discoveryCall is a call that the service received and has not answered in full.
 type discoveryCall struct {
 	query string
 	lines chan string // written as they are received; the response ends when the channel is closed
@@ -62,11 +63,13 @@
 		id, site, class, health)
 }
 
+// delivery is one list that a Client delivered.
 type delivery struct {
 	list  balance.List
 	addrs map[string]string
 }
 
+// newClient returns a client of r that knows version 41; ask: lists are requested on demand.
 func newClient(t *testing.T, r *service, ask bool) (*Client, <-chan delivery) {
 	t.Helper()
 	at := netip.MustParseAddrPort(r.srv.Listener.Addr().String())
@@ -146,7 +149,7 @@
 	if got := await(t, lists); got.list.Kind != balance.ListDelta || len(got.list.Backends) != 0 {
 		t.Errorf("got %+v", got)
 	}
-	close(c.lines) // the subscription breaks: the module is told, and decides when to subscribe again
+	close(c.lines) // the subscription breaks: the decision module gets ListFailed and decides when to subscribe again
 	if got := await(t, lists); got.list.Kind != balance.ListFailed {
 		t.Errorf("got %+v", got)
 	}
@@ -164,7 +167,7 @@
 }
 
 // The first list of the new service replaces the old list whatever its version: backends missing from it are
-// gone. Until then the old list stays in force, and lists of the old service are ignored.
+// gone. Until then the old list stays in use, and lists of the old service are ignored.
 func TestDiscoveryServiceReplaced(t *testing.T) {
 	one, two := newService(t), newService(t)
 	d, lists := newClient(t, one, false)
--- a/internal/roster/watch_test.go
+++ b/internal/roster/watch_test.go
@@ -274,7 +274,7 @@
 	}
 }
 
-// On demand, the module learns within which time it must request the list again: soon after a silence, until
+// On demand, a failure states in which time the decision module must request the list again: soon after a silence, until
 // a list has arrived; after any other failure in the rest of retryInterval since the call began or last got a
 // list or a heartbeat.
 func TestFailureRetryTime(t *testing.T) {
@@ -315,7 +315,7 @@
 
 const testTimeout = 20 * time.Second
 
-// On demand, the watch continues at the new service without another request of the module.
+// On demand, the watch continues at the new service without another request of the decision module.
 func TestOnDemandWatchFollowsNewService(t *testing.T) {
 	one, two := newService(t), newService(t)
 	d, lists := newClient(t, one, true)
--- a/internal/scale/arrivals.go
+++ b/internal/scale/arrivals.go
@@ -23,12 +23,12 @@
 // arrivals records when each of a number of receivers got an item, and lets a caller wait for all of them. Use
 // newArrivals; the zero value is not usable.
 type arrivals struct {
-	started time.Time
+	started time.Time     // time of creation
 	done    chan struct{} // closed when all receivers have the item
 
 	mu        sync.Mutex
-	durations map[int]time.Duration
-	count     int
+	durations map[int]time.Duration // time from started until the item arrived, by receiver
+	count     int                   // number of receivers
 }
 
 func newArrivals(n int) *arrivals {
--- a/internal/scale/bounds.go
+++ b/internal/scale/bounds.go
@@ -15,8 +15,8 @@
 
 // Bounds limits the resources of a run.
 type Bounds struct {
-	Time        time.Duration
-	MemoryBytes uint64 // resident memory of this process
+	Time        time.Duration // maximum duration of the run
+	MemoryBytes uint64        // resident memory of this process
 }
 
 // DefaultBounds returns bounds with the given time limit and half of the machine's memory.
--- a/internal/scale/calltree/entities.go
+++ b/internal/scale/calltree/entities.go
@@ -17,7 +17,7 @@
 // agent is the balancer of one caller for one service.
 type agent struct {
 	balancer *balance.Balancer
-	service  int
+	service  int // index of the called service
 	index    int
 	calls    map[string]*call // open calls by ID; never iterated, since map order is random
 }
@@ -26,10 +26,10 @@
 type server struct {
 	id          string
 	service     int
-	agents      []*agent // one per service that this backend calls, in the order of service.children
-	busy        int      // busy cores
-	outstanding int      // executions accepted and not yet answered
-	waiting     []*execution
+	agents      []*agent      // one per service that this backend calls, in the order of service.children
+	busy        int           // busy cores
+	outstanding int           // executions accepted and not yet answered
+	waiting     []*execution  // executions that wait for a core, the first one first
 	worked      time.Duration // core time spent in the measured period
 }
 
@@ -85,12 +85,12 @@
 type execution struct {
 	attempt   *attempt
 	server    *server
-	work      time.Duration
-	repeated  bool // the same node was executed before
-	pending   int  // child calls that have not ended
+	work      time.Duration // core time that it needs
+	repeated  bool          // the same node was executed before
+	pending   int           // child calls that have not ended
 	children  []*call
 	answered  bool
-	cancelled bool // cancelled
+	cancelled bool // its caller no longer waits for it
 }
 
 // ending is the way a call ended.
--- a/internal/scale/calltree/layout.go
+++ b/internal/scale/calltree/layout.go
@@ -25,7 +25,7 @@
 	backends int
 }
 
-// newLayout places the services in layers. Their backends are set by allot.
+// newLayout places the services in layers. Their backends are set by allocateBackends.
 func newLayout(c *Config) *layout {
 	l := &layout{services: make([]service, c.Services), layers: make([][]int, c.Depth)}
 	for s := range l.services {
--- a/internal/scale/calltree/queue.go
+++ b/internal/scale/calltree/queue.go
@@ -42,8 +42,8 @@
 type queue struct {
 	entries []entry
 	events  []event
-	free    []int // unused slots of events
-	order   uint64
+	free    []int  // unused slots of events
+	order   uint64 // order of the next entry
 }
 
 // less orders entries by time, then by scheduling order.
--- a/internal/scale/calltree/result.go
+++ b/internal/scale/calltree/result.go
@@ -39,7 +39,7 @@
 
 // Ending counts calls by how they ended.
 type Ending struct {
-	Calls, Served, InAim, Refused, Failed int
+	Calls, Served, InAim, Refused, Failed int     // numbers of calls; InAim: those of Served that were served within the aim
 	Worth                                 float64 // mean per call: 1 if served within the aim, lateWorth if served later
 }
 
@@ -55,7 +55,7 @@
 	LeftMs     Spread         // time left until the deadline when the call started
 	HoldMs     float64        // mean wait for a free slot before the first attempt
 	BackoffMs  float64        // wait before retries, averaged over all calls
-	Steps      int
+	Steps      int            // balancer steps
 }
 
 // Spread summarizes a distribution.
@@ -67,9 +67,9 @@
 	Ending       Ending
 	Attempts     int
 	LeafAttempts int
-	DeepAttempts int // attempts at the last layer of all, Config.Depth
-	DeepCalls    int // calls at that layer in the generated trees
-	Steps        int
+	DeepAttempts int     // attempts at the last layer of all, Config.Depth
+	DeepCalls    int     // calls at that layer in the generated trees
+	Steps        int     // balancer steps
 	LatencyMs    float64 // mean over served roots
 
 	roots []*root // cleared at the end of the run
@@ -101,9 +101,9 @@
 
 // Amplification is the number of attempts per root call, relative to a baseline without failures.
 type Amplification struct {
-	All, Leaves float64
-	Layers      []float64
-	Deepest     float64 // attempts at the last layer by roots with the maximum depth
+	All, Leaves float64   // at all layers; at the leaves of trees
+	Layers      []float64 // at each layer
+	Deepest     float64   // attempts at the last layer by roots with the maximum depth
 }
 
 // Compare returns the attempts per root of a run relative to those of the baseline.
--- a/internal/scale/calltree/run.go
+++ b/internal/scale/calltree/run.go
@@ -33,7 +33,7 @@
 	gateways []*server   // callers of the first layer, on behalf of clients
 	agents   [][]*agent  // by called service
 
-	arrivals, work, faults, gatewayChoice *rand.Rand
+	arrivals, work, faults, gatewayChoice *rand.Rand // random sources, by purpose
 
 	calls      int // calls started so far, for call IDs
 	statistics statistics
--- a/internal/scale/calltree/tree.go
+++ b/internal/scale/calltree/tree.go
@@ -30,9 +30,9 @@
 type treeGenerator struct {
 	config     *Config
 	layout     *layout
-	shape      *rand.Rand
+	shape      *rand.Rand // draws the trees
 	leafFaults *rand.Rand // separate, so that the fault settings don't change the trees
-	current    *tree
+	current    *tree      // the tree that is being generated
 }
 
 // generate generates one tree.
--- a/internal/scale/coldstart/budget.go
+++ b/internal/scale/coldstart/budget.go
@@ -12,8 +12,8 @@
 	Notified bool          // the sending agent had been notified of the start
 }
 
-// Bound returns the number of requests in a window above which a backend fails: N + 2 sqrt(N) + 2, where N is the
-// allowed number. The margin is what the users accept as chance.
+// Bound returns the number of requests in a window that all agents together may send a cold backend:
+// N + 2 sqrt(N) + 2, where N is the number that the settings allow. The users accept the margin above N as chance.
 func Bound(allowed float64) float64 { return allowed + 2*math.Sqrt(allowed) + 2 }
 
 // assumedCapacity returns the share of its full capacity that the settings assume for a backend of the given age.
--- a/internal/scale/coldstart/cases.go
+++ b/internal/scale/coldstart/cases.go
@@ -46,7 +46,7 @@
 }
 
 // WrongFleetSizeCases returns cases in which the agents have a wrong fleet size, or some agents have died. They show how
-// far the budget depends on the fleet size.
+// far the agents' budget of attempts at cold backends depends on the fleet size.
 func WrongFleetSizeCases(agents, warm int) []Case {
 	usual := Case{Agents: agents, Warm: warm, Cold: 1, Load: .6, Burst: 2.5, Skew: .6, NotifyWithin: 500 * time.Millisecond, Zones: 2}
 	var cases []Case
@@ -68,8 +68,8 @@
 	return append(cases, LoneAgentsCase(agents, warm))
 }
 
-// LoneAgentsCase returns the case in which the budget can't hold: no backend is warm, so that the budget depends on the
-// number of agents only, and each agent assumes that it is the only one.
+// LoneAgentsCase returns the case in which the agents' budget of attempts at cold backends can't hold: no backend is warm, so
+// that the budget depends on the number of agents only, and each agent assumes that it is the only one.
 func LoneAgentsCase(agents, warm int) Case {
 	return Case{Name: "all cold, overloaded, each believes to be alone", Agents: agents, Cold: warm, Load: 2, Skew: .6, ShortQueues: true,
 		NotifyWithin: 500 * time.Millisecond, Zones: 2, BelievedAgents: 1}
--- a/internal/scale/coldstart/coldstart.go
+++ b/internal/scale/coldstart/coldstart.go
@@ -49,15 +49,15 @@
 	Runs                       int
 	OverN                      int     // runs with a window of more than N requests (see allowed), N as at the window's beginning
 	OverBound                  int     // runs with a window of more than Bound(N) requests, N as at the window's beginning
-	Violated                   int     // runs with Peak.Violated
-	OverBoundByWork            int     // OverBound with requests counted by their work
-	MaxShareOfN                float64 // highest Peak.ShareOfN of all runs
-	MaxShareOfBound            float64 // highest Peak.ShareOfBound of all runs
-	MaxShareOfBoundByWork      float64 // highest Peak.ShareOfBound with requests counted by their work
+	Violated                   int     // runs with Peak.Violated: a window of more than Bound(N) requests, N as at its end, mostly from notified agents
+	OverBoundByWork            int     // runs with a window whose requests, counted by their work, exceed Bound(N)
+	MaxShareOfN                float64 // most requests of any run's heaviest window, relative to N, the number that the settings allow (see allowed)
+	MaxShareOfBound            float64 // the same, relative to Bound(N) = N + 2 sqrt(N) + 2
+	MaxShareOfBoundByWork      float64 // the same as MaxShareOfBound, with requests counted by their work
 	WorstSeed                  uint64  // seed of the run with MaxShareOfBound
 	ColdLoad, WarmLoad, Served float64 // means over the runs
-	LeftWaiting                int
-	SentAfterLeave             int
+	LeftWaiting                int     // sum of Result.LeftWaiting
+	SentAfterLeave             int     // sum of Result.SentAfterLeave
 }
 
 // Add adds a run to the summary.
--- a/internal/scale/coldstart/coldstart_test.go
+++ b/internal/scale/coldstart/coldstart_test.go
@@ -68,7 +68,7 @@
 }
 
 // Agents with a wrong fleet size, or of which some have died, don't overload a cold backend while any backend is warm:
-// the budget depends on what warm backends serve, not on the number of agents.
+// their budget of attempts at cold backends depends on what warm backends serve, not on the number of agents.
 func TestWrongFleetSizes(t *testing.T) {
 	for _, f := range sizes() {
 		for _, c := range coldstart.WrongFleetSizeCases(f.agents, f.warm) {
--- a/internal/scale/coldstart/fleet.go
+++ b/internal/scale/coldstart/fleet.go
@@ -17,7 +17,7 @@
 	now               time.Duration
 	rng               *rand.Rand
 	queue             eventQueue
-	seq               int
+	seq               int // number of events scheduled so far
 	seed              uint64
 	agents            []*agent
 	cumulativeTraffic []float64 // cumulative traffic weights of the agents
--- a/internal/scale/configurationfleet.go
+++ b/internal/scale/configurationfleet.go
@@ -18,9 +18,9 @@
 
 // Topology of the simulated fleet.
 const (
-	fleetServices   = 68
-	zonesPerRegion  = 4 // zones in each region
-	controlMachines = 4
+	fleetServices   = 68 // number of services over which the agents are spread
+	zonesPerRegion  = 4  // zones in each region
+	controlMachines = 4  // number of control processes of the whole fleet
 )
 
 var fleetRegionNames = []string{"a", "b"}
@@ -66,7 +66,7 @@
 
 // configurationFleet holds the hollow agents of this process and the control machines that they watch.
 type configurationFleet struct {
-	rig      *rig.Rig
+	rig      *rig.Rig // the running control processes
 	machines []configuration.Machine
 	agents   []*hollowAgent
 	seed     uint64
@@ -75,8 +75,8 @@
 	lossy   atomic.Bool // a share lostShare of new connections fails
 
 	mu      sync.Mutex
-	waiting map[revisionMark]*arrivals
-	open    map[*fleetConn]bool
+	waiting map[revisionMark]*arrivals // arrivals of each expected mark at the agents
+	open    map[*fleetConn]bool        // open connections
 	random  *rand.Rand
 }
 
--- a/internal/scale/hollowconfiguration.go
+++ b/internal/scale/hollowconfiguration.go
@@ -37,10 +37,10 @@
 	HollowConfiguration
 	set       *seriesSet
 	fleet     *configurationFleet
-	operators *client.Client
-	bases     map[configuration.Scope]uint64
-	value     int // value of the latest mark
-	x         float64
+	operators *client.Client                 // client of the control machines through which documents are changed
+	bases     map[configuration.Scope]uint64 // latest revision of the document of each scope, on which the next change is based
+	value     int                            // value of the latest mark
+	x         float64                        // fleet size, as X of the series
 }
 
 // Run measures all fleet sizes.
--- a/internal/scale/hollowduties.go
+++ b/internal/scale/hollowduties.go
@@ -31,7 +31,7 @@
 const (
 	voters      = 3
 	dutyName    = "notes"
-	dutyLeaseMs = 3000 // milliseconds
+	dutyLeaseMs = 3000 // lease of the duty, in milliseconds
 )
 
 // dutyFleet is the run of one fleet size.
@@ -41,11 +41,11 @@
 	traffic traffic
 
 	mu      sync.Mutex
-	epoch   duty.Epoch
-	holder  string
-	changed chan struct{}
-	arrived map[duty.Epoch]*arrivals
-	latest  map[int]duty.Epoch // latest epoch that each agent has been notified of
+	epoch   duty.Epoch               // latest epoch that any agent has been notified of
+	holder  string                   // holder in that epoch
+	changed chan struct{}            // closed and replaced at each later epoch
+	arrived map[duty.Epoch]*arrivals // arrivals of the holder of each epoch at the agents
+	latest  map[int]duty.Epoch       // latest epoch that each agent has been notified of
 }
 
 // Run measures all fleet sizes.
--- a/internal/scale/hollowlists.go
+++ b/internal/scale/hollowlists.go
@@ -28,7 +28,7 @@
 	server  *listServer
 	agents  int
 	mu      sync.Mutex
-	waiting map[int64]*arrivals // by version
+	waiting map[int64]*arrivals // arrivals of each expected version at the agents
 }
 
 // Run measures all fleet sizes.
@@ -175,7 +175,8 @@
 	return a, err
 }
 
-// client creates the list watch of agent i.
+// client creates agent i's client of the simulated discovery service, which receives the list, follows its changes and records
+// the arrival of each version.
 func (f *listFleet) client(ctx context.Context, i int) (*roster.Client, error) {
 	service, err := netip.ParseAddrPort(f.server.addr)
 	if err != nil {
--- a/internal/scale/hollowmembers.go
+++ b/internal/scale/hollowmembers.go
@@ -29,18 +29,18 @@
 
 // memberNode is the membership of one agent.
 type memberNode struct {
-	number int
+	number int // index of the agent
 	conn   *net.UDPConn
 	link   *link.Link
 	cancel context.CancelFunc
-	living atomic.Int64
+	living atomic.Int64 // number of members that the agent considers living
 }
 
 // memberFleet is the run of one fleet size.
 type memberFleet struct {
 	nodes       []*memberNode
 	running     sync.WaitGroup
-	bytes, sent atomic.Int64
+	bytes, sent atomic.Int64 // payload bytes and number of datagrams sent by all agents
 
 	mu      sync.Mutex
 	living  int // number of living members that the agents of arrived are to count
--- a/internal/scale/measurement.go
+++ b/internal/scale/measurement.go
@@ -5,8 +5,8 @@
 //
 //   - processes: up to 60 real agent processes, run by internal/cluster;
 //   - hollow agents: the control clients of many agents without their data path, in one process over loopback sockets
-//     (internal/roster, internal/member/link, internal/duty/seat and internal/configuration/watch);
-//   - simulated time: the decision code alone (balance, internal/member/arena and calltree).
+//     (internal/roster, internal/member/link, internal/duty/quorum and internal/configuration/watch);
+//   - simulated time: the decision code alone (balance, internal/member/membersim and calltree).
 //
 // A run produces a list of Series. Each is measured at several sizes and has the least-squares Slope through its points.
 // All runs are bounded in processes, memory and time (MaxProcesses and Bounds), and stop every process they start.
@@ -44,7 +44,7 @@
 	Unit   string        `json:"unit"`           // of Y
 	Points []Measurement `json:"points"`         // in the order of X
 	Slope  *Slope        `json:"slope"`          // nil where there are fewer than two sizes
-	Note   string        `json:"note,omitempty"` // what the value includes beside its name
+	Note   string        `json:"note,omitempty"` // what the value includes that its name doesn't say
 }
 
 // Add appends a measurement.
--- a/internal/scale/processes.go
+++ b/internal/scale/processes.go
@@ -27,7 +27,7 @@
 
 // processUsage is the mean resource usage of the agents of a fleet.
 type processUsage struct {
-	share       float64 // of a core
+	share       float64 // processor time, as a share of a core
 	residentKB  float64
 	descriptors float64
 	listBytes   float64 // from discovery, per second
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// measureDuring measures a fleet for o.Rest while do is called every o.Gap.
+// measureDuring measures a fleet for o.RestTime while do is called every o.ChangePause.
 func (o ProcessFleets) measureDuring(ctx context.Context, c *cluster.Cluster, server *listServer, do func() error) (processUsage, error) {
 	before, sentBefore, err := sample(c, server)
 	if err != nil {
--- a/internal/scale/wholelist.go
+++ b/internal/scale/wholelist.go
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// receive runs one client until it has received the list or o.Patience has passed. It also returns the number of
+// receive runs one client until it has received the list or o.Timeout has passed. It also returns the number of
 // connections that the client opened.
 func (o WholeList) receive(ctx context.Context, server *listServer) (took time.Duration, got bool, calls int64, err error) {
 	service, err := netip.ParseAddrPort(server.addr)
--- a/internal/scripted/scripted.go
+++ b/internal/scripted/scripted.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// Await returns the next value of a channel and fails the test if none arrives within Patience.
+// Await returns the next value of a channel and fails the test if none arrives within WaitTimeout.
 func Await[T any](t testing.TB, c <-chan T) T {
 	t.Helper()
 	select {
--- a/internal/site/controller.go
+++ b/internal/site/controller.go
@@ -14,7 +14,7 @@
 type ControllerConfig struct {
 	Watch   Config
 	Ramp    Ramp
-	Classes []Class // in the order of the decision module
+	Classes []Class // in the order of the class indices in package balance
 	Figures Figures
 
 	MaxAdvice time.Duration // longest advice that a refused client may get
@@ -29,8 +29,8 @@
 type Figures struct {
 	Problem  *Problem // of the sites in Watch's order; nil: no figures are known
 	Headroom float64  // this and the fields below are used without Problem: see UniformProblem
-	Load     float64
-	Cross    float64
+	Load     float64  // work demanded at each site, as a share of its capacity
+	Cross    float64  // price of work sent from one site to another, in worth
 	Method   PlanMethod
 }
 
@@ -88,26 +88,26 @@
 	return fmt.Sprintf("basis %d", uint8(b))
 }
 
-// Order holds the instructions for the decision module. The zero value means that all sites are well.
+// Order holds the instructions for the decision module (package balance). The zero value means that all sites are well.
 type Order struct {
 	Number         uint64 // of orders so far
 	Basis          Basis
 	Remain         []float64 // remaining share of each site's capacity, as plans use it
-	Share          []float64 // see balance.Sites
-	Admit          []float64
-	Trial          []bool
-	RepeatableOnly []bool // sites that have just begun to return: they get only requests that can safely be repeated
-	Cold           []int  // sites whose backends count as just started from now on; once per return
+	Share          []float64 // weight of each site's backends in picks, see balance.Sites; nil: all have the same
+	Admit          []float64 // share of each class that is admitted; nil: all
+	Trial          []bool    // sites that a request is to try now; nil: none
+	RepeatableOnly []bool    // sites that have just begun to return: they get only requests that can safely be repeated
+	Cold           []int     // sites whose backends count as just started from now on; once per return
 }
 
 // controlledSite is what a Controller keeps of a site besides the state in its Watch.
 type controlledSite struct {
 	nextTrial     time.Duration // when the next trial is due
-	trialInterval time.Duration
+	trialInterval time.Duration // time until the next trial, before jitter; 0: the site is neither lost nor cut
 	lastState     State
 	served        int // trials served when trialDue last looked
 	started       int // backends started since the loss, at that time
-	maxUp         int // greatest number of backends that were up
+	maxUp         int // greatest number of backends that were up at the same time
 }
 
 // Controller turns the states of a Watch into orders, with the plans of a PlanCache. It is not safe for
@@ -122,7 +122,7 @@
 	capacity      []float64  // listed capacity, by site
 	plans         *PlanCache // nil: no figures yet
 	order         Order
-	orders        uint64
+	orders        uint64 // number of orders so far
 	changes       []Change
 	returns       *returnSchedule
 	rampOverrides []rampOverride // by site; nil: none yet
--- a/internal/site/controller_test.go
+++ b/internal/site/controller_test.go
@@ -19,9 +19,9 @@
 	s          *Controller
 	now        time.Duration
 	outcomes   map[int]Kind // by site; absent: OK
-	order      Order
-	orders     []Order
-	trialsSent map[int]int // trials sent, by site
+	order      Order        // the order in force
+	orders     []Order      // the changed orders, oldest first
+	trialsSent map[int]int  // trials sent, by site
 }
 
 func newControllerSim(t *testing.T, own int, change func(*ControllerConfig)) *controllerSim {
@@ -380,7 +380,7 @@
 	})
 }
 
-// Refused clients are told to come back as the ramp opens, not all together.
+// Refused clients are advised to come back as the ramp opens, not all together.
 func TestReturnAdviceFollowsRamp(t *testing.T) {
 	x := newControllerSim(t, 0, func(c *ControllerConfig) { c.MaxAdvice = 4 * time.Second })
 	x.outcomes[1] = Refused
--- a/internal/site/driver/driver.go
+++ b/internal/site/driver/driver.go
@@ -55,9 +55,9 @@
 	listed        map[string]balance.Backend
 	lateAttempts  [][]site.LateAttempt // by site
 	endedAttempts []uint64             // number of attempts that ended, by site
-	excluded      []int
-	solving       bool // a plan is being computed
-	sentNote      []byte
+	excluded      []int                // zones that operators exclude, as of the last tick
+	solving       bool                 // a plan is being computed
+	sentNote      []byte               // the latest note that was published to the members
 	noteSentAt    time.Duration
 	viewedAt      time.Duration
 	changes       []StateChange // the latest, at most maxChanges
@@ -169,7 +169,8 @@
 	}
 }
 
-// tick updates states, orders, figures, plans and reports. It must run on the loop.
+// tick updates the states, applies a changed order, sets the metrics, starts the next plan and exchanges reports
+// with the members. It must run on the loop.
 func (d *Driver) tick() {
 	now, w := d.loop.Now(), d.controller.Watch()
 	d.syncExclusions(now)
--- a/internal/site/driver/routes.go
+++ b/internal/site/driver/routes.go
@@ -20,8 +20,8 @@
 	Order   uint64          `json:"order"` // number of orders so far
 	Basis   string          `json:"basis"` // ordinary, leaning, planned, stand-in, unplanned
 	Admit   []AdmittedShare `json:"admit,omitempty"`
-	Plans   int             `json:"plans"` // computed and in the cache
-	Failed  int             `json:"plans_failed,omitempty"`
+	Plans   int             `json:"plans"`                  // plans that are computed and in the cache
+	Failed  int             `json:"plans_failed,omitempty"` // plans that could not be computed
 	Sites   []SiteReport    `json:"sites"`
 	Changes []StateChange   `json:"happened,omitempty"`
 }
@@ -38,21 +38,21 @@
 	State         string         `json:"state"`
 	Since         time.Time      `json:"since"`
 	Cause         string         `json:"cause,omitempty"`
-	Manual        bool           `json:"by_hand,omitempty"`
-	Remain        float64        `json:"remain"`          // share of its capacity that plans may use
-	Share         float64        `json:"share"`           // weight of its backends in picks
-	FullInSeconds float64        `json:"full_in_s"`       // time until a returning site may have all of its load
-	Losses        int            `json:"losses"`          // recent losses, which slow down its return
-	Backends      int            `json:"backends"`        // listed backends
-	Attempts      uint64         `json:"attempts"`        // attempts of this process that ended, since its start
-	Tried         int            `json:"tried"`           // distinct backends tried recently
-	Failing       int            `json:"failing"`         // of these, those that fail
-	FailShare     float64        `json:"fail_share"`      // share of the attempts that failed
-	Elsewhere     float64        `json:"elsewhere_share"` // share of the attempts that failed in the other sites
-	FailuresInRow int            `json:"row"`             // consecutive failures since the last answer
-	Kinds         map[string]int `json:"kinds,omitempty"` // recent attempts by outcome
-	Reaching      int            `json:"reach,omitempty"` // members elsewhere that reach the site ...
-	Reporting     int            `json:"asked,omitempty"` // ... of those that report on it
+	Manual        bool           `json:"by_hand,omitempty"` // an operator holds the site for lost
+	Remain        float64        `json:"remain"`            // share of its capacity that plans may use
+	Share         float64        `json:"share"`             // weight of its backends in picks
+	FullInSeconds float64        `json:"full_in_s"`         // time until a returning site may have all of its load
+	Losses        int            `json:"losses"`            // recent losses, which slow down its return
+	Backends      int            `json:"backends"`          // listed backends
+	Attempts      uint64         `json:"attempts"`          // attempts of this process that ended, since its start
+	Tried         int            `json:"tried"`             // distinct backends tried recently
+	Failing       int            `json:"failing"`           // backends, of those tried, that served nothing since their last failure
+	FailShare     float64        `json:"fail_share"`        // share of the attempts that failed
+	Elsewhere     float64        `json:"elsewhere_share"`   // share of the attempts at the other sites that failed
+	FailuresInRow int            `json:"row"`               // consecutive failures since the last answer
+	Kinds         map[string]int `json:"kinds,omitempty"`   // recent attempts by outcome
+	Reaching      int            `json:"reach,omitempty"`   // members elsewhere that reach the site ...
+	Reporting     int            `json:"asked,omitempty"`   // ... of those that report on it
 }
 
 // Report returns the present state of the sites.
--- a/internal/site/evidence.go
+++ b/internal/site/evidence.go
@@ -44,7 +44,7 @@
 
 const (
 	latencyWeight = 0.05 // weight of a served attempt in the running mean of latency
-	maxLate       = 128
+	maxLate       = 128  // late attempts kept per site
 )
 
 // LateAttempt is an attempt that has been without an answer for long (see IsLate).
@@ -79,7 +79,7 @@
 // windowSummary sums up the attempts of one site within Config.DoubtWindow.
 type windowSummary struct {
 	counts         [numKinds]int
-	tried, failing int
+	tried, failing int // backends that were tried; of these, backends that served nothing since their last failure
 	failuresInRow  int // consecutive failures since the last answer, late attempts included
 }
 
@@ -159,6 +159,6 @@
 }
 
 const (
-	maxLosses  = 8
-	lossMemory = 5 * time.Minute
+	maxLosses  = 8               // loss times kept per site
+	lossMemory = 5 * time.Minute // time for which a loss slows down the returns after it
 )
--- a/internal/site/file.go
+++ b/internal/site/file.go
@@ -16,6 +16,7 @@
 	Way      PlanMethod `toml:"way"`      // method by which plans are computed
 	Load     float64    `toml:"load"`     // demand at each site as a share of its capacity, where no demand is given
 
+	// The fields of Config: Least is MinFailing, Late is LateFactor, LateLeastMs is MinLate, Reached is ReachedShare.
 	Watch struct {
 		Least       int     `toml:"least"`
 		FailShare   float64 `toml:"fail_share"`
@@ -32,13 +33,13 @@
 	Return struct {
 		ColdShare      float64 `toml:"cold_share"` // 0: the platform's share for a single cold backend
 		RampMs         float64 `toml:"ramp_ms"`    // 0: the platform's ramp time for a single cold backend
-		Slower         float64 `toml:"slower"`
+		Slower         float64 `toml:"slower"`     // Ramp.Slowdown
 		TrialMs        float64 `toml:"trial_ms"`
 		TrialLongestMs float64 `toml:"trial_longest_ms"`
 	} `toml:"return"`
 	Picks struct {
-		Lean  float64 `toml:"lean"`
-		Floor float64 `toml:"floor"`
+		Lean  float64 `toml:"lean"`  // ControllerConfig.DoubtedShare
+		Floor float64 `toml:"floor"` // ControllerConfig.MinShare
 	} `toml:"picks"`
 
 	Sites []struct {
--- a/internal/site/plan_test.go
+++ b/internal/site/plan_test.go
@@ -124,8 +124,8 @@
 		}
 		best, err := p.Solve()
 		if err != nil {
-			t.Skip(err) // degenerate for the solver: the last good plan holds then
-		} // degenerate for the solver: agents keep the last plan then
+			t.Skip(err) // degenerate for the solver: agents keep the last plan then
+		}
 		for s, load := range p.Load(best) {
 			if load > p.Capacity[s]*p.Remain[s]+1e-3 {
 				t.Fatalf("site %d gets a load of %v, its capacity is %v", s, load, p.Capacity[s]*p.Remain[s])
@@ -204,7 +204,7 @@
 	}
 }
 
-// With more sites than the solver handles in bounded time, Plan falls back to Nearest.
+// With more sites than the solver handles in bounded time, Plan falls back to SolveNearest.
 func TestManySitesUseNearestFirst(t *testing.T) {
 	p := Problem{Classes: []Class{{"sub", 3}, {"read", 1}}}
 	for o := range 30 {
--- a/internal/site/returns.go
+++ b/internal/site/returns.go
@@ -8,7 +8,8 @@
 )
 
 // returnSchedule spreads the return of refused clients over a site's ramp. It is a storm.Calendar whose
-// capacity is what the ramps open. Each agent books its own clients only; the shares of all agents add up.
+// capacity is the part of the request rate that the ramps open. Each agent books its own clients only; the shares of
+// all agents add up.
 type returnSchedule struct {
 	controller  *Controller
 	calendar    *storm.Calendar
@@ -28,7 +29,7 @@
 	return r, err
 }
 
-// Arrived counts a request; repeat: a client sent it for another time.
+// Arrived counts a request; repeat: the client says that it has sent the request before.
 func (s *Controller) Arrived(now time.Duration, repeat bool) {
 	r := s.returns
 	s.now = max(now, s.now)
@@ -42,8 +43,8 @@
 	r.arrivedAt = s.now
 }
 
-// ReturnAfter returns after how long a client should come back that is refused now because a site is lost. Its
-// worth is the class's worth relative to the greatest.
+// ReturnAfter returns after how long a client should come back that is refused now because a site is lost. It is
+// booked with the worth of its class relative to the greatest worth of all classes.
 func (s *Controller) ReturnAfter(now time.Duration, class int) time.Duration {
 	s.now = max(now, s.now)
 	top := 0.0
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -10,7 +10,7 @@
 //
 // Outcomes of attempts are counted by kind, since the kinds have different causes: a connection that doesn't
 // come up and a missing answer point to the network or to the machine, an error response comes from a live
-// process. A lost site is told apart from a bad release by comparison with the other sites, and from trouble of
+// process. A lost site is distinguished from a bad release by comparison with the other sites, and from trouble of
 // this agent by whether any other site still answers and, where the fleet has a membership, by what its members
 // report. A site that other members reach but this agent doesn't is cut: the agent sends it no load, as if it
 // were lost, but its load comes back without a ramp, since the other agents have kept it warm.
@@ -55,11 +55,11 @@
 type State uint8
 
 const (
-	Well State = iota
-	Doubted
-	Lost
-	Returning
-	Cut // the site is alive, but this agent doesn't reach it
+	Well      State = iota
+	Doubted         // its attempts fail: it gets less load until it is clear whether it is lost
+	Lost            // it gets no load but trials
+	Returning       // it was lost, and its load comes back on a ramp
+	Cut             // the site is alive, but this agent doesn't reach it
 	numStates
 )
 
@@ -99,10 +99,10 @@
 	DoubtWindow  time.Duration // span of attempts that raises a doubt, 1 to maxSlots slots
 	LoseAfter    time.Duration // a doubted site is lost after failing for this long
 	ClearAfter   time.Duration // a doubted site is well after serving for this long
-	MinFailing   int           // number of a site's backends, at most all of them, that must fail
+	MinFailing   int           // backends of a site that must fail for a doubt or a loss; all of them if it has fewer
 	FailShare    float64       // share of a site's attempts that must fail to doubt it
 	LostShare    float64       // share of a site's attempts that must fail to hold it for lost
-	Contrast     float64       // difference to the failing share of the other sites that is required
+	Contrast     float64       // required difference between a site's failing share and that of the other sites
 	StaleAfter   time.Duration // age of the backend list that explains failures in all sites
 	LateFactor   float64       // multiple of the mean latency after which an unanswered attempt counts as Silent ...
 	MinLate      time.Duration // ... but not before this time
@@ -150,7 +150,7 @@
 }
 
 const (
-	maxSlots = 16
+	maxSlots = 16  // slots of counters per site
 	maxTried = 256 // backends tracked per site
 )
 
@@ -179,10 +179,10 @@
 	Since         time.Duration // the time at which the site entered State
 	Tried         int           // distinct backends that were tried within Config.DoubtWindow
 	Failing       int           // of these, backends that served nothing since their last failure
-	Counts        [numKinds]int
-	FailuresInRow int     // consecutive failures since the last answer, late attempts included
-	FailShare     float64 // share of the attempts that failed
-	Elsewhere     float64 // share of the attempts that failed in the other sites
+	Counts        [numKinds]int // attempts within Config.DoubtWindow, by Kind
+	FailuresInRow int           // consecutive failures since the last answer, late attempts included
+	FailShare     float64       // share of the attempts that failed
+	Elsewhere     float64       // share of the attempts at the other sites that failed
 	Cause         Cause
 	Manual        bool // an operator holds the site for lost
 	Losses        int  // losses within lossMemory
@@ -213,7 +213,7 @@
 // siteState is what a Watch keeps of one site.
 type siteState struct {
 	state             State
-	since             time.Duration
+	since             time.Duration // when the site entered state
 	failingSince      time.Duration // since when nearly all attempts fail, in state Doubted; -1: they don't
 	servingSince      time.Duration // since when most attempts don't fail any more, in state Doubted; -1: they do
 	slots             [maxSlots]slot
@@ -223,12 +223,12 @@
 	manual            bool            // an operator holds the site for lost
 	lossTimes         []time.Duration // times of the last losses, at most maxLosses
 	served            int             // attempts served since the last change of state
-	failedSinceServed int             // attempts that failed since then or since the last one that was served
+	failedSinceServed int             // attempts that failed since the last one that was served or the last change of state
 	failuresInRow     int             // consecutive failures since the last answer
 	answeredAt        time.Duration   // time of the last answer, an error response included; -1: never
 	wasLost           bool            // the site was Lost before it became Cut, which holds for other agents too
-	late              []LateAttempt
-	recent            windowSummary // summary made by the last Tick
+	late              []LateAttempt   // attempts that are late now
+	recent            windowSummary   // summary made by the last Tick
 }
 
 // Watch tracks the state of each site of one agent.
@@ -316,6 +316,7 @@
 	return c
 }
 
+// maxChanges is the greatest number of changes kept for Changes.
 const maxChanges = 1024
 
 func (w *Watch) setState(site int, to State) {
--- a/internal/site/transitions.go
+++ b/internal/site/transitions.go
@@ -32,6 +32,7 @@
 func (w *Watch) failureLevel(s *siteState) (f failureLevel) {
 	v := &s.recent
 	enough := v.failing >= w.cfg.MinFailing || v.failing > 0 && v.failing >= s.listed.Backends && s.listed.Backends > 0
+	// The site was removed from the backend list while nearly all of its attempts fail.
 	delisted := s.listed.Backends == 0 && s.state != Lost && v.tried > 0 && v.failShare() >= w.cfg.LostShare
 	f.mostFail = delisted || enough && (v.failShare() >= w.cfg.FailShare || v.failuresInRow >= doubtRowFactor*w.cfg.MinFailing)
 	f.nearlyAllFail = delisted || enough && (v.failShare() >= w.cfg.LostShare || v.failuresInRow >= lostRowFactor*w.cfg.MinFailing)
@@ -42,9 +43,9 @@
 type reachability uint8
 
 const (
-	reachUnknown reachability = iota
-	reachable                 // more than Config.ReachedShare of them reach the site
-	unreachable               // none of them reaches it
+	reachUnknown reachability = iota // no reports, or only a few of the members reach the site
+	reachable                        // more than Config.ReachedShare of them reach the site
+	unreachable                      // none of them reaches it
 )
 
 // reachedByOthers sums up what the members in other sites report of site i.
@@ -91,8 +92,10 @@
 		} else if s.failingSince < 0 {
 			s.failingSince = w.now
 		}
+		// Without an answer since the doubt began nothing shows that the site has recovered; after rowMemory doubt
+		// windows it is cleared even so, if it doesn't fail.
 		answered := s.answeredAt >= s.since || w.now-s.since > rowMemory*w.cfg.DoubtWindow
-		if f.mostFail && siteAtFault || !answered { // without any attempt there is no evidence that the site recovered
+		if f.mostFail && siteAtFault || !answered {
 			s.servingSince = -1
 		} else if s.servingSince < 0 {
 			s.servingSince = w.now
@@ -114,7 +117,7 @@
 	case Cut:
 		switch {
 		case s.served >= trialsToReturn && !f.mostFail || s.served > 0 && w.reachedByOthers(i) == reachable:
-			if s.wasLost { // other members only saw the site return sooner
+			if s.wasLost { // the site was lost for the other agents too: its load returns on the ramp
 				w.setState(i, Returning)
 			} else {
 				w.setState(i, Well)
--- a/internal/standin/diameter.go
+++ b/internal/standin/diameter.go
@@ -139,7 +139,7 @@
 	c.Write(raw)
 }
 
-// DialDiameter connects a client and sends a CER. The answer to the CER is the first message on Got.
+// DialDiameter connects a client and sends a CER. The answer to the CER is the first message on Received.
 func DialDiameter(addr, identity string, application uint32) (*DiameterConn, error) {
 	nc, err := net.Dial("tcp4", addr)
 	if err != nil {
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -15,15 +15,16 @@
 // host is one node as discovery lists it.
 type host struct {
 	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
+	Dial   string  `json:"dial"` // address to connect to
 	Site   string  `json:"site"`
-	Class  string  `json:"class"`
+	Class  string  `json:"class"` // name of the machine's kind (KindSpec)
 	Block  int     `json:"block"`
-	Health string  `json:"health"`
+	Health string  `json:"health"` // "ready", "draining" or "gone"
 	Share  float64 `json:"share"`
-	BornMs float64 `json:"born_ms"`
+	BornMs float64 `json:"born_ms"` // start of the process as Unix time in milliseconds; 0: long ago
 }
 
+// listing is a message of discovery: the full list, or the entries that changed.
 type listing struct {
 	Seq   int64  `json:"seq"`
 	Whole bool   `json:"whole"`
@@ -37,10 +38,10 @@
 	agent string
 
 	mu      sync.Mutex
-	seq     int64
-	hosts   []host // current list for this agent, without nodes that are gone
-	changes []listing
-	down    bool
+	seq     int64         // number of the latest change
+	hosts   []host        // current list for this agent, without nodes that are gone
+	changes []listing     // the latest changes, at most maxChanges
+	down    bool          // calls are answered with 503
 	changed chan struct{} // closed at each change and replaced
 	ln      net.Listener
 	srv     *http.Server
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -47,16 +47,16 @@
 	queue      []*job              // jobs waiting for a slot
 	rate       float64             // work per second that each working job receives
 	progressAt time.Time           // time up to which the working jobs' progress is counted
-	generation uint64              // number of the latest scheduled look at the jobs; earlier ones do nothing
+	generation uint64              // number of the latest timer that schedule has set; finishJobs ignores earlier ones
 	attempts   uint64              // attempts so far, as input to draw
-	durations  []time.Duration
-	endedAt    []time.Time
-	report     string // latest load report, sent until it is refreshed
-	reportAt   time.Time
+	durations  []time.Duration     // durations of the latest jobs, for load reports
+	endedAt    []time.Time         // ends of the same jobs
+	report     string              // latest load report, sent until it is refreshed
+	reportAt   time.Time           // when report was made
 
 	listeners   []net.Listener // one per agent; a listener is opened again at its old address
-	addrs       []string
-	reservedFDs []int // descriptors that keep the addresses bound while the process is down
+	addrs       []string       // addresses of listeners
+	reservedFDs []int          // descriptors that keep the addresses bound while the process is down
 	accepting   sync.WaitGroup
 }
 
--- a/internal/standin/scenario.go
+++ b/internal/standin/scenario.go
@@ -2,14 +2,14 @@
 // addresses. It serves tests, trials and load generation; it models no real machine.
 //
 // A Scenario (TOML) describes the site and schedules its faults. Open starts the site, Config returns each
-// agent's configuration, and an Observer (internal/ledger) is told of all events. Each node and discovery
+// agent's configuration, and an Observer (internal/ledger) is notified of all events. Each node and discovery
 // listen on a separate address for each agent, which identifies the agent that sent a request or received a
 // list.
 //
 // All random choices come from the scenario's seed: the faults that the nth attempt at a node meets, its work,
 // and the delay of the nth change. Timing depends on the machine.
 //
-// Connections are bounded by the kind's conns, waiting requests by its queue, changes of the list by the
+// Connections are bounded by the conns of a machine's kind, waiting requests by its queue, changes of the list by the
 // scenario's faults, and headers and bodies by PROTOCOL's limits. Close ends everything and waits for it.
 package standin
 
@@ -70,9 +70,9 @@
 // ClassSpec describes a class of requests.
 type ClassSpec struct {
 	Name       string  `toml:"name"`
-	Effect     string  `toml:"effect"` // safe, keyed, unsafe
-	Group      string  `toml:"group"`  // which nodes drop repeats of a keyed request: all, zone, cell
-	WindowMs   float64 `toml:"window_ms"`
+	Effect     string  `toml:"effect"`    // safe, keyed, unsafe
+	Group      string  `toml:"group"`     // which nodes drop repeats of a keyed request: all, zone, cell
+	WindowMs   float64 `toml:"window_ms"` // time for which nodes remember a key
 	AimMs      float64 `toml:"aim_ms"`
 	DeadlineMs float64 `toml:"deadline_ms"`
 	Worth      float64 `toml:"worth"`
@@ -85,7 +85,7 @@
 type KindSpec struct {
 	Name        string  `toml:"name"`
 	Cores       int     `toml:"cores"`
-	Speed       float64 `toml:"speed"`
+	Speed       float64 `toml:"speed"`        // work that a core does per second; 1: normal
 	Slots       int     `toml:"slots"`        // requests worked on at a time, sharing the cores evenly; 0: number of cores
 	Queue       int     `toml:"queue"`        // maximum number of requests waiting for a slot
 	Conns       int     `toml:"conns"`        // maximum number of open connections
@@ -110,7 +110,7 @@
 	Agents []string `toml:"agents"` // cut only: agents cut off, by name or as site:NAME; empty: all
 	Size   float64  `toml:"size"`   // meaning depends on What; see Faults
 
-	manualEnd *manualEnd // ends a fault that Harm began; nil: the fault ends by ForS
+	manualEnd *manualEnd // ends a fault that BeginFault began; nil: the fault ends by ForS
 }
 
 // Faults describes the faults that a scenario can schedule and the meaning of their size.
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -17,7 +17,7 @@
 	"lemonrail/internal/ledger"
 )
 
-// Observer is told of the events at a site. *ledger.Ledger implements it.
+// Observer is notified of the events at a site. *ledger.Ledger implements it.
 type Observer interface {
 	AttemptStarted(ledger.Attempt) (ended func(ledger.Outcome))
 	WorkSent(node, agent string, at time.Time, amount float64) (falls bool)
@@ -47,13 +47,13 @@
 	mu           sync.Mutex
 	listed       map[string]bool // every node id that was ever listed
 	rng          *rand.Rand
-	staleness    float64 // additional delay of changes in s, by discovery_stale
-	keyTimes     map[string]time.Time
-	keyOrder     []string
+	staleness    float64              // additional delay of changes in s, by discovery_stale
+	keyTimes     map[string]time.Time // time of the last use of each key
+	keyOrder     []string             // keys in the order of their first use, the oldest first
 	log          []LogEntry
 	err          error
 	moved        chan string // agents whose discovery address has changed
-	replacements int
+	replacements int         // number of nodes restarted under new ids so far; part of those ids
 }
 
 // LedgerRules returns the parameters of a scenario that the observer checks against.
@@ -270,7 +270,7 @@
 	return list
 }
 
-// manualEnd collects the functions that end a fault that Harm began.
+// manualEnd collects the functions that end a fault that BeginFault began.
 type manualEnd struct {
 	mu        sync.Mutex
 	functions []func()
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -57,7 +57,7 @@
 block = 1
 `
 
-// recorder is an observer that keeps the events it is told of.
+// recorder is an observer that keeps the events that it is notified of.
 type recorder struct {
 	mu       sync.Mutex
 	attempts []ledger.Attempt
--- a/internal/storm/calendar.go
+++ b/internal/storm/calendar.go
@@ -6,7 +6,7 @@
 // the capacity that there is for them. It counts bookings per time slot and tenant and keeps nothing per
 // client: its memory is bounded by Slots times Tenants counters.
 //
-// Fewer clients return than were told to, since some give up. The calendar learns the share that does return
+// Fewer clients return than were advised to, since some give up. The calendar learns the share that does return
 // (ReturnShare), so that slots are neither left empty nor overrun.
 package storm
 
@@ -24,7 +24,7 @@
 	Reserve float64       // share of each slot that is reserved for requests of full worth
 }
 
-// DefaultConfig returns the settings for a longest advice: 32 slots of at least 1 ms each.
+// DefaultConfig returns the settings for advice of at most longest: 32 slots of at least 1 ms each.
 func DefaultConfig(longest time.Duration, tenants int) Config {
 	const slots = 32
 	return Config{Slot: max(longest/slots, time.Millisecond), Slots: slots, Tenants: max(1, tenants), Reserve: 0.25}
@@ -35,7 +35,7 @@
 	maxTenants     = 1024
 	learnRate      = 0.25 // weight of a passed slot in the learned return share
 	minReturnShare = 0.1  // lower bound of the return share: at 0 a calendar would book without end
-	minBooked      = 8    // bookings below which a passed slot teaches nothing
+	minBooked      = 8    // a passed slot with fewer bookings doesn't change the learned return share
 )
 
 func (c Config) check() error {
@@ -54,7 +54,7 @@
 
 // slot counts the bookings and the returns of one time slot.
 type slot struct {
-	booked   int   // clients that were told to come in this slot
+	booked   int   // clients that were advised to come back in this slot
 	returned int   // clients that came back in this slot
 	byTenant []int // bookings by tenant
 }
@@ -66,8 +66,8 @@
 	capacity    func(from, to time.Duration) float64 // clients that may return within a span of time
 	slots       []slot                               // a ring; the slot of number n is slots[n%Slots]
 	first       int64                                // number of the oldest open slot, the one that contains the present
-	started     bool
-	returnShare float64 // learned share of the booked clients that come back
+	started     bool                                 // advance has set first
+	returnShare float64                              // learned share of the booked clients that come back
 }
 
 // New returns an empty Calendar. capacity returns how many returning clients this agent alone can serve within
--- a/internal/storm/detector.go
+++ b/internal/storm/detector.go
@@ -14,7 +14,7 @@
 	Failed         int // requests that failed, and attempts for which there was no backend
 }
 
-// Detector tells a storm of returning clients from a burst of new work and grades the storm from 0 (calm) to 1.
+// Detector distinguishes a storm of returning clients from a burst of new work and grades the storm from 0 (calm) to 1.
 //
 //	calm ──excess arrivals, signs of a return──▶ storm ──signs gone──▶ easing (halved each span) ──▶ calm
 //
@@ -107,8 +107,8 @@
 	return d.grade
 }
 
-// setGrade raises the grade at once and lowers it by half per span, so that the second wave of a storm still
-// finds a grade in force, and the grade is 0 within about two seconds of the storm's end.
+// setGrade raises the grade at once and lowers it by half per span, so that the grade is still above 0 when the
+// second wave of a storm comes, and is 0 within about two seconds of the storm's end.
 func (d *Detector) setGrade(target float64) {
 	if d.grade = max(target, d.grade/2); d.grade < minGrade {
 		d.grade = 0
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -22,8 +22,8 @@
 // Claim is the generation that a process holds among the processes of one agent, with the files of their shared
 // state. Its methods are safe for concurrent use.
 type Claim struct {
-	pathPrefix string // the path that the names of all files begin with
-	aliveFile  *os.File
+	pathPrefix string   // the path that the names of all files begin with
+	aliveFile  *os.File // NAME.N.alive, locked for as long as the process lives
 
 	mu         sync.Mutex
 	generation int
@@ -31,7 +31,7 @@
 }
 
 // Acquire claims the next generation of the agent called name in dir, the folder that the agent's processes share. An
-// invalid state file is discarded: Take then returns an error together with a usable claim, since a broken file
+// invalid state file is discarded: Acquire then returns an error together with a usable claim, since a broken file
 // must not keep a process from serving.
 func Acquire(dir, name string) (*Claim, State, error) {
 	c := &Claim{pathPrefix: filepath.Join(dir, "lemonrail-"+url.PathEscape(name))}
@@ -149,7 +149,7 @@
 	return c.lastState, c.view(), err
 }
 
-// View returns only the view of Look, without the state and its error.
+// View returns only the view of Refresh, without the state and its error.
 func (c *Claim) View() View {
 	_, v, _ := c.Refresh()
 	return v
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -72,7 +72,7 @@
 		"inline": balance.ReportsInline, "on_probe": balance.ReportsOnProbe}
 )
 
-// Names holds the names in the settings of what package balance knows by index.
+// Names holds the names of what the settings list and package balance knows by index: element i is the name of index i.
 type Names struct {
 	Classes, Tenants, Zones, Kinds []string
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -32,7 +32,7 @@
 	Event  balance.Event
 }
 
-// Batch holds the events of one instant.
+// Batch holds the events of one instant, of any number of instances.
 type Batch struct {
 	Now    time.Duration
 	Events []Event
@@ -42,7 +42,7 @@
 type Reader struct {
 	in    *bufio.Reader
 	line  int
-	lists map[int][]balance.Backend
+	lists map[int][]balance.Backend // lists that the stream has defined, by their Sheet number
 }
 
 // NewReader returns a Reader on r.
@@ -100,23 +100,27 @@
 	ErrorsPerSec *float64 `json:"errors_per_s"`
 }
 
+// Bits of message.StateBits.
 const (
-	bitHintValid = 1
-	bitRepeat    = 2
-	bitWrite     = 4
+	bitHintValid = 1 // WorkHintMs is the expected work of the request
+	bitRepeat    = 2 // the client marks the request as a repeat
+	bitWrite     = 4 // the request writes
 )
 
+// results maps the Outcome of a message to the result of an attempt or probe.
 var results = map[string]balance.Result{
 	"pass": balance.OK, "fault": balance.Errored, "no_room": balance.Full,
 	"too_slow": balance.TimedOut, "no_route": balance.ConnectFailed, "cut": balance.Reset,
 	"undone": balance.Cancelled, "stale_send": balance.NotSent,
 }
 
+// listKinds maps the field How of a View to the kind of its list.
 var listKinds = map[string]balance.ListKind{
 	"diff": balance.ListDelta, "snapshot": balance.ListFull,
 	"disk": balance.ListCached, "error": balance.ListFailed,
 }
 
+// states maps the Availability of an entry to the state of the backend.
 var states = map[string]balance.BackendState{
 	"on": balance.Up, "fading": balance.Draining, "off": balance.Gone,
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -74,6 +74,8 @@
 	}
 }
 
+// factsJSON is a settings object in which every field has a value other than zero. The keys Later and mood are unknown
+// to the reader.
 const factsJSON = `{"Balancers":3,"Me":1,"Zone":2,"CountedBy":"work","MembershipMode":"subscribe","TickMs":5,"Later":[1],
 "Profiles":[{"Name":"x","AimMs":400,"AimStretch":2.5,"DeadlineMs":1500,"Worth":3,"LateValue":0.25,"Semantics":"by_key","Group":"cell",
 "WindowMs":3000,"Stream":true}],"Tenants":[{"Name":"t","QuotaPerS":120,"Portion":0.4}],"OverShareWorth":0.05,
