--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -61,12 +61,12 @@
 	options        Options
 	Site           *standin.Site
 	Agents         []*Agent
-	links          [][]*udpLink // by sender and receiver; on the diagonal: no link, but the agent's own peer address
-	broadcastLinks []*udpLink   // by sender; a datagram goes to all other agents
-	seatAddrs      []string     // addresses on which the seats listen, without links; by agent
-	tcpLinks       [][]*tcpLink // from agent to seat
-	startedAt      time.Time
-	stop           chan struct{}
+	links          [][]*udpLink  // by indexes of sender and receiver; on the diagonal: no link, but the agent's own peer address
+	broadcastLinks []*udpLink    // by index of the sender; a datagram goes to all other agents
+	seatAddrs      []string      // addresses on which the seats listen, which bypass the links; by index of the agent
+	tcpLinks       [][]*tcpLink  // by indexes of agent and seat
+	startedAt      time.Time     // when the cluster was opened
+	stop           chan struct{} // closed by Close
 	tasks          sync.WaitGroup
 }
 
@@ -87,15 +87,16 @@
 
 	mu       sync.Mutex
 	cmd      *exec.Cmd
-	exited   chan struct{}
-	exitErr  error
-	stopped  bool // by SIGSTOP
-	stopSlow chan struct{}
-	starts   int // number of processes started so far
+	exited   chan struct{} // closed once the process has exited
+	exitErr  error         // error of its exit
+	stopped  bool          // by SIGSTOP
+	stopSlow chan struct{} // ends the goroutine of Slow; nil: the process isn't slowed down
+	starts   int           // number of processes started so far
 
 	fileLimit uint64 // maximum size of a file that the process writes, in bytes; 0: no limit
 }
 
+// clusterCount is the number of clusters opened by this process, from which their loopback addresses are derived.
 var clusterCount atomic.Uint32
 
 // Open starts the site and the links. No agent is started yet.
@@ -136,7 +137,8 @@
 	return c, nil
 }
 
-// ignoreAttempts is a ledger that records no attempts, for clusters whose clients don't record their requests.
+// ignoreAttempts is a ledger without attempts, for clusters in which no client reports its requests to the ledger: it would count
+// attempts without a client as breaches.
 type ignoreAttempts struct{ *ledger.Ledger }
 
 func (ignoreAttempts) AttemptStarted(ledger.Attempt) func(ledger.Outcome) {
@@ -162,7 +164,7 @@
 	return a, nil
 }
 
-// configure writes the agent's configuration file.
+// configure writes the configuration file that the agent's process reads at its start.
 func (a *Agent) configure() error {
 	raw, err := a.cluster.Site.Config(a.index, a.Listen.String())
 	if err != nil {
@@ -257,7 +259,7 @@
 	return nil
 }
 
-// running reports whether the process is running. The caller holds mu.
+// running reports whether a process is running, stopped ones included. The caller holds a.mu.
 func (a *Agent) running() bool {
 	if a.cmd == nil {
 		return false
@@ -343,12 +345,13 @@
 // Folder returns the path of the agent's own folder.
 func (a *Agent) Folder() string { return a.dir }
 
-// Wipe removes what the agent has stored in its folder.
+// Wipe removes the state that the agent has stored in its folder: membership and the store of its seat.
 func (a *Agent) Wipe() error {
 	keep := filepath.Join(a.dir, "keep")
 	return errors.Join(os.RemoveAll(keep), os.MkdirAll(keep, 0o700))
 }
 
+// slowCycle is the time in which a process that Slow limits runs once.
 const slowCycle = 100 * time.Millisecond
 
 // Slow limits the process to a share of a core by stopping it for the rest of each slowCycle. A share of 1 or
@@ -389,7 +392,7 @@
 	})
 }
 
-// Ask sends a request to the agent's control listener.
+// Ask sends a request without a body to the agent's control listener and returns the answer.
 func (a *Agent) Ask(method, path string) (status int, body []byte, err error) {
 	return httpCall(a.Control, method, path)
 }
@@ -439,7 +442,8 @@
 	return r, json.Unmarshal(body, r)
 }
 
-// AwaitMembers polls the members report of a control listener until so returns nil, for at most patience.
+// AwaitMembers polls the members report of a control listener until so returns nil, for at most patience; then it returns the last
+// error.
 func AwaitMembers(address string, patience time.Duration, so func(*link.Report) error) error {
 	return until(patience, nil, func() error {
 		r, err := membersReport(address)
@@ -450,7 +454,7 @@
 	})
 }
 
-// StartAll starts all agents and waits until each is ready.
+// StartAll starts all agents and waits for at most patience until each is ready.
 func (c *Cluster) StartAll(patience time.Duration) error {
 	for _, a := range c.Agents {
 		if err := a.Start(); err != nil {
@@ -460,7 +464,7 @@
 	return c.Ready(patience)
 }
 
-// Ready waits until each running agent is ready.
+// Ready waits for at most patience until each running agent is ready (answers GET /up with 200).
 func (c *Cluster) Ready(patience time.Duration) error {
 	return c.Until(patience, func() error {
 		for _, a := range c.Agents {
@@ -498,8 +502,7 @@
 	}
 }
 
-// Agree returns nil if all running agents have the same view of the members, and exactly the running agents
-// are alive in it.
+// Agree returns nil if the members reports of all running agents agree, and exactly the running agents are alive in them.
 func (c *Cluster) Agree() error {
 	digest, by := "", ""
 	for _, a := range c.Agents {
@@ -570,7 +573,8 @@
 	return errors.Join(errs...)
 }
 
-// freeLoopbackAddr returns a loopback address that no other cluster on this machine uses.
+// freeLoopbackAddr returns a loopback address that no other cluster on this machine uses. rig is the number of the cluster in this
+// process.
 func freeLoopbackAddr(rig uint32) (netip.Addr, error) {
 	pid := uint32(os.Getpid())
 	for try := range uint32(64) {
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -20,8 +20,8 @@
 
 const (
 	patience = 30 * time.Second // far longer than any wait should take on an idle machine
-	// The period is that of deploy/members.toml, for tests that count changes of a member's state: delays of a busy machine must not cause any.
-	// The shipped period, for tests that count changes of state: delays of a busy machine must not cause any.
+	// The period is that of deploy/members.toml, for tests that count changes of members' states: delays of a busy machine must not
+	// cause any.
 	calmMembers  = "period_ms = 250\npause_ms = 30000\nrate = 60\n"
 	quickMembers = "period_ms = 100\npause_ms = 3000\nrate = 100\nfolder = \"DIR/keep\"\n"
 )
@@ -97,7 +97,7 @@
 	}
 }
 
-// waitForView waits until an agent's members report satisfies so.
+// waitForView waits until so reports true for an agent's members report. what describes that for the error.
 func waitForView(t testing.TB, c *cluster.Cluster, at int, what string, so func(*link.Report) bool) {
 	t.Helper()
 	var last *link.Report
@@ -116,6 +116,7 @@
 	}
 }
 
+// row returns the row of a member in a report, empty if the report has none.
 func row(r *link.Report, name string) link.Row {
 	for _, m := range r.Members {
 		if m.Name == name {
@@ -125,6 +126,7 @@
 	return link.Row{}
 }
 
+// changeCounts returns for each agent the number of changes of members' states that it has seen.
 func changeCounts(t testing.TB, c *cluster.Cluster) (n []uint64) {
 	t.Helper()
 	for _, a := range c.Agents {
@@ -135,8 +137,8 @@
 	return n
 }
 
-// A killed process is reported as dead with proof, since its machine refuses datagrams, and a restart is a new
-// incarnation, also with an empty folder. A process that ends on SIGTERM is reported as left.
+// A process that is killed is reported as dead with proof (its machine refuses datagrams), one that ends on SIGTERM as left.
+// A killed process that is started again without its stored state gets a higher start counter.
 func TestKillLeaveAndRestart(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 7, 2, quickMembers)
@@ -157,6 +159,7 @@
 	}
 }
 
+// mustView returns an agent's members report.
 func mustView(t testing.TB, c *cluster.Cluster, at int) *link.Report {
 	t.Helper()
 	r, err := c.Agents[at].Members()
@@ -205,8 +208,7 @@
 	}
 }
 
-// Two agents that are cut off from each other in one direction are reported as such by all agents, and nobody
-// is suspected.
+// If datagrams from one agent to another are lost, all agents report that, and nobody is suspected.
 func TestOneWayCutIsReported(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 5, 1, calmMembers)
@@ -226,7 +228,7 @@
 	must(t, c.Until(patience, c.Agree))
 }
 
-// Datagrams that are malformed or of another fleet are dropped and counted.
+// Datagrams that are malformed, of another fleet or from an unknown sender are dropped and counted in the members report.
 func TestGarbageIsCounted(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 2, 1, quickMembers)
@@ -243,7 +245,8 @@
 	})
 }
 
-// In a partition of seven agents, the five hold the two for dead, and the two know that they are the minority.
+// Seven agents are divided into five and two: the five declare the two dead, and the two know that they are the minority, so
+// that they declare nobody dead.
 func TestPartition(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 7, 1, quickMembers)
@@ -265,7 +268,7 @@
 	must(t, c.Until(patience, c.Agree))
 }
 
-// After any timetable all running agents agree on a correct view.
+// When the faults of a random timetable have ended, all running agents agree on which agents are alive.
 func TestSeededTimetables(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/cluster/duties_test.go
+++ b/internal/cluster/duties_test.go
@@ -20,7 +20,8 @@
 
 const quickDuties = "act_ms = 100\ntick_ms = 20\ndrift = 0.05\n[[duty]]\nname = \"notes\"\nlease_ms = 1200\n"
 
-// startDutiesCluster runs n agents, of which the first three have seats (are voters), and waits until the duty is held.
+// startDutiesCluster runs n agents, of which the first three have seats (are voters of the quorum that grants duties), and waits
+// until an agent holds the duty.
 func startDutiesCluster(t *testing.T, n int) *cluster.Cluster {
 	return startDutiesClusterWith(t, n, 3, quickDuties)
 }
@@ -44,8 +45,8 @@
 	return c
 }
 
-// waitForHolder waits until exactly one running agent holds the duty in an epoch above over, and all running
-// agents know the holder. It returns the holder and its epoch.
+// waitForHolder waits until exactly one running agent holds the duty, in an epoch above over, and all running agents name it as
+// the holder. It returns the holder and its epoch.
 func waitForHolder(t *testing.T, c *cluster.Cluster, over uint64) (holder int, epoch uint64) {
 	t.Helper()
 	err := c.Until(patience, func() error {
@@ -83,6 +84,7 @@
 	return holder, epoch
 }
 
+// notesRow returns the row of the duty "notes" in a report, nil if there is none.
 func notesRow(r *quorum.Report) *quorum.Row {
 	for i := range r.Duties {
 		if r.Duties[i].Duty == "notes" {
@@ -92,6 +94,7 @@
 	return nil
 }
 
+// report returns an agent's report on duties.
 func report(t *testing.T, c *cluster.Cluster, agent int) *quorum.Report {
 	t.Helper()
 	r, err := c.Agents[agent].Duties()
@@ -99,7 +102,7 @@
 	return r
 }
 
-// waitForSeat waits until the report of an agent's seat satisfies so.
+// waitForSeat waits until so reports true for the report of an agent's seat (voter). what describes that for the error.
 func waitForSeat(t *testing.T, c *cluster.Cluster, agent int, what string, so func(*quorum.MemberReport) bool) {
 	t.Helper()
 	var last *quorum.MemberReport
@@ -117,6 +120,7 @@
 	}
 }
 
+// checkAllServe checks that each running agent answers a request with 200.
 func checkAllServe(t *testing.T, c *cluster.Cluster) {
 	t.Helper()
 	must(t, c.Ready(patience))
@@ -149,8 +153,8 @@
 	must(t, c.Agents[first].Start())
 	must(t, c.Ready(patience))
 	waitForHolder(t, c, epoch)
-	// An agent that is stopped for longer than its lease ends its epoch when it continues; another agent takes
-	// over meanwhile.
+	// An agent that is stopped by SIGSTOP for longer than its lease ends its epoch when it continues. Another agent has taken over
+	// meanwhile.
 	second, next := waitForHolder(t, c, epoch)
 	must(t, c.Agents[second].Signal(syscall.SIGSTOP))
 	third, last := waitForHolder(t, c, next)
@@ -168,8 +172,8 @@
 	checkAllServe(t, c)
 }
 
-// A holder that is cut off from the seats, also in one direction only, gives the duty up, and another agent
-// takes over.
+// A holder whose messages to the seats (voters) are lost, with or without those in the other direction, gives the duty up, and
+// another agent takes over.
 func TestHolderCutOff(t *testing.T) {
 	t.Parallel()
 	c := startDutiesCluster(t, 5)
@@ -224,8 +228,8 @@
 	waitForHolder(t, c, epoch)
 }
 
-// Without a majority of the seats no agent holds a duty, and all agents still serve. With a majority again,
-// the duty is held again.
+// Without a majority of the seats (voters) no agent holds a duty, and all agents still serve. When the majority is back, an agent
+// holds the duty again.
 func TestNoMajorityOfSeats(t *testing.T) {
 	t.Parallel()
 	c := startDutiesCluster(t, 5)
@@ -340,8 +344,8 @@
 	waitForHolder(t, c, 0)
 }
 
-// A seat whose agent is held for dead for replace_s is replaced by a spare one. When it comes back, it is a
-// spare seat itself.
+// A seat (voter) whose agent is held for dead for replace_s is replaced by a spare seat. When the agent comes back, its seat is a
+// spare one itself.
 func TestSpareSeatTakesOver(t *testing.T) {
 	t.Parallel()
 	c := startDutiesClusterWith(t, 5, 4, "voters = 3\nreplace_s = 2\n"+quickDuties)
@@ -362,8 +366,8 @@
 	}
 }
 
-// A holder with 2 % of a core, and links to the seats that lose, delay and stall: at most one agent holds the
-// duty in an epoch, and afterwards exactly one does.
+// With a holder that gets 2 % of a core, and links to the seats (voters) that lose, delay and stall messages, at most one agent
+// holds the duty in an epoch, and when the faults have ended exactly one does.
 func TestSlowHoldersAndLinks(t *testing.T) {
 	t.Parallel()
 	c := startDutiesCluster(t, 5)
--- a/internal/cluster/links.go
+++ b/internal/cluster/links.go
@@ -23,13 +23,13 @@
 	Stall  bool             // hold datagrams, at most maxStalled, until Stall is cleared
 }
 
-const maxStalled = 1024
+const maxStalled = 1024 // maximum number of datagrams that a stalled link holds; further ones are dropped
 
 // udpLink carries datagrams from one agent to another, or to all others.
 type udpLink struct {
 	c         *Cluster
 	from, to  int            // indexes of the agents; to may be broadcast
-	addr      netip.AddrPort // address that the sending agent sends to
+	addr      netip.AddrPort // address of the link, to which the sending agent sends
 	agentAddr netip.AddrPort // on the diagonal of Cluster.links: the agent's own address
 	conn      *net.UDPConn
 
@@ -42,6 +42,7 @@
 // broadcast, as the receiver of a udpLink, stands for all other agents.
 const broadcast = -1
 
+// openLinks opens the links between n agents and their broadcast links. Links refuse datagrams until their receivers run.
 func (c *Cluster) openLinks(n int) error {
 	host, err := freeLoopbackAddr(clusterCount.Add(1))
 	if err != nil {
@@ -82,8 +83,8 @@
 	return nil
 }
 
-// open binds a port by its number. The kernel picks a free one first, in a bind that is undone: a port that it
-// picks in the final bind itself is lost when setRefusing disconnects the socket.
+// open binds a free port. The kernel picks it in a first bind, which is undone; the second bind names the port, since a port that
+// the kernel picks itself is lost when setRefusing disconnects the socket.
 func (r *udpLink) open() (err error) {
 	var pc net.PacketConn
 	for range 16 {
@@ -102,6 +103,7 @@
 	return fmt.Errorf("cluster: link %d to %d: %w", r.from, r.to, err)
 }
 
+// run forwards datagrams until the cluster is closed.
 func (r *udpLink) run() {
 	go func() {
 		<-r.c.stop
@@ -157,7 +159,8 @@
 	}
 }
 
-// deliver sends a datagram to the receiving agent from the address by which that agent knows the sender.
+// deliver sends a datagram to the receiving agent, from the address of the link in the other direction, by which the receiver knows
+// the sender.
 func (r *udpLink) deliver(data []byte) {
 	r.c.links[r.to][r.from].conn.WriteToUDPAddrPort(data, r.c.links[r.to][r.to].agentAddr)
 }
@@ -176,7 +179,7 @@
 	}
 }
 
-// Link changes the faults of the links from some agents to others.
+// Link changes the faults of the links from each agent of from to each of to, by index.
 func (c *Cluster) Link(from, to []int, change func(*Fault)) {
 	for _, i := range from {
 		for _, j := range to {
@@ -187,8 +190,8 @@
 	}
 }
 
-// setRefusing makes the links to an agent refuse datagrams, as the machine of a dead process does. A UDP
-// socket that is connected to another address accepts no others, and the kernel reports that to the sender.
+// setRefusing makes the links to an agent refuse datagrams, as the machine of a dead process does, or accept them. To refuse, a
+// link's UDP socket is connected to another address: it accepts nothing from others, and the kernel reports that to the sender.
 func (c *Cluster) setRefusing(to int, refuse bool) error {
 	for i := range c.links {
 		if i == to || c.links[i] == nil || c.links[i][to] == nil || c.links[i][to].conn == nil {
@@ -216,6 +219,7 @@
 	return nil
 }
 
+// closeLinks closes the sockets of all links.
 func (c *Cluster) closeLinks() {
 	for i := range c.links {
 		for _, r := range append(c.links[i], c.broadcastLinks[i]) {
--- a/internal/cluster/shrink.go
+++ b/internal/cluster/shrink.go
@@ -16,16 +16,16 @@
 // Shrink is an experiment in which most agents of a fleet are killed and their clients move to the remaining
 // ones.
 type Shrink struct {
-	Program  string
-	Dir      string
+	Program  string        // path of the agent's program
+	Dir      string        // directory for configurations, folders and logs; must exist
 	Members  string        // text of the agents' members file; empty: no membership
 	Agents   int           // number of agents at the start
 	Left     int           // number of agents after the kill
-	Share    float64       // load as a share of the site's capacity, constant over the run
+	Share    float64       // load as a share of the site's capacity without faults, constant over the run
 	Before   time.Duration // duration of the run before the kill
 	After    time.Duration // duration of the run after the kill
 	Seed     uint64
-	Progress io.Writer
+	Progress io.Writer // receives lines on the progress
 }
 
 // ShrinkWindow counts the requests that were due within one second of a Shrink.
@@ -100,7 +100,7 @@
 size = 0.5
 `
 
-// Run runs the experiment.
+// Run starts the fleet, plays load, kills all but o.Left agents, moves the load to these, and returns the results by second.
 func (o Shrink) Run(ctx context.Context) (out *ShrinkResult, err error) {
 	if o.Left < 1 || o.Left >= o.Agents || o.Agents > MaxAgents {
 		return nil, fmt.Errorf("cluster: %d of %d agents left: at least 1 must stay and at least 1 be killed", o.Left, o.Agents)
@@ -162,7 +162,8 @@
 	return out, err
 }
 
-// playWindows plays requests to agents in an open loop and counts their results per second.
+// playWindows plays requests at the given rate to agents in an open loop for span, and counts their results by the second in which
+// they were due.
 func (c *Cluster) playWindows(ctx context.Context, l *ledger.Ledger, agents []*Agent, rate float64, span time.Duration, seed uint64) (ws []ShrinkWindow, err error) {
 	var begun time.Time
 	err = c.playRequests(ctx, l, agents, rate, span, seed, func(s *load.Sample) {
--- a/internal/cluster/siteloss.go
+++ b/internal/cluster/siteloss.go
@@ -71,13 +71,14 @@
 	return l
 }
 
+// Properties of the simulated sites.
 const (
-	lossNodes  = 4
-	lossCores  = 2
-	lossWorkMs = 20.0
-	lossRampMs = 4000.0
-	lossCold   = 0.32
-	lossWindow = 500 * time.Millisecond
+	lossNodes  = 4                      // nodes of each site
+	lossCores  = 2                      // cores of each node
+	lossWorkMs = 20.0                   // mean work of a request, in ms on a core
+	lossRampMs = 4000.0                 // time in ms until a started node has its full capacity
+	lossCold   = 0.32                   // share of its capacity with which a node starts
+	lossWindow = 500 * time.Millisecond // length of a LossWindow
 )
 
 var (
@@ -94,7 +95,7 @@
 	aim, deadline time.Duration
 }
 
-// classOf returns the class of a request that playRequests made.
+// classOf returns the class of a request that playRequests made, by its name.
 func classOf(s *load.Sample) *requestClass {
 	return &lossClasses[slices.IndexFunc(lossClasses, func(k requestClass) bool { return k.name == s.Request.Class })]
 }
@@ -109,6 +110,7 @@
 	cold       bool
 }
 
+// outages returns when the nodes of site b are unusable. A cut, in which the nodes keep running, is none.
 func (l *Loss) outages() (all []outage) {
 	for i := range lossNodes {
 		d := outage{i, l.AtS, l.AtS + l.ForS, false}
@@ -136,7 +138,7 @@
 	return all
 }
 
-// scenario returns the text of the scenario for the simulated site.
+// scenario returns the text (TOML) of the scenario with the sites, their nodes and the faults, for the given number of agents.
 func (l *Loss) scenario(agents int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed = %d\nseconds = 600\nsites = [\"a\", \"b\", \"c\"]\nagents = %d\n", l.Seed, agents)
@@ -194,7 +196,8 @@
 	return b.String()
 }
 
-// problemAt returns the planning problem at a time, with full knowledge of the faults.
+// problemAt returns the site-planning problem t seconds after the start of the run, as a planner with full knowledge of the faults
+// would pose it.
 func (l *Loss) problemAt(t float64) site.Problem {
 	p := site.Problem{}
 	for o, part := range siteShares {
@@ -245,21 +248,21 @@
 	return p
 }
 
+// rate returns the mean load in requests per second.
 func (l *Loss) rate() float64 { return l.Share * lossCapacity * float64(len(lossSites)) }
 
 // LossRun runs a Loss with agents that are configured in one way.
 type LossRun struct {
 	Loss     Loss
-	Program  string
-	Dir      string
-	Agents   int
-	Members  string // text of the agents' members file; empty: no membership
-	Sites    string // text of the agents' sites file; empty: no site planning
-	Progress io.Writer
+	Program  string    // path of the agent's program
+	Dir      string    // directory for configurations, folders and logs; must exist
+	Agents   int       // number of agents
+	Members  string    // text of the agents' members file; empty: no membership
+	Sites    string    // text of the agents' sites file; empty: no site planning
+	Progress io.Writer // receives lines on the progress
 }
 
-// SitesFile returns the text of the agents' sites file, with the parameters of the experiment and a way of
-// planning.
+// SitesFile returns the text of the agents' sites file with the sites of the experiment. way is the agents' way of planning.
 func (l *Loss) SitesFile(way string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "way = %q\nheadroom = 0.05\ncross = 0.02\n[return]\ncold_share = %g\nramp_ms = %g\n", way, lossCold, lossRampMs)
@@ -277,7 +280,7 @@
 
 // LossWindow holds the results of half a second of a run.
 type LossWindow struct {
-	AtS    float64 `json:"at_s"`
+	AtS    float64 `json:"at_s"`   // start of the window, in seconds since the start of the run
 	Asked  float64 `json:"asked"`  // worth of the requests that were due
 	Served float64 `json:"served"` // worth of the served requests; a late one counts a quarter
 	Best   float64 `json:"best"`   // worth that a plan with full knowledge would serve
@@ -321,7 +324,8 @@
 	return c.Ledger.AttemptStarted(a)
 }
 
-// Run runs the experiment.
+// Run plays the load while the faults of the Loss occur, and compares what is served with what a planner with full knowledge of the
+// faults would serve.
 func (o LossRun) Run(ctx context.Context) (out *LossResult, err error) {
 	l := &o.Loss
 	sc, err := standin.ParseScenario("the rig's site", []byte(l.scenario(o.Agents)))
@@ -436,7 +440,7 @@
 	return out, err
 }
 
-// evaluate computes the figures of the result from its windows.
+// evaluate computes the figures of the result from its windows. got holds the attempts by window and site.
 func (r *LossResult) evaluate(got [][]int) error {
 	l := &r.Loss
 	sum := func(from, till float64) (served, best float64) {
@@ -461,7 +465,7 @@
 				requested += v * p.Classes[c].Worth
 			}
 		}
-		// The requested load varies randomly around its mean, so the best is computed as a share of it.
+		// The requested load varies randomly around its mean, so the plan's share of the mean load is applied to the load of this window.
 		if w.Best = w.Asked; requested > 0 {
 			w.Best *= plan.Worth / requested
 		}
@@ -498,14 +502,14 @@
 	return nil
 }
 
-// Load plays requests of the experiment's classes to agents in an open loop until ctx ends, and records them
-// in a ledger.
+// Load plays requests of the classes read and sub (lossClasses) to agents in an open loop until ctx ends, rate per second, and records
+// them in a ledger.
 func (c *Cluster) Load(ctx context.Context, l *ledger.Ledger, agents []*Agent, rate float64, seed uint64) error {
 	return c.playRequests(ctx, l, agents, rate, time.Hour, seed, func(*load.Sample) {})
 }
 
-// playRequests plays requests of the experiment's classes to agents in an open loop, and records them in a
-// ledger.
+// playRequests plays requests of the classes read and sub (lossClasses) to agents in an open loop for span, rate per second, and records
+// them in a ledger. done is called for each request that has ended.
 func (c *Cluster) playRequests(ctx context.Context, l *ledger.Ledger, agents []*Agent, rate float64, span time.Duration, seed uint64, done func(*load.Sample)) error {
 	names := map[string]string{}
 	var targets []netip.AddrPort
--- a/internal/cluster/sites_test.go
+++ b/internal/cluster/sites_test.go
@@ -104,7 +104,7 @@
 	return c
 }
 
-// waitForState waits until each of the given agents reports a site to be in one of the given states.
+// waitForState waits until each of the given agents reports one of the given states for a site.
 func waitForState(t *testing.T, c *cluster.Cluster, agents []int, site string, states ...string) {
 	t.Helper()
 	var last *driver.Report
@@ -255,7 +255,7 @@
 	})
 }
 
-// until waits until all agents' reports on sites satisfy so.
+// until waits until so reports true for every agent's report on sites. what describes that for the error.
 func until(t *testing.T, c *cluster.Cluster, what string, so func(*driver.Report) bool) {
 	t.Helper()
 	must(t, c.Until(patience, func() error {
@@ -303,7 +303,7 @@
 	waitForState(t, c, broadcast, "c", "well")
 }
 
-// A flapping site is held for lost each time, returns more slowly each time, and is well in the end.
+// A site that fails repeatedly is held for lost each time and, when the failures have ended, is used as before.
 func TestFlappingSite(t *testing.T) {
 	t.Parallel()
 	c := startSitesCluster(t)
@@ -317,7 +317,7 @@
 	waitForState(t, c, broadcast, "b", "well")
 }
 
-// A site is lost while discovery is down and an agent is restarted.
+// Agents detect the loss of a site and its return while discovery is down, also an agent that restarts meanwhile.
 func TestSiteLossWithDiscoveryDown(t *testing.T) {
 	t.Parallel()
 	c := startSitesCluster(t)
@@ -331,8 +331,8 @@
 	waitForState(t, c, broadcast, "b", "well")
 }
 
-// One agent paces the return of a site for all: its duty's state names the site while it is lost, and is empty
-// after the return.
+// While a site is lost, the agent with the duty to pace returns names it in the duty's state for all agents; after the return
+// that state is empty.
 func TestOneAgentPacesReturn(t *testing.T) {
 	t.Parallel()
 	c := startSitesClusterWith(t, "act_ms = 100\ntick_ms = 20\ndrift = 0.05\n[[duty]]\nname = \"pace\"\nlease_ms = 1200\n", 3)
--- a/internal/cluster/tcplinks.go
+++ b/internal/cluster/tcplinks.go
@@ -16,9 +16,9 @@
 // a network does. A delay applies to each chunk, and a lost chunk arrives tcpLossDelay late, as after a
 // retransmission.
 const (
-	tcpLossDelay  = 200 * time.Millisecond
-	pollInterval  = 5 * time.Millisecond
-	tcpChunkBytes = 32 << 10
+	tcpLossDelay  = 200 * time.Millisecond // additional delay of a chunk that the link's Loss hits
+	pollInterval  = 5 * time.Millisecond   // interval at which a held chunk checks whether the fault has ended
+	tcpChunkBytes = 32 << 10               // maximum size of a chunk
 )
 
 // tcpLink carries the connections from one agent to the seat of another.
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// seatsText returns the [[seat]] tables of an agent's duties file.
+// seatsText returns the [[seat]] tables (names and addresses of the voters) of an agent's duties file. The addresses are those of
+// the agent's links to the seats.
 func (c *Cluster) seatsText(agent int) string {
 	var b strings.Builder
 	for j, at := range c.seatAddrs {
@@ -71,6 +72,7 @@
 	return b.String()
 }
 
+// run accepts connections from the agent and forwards each to the seat, until the listener is closed.
 func (l *tcpLink) run() {
 	for {
 		conn, err := l.ln.Accept()
@@ -100,6 +102,7 @@
 	return !l.closed
 }
 
+// drop closes connections and removes them from those to be closed with the link.
 func (l *tcpLink) drop(conns ...net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,6 +112,7 @@
 	}
 }
 
+// proxy forwards a connection from the agent to the seat, and back, until both directions have ended.
 func (l *tcpLink) proxy(in net.Conn) {
 	out, err := net.DialTimeout("tcp", l.c.seatAddrs[l.to], time.Second)
 	if err != nil {
@@ -150,7 +154,7 @@
 	both.Wait()
 }
 
-// waitForFaults waits until a chunk may be sent on from agent i to agent j. It reports false if the cluster is
+// waitForFaults waits until the fault of the link from agent i to agent j lets a chunk through. It reports false if the cluster is
 // closing.
 func (l *tcpLink) waitForFaults(i, j int) bool {
 	r := l.c.links[i][j]
@@ -178,6 +182,7 @@
 	return true
 }
 
+// close closes the listener and the open connections.
 func (l *tcpLink) close() {
 	if l.ln != nil {
 		l.ln.Close()
--- a/internal/cluster/timetable.go
+++ b/internal/cluster/timetable.go
@@ -20,12 +20,12 @@
 	Name    string  `toml:"name"`
 	Seed    uint64  `toml:"seed"`
 	Seconds float64 `toml:"seconds"` // duration; all faults of links end with it
-	Agents  int     `toml:"agents"`
-	Zones   int     `toml:"zones"`
+	Agents  int     `toml:"agents"`  // number of agents; n0 is the first
+	Zones   int     `toml:"zones"`   // number of zones, to which agents are assigned in turn
 	Events  []Event `toml:"event"`
 }
 
-// Event is one fault. Agents are named n0, n1 and so on, zone:a, all, or any:N for N agents that the seed
+// Event is one fault of links or processes. Agents are named n0, n1 and so on, zone:a, all, or any:N for N agents that the seed
 // picks.
 type Event struct {
 	AtS  float64  `toml:"at_s"`
@@ -35,7 +35,7 @@
 	To   []string `toml:"to"`    // faults of links: receivers
 	Both bool     `toml:"both"`  // faults of links: also in the other direction
 	Who  []string `toml:"who"`   // faults of processes: agents
-	Size float64  `toml:"size"`
+	Size float64  `toml:"size"`  // meaning depends on What; see EventKinds
 }
 
 // EventKinds describes the faults and the meaning of their size.
@@ -53,6 +53,7 @@
 	"slow":   "processes get this share of a core",
 }
 
+// linkFaults maps the kinds of events that are faults of links to functions that begin (on) or end the fault.
 var linkFaults = map[string]func(f *Fault, on bool, size float64){
 	"cut":    func(f *Fault, on bool, _ float64) { f.Cut = on },
 	"loss":   func(f *Fault, on bool, size float64) { f.Loss = sizeIf(on, size) },
@@ -63,6 +64,7 @@
 	"stall": func(f *Fault, on bool, _ float64) { f.Stall = on },
 }
 
+// sizeIf returns size if on is set, 0 otherwise.
 func sizeIf(on bool, size float64) float64 {
 	if on {
 		return size
@@ -122,7 +124,7 @@
 	return t, nil
 }
 
-// agentsNamed returns the numbers of the agents that names stand for, sorted.
+// agentsNamed returns the indexes of the agents that names stand for, sorted. rng picks those of any:N.
 func (t *Timetable) agentsNamed(names []string, rng *rand.Rand) (who []int, err error) {
 	for _, name := range names {
 		var n int
@@ -154,10 +156,10 @@
 
 // step is the beginning or the end of an event.
 type step struct {
-	at     time.Duration
+	at     time.Duration // since the start of the timetable
 	event  *Event
-	on     bool
-	agents [3][]int // from, to, who
+	on     bool     // whether the event begins
+	agents [3][]int // indexes of the agents in From, To and Who of the event
 }
 
 // steps returns the timetable's steps in the order of their times. The agents that the seed picks are the same
@@ -186,13 +188,13 @@
 	return all
 }
 
-// TimetableEvent is a step that was carried out.
+// TimetableEvent is a step that was carried out: the beginning or end of an event.
 type TimetableEvent struct {
-	At   time.Duration
-	Text string
+	At   time.Duration // since the start of Play
+	Text string        // what began or ended, for people
 }
 
-// Play carries out a timetable and returns at its end. did, if not nil, is called before each step.
+// Play carries out a timetable and returns when its duration has passed. did, if not nil, is called before each step.
 func (c *Cluster) Play(ctx context.Context, t *Timetable, did func(TimetableEvent)) error {
 	begun := time.Now()
 	var errs []error
@@ -210,6 +212,7 @@
 	return errors.Join(append(errs, sleep(ctx, time.Until(begun.Add(time.Duration(t.Seconds*float64(time.Second))))))...)
 }
 
+// sleep waits for d, or returns the error of ctx if ctx ends earlier.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
@@ -224,6 +227,7 @@
 	}
 }
 
+// String returns the step for people, such as "loss ends (0.2): n1 to n2".
 func (s *step) String() string {
 	names := func(who []int) string {
 		var n []string
@@ -249,6 +253,7 @@
 	return what + ": " + names(s.agents[0]) + arrow + names(s.agents[1])
 }
 
+// applyStep begins or ends the step's event at its links or processes.
 func (c *Cluster) applyStep(s *step) error {
 	e := s.event
 	if set := linkFaults[e.What]; set != nil {
--- a/internal/cluster/usage.go
+++ b/internal/cluster/usage.go
@@ -15,7 +15,7 @@
 
 // Usage is what a process has used so far, as counted by the kernel.
 type Usage struct {
-	CPU         time.Duration
+	CPU         time.Duration // processor time, user and system
 	ResidentKB  int64
 	Descriptors int // open files and sockets
 }
@@ -32,7 +32,7 @@
 	return ProcessUsage(pid)
 }
 
-// ProcessUsage returns the usage of a process of this machine.
+// ProcessUsage returns what a process of this machine has used so far.
 func ProcessUsage(pid int) (u Usage, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -60,18 +60,20 @@
 	return Usage{time.Duration(ticks) * 10 * time.Millisecond, pages * int64(os.Getpagesize()) / 1024, len(open)}, nil
 }
 
-// IdleCost is an experiment that measures what duties cost an idle fleet.
+// IdleCost is an experiment that measures what duties (tasks that one agent at a time does for all) cost a fleet without client
+// requests.
 type IdleCost struct {
 	Program string
 	Dir     string
 	Agents  int
-	Seats   int // number of agents with a seat (voter); 0: no duties at all, for comparison
-	LeaseMs int // lease of a duty, in milliseconds
-	Members string
-	For     time.Duration
+	Seats   int           // number of agents with a seat (voter); 0: no duties at all, for comparison
+	LeaseMs int           // lease of a duty, in milliseconds
+	Members string        // text of the agents' members file
+	For     time.Duration // duration of the measurement
 }
 
-// IdleCostResult holds the medians over the agents with a seat (voter of the quorum that grants duties) and over those without.
+// IdleCostResult holds what an agent uses at rest: medians over the agents with a seat (voter of the quorum that grants duties) and
+// over those without.
 type IdleCostResult struct {
 	Agents      int     `json:"agents"`
 	Seats       int     `json:"seats"`
@@ -80,7 +82,7 @@
 	SeatKB      int64   `json:"seat_resident_kb"`
 	OtherKB     int64   `json:"other_resident_kb"`
 	WrittenPerS float64 `json:"written_bytes_a_second"` // bytes that an agent with a seat writes to disk, per second
-	SyncsPerS   float64 `json:"syncs_a_second"`
+	SyncsPerS   float64 `json:"syncs_a_second"`         // times per second that an agent with a seat flushes its log to disk (fsync)
 }
 
 // Run runs the experiment.
@@ -170,6 +172,7 @@
 	return out, nil
 }
 
+// median sorts a list and returns its median, 0 if it is empty.
 func median[T int64 | float64](all []T) (m T) {
 	if len(all) == 0 {
 		return m
--- a/internal/configuration/bench_test.go
+++ b/internal/configuration/bench_test.go
@@ -16,7 +16,7 @@
 	return d
 }
 
-// BenchmarkRegistryApply measures a change, as each replica applies it.
+// BenchmarkRegistryApply measures how a replica applies one change.
 func BenchmarkRegistryApply(b *testing.B) {
 	r := NewRegistry(FleetGroup)
 	for i := 0; b.Loop(); i++ {
@@ -30,8 +30,8 @@
 	}
 }
 
-// BenchmarkRegistryUpdates measures a change and the updates that a machine encodes for the 113 agents that
-// watch it, each of which is one revision behind.
+// BenchmarkRegistryUpdates measures one change and the encoding of its updates for 113 agents, a quarter of
+// 450, which watch a machine and are one revision behind.
 func BenchmarkRegistryUpdates(b *testing.B) {
 	r := NewRegistry(FleetGroup)
 	bytes := 0
@@ -87,7 +87,8 @@
 	}
 }
 
-// BenchmarkInForce measures the computation of a status from the statuses that four machines have of all agents.
+// BenchmarkInForce measures the computation of the status of one revision from the agents' statuses that four
+// machines have.
 func BenchmarkInForce(b *testing.B) {
 	for _, agents := range []int{450, 2000} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
--- a/internal/configuration/client/client.go
+++ b/internal/configuration/client/client.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	dialTimeout      = time.Second
-	callTimeout      = 10 * time.Second // of one call to one machine
-	maxResponseBytes = 16 << 20
-	retryDelay       = 100 * time.Millisecond // before all machines are tried again
+	dialTimeout      = time.Second            // to connect to a machine
+	callTimeout      = 10 * time.Second       // for one request to one machine
+	maxResponseBytes = 16 << 20               // longest response that is read
+	retryDelay       = 100 * time.Millisecond // wait before all machines are tried once more
 )
 
 // Client makes calls to control machines.
@@ -95,7 +95,7 @@
 	}
 }
 
-// outcome is the result of one attempt to make a change.
+// outcome says what is known after one attempt to make a change.
 type outcome uint8
 
 const (
@@ -104,6 +104,7 @@
 	outcomeUnknown                   // the change may or may not have been written
 )
 
+// outcomeOf returns the outcome of an attempt that ended with err; nil: the change was written.
 func outcomeOf(err error) outcome {
 	var body *configuration.ErrorBody
 	switch {
@@ -123,14 +124,15 @@
 	return outcomeUnknown
 }
 
-// neverSent reports whether a call failed before any of it was sent.
+// neverSent reports whether a request failed before any of it was sent, so that certainly nothing was
+// written.
 func neverSent(err error) bool {
 	var network *net.OpError
 	return errors.As(err, &network) && network.Op == "dial"
 }
 
-// moreSpecific returns the error that says more: a machine's no-quorum error rather than an earlier error,
-// and otherwise the earlier one.
+// moreSpecific returns the error that tells the caller more: a no-quorum error from a machine rather than an
+// earlier error, and otherwise the earlier one.
 func moreSpecific(earlier, later error) error {
 	var body *configuration.ErrorBody
 	if earlier == nil || errors.As(later, &body) && body.Kind == configuration.ErrorNoQuorum {
@@ -204,7 +206,8 @@
 	return status, err
 }
 
-// get sends a GET request to one machine after another until one answers or refuses for good.
+// get sends a GET request to one machine after another until one answers it or refuses it for good, and
+// decodes the answer into the value that into points to.
 func (c *Client) get(ctx context.Context, path string, query url.Values, into any) error {
 	if len(query) > 0 {
 		path += "?" + query.Encode()
@@ -220,7 +223,8 @@
 	return reason
 }
 
-// do calls a machine and decodes the response. An *ErrorBody in the response is returned as the error.
+// do sends a request to one machine and decodes the response into the value that into points to. An
+// *ErrorBody in the response is returned as the error.
 func (c *Client) do(ctx context.Context, method, address, path string, body []byte, into any) error {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
@@ -245,7 +249,7 @@
 	return refusal
 }
 
-// waitRetry waits before the next round. It returns false if ctx is done.
+// waitRetry waits for retryDelay before all machines are tried again. It returns false if ctx is done.
 func waitRetry(ctx context.Context) bool {
 	select {
 	case <-time.After(retryDelay):
--- a/internal/configuration/client/client_test.go
+++ b/internal/configuration/client/client_test.go
@@ -14,10 +14,11 @@
 	"lemonrail/internal/configuration"
 )
 
-// stubReply is how a stub machine handles a call: it answers with a refusal, accepts, or drops the connection.
+// stubReply is how a stub machine handles a change: with a refusal, by dropping the connection, or, if
+// neither is set, by accepting it.
 type stubReply struct {
-	refusal *configuration.ErrorBody
-	drop    bool
+	refusal *configuration.ErrorBody // nil: none
+	drop    bool                     // the machine closes the connection without an answer
 }
 
 var (
@@ -29,13 +30,14 @@
 	conflict = stubReply{refusal: &configuration.ErrorBody{Kind: configuration.ErrorConflict}}
 )
 
-// stubMachines are machines that give their replies in order and then repeat the last one. A machine without
-// replies refuses connections.
+// stubMachines records the changes sent to several stub machines. Each machine gives its replies in order and
+// then repeats the last one; a machine without replies refuses connections.
 type stubMachines struct {
 	mu    sync.Mutex
-	calls []string // IDs of the changes, in order of arrival
+	calls []string // IDs of the changes received by all machines, in order of arrival
 }
 
+// machine starts a stub machine and returns its address.
 func (s *stubMachines) machine(t *testing.T, replies ...stubReply) (address string) {
 	t.Helper()
 	if len(replies) == 0 {
@@ -78,9 +80,9 @@
 func TestPutResolvesOutcomes(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
-		machines [][]stubReply
-		kind     configuration.ErrorKind // empty: accepted
-		calls    int
+		machines [][]stubReply           // replies of each machine, in the order in which the client tries the machines
+		kind     configuration.ErrorKind // kind of the error that Put returns; empty: accepted
+		calls    int                     // number of changes that reach a machine
 	}{
 		{"accepted", [][]stubReply{{accepts}}, "", 1},
 		{"accepted by the second", [][]stubReply{{notHere}, {accepts}}, "", 2},
@@ -131,7 +133,7 @@
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if len(s.calls) > 1 { // the first machine was tried again
+		if len(s.calls) > 1 { // the first machine was tried a second time
 			cancel()
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -25,11 +25,11 @@
 	MaxScopes         = 2048     // scopes with a document, per group
 	MaxGroupBytes     = 2 << 20  // bytes of all documents of a group
 	MaxNameBytes      = 64       // bytes of a name in a scope, or of the author of a revision
-	MaxChangeIDBytes  = 64       // bytes of a change's ID
-	MaxChangeResults  = 256      // results of the last changes that a group keeps to recognize a repeated change
-	MaxReversePatches = 64       // earlier revisions of a scope from which an agent can be sent a patch
+	MaxChangeIDBytes  = 64       // bytes of the ID of a change
+	MaxChangeResults  = 256      // number of results that a group keeps, those of the last changes, to recognize a repeated change
+	MaxReversePatches = 64       // number of earlier revisions of a scope from which an agent can be sent a patch
 	MaxRefusalBytes   = 512      // bytes of the reason for which an agent refuses a revision
-	MaxPartBytes      = 2 << 10  // bytes of a document in one part
+	MaxPartBytes      = 2 << 10  // bytes of document text in one part of an update
 	FleetGroup        = "fleet"  // the group that writes the scopes of the fleet and of services
 	regionGroupPrefix = "region-"
 )
--- a/internal/configuration/document_apply.go
+++ b/internal/configuration/document_apply.go
@@ -63,6 +63,7 @@
 	return nil
 }
 
+// maxDeadline returns the longest deadline of all classes.
 func maxDeadline(classes []balance.Class) (longest time.Duration) {
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
@@ -83,6 +84,7 @@
 	return nil
 }
 
+// apply sets in s the settings that the document has a value for.
 func (l *LimitsDocument) apply(s *balance.Settings) {
 	if l == nil {
 		return
@@ -93,6 +95,7 @@
 	setIfPresent(&s.OverShare, l.OverShareWorth)
 }
 
+// apply sets in s the settings that the document has a value for.
 func (c *ColdDocument) apply(s *balance.Settings) {
 	if c == nil {
 		return
@@ -110,6 +113,7 @@
 	}
 }
 
+// toDuration converts milliseconds to a duration; nil stays nil.
 func toDuration(ms *float64) *time.Duration {
 	if ms == nil {
 		return nil
--- a/internal/configuration/document_check.go
+++ b/internal/configuration/document_check.go
@@ -8,7 +8,7 @@
 	"unicode/utf8"
 )
 
-// Upper bounds of values. They guard against typing errors and overflow.
+// Upper bounds of values in a document. They guard against typing errors and overflow.
 const (
 	maxTimeMs   = 24 * 60 * 60 * 1000 // of all times in milliseconds: a day
 	maxAttempts = 64                  // of limits.attempts
@@ -82,6 +82,7 @@
 // minPositive is the least value of fields that must be above 0: a thousandth of a millisecond or of a share.
 const minPositive = 0.001
 
+// checkRange returns an error if a value is set and not within minimum and maximum.
 func checkRange(path string, value *float64, minimum, maximum float64) error {
 	if value == nil || *value >= minimum && *value <= maximum && !math.Signbit(*value) {
 		return nil
@@ -89,6 +90,7 @@
 	return rangeError(path, *value, minimum, maximum)
 }
 
+// rangeError returns the error for a value that is out of range.
 func rangeError(path string, value, minimum, maximum float64) error {
 	return fieldError(path, formatNumber(value)+" is not within "+formatNumber(minimum)+" and "+formatNumber(maximum))
 }
@@ -103,6 +105,7 @@
 	return nil
 }
 
+// firstError returns the first error that isn't nil.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
--- a/internal/configuration/document_parse.go
+++ b/internal/configuration/document_parse.go
@@ -38,6 +38,7 @@
 	return &d, nil
 }
 
+// tooLongError returns the error for a document over MaxDocumentBytes.
 func tooLongError(length int) error {
 	return fmt.Errorf("document: %d bytes, over %d", length, MaxDocumentBytes)
 }
@@ -115,6 +116,7 @@
 	return nil
 }
 
+// setNumber parses a number and stores it in an integer or floating-point target.
 func setNumber(path, text string, target reflect.Value) error {
 	if target.Kind() == reflect.Int {
 		whole, err := strconv.ParseInt(text, 10, 32)
@@ -186,11 +188,13 @@
 	return reflect.Value{}, false
 }
 
+// jsonName returns the name of a struct field in JSON.
 func jsonName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 	return name
 }
 
+// joinPath returns the path of a member of the object at path.
 func joinPath(path, name string) string {
 	if path == "" {
 		return name
@@ -198,6 +202,7 @@
 	return path + "." + name
 }
 
+// fieldError returns an error that begins with the path of a field.
 func fieldError(path, problem string) error {
 	if path == "" {
 		path = "document"
--- a/internal/configuration/document_test.go
+++ b/internal/configuration/document_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// The limit applies to the canonical text, which is what is stored and sent. It may be longer than the input,
-// because JSON escapes characters such as "<".
+// MaxDocumentBytes applies to the canonical text, which is what is stored and sent. That text may be longer
+// than the input, because JSON escapes characters such as "<".
 func TestParseDocumentBoundsTheCanonicalText(t *testing.T) {
 	var classes []string
 	for i := range 200 {
@@ -112,11 +112,11 @@
 	}
 }
 
-// documentField is a field of a document that holds a value.
+// documentField is a field of a document that holds a single value, such as limits.attempts.
 type documentField struct {
-	path string
-	set  func(d *Document, value any) // value is a pointer as returned by the value method
-	kind reflect.Kind
+	path string                       // such as limits.attempts
+	set  func(d *Document, value any) // sets the field; value is a pointer as returned by the method value
+	kind reflect.Kind                 // of the value
 }
 
 // documentFields finds all fields of a document except Format by reflection, so that new fields are covered.
@@ -160,7 +160,8 @@
 	return all
 }
 
-// value returns a pointer to a value that differs from that of startSettings. Each n gives another value.
+// value returns a pointer to a value for the field that differs from the one in startSettings. Different n
+// give different values.
 func (l documentField) value(t *testing.T, n int) any {
 	if strings.HasSuffix(l.path, ".deadline_ms") {
 		return pointer(300 + float64(n)) // above the aim
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// with returns a document in which only the field is set.
+// with returns a document in which only this field is set, to value.
 func (l documentField) with(value any) *Document {
 	d := &Document{Format: Format}
 	l.set(d, value)
@@ -244,8 +245,9 @@
 	}
 }
 
-// settingsPaths returns the values of all fields of settings by name. Fields of classes and tenants are named
-// by path, such as Classes.Aim, and the values of all classes or tenants are joined.
+// settingsPaths returns the values of all fields of settings as text, by the field's name. A field of the
+// classes or tenants is named by path, such as Classes.Aim, and its value joins those of all classes or
+// tenants.
 func settingsPaths(s balance.Settings) map[string]string {
 	paths := map[string]string{}
 	settings := reflect.ValueOf(s)
@@ -274,7 +276,7 @@
 	reachedBy := map[string]string{}
 	for _, l := range documentFields(t) {
 		var settings balance.Settings
-		for n := range 2 { // one of two values of a boolean equals the base's
+		for n := range 2 { // of the two values of a boolean, one equals that in base and so changes nothing
 			changed, err := l.with(l.value(t, n)).Apply(base, names)
 			if err != nil {
 				t.Fatalf("%s: %v", l.path, err)
@@ -367,7 +369,8 @@
 	}
 }
 
-// Apply also runs the checks of the start file and refuses settings that fail them.
+// Apply also runs the checks that an agent makes at its start, and returns an error for settings that fail
+// them.
 func TestApplyChecksStartSettings(t *testing.T) {
 	base, names := startSettings()
 	base.Balancers = 0
--- a/internal/configuration/follower.go
+++ b/internal/configuration/follower.go
@@ -11,36 +11,37 @@
 //
 //	follower.Connected()                  // a watch begins: request it with follower.Positions()
 //	result := follower.Receive(update)    // for each line; on ResultNeedsWhole end the watch, begin a new one after a pause
-//	effective, ok := follower.Pending()   // after each Connected and Take: apply it, then call
+//	effective, ok := follower.Pending()   // after each Connected and Receive: apply it, then call
 //	follower.Applied(effective)           // or follower.ApplyFailed(effective, err), and check Pending again
 //	follower.Report()                     // send it when a watch is answered, when it has changed, and periodically
 type Follower struct {
 	place         Place
 	check         func(effective *Document) error // returns an error for an effective document that the agent can't apply
-	scopes        []Scope                         // that apply to the agent, from the widest to the narrowest
+	scopes        []Scope                         // scopes whose documents the agent uses, from the widest to the narrowest
 	states        map[Scope]*followedScope
-	moreExpected  bool // the last update announced further updates that take effect together with it
-	applyOneByOne bool // applying several changed scopes at once has failed
+	moreExpected  bool // further updates follow that take effect together with the last one
+	applyOneByOne bool // applying several changed scopes at once has failed, so Pending offers one change at a time
 
-	inForce    *Effective         // the effective document that the agent works with; never nil
-	pending    *Effective         // to be applied; nil: it is in force already, or not evaluated yet
-	evaluated  bool               // pending and the refusals reflect all updates so far
-	lastFailed map[Scope]Position // positions that could not be applied last; not offered again before the next update
+	inForce    *Effective         // effective document that the agent works with; never nil
+	pending    *Effective         // effective document to be applied; nil: it is in force already, or not computed yet
+	evaluated  bool               // pending and the refusals reflect all updates received so far
+	lastFailed map[Scope]Position // positions of the effective document that failed to apply last; it isn't offered again before the next update
 
 	skip skippedChecks
 }
 
-// skippedChecks disables checks of a Follower in tests that show which fault each check prevents.
+// skippedChecks disables checks of received updates, for tests that show which fault each check prevents:
+// that revisions rise, that a patch is based on the received revision, and that the digest matches.
 type skippedChecks struct{ order, from, digest bool }
 
-// followedScope is the agent's state of one scope.
+// followedScope is what the agent has of the document of one scope.
 type followedScope struct {
 	received      scopeDocument // latest revision received; patches apply to its text
 	inForce       scopeDocument // revision in force; Revision 0: none
-	parts         *partAssembly // parts received of an incomplete revision; nil: none
+	parts         *partAssembly // parts received of a revision that is sent in parts; nil: none
 	needsWhole    bool          // an update could not be used, so the whole document has to be requested
-	applyFailure  string        // why received could not be applied; empty: it hasn't failed
-	refusalReason string        // why received is not part of the effective document; empty: it is
+	applyFailure  string        // why the agent could not apply received; empty: it hasn't failed
+	refusalReason string        // why received is refused, and so not part of the effective document; empty: it isn't refused
 }
 
 // scopeDocument is the text of a revision and its parsed form. A Revision of 0 means that there is none.
@@ -115,7 +116,8 @@
 	}
 }
 
-// Positions returns the positions to begin a watch from. Scopes whose whole document is needed have an Epoch of 0.
+// Positions returns the position of each scope's received document, from which a watch is to begin. An Epoch
+// of 0 asks for the whole document of the scope.
 func (f *Follower) Positions() map[Scope]Position {
 	have := map[Scope]Position{}
 	for scope, state := range f.states {
@@ -130,8 +132,8 @@
 	return have
 }
 
-// ScopesNeedingWhole returns the scopes with an update that could not be used. A new watch from Positions receives their
-// whole documents.
+// ScopesNeedingWhole returns the scopes for which an update could not be used. A new watch from Positions
+// receives the whole documents of these scopes.
 func (f *Follower) ScopesNeedingWhole() (scopes []Scope) {
 	for _, scope := range f.scopes {
 		if f.states[scope].needsWhole {
@@ -141,7 +143,7 @@
 	return scopes
 }
 
-// Receive processes the next update of the watch.
+// Receive processes the next update of the watch and returns what became of it.
 func (f *Follower) Receive(u Update) Result {
 	f.moreExpected = u.More
 	f.evaluated, f.lastFailed = false, nil
@@ -172,7 +174,7 @@
 }
 
 // textAfter returns the text of the scope's document after an update. The result is ResultAccepted if the
-// text is complete and valid, otherwise it tells why not.
+// text is complete and has the expected digest; otherwise it says why not.
 func (f *Follower) textAfter(u Update, state *followedScope) ([]byte, Result) {
 	var text []byte
 	var result Result
@@ -196,6 +198,7 @@
 	return slices.Clone(text), Result{}
 }
 
+// needsWholeResult returns the result that asks for the scope's whole document, with the reason.
 func needsWholeResult(u Update, why string) Result {
 	return Result{ResultNeedsWhole, fmt.Sprintf("%v: revision %d: %s", u.Scope, u.Revision, why)}
 }
@@ -222,7 +225,7 @@
 	return f.pending, f.pending != nil
 }
 
-// evaluate computes the pending document and the refusals, unless they are up to date.
+// evaluate computes the pending document and the refusals, unless they were computed since the last change.
 func (f *Follower) evaluate() {
 	if f.evaluated {
 		return
@@ -248,9 +251,9 @@
 	}
 }
 
-// ApplyFailed records that applying an effective document has failed. If several scopes had changed, they are
-// applied one by one from now on, from the widest; if only one had, its revision is refused until the next
-// one.
+// ApplyFailed records that the agent could not apply an effective document. If several scopes had changed,
+// Pending offers their changes one by one from now on, from the widest scope; if only one had, its revision
+// is refused until the scope gets a later one.
 func (f *Follower) ApplyFailed(e *Effective, cause error) {
 	f.evaluated, f.lastFailed = false, e.Positions
 	changed := f.changedScopes(e)
@@ -265,7 +268,7 @@
 	}
 }
 
-// changedScopes returns the scopes whose revision differs between e and the document in force.
+// changedScopes returns the scopes whose revision in e differs from the one in force.
 func (f *Follower) changedScopes(e *Effective) (changed []Scope) {
 	for _, scope := range f.scopes {
 		if e.Positions[scope] != f.inForce.Positions[scope] {
--- a/internal/configuration/follower_compose.go
+++ b/internal/configuration/follower_compose.go
@@ -6,9 +6,9 @@
 	"unicode/utf8"
 )
 
-// compose merges the received documents of all scopes, from the widest to the narrowest. A document with
-// which the check fails is refused, and the scope keeps the revision in force if the check passes with that
-// one.
+// compose merges the received documents of all scopes, from the widest to the narrowest. A document that is
+// invalid, could not be applied, or makes the check fail is refused; its scope then keeps the revision in
+// force, unless the check fails with that one too.
 func (f *Follower) compose() *Effective {
 	var merged *Document
 	sources := map[Scope]scopeDocument{}
@@ -27,8 +27,8 @@
 	return newEffective(merged, sources)
 }
 
-// addDocument returns merged overlaid with d, or an error if d is invalid, could not be applied or fails the
-// check.
+// addDocument returns merged overlaid with d, or an error if d is invalid, could not be applied before
+// (applyFailure says why; empty: it could) or makes the check fail.
 func (f *Follower) addDocument(merged *Document, d scopeDocument, applyFailure string) (*Document, scopeDocument, error) {
 	switch {
 	case d.Revision == 0:
@@ -45,8 +45,8 @@
 	return next, d, nil
 }
 
-// firstChange returns the document in force with one change of wanted applied: that of the widest scope that
-// differs.
+// firstChange returns the document in force with only one of the changes that lead to wanted: that of the
+// widest scope whose revision differs.
 func (f *Follower) firstChange(wanted *Effective) *Effective {
 	changed := f.changedScopes(wanted)
 	if len(changed) == 0 {
--- a/internal/configuration/follower_state.go
+++ b/internal/configuration/follower_state.go
@@ -9,7 +9,8 @@
 	"fmt"
 )
 
-// stateHeader begins the first line of a saved state. Another layout must have another header.
+// stateHeader begins the first line of a saved state. If the layout of the state changes, the header has to
+// change too.
 const stateHeader = "lemonrail configuration 1"
 
 // savedState is the part of a Follower's state that survives a restart: the documents in force. The line
@@ -74,6 +75,7 @@
 	return nil
 }
 
+// parseState parses a saved state and checks its header and checksum.
 func parseState(text []byte) (savedState, error) {
 	var state savedState
 	header, body, ok := bytes.Cut(text, []byte("\n"))
--- a/internal/configuration/follower_test.go
+++ b/internal/configuration/follower_test.go
@@ -15,7 +15,7 @@
 	agentScope = Scope{Level: LevelAgent, Region: "east", Name: "a1"}
 )
 
-// wholeUpdate returns an update with the whole document.
+// wholeUpdate returns an update with the whole document of a scope.
 func wholeUpdate(scope Scope, revision uint64, text string) Update {
 	canonical := encodeAny(mustDecode(text))
 	return Update{Scope: scope, Position: Position{revision, 1}, Patch: canonical, Digest: Digest(canonical)}
@@ -29,6 +29,7 @@
 	return value
 }
 
+// takeUpdate passes an update to the follower and checks the kind of the result.
 func takeUpdate(t *testing.T, f *Follower, u Update, want ResultKind) Result {
 	t.Helper()
 	result := f.Receive(roundTrip(t, u))
@@ -38,7 +39,7 @@
 	return result
 }
 
-// applyPending puts the pending document in force and checks that nothing else is pending then.
+// applyPending puts the pending document in force and checks that nothing further is pending after it.
 func applyPending(t *testing.T, f *Follower) *Effective {
 	t.Helper()
 	effective, ok := f.Pending()
@@ -55,6 +56,8 @@
 	return effective
 }
 
+// wantInForce checks that the effective document in force is that of text, and that exactly the documents of
+// the scopes in refused are refused.
 func wantInForce(t *testing.T, f *Follower, text string, refused ...Scope) {
 	t.Helper()
 	report := f.Report()
@@ -106,7 +109,7 @@
 		t.Errorf("report %+v", report)
 	}
 	if have := f.Positions(); have[Fleet] != (Position{1, 1}) {
-		t.Errorf("have %v", have) // a received document must not be sent again
+		t.Errorf("have %v", have) // the position of a document that was received but not applied: it isn't requested again
 	}
 	f.Applied(effective)
 	if report := f.Report(); report.InForce[Fleet] != (Position{1, 1}) || report.Digest != effective.Digest {
@@ -253,7 +256,8 @@
 	takeUpdate(t, f, Update{Scope: Fleet, Position: Position{1, 1}, Patch: long, Digest: Digest(long)}, ResultNeedsWhole)
 }
 
-// If a set of updates is cut off, the updates that have arrived take effect.
+// If a watch ends before a set of updates is complete, the updates that have arrived take effect when the
+// next watch begins.
 func TestFollowerAppliesIncompleteSetAfterReconnect(t *testing.T) {
 	f := NewFollower(testPlace, checkAgainstStart)
 	u := wholeUpdate(Fleet, 1, `{"format":1,"limits":{"attempts":2}}`)
@@ -329,8 +333,8 @@
 	}
 }
 
-// A change of a wide scope can make a narrower document fail that passed before. The narrower document is
-// then refused, and applied again once it passes.
+// A change of a wide scope can make a narrower scope's document invalid that was valid before. The narrower
+// document is then refused, and applied again once it is valid.
 func TestFollowerRetriesRefusedDocument(t *testing.T) {
 	f := NewFollower(testPlace, checkAgainstStart)
 	takeUpdate(t, f, wholeUpdate(agentScope, 4, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`), ResultAccepted)
@@ -346,8 +350,8 @@
 	wantInForce(t, f, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`)
 }
 
-// If applying fails, the changed scopes are tried one by one, and the scope that fails alone is refused until
-// its next revision.
+// If applying several changed scopes at once fails, they are tried one by one, and the scope whose change
+// fails alone is refused until its next revision.
 func TestFollowerIsolatesScopeThatFailsToApply(t *testing.T) {
 	f := NewFollower(testPlace, checkAgainstStart)
 	takeUpdate(t, f, wholeUpdate(serviceScope, 1, `{"format":1,"limits":{"attempts":2}}`), ResultAccepted)
@@ -380,12 +384,13 @@
 	wantInForce(t, f, `{"format":1,"cold":{"from":0.5,"ramp_ms":5},"limits":{"attempts":3}}`)
 }
 
-// An agent that fails to apply every document keeps what it has and stops trying.
+// An agent that fails to apply any changed document keeps the documents in force, refuses the changed ones
+// and stops trying.
 func TestFollowerStopsWhenNothingApplies(t *testing.T) {
 	f := NewFollower(testPlace, checkAgainstStart)
 	takeUpdate(t, f, wholeUpdate(agentScope, 4, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`), ResultAccepted)
 	applyPending(t, f)
-	for i, u := range []Update{ // the fleet's document makes the agent's fail its check
+	for i, u := range []Update{ // with the fleet's document the agent scope's aim of 1500 ms is above the deadline, so that document is refused
 		wholeUpdate(Fleet, 1, `{"format":1,"classes":{"scan":{"deadline_ms":1000}}}`),
 		wholeUpdate(serviceScope, 1, `{"format":1,"limits":{"attempts":2}}`),
 	} {
@@ -402,7 +407,8 @@
 	wantInForce(t, f, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`, Fleet, serviceScope)
 }
 
-// Even removing a refused document may fail to apply: here the agent fails without an aim for scans.
+// Even removing a document that has become invalid may fail to apply: here the agent can't work without the
+// aim for scans that the document sets. The agent then keeps it in force and stops trying.
 func TestFollowerStopsWhenRemovalFails(t *testing.T) {
 	f := NewFollower(testPlace, checkAgainstStart)
 	takeUpdate(t, f, wholeUpdate(agentScope, 4, `{"format":1,"classes":{"scan":{"aim_ms":1500}}}`), ResultAccepted)
@@ -430,7 +436,7 @@
 	takeUpdate(t, f, wholeUpdate(Fleet, 3, `{"format":1,"cold":{"from":0.5}}`), ResultAccepted)
 	takeUpdate(t, f, wholeUpdate(serviceScope, 8, `{"format":1,"limits":{"attempts":2}}`), ResultAccepted)
 	applyPending(t, f)
-	takeUpdate(t, f, wholeUpdate(serviceScope, 9, `{"format":1,"limits":{"attempts":3}}`), ResultAccepted) // not in force yet
+	takeUpdate(t, f, wholeUpdate(serviceScope, 9, `{"format":1,"limits":{"attempts":3}}`), ResultAccepted) // received, but not in force, so it isn't saved
 	kept, err := f.MarshalState()
 	if err != nil {
 		t.Fatal(err)
@@ -462,7 +468,8 @@
 	}
 }
 
-// Saved documents are checked again, since they may fail after the start file has changed.
+// Saved documents are checked again when they are restored, since the start file may have changed in the
+// meantime.
 func TestFollowerChecksRestoredState(t *testing.T) {
 	f := NewFollower(testPlace, checkAgainstStart)
 	takeUpdate(t, f, wholeUpdate(Fleet, 3, `{"format":1,"cold":{"from":0.5}}`), ResultAccepted)
--- a/internal/configuration/helpers_test.go
+++ b/internal/configuration/helpers_test.go
@@ -11,7 +11,7 @@
 	"lemonrail/internal/wire"
 )
 
-// startSettings returns the settings and names of an agent's start file.
+// startSettings returns the settings and names of the start file that the tests' agents have.
 func startSettings() (balance.Settings, wire.Names) {
 	names := wire.Names{Classes: []string{"point-read", "scan", "write"}, Tenants: []string{"web", "batch"}}
 	settings := balance.Settings{
@@ -29,7 +29,7 @@
 	return settings, names
 }
 
-// checkAgainstStart checks a document as an agent with startSettings does.
+// checkAgainstStart returns an error if a document can't be applied to startSettings.
 func checkAgainstStart(d *Document) error {
 	_, err := d.Apply(startSettings())
 	return err
@@ -48,7 +48,8 @@
 	return d
 }
 
-// randomDocument sets a random subset of the fields, with values that pass checkAgainstStart.
+// randomDocument returns a document with a random subset of the fields set, to values that pass
+// checkAgainstStart.
 func randomDocument(rng *rand.Rand) *Document {
 	_, names := startSettings()
 	d := &Document{Format: Format, Classes: map[string]ClassDocument{}, Tenants: map[string]TenantDocument{}}
@@ -75,7 +76,8 @@
 	return &value
 }
 
-// longDocument returns a document with that many classes of about 50 bytes each, whose names no start file has.
+// longDocument returns a document with that many classes of about 50 bytes each. No start file has classes of
+// these names.
 func longDocument(classes int, aim float64) *Document {
 	d := &Document{Format: Format, Classes: map[string]ClassDocument{}}
 	for i := range classes {
@@ -86,7 +88,7 @@
 
 func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
-// put applies a change in encoded form, as the control process does.
+// put applies a change to a registry in encoded form, as a log entry of the given epoch.
 func put(t *testing.T, r *Registry, epoch uint64, c Change) (Accepted, error) {
 	t.Helper()
 	command, err := EncodeChange(c)
--- a/internal/configuration/pacer_test.go
+++ b/internal/configuration/pacer_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// No period of a second has more bytes than the rate and the burst together, whatever is sent.
+// No period of one second has more bytes than PaceRate and PaceBurst together, whatever is sent.
 func TestPacerBoundsEachSecond(t *testing.T) {
 	type send struct {
 		at    time.Duration
@@ -44,7 +44,7 @@
 	}
 }
 
-// A queue is sent at the full rate.
+// A queue of lines is sent at PaceRate, after the first PaceBurst bytes at once.
 func TestPacerSendsAtTheRate(t *testing.T) {
 	pacer, now := NewPacer(PaceRate, PaceBurst, 0), time.Duration(0)
 	for range 11 {
@@ -58,7 +58,7 @@
 	}
 }
 
-// The longest document is sent within 7 of the 9 seconds in which a change has to be in force.
+// The longest document is sent within 7 of the 9 s in which a change has to be in force.
 func TestPacerSendsLongestDocumentInTime(t *testing.T) {
 	r := NewRegistry(FleetGroup)
 	document := longDocument(1, 1)
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -22,7 +22,8 @@
 	return encodeAny(difference(before, after)), nil
 }
 
-// difference returns the patch that turns before into after. Neither may hold a null.
+// difference returns the merge patch that turns before into after. Neither may contain a null, which a patch
+// can't express.
 func difference(before, after map[string]any) map[string]any {
 	patch := map[string]any{}
 	for name := range before {
@@ -80,6 +81,7 @@
 	return object
 }
 
+// decodeObject decodes a JSON object and keeps the text of each number.
 func decodeObject(text []byte) (map[string]any, error) {
 	value, err := decodeAny(text)
 	if err != nil {
--- a/internal/configuration/patch_test.go
+++ b/internal/configuration/patch_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// Patches preserve fields and numbers that this program doesn't know.
+// Patches keep fields, and the digits of numbers, that this program doesn't know.
 func TestPatchesPreserveUnknownFields(t *testing.T) {
 	from, to := `{"format":9,"novelty":{"a":[1,2],"b":0.30000000000000004}}`, `{"format":9,"novelty":{"b":123456789012345678901}}`
 	patch, err := MakePatch([]byte(from), []byte(to))
--- a/internal/configuration/registry.go
+++ b/internal/configuration/registry.go
@@ -23,9 +23,9 @@
 	OnRevision func(Revision)
 
 	group   string
-	scopes  map[Scope]*scopeState
-	bytes   int // total length of all documents
-	changes changeLog
+	scopes  map[Scope]*scopeState // latest revision and patches, by scope
+	bytes   int                   // total length of all documents
+	changes changeLog             // results of the last changes
 }
 
 // NewRegistry returns the empty registry of a group.
@@ -33,7 +33,7 @@
 	return &Registry{group: group, scopes: map[Scope]*scopeState{}, changes: newChangeLog()}
 }
 
-// EncodeChange encodes a change as a command for Apply.
+// EncodeChange encodes a change as a command, which is an entry of the group's log and the argument of Apply.
 func EncodeChange(c Change) ([]byte, error) { return json.Marshal(c) }
 
 // outcome is the result of Apply, encoded as JSON. One of its fields is set.
@@ -42,7 +42,7 @@
 	Refused  *ErrorBody `json:"refused,omitempty"`
 }
 
-// DecodeResult decodes a result of Apply. The error is an *ErrorBody if the change was refused.
+// DecodeResult decodes the result of Apply. If the change was refused, the error is an *ErrorBody.
 func DecodeResult(result []byte) (Accepted, error) {
 	var o outcome
 	if err := json.Unmarshal(result, &o); err != nil {
@@ -57,8 +57,9 @@
 	return Accepted{}, fmt.Errorf("result of a change: neither accepted nor refused: %.100q", result)
 }
 
-// Check refuses a change before it is proposed, at least as strictly as Apply does; the error is an
-// *ErrorBody. A change that was applied before passes, so that Apply can return its first result again.
+// Check returns an *ErrorBody for a change that Apply would refuse, and for some others such as documents of
+// a later Format. The leader calls it before it proposes a change. A change that was applied before passes,
+// so that Apply can return its first result again.
 func (r *Registry) Check(c Change) error {
 	if r.changes.has(c.ID) {
 		return nil
@@ -95,7 +96,7 @@
 	return text
 }
 
-// applyChange creates a new revision if the change is valid.
+// applyChange makes a new revision of the change's document if the change is valid.
 func (r *Registry) applyChange(epoch uint64, c Change) outcome {
 	document, refused := r.validate(c)
 	if refused != nil {
@@ -124,7 +125,7 @@
 	return outcome{Accepted: &Accepted{Scope: next.Scope, Position: next.Position, Digest: next.Digest}}
 }
 
-// validate returns the canonical document of a change, or the reason to refuse the change.
+// validate returns the canonical document of a change, or the reason why the change is refused.
 func (r *Registry) validate(c Change) (json.RawMessage, *ErrorBody) {
 	if refused := r.validateMetadata(c); refused != nil {
 		return nil, refused
@@ -177,7 +178,8 @@
 	return nil
 }
 
-// checkLimits checks the limits of a group for a new document of length bytes.
+// checkLimits checks that the group stays within MaxScopes and MaxGroupBytes if the scope gets a document of
+// length bytes.
 func (r *Registry) checkLimits(scope Scope, length int) *ErrorBody {
 	before := 0
 	if state := r.scopes[scope]; state != nil {
@@ -225,6 +227,7 @@
 	return encodeAny(object), true
 }
 
+// invalidError returns an error of kind invalid.
 func invalidError(format string, values ...any) *ErrorBody {
 	return &ErrorBody{Kind: ErrorInvalid, Message: truncateText(fmt.Sprintf(format, values...), MaxRefusalBytes)}
 }
--- a/internal/configuration/registry_changes.go
+++ b/internal/configuration/registry_changes.go
@@ -10,11 +10,11 @@
 // changeLog keeps the results of the last MaxChangeResults changes, so that a repeated change gets its first
 // result.
 type changeLog struct {
-	order   []string // IDs of the changes, the oldest first
-	results map[string]changeResult
+	order   []string                // IDs of the changes, the oldest first
+	results map[string]changeResult // results by ID of the change
 }
 
-// changeResult is the first result of a change.
+// changeResult is the result that a change got when it was first applied.
 type changeResult struct {
 	ID      string  `json:"id"`
 	Content string  `json:"content"` // digest of the change, see contentDigest
@@ -37,6 +37,7 @@
 	return first.Outcome, ok
 }
 
+// add stores the result of a change, and forgets the oldest result beyond MaxChangeResults.
 func (l *changeLog) add(c Change, o outcome) {
 	if c.ID == "" || len(c.ID) > MaxChangeIDBytes {
 		return // the change was refused because of its ID
--- a/internal/configuration/registry_scope.go
+++ b/internal/configuration/registry_scope.go
@@ -8,7 +8,7 @@
 
 // scopeState is a Registry's state of a scope: the latest revision, and reverse patches to earlier revisions.
 type scopeState struct {
-	latest Revision
+	latest Revision // latest revision, with its document
 	// reversePatches lead back revision by revision, the newest first. Their total length is at most that of
 	// the latest document: a patch from further back could hardly be shorter than the whole document, and
 	// memory stays within twice the documents.
@@ -16,13 +16,13 @@
 	patchCache     map[uint64]json.RawMessage // patches to latest by the revision that they apply to, filled on demand
 }
 
-// reversePatch leads from a revision to the previous one.
+// reversePatch is a merge patch that turns the document of a revision into that of the revision before it.
 type reversePatch struct {
-	To    Position        `json:"to"`
+	To    Position        `json:"to"` // position of the earlier revision
 	Patch json.RawMessage `json:"patch"`
 }
 
-// advance makes next the latest revision.
+// advance makes next the latest revision and adds the reverse patch to the one before it.
 func (s *scopeState) advance(next Revision) {
 	if s.latest.Revision > 0 {
 		back := encodeAny(difference(mustDecodeObject(next.Document), mustDecodeObject(s.latest.Document)))
@@ -64,8 +64,8 @@
 	return patch, len(patch) < len(s.latest.Document) && len(patch) <= MaxPartBytes
 }
 
-// makePatch applies the reverse patches up to index step and returns the patch from there to the latest
-// revision.
+// makePatch reconstructs the earlier document with the reverse patches up to index step, and returns the
+// patch that turns it into the latest document.
 func (s *scopeState) makePatch(step int) json.RawMessage {
 	earlier := mustDecodeObject(s.latest.Document)
 	for _, back := range s.reversePatches[:step+1] {
@@ -74,7 +74,8 @@
 	return encodeAny(difference(earlier, mustDecodeObject(s.latest.Document)))
 }
 
-// mustDecodeObject decodes a text that the registry itself has encoded.
+// mustDecodeObject decodes a JSON object that the registry itself has encoded; anything else is a bug and
+// panics.
 func mustDecodeObject(text []byte) map[string]any {
 	object, err := decodeObject(text)
 	if err != nil {
@@ -83,7 +84,8 @@
 	return object
 }
 
-// newUpdate returns an update to the revision. If from is 0, patch is the whole document.
+// newUpdate returns an update to the revision. If from is 0, patch is the whole document, otherwise it
+// applies to revision from.
 func (r Revision) newUpdate(from uint64, patch json.RawMessage) Update {
 	return Update{Scope: r.Scope, Position: r.Position, From: from, Patch: patch, Digest: r.Digest}
 }
--- a/internal/configuration/registry_snapshot.go
+++ b/internal/configuration/registry_snapshot.go
@@ -8,6 +8,7 @@
 // snapshotFormat is the version of the snapshot format that this program writes and reads.
 const snapshotFormat = 1
 
+// registrySnapshot is the JSON form of a Registry.
 type registrySnapshot struct {
 	Format  int             `json:"format"`
 	Group   string          `json:"group"`
@@ -15,6 +16,7 @@
 	Changes []changeResult  `json:"changes"`
 }
 
+// scopeSnapshot is the JSON form of one scope's state in a registry.
 type scopeSnapshot struct {
 	Latest Revision       `json:"latest"`
 	Steps  []reversePatch `json:"steps"` // the scope's reverse patches, the newest first
--- a/internal/configuration/registry_test.go
+++ b/internal/configuration/registry_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// An invalid Scope can't come from ParseScope, but a caller may construct one.
+// ParseScope never returns an invalid Scope, but a caller may construct one, and the registry must refuse it.
 func TestRegistryRejectsMalformedScope(t *testing.T) {
 	malformed := newChange("odd", Scope{Level: LevelFleet, Name: "a"}, 0, &Document{Format: 1})
 	wantErrorKind(t, "fleet scope with a name", NewRegistry(FleetGroup).Check(malformed), ErrorInvalid)
@@ -167,7 +167,7 @@
 	if got := mustPut(t, r, 1, changes[1]); got.Revision != 2 {
 		t.Errorf("oldest change that is kept, repeated: %+v", got)
 	}
-	wantErrorKind(t, "forgotten change", r.Check(changes[0]), ErrorConflict) // the conflict still keeps it from being applied twice
+	wantErrorKind(t, "forgotten change", r.Check(changes[0]), ErrorConflict) // the base revision is outdated by now, which keeps the change from being applied twice
 }
 
 func TestRegistryLimitsScopes(t *testing.T) {
@@ -209,8 +209,8 @@
 	}
 }
 
-// A replica of an older version applies the entries of a leader with a newer version, but its Check refuses
-// documents that it can't check.
+// A replica of an older version of the program applies the entries of a leader with a newer version, also
+// documents of a later Format. But its Check refuses to propose such documents, because it can't check them.
 func TestRegistryAppliesLaterFormats(t *testing.T) {
 	r := NewRegistry(FleetGroup)
 	later := newChange("later", Fleet, 0, &Document{Format: 1})
@@ -224,7 +224,8 @@
 	}
 }
 
-// randomChange returns a change that is accepted in most cases.
+// randomChange returns a change of a random scope that the registry accepts in most cases. Some changes have
+// the ID of an earlier one, the wrong base, or an invalid or long document.
 func randomChange(seed uint64, i int, r *Registry) Change {
 	rng := newRand(seed<<16 + uint64(i))
 	scopes := []Scope{Fleet, serviceScope, {Level: LevelService, Name: "search"}, {Level: LevelRegion, Region: "east"}}
@@ -242,8 +243,8 @@
 	return c
 }
 
-// Replicas that apply the same log have equal snapshots, including a replica that is restored from a snapshot
-// on the way. A change that passes Check is accepted by Apply.
+// Replicas that apply the same log have equal snapshots, although one of them is repeatedly replaced by a
+// copy restored from its snapshot. Apply accepts each new change that Check has accepted.
 func TestRegistryReplicasAgree(t *testing.T) {
 	accepted, refused := 0, 0
 	for seed := range uint64(20) {
@@ -282,6 +283,7 @@
 	}
 }
 
+// restoredCopy returns a registry restored from the snapshot of r.
 func restoredCopy(t *testing.T, r *Registry) *Registry {
 	t.Helper()
 	snapshot, err := r.Snapshot()
--- a/internal/configuration/registry_updates_test.go
+++ b/internal/configuration/registry_updates_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// applyUpdates applies updates to a document without a Follower.
+// applyUpdates applies updates to the text of a document as a Follower would, and returns the text after them
+// with the last update's digest.
 func applyUpdates(t *testing.T, document []byte, updates []Update) (after []byte, digest string) {
 	t.Helper()
 	text := ""
@@ -36,7 +37,7 @@
 	return document, digest
 }
 
-// The updates from every earlier position lead to the latest document.
+// The updates that the registry returns for an agent at any earlier position lead to the latest document.
 func TestUpdatesReachLatestRevision(t *testing.T) {
 	patches, wholes, parts := 0, 0, 0
 	for seed := range uint64(4) {
@@ -187,7 +188,8 @@
 	}
 }
 
-// Each line of a watch fits into PaceBurst, whatever characters the document has.
+// Each line of a watch is at most PaceBurst long, the number of bytes that may be sent at once, whatever
+// characters the document has.
 func TestUpdatesFitInBurst(t *testing.T) {
 	for _, text := range []string{"x", `"`, `\`, "<", "é", "\u2028", "\x01", "😀"} {
 		r := NewRegistry(FleetGroup)
--- a/internal/configuration/rig/agent_test.go
+++ b/internal/configuration/rig/agent_test.go
@@ -17,7 +17,7 @@
 	"lemonrail/internal/configuration"
 )
 
-// testAgent acts as an agent: it watches one machine, applies all updates and reports them.
+// testAgent acts as an agent: it watches one machine, applies all updates and reports what it has in force.
 type testAgent struct {
 	place    configuration.Place
 	cancel   context.CancelFunc
@@ -26,7 +26,7 @@
 	mu       sync.Mutex
 	follower *configuration.Follower
 	changed  chan struct{} // closed and replaced on each update
-	err      error         // that ended the watch
+	err      error         // error that ended the watch
 }
 
 // startAgent watches the machine at an address until the test ends or stop is called.
@@ -59,6 +59,7 @@
 	<-a.finished
 }
 
+// watchURL returns the URL of a watch at a machine's address, from the positions in have.
 func watchURL(address string, place configuration.Place, have map[configuration.Scope]configuration.Position) string {
 	query := url.Values{
 		"agent":   {place.Agent},
@@ -108,7 +109,7 @@
 	}
 }
 
-// begin prepares the follower for a new watch and returns its positions.
+// begin prepares the follower for a new watch and returns the positions from which to request it.
 func (a *testAgent) begin() map[configuration.Scope]configuration.Position {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -116,7 +117,7 @@
 	return a.follower.Positions()
 }
 
-// take applies an update and reports what is in force after it.
+// take applies the update in a line of the watch and reports what is in force after it.
 func (a *testAgent) take(ctx context.Context, address string, line []byte) error {
 	var update configuration.Update
 	if err := json.Unmarshal(line, &update); err != nil {
@@ -136,6 +137,7 @@
 	return a.report(ctx, address)
 }
 
+// report sends the agent's report to the machine at an address.
 func (a *testAgent) report(ctx context.Context, address string) error {
 	a.mu.Lock()
 	raw, err := json.Marshal(a.follower.Report())
--- a/internal/configuration/rig/faults_test.go
+++ b/internal/configuration/rig/faults_test.go
@@ -43,7 +43,7 @@
 	regionB = configuration.Scope{Level: configuration.LevelRegion, Region: "b"}
 )
 
-// start starts four machines in two regions.
+// start starts the machines of FourMachines, a1 and a2 in region a and b1 and b2 in region b, for one test.
 func start(t *testing.T) (context.Context, *rig.Rig) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), hangTimeout)
@@ -64,6 +64,7 @@
 	return ctx, r
 }
 
+// logMachines writes the output of all machines to the test's log.
 func logMachines(t *testing.T, r *rig.Rig) {
 	for _, m := range r.Machines() {
 		raw, _ := os.ReadFile(m.LogPath())
@@ -90,13 +91,14 @@
 	return c
 }
 
-// attemptsChange returns a change that sets the number of attempts.
+// attemptsChange returns a change that sets limits.attempts to count. base is the revision that it replaces.
 func attemptsChange(scope configuration.Scope, base uint64, count int) configuration.Change {
 	document := fmt.Sprintf(`{"format":1,"limits":{"attempts":%d}}`, count)
 	return configuration.Change{ID: client.NewChangeID(), Scope: scope, Base: base, Document: []byte(document), Author: "test", Reason: "test"}
 }
 
-// putUntilLeader makes a change. It tries again while no leader is found, since then nothing was written.
+// putUntilLeader makes a change. As long as no leader is found, and so certainly nothing was written, it
+// tries again.
 func putUntilLeader(ctx context.Context, c *client.Client, change configuration.Change) (accepted configuration.Accepted, err error) {
 	waitErr := rig.Wait(ctx, func() bool {
 		accepted, err = c.Put(ctx, change)
@@ -105,7 +107,7 @@
 	return accepted, errors.Join(err, waitErr)
 }
 
-// showUntilLeader asks for a revision. It tries again while no leader is found.
+// showUntilLeader asks for the latest revision of a scope. As long as no leader is found, it tries again.
 func showUntilLeader(ctx context.Context, c *client.Client, scope configuration.Scope) (shown configuration.Revision, err error) {
 	waitErr := rig.Wait(ctx, func() bool {
 		shown, err = c.Show(ctx, scope)
@@ -114,6 +116,7 @@
 	return shown, errors.Join(err, waitErr)
 }
 
+// isKind reports whether an error is an *ErrorBody of a kind.
 func isKind(err error, kind configuration.ErrorKind) bool {
 	var body *configuration.ErrorBody
 	return errors.As(err, &body) && body.Kind == kind
@@ -131,6 +134,7 @@
 	return accepted
 }
 
+// checkKind checks that an error is an *ErrorBody of one of the kinds.
 func checkKind(t *testing.T, err error, kinds ...configuration.ErrorKind) {
 	t.Helper()
 	for _, kind := range kinds {
@@ -141,7 +145,7 @@
 	t.Errorf("got error %v, want one of %v", err, kinds)
 }
 
-// checkShown checks that every machine shows the revision that a change made.
+// checkShown checks that every machine shows the revision that an accepted change made.
 func checkShown(ctx context.Context, t *testing.T, r *rig.Rig, change configuration.Change, accepted configuration.Accepted) {
 	t.Helper()
 	for _, m := range r.Machines() {
@@ -173,7 +177,7 @@
 
 func TestChangesReachAllMachinesAndAgents(t *testing.T) {
 	ctx, r := start(t)
-	b2 := newClient(t, r, "b2") // not a member of region-a
+	b2 := newClient(t, r, "b2") // b2 doesn't vote in region-a
 	inA := startAgent(t, r.Machine("a1").Address, agentPlace("n1", "a"))
 	inB := startAgent(t, r.Machine("b2").Address, agentPlace("n2", "b"))
 
@@ -297,7 +301,7 @@
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) {
 		select {
 		case sent <- struct{}{}:
-		default: // a repeated request
+		default: // a request that the transport sends again
 		}
 	}})
 	both.Go(func() { shown, showErr = asked.Show(traced, regionA) })
@@ -341,7 +345,8 @@
 	checkShown(ctx, t, r, later, mustPut(ctx, t, newClient(t, r), later))
 }
 
-// checkRefusedEverywhere checks that every machine answers a change with the assurance that nothing was written.
+// checkRefusedEverywhere checks that every machine refuses a change with an error which says that nothing was
+// written.
 func checkRefusedEverywhere(ctx context.Context, t *testing.T, r *rig.Rig, change configuration.Change) {
 	t.Helper()
 	errs := make([]error, len(r.Machines()))
@@ -408,7 +413,7 @@
 	r.CutRegions()
 	r.Machine("a2").Kill()
 	waitLeader(ctx, t, r, "region-b", "b1", "b2")
-	err := rig.Wait(ctx, func() bool { // a1 is alone in region a
+	err := rig.Wait(ctx, func() bool { // a1 has no majority: it is alone in region a and cut off from the witness in region b
 		status, err := r.Machine("a1").Group(ctx, "region-a")
 		return err == nil && status.Leader == ""
 	})
@@ -421,7 +426,7 @@
 	acceptedB := mustPut(ctx, t, newClient(t, r, "b1", "b2"), changeB)
 
 	r.HealAll()
-	changeA := attemptsChange(regionA, 0, 4) // a1 and the witness form a majority
+	changeA := attemptsChange(regionA, 0, 4) // a1 and the witness b1 form a majority
 	acceptedA := mustPut(ctx, t, newClient(t, r, "a1"), changeA)
 	restart(ctx, t, r.Machine("a2"))
 	checkShown(ctx, t, r, changeA, acceptedA)
@@ -521,7 +526,7 @@
 	accepted := mustPut(ctx, t, newClient(t, r, forgets.Name, keeps.Name), second)
 	forgets.Kill()
 	rollBack(t, forgets, earlier)
-	restart(ctx, t, absent) // together with forgets it would be a majority without the second revision
+	restart(ctx, t, absent) // absent and forgets would be a majority that doesn't know the second revision
 	restart(ctx, t, forgets)
 	checkShown(ctx, t, r, second, accepted)
 	waitApplied(ctx, t, forgets, regionA, 2)
@@ -574,9 +579,9 @@
 		t.Fatalf("the machine has applied nothing: %+v", status)
 	}
 
-	agent := startAgent(t, full.Address, agentPlace("n1", "a")) // is served the revisions that the machine has applied
+	agent := startAgent(t, full.Address, agentPlace("n1", "a")) // the machine still serves watches, with the revisions that it has applied
 	agent.waitFor(ctx, t, regionA, status.Scopes[regionA].Revision)
-	change := attemptsChange(regionA, base, 3) // is forwarded by the machine
+	change := attemptsChange(regionA, base, 3) // put at a2, which forwards it to the leader
 	accepted := mustPut(ctx, t, newClient(t, r, "a2"), change)
 	checkShown(ctx, t, r, change, accepted)
 
@@ -620,8 +625,8 @@
 	}
 }
 
-// checkFullVoter checks that a machine whose disk had lost data is a full voter again: nothing is lost when
-// it takes the place of another voter of region-a.
+// checkFullVoter checks that a machine whose disk had lost data is a full voter again: it kills another voter
+// of region-a, whose place in the majority the machine takes, and the accepted change must still be shown.
 func checkFullVoter(ctx context.Context, t *testing.T, r *rig.Rig, damaged *rig.Machine, change configuration.Change, accepted configuration.Accepted) {
 	t.Helper()
 	for _, name := range []string{"a1", "a2"} {
--- a/internal/configuration/rig/links.go
+++ b/internal/configuration/rig/links.go
@@ -9,23 +9,24 @@
 
 const (
 	copyBufferBytes  = 32 << 10
-	dialTimeout      = 2 * time.Second
+	dialTimeout      = 2 * time.Second      // to connect to a link's target
 	acceptRetryDelay = 5 * time.Millisecond // after a temporary error of a listener, such as too many open files
 	loopbackAnyPort  = "127.0.0.1:0"
 	tcpNetwork       = "tcp"
 )
 
-// direction is one direction of the traffic between two machines.
+// direction is one of the two directions between two machines, which are given by name.
 type direction struct{ from, to string }
 
-// network carries TCP connections between machines. A direction that is cut holds bytes back without closing the
-// connection, as a failed network does; they are delivered once the direction is healed.
+// network carries TCP connections between machines, by links that are listeners on loopback addresses. A
+// direction that is cut holds bytes back without closing the connection, as a failed network does; they are
+// delivered once the direction is healed.
 type network struct {
 	mu        sync.Mutex
-	cut       map[direction]bool // directions that are held back
+	cut       map[direction]bool // directions that are cut now
 	changed   chan struct{}      // closed and replaced on each change of cut
-	listeners []net.Listener
-	open      map[net.Conn]bool // connections to be closed with the network
+	listeners []net.Listener     // one for each link
+	open      map[net.Conn]bool  // open connections, to be closed with the network
 	closed    bool
 	done      chan struct{}  // closed by close
 	tasks     sync.WaitGroup // the network's goroutines
@@ -40,7 +41,8 @@
 	}
 }
 
-// link opens an address at which from reaches target, which is an address of to.
+// link opens an address at which the machine named from reaches target, which is an address of the machine
+// named to, and returns it.
 func (n *network) link(from, to, target string) (address string, err error) {
 	listener, err := net.Listen(tcpNetwork, loopbackAnyPort)
 	if err != nil {
@@ -52,7 +54,7 @@
 	return listener.Addr().String(), nil
 }
 
-// set cuts or heals a direction.
+// set cuts a direction or, if cut is false, heals it.
 func (n *network) set(way direction, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -78,6 +80,7 @@
 	}
 }
 
+// accept accepts connections on a link and carries each to the target, until the network is closed.
 func (n *network) accept(listener net.Listener, forward direction, target string) {
 	for {
 		conn, err := listener.Accept()
@@ -92,7 +95,8 @@
 	}
 }
 
-// proxy joins an incoming connection with a new one to the target.
+// proxy connects to the target and copies bytes between that connection and the incoming one, in both
+// directions, until both have ended.
 func (n *network) proxy(in net.Conn, forward direction, target string) {
 	defer n.closeConn(in)
 	if !n.track(in) || !n.waitOpen(forward) {
@@ -112,7 +116,8 @@
 	both.Wait()
 }
 
-// copyOneWay copies bytes in one direction until the source ends.
+// copyOneWay copies bytes in one direction until the source ends. While the direction is cut it holds them
+// back.
 func (n *network) copyOneWay(from, to net.Conn, way direction) {
 	defer func() { // the end is passed on too, but only once the direction isn't cut
 		if n.waitOpen(way) {
@@ -149,6 +154,7 @@
 	return true
 }
 
+// closeConn closes a connection and forgets it.
 func (n *network) closeConn(conn net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -156,6 +162,7 @@
 	conn.Close()
 }
 
+// close closes all links and connections and waits for the network's goroutines.
 func (n *network) close() {
 	n.mu.Lock()
 	n.closed = true
--- a/internal/configuration/rig/rig.go
+++ b/internal/configuration/rig/rig.go
@@ -25,12 +25,12 @@
 )
 
 const (
-	pollInterval     = 20 * time.Millisecond
+	pollInterval     = 20 * time.Millisecond // between two checks of a condition that the rig waits for
 	defaultTickMs    = 30
 	controlFile      = "control.toml"
 	logFile          = "log"
 	stopTimeout      = 10 * time.Second // after SIGTERM, before the process is killed
-	ulimitBlockBytes = 512              // in one unit of the shell's ulimit -f
+	ulimitBlockBytes = 512              // bytes in one unit of the shell's ulimit -f
 )
 
 // Options configure a Rig.
@@ -75,7 +75,8 @@
 	exitErr      error         // error with which the process ended, valid once exited is closed
 }
 
-// Build builds lemoncontrol from this module's source into a folder. It needs the go command.
+// Build builds the program lemoncontrol from this module's source into a folder and returns its path. It
+// needs the go command.
 func Build(ctx context.Context, folder string) (program string, err error) {
 	program = filepath.Join(folder, "lemoncontrol")
 	output, err := exec.CommandContext(ctx, "go", "build", "-o", program, "lemonrail/cmd/lemoncontrol").CombinedOutput()
@@ -124,8 +125,8 @@
 	return nil
 }
 
-// createMachines creates the machines and reserves their addresses. The first machine of each region is the
-// witness of the region before it, in sorted order.
+// createMachines creates the machines and reserves their addresses. The first machine of each region is also
+// a voter (the witness) in the group of the region before it, in sorted order.
 func (r *Rig) createMachines() error {
 	regions := make([]string, 0, len(r.options.Regions))
 	for region := range r.options.Regions {
@@ -170,7 +171,7 @@
 	return address, err
 }
 
-// WitnessOf returns the other regions in whose groups the machine votes.
+// WitnessOf returns the other regions in whose groups the machine votes as the witness.
 func (m *Machine) WitnessOf() (regions []string) {
 	for _, other := range m.rig.machines {
 		_, votes := m.groups[configuration.RegionGroup(other.Region)]
@@ -206,7 +207,8 @@
 	return os.WriteFile(m.settingsPath, []byte(text.String()), 0o600)
 }
 
-// linkTo returns the address at which the machine reaches an address of another one.
+// linkTo returns the address at which the machine reaches target, an address of another machine, through a
+// link.
 func (m *Machine) linkTo(other *Machine, target string) (string, error) {
 	if other == m {
 		return target, nil
@@ -279,6 +281,8 @@
 	return process.Pid
 }
 
+// running returns the machine's process and the channel that is closed once it has ended; nil: none was
+// started.
 func (m *Machine) running() (*os.Process, chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -449,7 +453,7 @@
 	return leader, nil
 }
 
-// Wait polls until a condition holds; the error is ctx's.
+// Wait polls until a condition holds. If ctx ends before, the error is that of ctx.
 func Wait(ctx context.Context, condition func() bool) error {
 	for !condition() {
 		select {
--- a/internal/configuration/rig/watcher_test.go
+++ b/internal/configuration/rig/watcher_test.go
@@ -14,7 +14,8 @@
 	"lemonrail/internal/configuration/watch"
 )
 
-// startWatcher runs a Watcher, as agents do, with all machines; check may refuse documents.
+// startWatcher runs a Watcher, as agents do, that may use all machines. check refuses a document by returning
+// an error.
 func startWatcher(t *testing.T, r *rig.Rig, place configuration.Place, check func(*configuration.Document) error) *watch.Watcher {
 	t.Helper()
 	w, err := watch.New(watch.Config{
@@ -42,8 +43,8 @@
 	return w
 }
 
-// startWatchers starts count agents, alternately in both regions, and returns once each watches a machine.
-// The last one refuses more than four attempts.
+// startWatchers starts count agents n0, n1 and so on, alternately in both regions, and returns once each of
+// them watches a machine. The last one refuses documents with more than four attempts.
 func startWatchers(ctx context.Context, t *testing.T, r *rig.Rig, count int) []*watch.Watcher {
 	t.Helper()
 	acceptAll := func(*configuration.Document) error { return nil }
@@ -65,7 +66,7 @@
 	return agents
 }
 
-// waitConnected waits until each agent watches one of the given machines.
+// waitConnected waits until each agent watches one of the machines with the given names.
 func waitConnected(ctx context.Context, t *testing.T, agents []*watch.Watcher, machines ...string) {
 	t.Helper()
 	err := rig.Wait(ctx, func() bool {
@@ -137,7 +138,7 @@
 	var names []string
 	for _, m := range others {
 		names = append(names, m.Name)
-		r.Cut(m.Name, leader.Name) // one direction: the others still receive the leader's messages
+		r.Cut(m.Name, leader.Name) // only towards the leader: the others still receive its messages, but their answers are held back
 	}
 	_, err := newClient(t, r, leader.Name).Put(ctx, attemptsChange(configuration.Fleet, 0, 2))
 	checkKind(t, err, configuration.ErrorNoQuorum)
@@ -150,8 +151,9 @@
 	checkInForce(ctx, t, r, agents, configuration.Fleet, accepted)
 }
 
-// Makes one change after another while the machines are killed or stopped in turn and restarted. Each change
-// has to make the next revision: if one were lost or applied twice, the following one would be a conflict.
+// The machines are killed or stopped in turn and restarted while a client makes one change after another.
+// Each change has to make the next revision: if one were lost or applied twice, the following one would be a
+// conflict.
 func TestChangesDuringARollingRestart(t *testing.T) {
 	ctx, r := start(t)
 	agents := startWatchers(ctx, t, r, 4)
@@ -205,7 +207,8 @@
 	}
 }
 
-// checkInForce checks that a revision gets in force at all agents, and that the machines report this.
+// checkInForce checks that the revision of an accepted change gets in force at all agents, and that the
+// machines report this.
 func checkInForce(ctx context.Context, t *testing.T, r *rig.Rig, agents []*watch.Watcher, scope configuration.Scope, accepted configuration.Accepted) {
 	t.Helper()
 	c := newClient(t, r)
--- a/internal/configuration/selector.go
+++ b/internal/configuration/selector.go
@@ -10,10 +10,11 @@
 
 // Machine is a control machine as configured at the agents.
 type Machine struct {
-	Name    string
+	Name    string // unique among the control machines
 	Region  string
-	Address string
-	// WitnessOf lists other regions whose scopes the machine holds as well.
+	Address string // of its HTTP server, HOST:PORT
+	// WitnessOf lists the other regions in whose groups the machine votes, so that it has their scopes as
+	// well.
 	WitnessOf []string
 }
 
@@ -33,19 +34,19 @@
 )
 
 // Selector decides which control machine an agent watches, and when. It prefers the machines of the agent's
-// region in the order of a hash with the agent's name, then those of other regions that hold the region's
-// scopes. After a failure it moves to the next machine after a wait with full jitter, and after a random time
-// returns to a preferred one.
+// region in an order given by a hash with the agent's name, then those of other regions that hold the
+// region's scopes. After a failure it moves to the next machine after a random wait (full jitter: uniform
+// between 0 and a limit), and some random time later it returns to a preferred one.
 type Selector struct {
 	random   func() float64 // uniformly distributed in [0, 1)
 	region   string         // region of the agent
 	machines []Machine      // in order of preference
 	current  int            // index of the machine that is watched or tried
-	failures int            // consecutive failures
+	failures int            // failures since the last watch that lasted StableAfter
 
 	connected   bool          // the watch of the current machine is established
 	connectedAt time.Duration // when it was established
-	candidate   int           // index of the preferred machine to try next, less than current
+	candidate   int           // index of the preferred machine to be tried next, less than current
 	returnAt    time.Duration // when to try the candidate
 }
 
@@ -127,8 +128,8 @@
 	}
 }
 
-// ReturnTarget returns a preferred machine and true when it is time to try it while another machine is watched. The
-// current watch must be kept until the new one is established.
+// ReturnTarget returns a preferred machine and true when it is time to try it while another machine is
+// watched. The caller keeps the current watch until the one at the preferred machine is established.
 func (s *Selector) ReturnTarget(now time.Duration) (machine Machine, due bool) {
 	if !s.connected || s.current == 0 || now < s.returnAt {
 		return Machine{}, false
@@ -136,8 +137,8 @@
 	return s.machines[s.candidate], true
 }
 
-// ReturnFinished records whether the machine of ReturnTarget could be reached. If not, a preferred machine is tried again
-// later.
+// ReturnFinished records whether a watch at the machine of ReturnTarget was established, which then is the
+// watched one. If not, a preferred machine is tried again later.
 func (s *Selector) ReturnFinished(now time.Duration, reached bool) {
 	if !s.connected || s.current == 0 {
 		return
@@ -151,6 +152,7 @@
 	s.scheduleReturn(now)
 }
 
+// scheduleReturn sets the time at which a preferred machine is tried, at random within the spread.
 func (s *Selector) scheduleReturn(now time.Duration) {
 	after, spread := ReturnAfter, ReturnSpread
 	if s.machines[s.current].Region != s.region {
--- a/internal/configuration/selector_test.go
+++ b/internal/configuration/selector_test.go
@@ -31,7 +31,7 @@
 	}
 	t.Logf("450 agents: %v", first)
 	for name, n := range first {
-		if n < 101 || n > 124 { // over about 10% off 112.5, half of a region's agents; the hash of the names is deterministic
+		if n < 101 || n > 124 { // 112.5 is half of the 225 agents of a region; the hash of the names is deterministic, and these bounds are about 10% around it
 			t.Errorf("%s is preferred by %d of 225", name, n)
 		}
 	}
@@ -112,7 +112,7 @@
 	if _, due := s.ReturnTarget(begin + AwayReturnAfter - 1); due {
 		t.Fatal("Return is due too early")
 	}
-	for _, candidate := range []int{0, 1, 0} { // the preferred machines alternate
+	for _, candidate := range []int{0, 1, 0} { // each failed return moves on to the other preferred machine
 		now := begin + AwayReturnAfter + AwayReturnSpread
 		m, due := s.ReturnTarget(now)
 		if !due || m.Name != order[candidate].Name {
@@ -139,12 +139,13 @@
 	if _, due := s.ReturnTarget(begin + 2*time.Hour); due || s.current != 0 {
 		t.Fatalf("current machine index is %d, due %v", s.current, due)
 	}
-	s.Failed(begin + 2*time.Hour) // while a return is in progress
+	s.Failed(begin + 2*time.Hour) // the watched machine fails while the attempt to return is in progress
 	s.ReturnFinished(begin+2*time.Hour, true)
 	wantNext(1)
 }
 
-// A watch that ends soon after it was established doesn't reset the wait; one that lasted StableAfter does.
+// A watch that ends soon after it was established doesn't reset the count of failures, from which the wait is
+// computed; one that lasted StableAfter does.
 func TestSelectorCountsConsecutiveFailures(t *testing.T) {
 	s := NewSelector(agentAt("east", 1), controlMachines, newRand(1).Float64)
 	for range 5 {
@@ -161,15 +162,15 @@
 	}
 }
 
-// After a machine has failed, its agents return spread over ReturnSpread, with few in any second. Agents that
-// had to use a machine of another region return early enough that a change of their own region is in force in
-// time.
+// After a machine has failed, its agents return to it spread over ReturnSpread, with few in any second.
+// Agents that had to use a machine of another region return early enough that a change of their own region is
+// in force in time.
 func TestSelectorSpreadsReturns(t *testing.T) {
 	for _, test := range []struct {
 		name          string
-		failures      int // machines of the region that failed before
-		after, spread time.Duration
-		maxPerSecond  int // agents that may return in one second
+		failures      int           // number of machines of the agent's region that have failed
+		after, spread time.Duration // earliest return, counted from the beginning of the watch at another machine; length of the period over which returns are spread
+		maxPerSecond  int           // most agents that may return in one second
 	}{
 		{"within the region", 1, ReturnAfter, ReturnSpread, 15},
 		{"from another region", 2, AwayReturnAfter, AwayReturnSpread, 150},
--- a/internal/configuration/server/agents.go
+++ b/internal/configuration/server/agents.go
@@ -24,6 +24,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// recordReport passes an agent's report to the tracker and logs the agent's refusals.
 func (s *Server) recordReport(report configuration.Report) error {
 	s.trackerMu.Lock()
 	defer s.trackerMu.Unlock()
@@ -34,20 +35,23 @@
 	return s.tracker.Reported(report, s.now())
 }
 
+// trackConnected records that an agent has opened a watch at this machine.
 func (s *Server) trackConnected(place configuration.Place) error {
 	s.trackerMu.Lock()
 	defer s.trackerMu.Unlock()
 	return s.tracker.Connected(place, s.now())
 }
 
+// trackDisconnected records that a watch of an agent has ended.
 func (s *Server) trackDisconnected(place configuration.Place) {
 	s.trackerMu.Lock()
 	defer s.trackerMu.Unlock()
 	s.tracker.Disconnected(place, s.now())
 }
 
-// localAgents returns the agents known to this machine. During the settle time after the machine's start it
-// returns an error, because some agents may not have connected yet.
+// localAgents returns the statuses of the agents known to this machine. During the settle time (settle_s in
+// the settings) after the machine's start it returns an error, because some agents may not have connected
+// yet.
 func (s *Server) localAgents() ([]configuration.AgentStatus, error) {
 	s.trackerMu.Lock()
 	defer s.trackerMu.Unlock()
@@ -58,7 +62,7 @@
 	return s.tracker.Statuses(now), nil
 }
 
-// localStatus answers with the agents known to this machine.
+// localStatus answers with the statuses of the agents known to this machine alone.
 func (s *Server) localStatus(w http.ResponseWriter, r *http.Request) {
 	all, err := s.localAgents()
 	if err != nil {
@@ -68,8 +72,8 @@
 	writeJSON(w, all)
 }
 
-// status answers whether a revision of a scope is in force at every agent: the revision in the query, or the
-// latest one.
+// status answers whether a revision of a scope is in force at every agent that the scope applies to: the
+// revision in the query, or the latest one.
 func (s *Server) status(w http.ResponseWriter, r *http.Request) {
 	scope, err := s.requestedScope(r)
 	if err != nil {
@@ -86,7 +90,7 @@
 }
 
 // requestedPosition returns the position of the revision in the query, or of the scope's latest revision if
-// there is none.
+// the query names no revision.
 func (s *Server) requestedPosition(r *http.Request, scope configuration.Scope) (configuration.Position, error) {
 	text := r.URL.Query().Get("revision")
 	if text == "" {
--- a/internal/configuration/server/answer.go
+++ b/internal/configuration/server/answer.go
@@ -24,6 +24,7 @@
 	return &configuration.ErrorBody{Kind: kind, Message: fmt.Sprintf(format, args...)}
 }
 
+// writeJSON answers with status 200 and the body as JSON.
 func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(body) // a write error means that the client has disconnected
@@ -45,7 +46,8 @@
 	json.NewEncoder(w).Encode(body)
 }
 
-// decodeBody decodes a JSON body of at most maxBytes.
+// decodeBody decodes the JSON body of a request, which may have at most maxBytes, into the value that into
+// points to.
 func decodeBody(w http.ResponseWriter, r *http.Request, maxBytes int64, into any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBytes))
 	if err := decoder.Decode(into); err != nil {
@@ -71,8 +73,8 @@
 	return nil
 }
 
-// groupOf returns this machine's member of the group that writes a scope. If there is none, the error names
-// the machines that vote in the group.
+// groupOf returns this machine's member of the group that writes a scope. If this machine doesn't vote in the
+// group, the error names the machines that do.
 func (s *Server) groupOf(scope configuration.Scope) (*group, error) {
 	if g := s.groups[scope.Group()]; g != nil {
 		return g, nil
@@ -80,7 +82,8 @@
 	return nil, s.notHere(scope.Group(), "machine %s doesn't vote in %s", s.settings.Name, scope.Group())
 }
 
-// notHere returns a not-here error that names the other machines that vote in the group.
+// notHere returns an error of kind not-here with the addresses of the other machines that vote in the group.
+// Such an error sends the caller to those machines.
 func (s *Server) notHere(group, format string, args ...any) *configuration.ErrorBody {
 	body := newError(configuration.ErrorNotHere, format, args...)
 	for _, m := range s.settings.voters(group) {
--- a/internal/configuration/server/fake_test.go
+++ b/internal/configuration/server/fake_test.go
@@ -14,21 +14,22 @@
 	"lemonrail/internal/replica"
 )
 
-// fakeGroup is an in-memory replicated log. A command proposed at its leader is applied by all members at once.
+// fakeGroup is an in-memory replicated log of one group. A command proposed at its leader is applied by all
+// members at once.
 type fakeGroup struct {
 	mu         sync.Mutex
 	leader     string            // name of the machine that leads the group
-	members    map[string]*group // by machine
+	members    map[string]*group // by name of the machine
 	epoch      uint64            // raft term
-	proposeErr error             // returned by Propose after the command was applied
+	proposeErr error             // returned by Propose, although the command was applied, as if the outcome were unknown
 }
 
 // fakeReplica is one machine's member of a fakeGroup.
 type fakeReplica struct {
-	name    string
+	name    string // name of the machine
 	fake    *fakeGroup
-	votes   bool
-	reads   int   // calls of Read
+	votes   bool  // the member is a voter
+	reads   int   // number of calls of Read
 	readErr error // returned by Read at the leader
 }
 
@@ -77,17 +78,19 @@
 	return replica.Status{Name: r.name, Voting: r.votes, Leader: r.fake.leader, Term: r.fake.epoch}, nil
 }
 
-// fakeFleet runs four machines in one process, without raft and disk.
+// fakeFleet runs the control processes of four machines in one process, with fakeGroup in place of raft and
+// disk.
 type fakeFleet struct {
-	servers   map[string]*Server
-	http      map[string]*httptest.Server
-	groups    map[string]*fakeGroup
-	replicas  map[string]*fakeReplica // by group and machine, such as fleet/a1
-	putCounts map[string]int          // calls of put, by machine
+	servers   map[string]*Server          // by name of the machine
+	http      map[string]*httptest.Server // HTTP servers, by name of the machine
+	groups    map[string]*fakeGroup       // by name of the group
+	replicas  map[string]*fakeReplica     // by group and machine, such as fleet/a1
+	putCounts map[string]int              // number of requests for PutPath, by name of the machine
 	mu        sync.Mutex
 }
 
-// newFakeFleet starts a1, a2, b1 and b2. b1 leads region-b; a1 leads the other groups.
+// newFakeFleet starts the machines a1 and a2 of region a and b1 and b2 of region b. b1 leads the group
+// region-b; a1 leads fleet and region-a.
 func newFakeFleet(t *testing.T) *fakeFleet {
 	t.Helper()
 	f := &fakeFleet{servers: map[string]*Server{}, http: map[string]*httptest.Server{}, groups: map[string]*fakeGroup{},
@@ -152,6 +155,7 @@
 
 func (f *fakeFleet) address(name string) string { return f.http[name].Listener.Addr().String() }
 
+// putCalls returns how many requests for PutPath a machine has received.
 func (f *fakeFleet) putCalls(name string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,6 +167,7 @@
 	testPlace   = configuration.Place{Agent: "n1", Region: "a", Zone: "z1", Service: "search"}
 )
 
+// testChange returns a change that sets limits.attempts.
 func testChange(id string, scope configuration.Scope, base uint64, attempts int) configuration.Change {
 	document := fmt.Sprintf(`{"format":1,"limits":{"attempts":%d}}`, attempts)
 	return configuration.Change{ID: id, Scope: scope, Base: base, Document: []byte(document), Author: "test", Reason: "test"}
--- a/internal/configuration/server/group.go
+++ b/internal/configuration/server/group.go
@@ -21,14 +21,14 @@
 // has applied. The registry can be read even when the replica has failed, so that agents are served without a
 // majority and without a disk.
 type group struct {
-	name    string
+	name    string // such as fleet or region-a
 	replica consensus
-	history *history
+	history *history // of the machine, shared by all groups
 	log     *slog.Logger
 
 	mu          sync.Mutex
 	registry    *configuration.Registry
-	applied     []configuration.Revision // made by the command that is being applied
+	applied     []configuration.Revision // revisions made by the command that is being applied
 	subscribers map[chan struct{}]bool   // to be signaled when the registry may have changed
 }
 
@@ -51,6 +51,7 @@
 	return result
 }
 
+// apply applies a command to the registry and returns its result and the revisions that it has made.
 func (g *group) apply(epoch uint64, command []byte) (result []byte, made []configuration.Revision) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -83,6 +84,7 @@
 	return err
 }
 
+// restore replaces the registry's state by that of a snapshot and returns the latest revision of each scope.
 func (g *group) restore(snapshot []byte) (latest []configuration.Revision, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -112,6 +114,7 @@
 	g.subscribers[changed] = true
 }
 
+// unsubscribe ends subscribe for a channel.
 func (g *group) unsubscribe(changed chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/configuration/server/history.go
+++ b/internal/configuration/server/history.go
@@ -17,11 +17,11 @@
 
 const (
 	historyFile         = "history.db"
-	maxHistoryRevisions = 100     // in one response
-	maxHistoryBytes     = 4 << 20 // of records in one response
-	historyOpenTimeout  = time.Second
+	maxHistoryRevisions = 100         // in one response
+	maxHistoryBytes     = 4 << 20     // of records in one response
+	historyOpenTimeout  = time.Second // longest wait for the file's lock
 	historyPermission   = 0o600
-	checksumBytes       = 4
+	checksumBytes       = 4 // length of a record's CRC-32C checksum
 )
 
 var (
@@ -68,7 +68,7 @@
 	return f()
 }
 
-// add records a revision, unless it is recorded already.
+// add writes a revision to the file, unless it is there already.
 func (h *history) add(revision configuration.Revision) error {
 	if h.db == nil {
 		return nil
@@ -92,7 +92,7 @@
 	})
 }
 
-// has reports whether a revision is recorded.
+// has reports whether the file has a revision.
 func (h *history) has(revision configuration.Revision) (known bool, err error) {
 	err = h.db.View(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket([]byte(revision.Scope.String()))
@@ -134,6 +134,7 @@
 	return revisions, err
 }
 
+// recordKey returns the key of a revision in its scope's bucket, which sorts by revision number.
 func recordKey(revision uint64) []byte { return binary.BigEndian.AppendUint64(nil, revision) }
 
 // encodeRecord returns a CRC-32C checksum followed by the revision as JSON.
@@ -146,6 +147,7 @@
 	return append(value, raw...), nil
 }
 
+// decodeRecord returns the revision in a record, or an error if the checksum doesn't match.
 func decodeRecord(value []byte) (revision configuration.Revision, err error) {
 	if len(value) < checksumBytes {
 		return revision, errors.New("too short")
--- a/internal/configuration/server/history_test.go
+++ b/internal/configuration/server/history_test.go
@@ -13,6 +13,7 @@
 	"lemonrail/internal/configuration"
 )
 
+// testRevision returns a revision of the fleet's document that a change of the given ID has made.
 func testRevision(number uint64, change string) configuration.Revision {
 	return configuration.Revision{
 		Scope:    configuration.Fleet,
@@ -38,6 +39,7 @@
 	}
 }
 
+// checkListed checks that the history lists the revisions of these change IDs, in this order.
 func checkListed(t *testing.T, h *history, changes ...string) {
 	t.Helper()
 	listed, err := h.list(configuration.Fleet)
@@ -79,7 +81,7 @@
 		t.Fatal(err)
 	}
 	checkListed(t, h, "x")
-	addAll(t, h, testRevision(2, "y")) // as when the log is replayed
+	addAll(t, h, testRevision(2, "y")) // a revision recorded before, as when the log is replayed after a restart
 	checkListed(t, h, "y", "x")
 }
 
--- a/internal/configuration/server/peers.go
+++ b/internal/configuration/server/peers.go
@@ -23,7 +23,7 @@
 	}}
 }
 
-// probe checks that a machine answers.
+// probe checks within probeTimeout that the machine at an address answers.
 func (s *Server) probe(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -71,8 +71,8 @@
 	return body
 }
 
-// collectAgents asks all machines concurrently for the agents that they know. unreachable names the machines
-// that did not answer in time.
+// collectAgents asks all machines concurrently for the statuses of the agents that each of them knows.
+// unreachable names the machines that didn't answer within localStatusTimeout.
 func (s *Server) collectAgents(ctx context.Context) (all [][]configuration.AgentStatus, unreachable []string) {
 	ctx, cancel := context.WithTimeout(ctx, localStatusTimeout)
 	defer cancel()
--- a/internal/configuration/server/put.go
+++ b/internal/configuration/server/put.go
@@ -10,7 +10,8 @@
 	"lemonrail/internal/configuration"
 )
 
-// put handles a change: here if this machine leads the group that writes its scope, otherwise at the leader.
+// put handles a change: it proposes the change here if this machine leads the group that writes the scope,
+// and otherwise has the group's leader propose it.
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
 	accepted, err := s.acceptChange(w, r)
 	if err != nil {
@@ -20,6 +21,8 @@
 	writeJSON(w, accepted)
 }
 
+// acceptChange has the change in a request's body written, here or at the leader, and returns the new
+// revision.
 func (s *Server) acceptChange(w http.ResponseWriter, r *http.Request) (configuration.Accepted, error) {
 	var change configuration.Change
 	if err := decodeBody(w, r, maxChangeBytes, &change); err != nil {
@@ -81,7 +84,7 @@
 	return accepted, err
 }
 
-// logChange logs each change that this machine has committed or refused as the leader.
+// logChange logs a change that this machine has committed or refused as the group's leader.
 func (g *group) logChange(change configuration.Change, accepted configuration.Accepted, err error) {
 	if errorKind(err) == configuration.ErrorNotHere {
 		return // the leader logs the change
@@ -94,7 +97,8 @@
 	g.log.Info("change committed", append(attributes, "revision", accepted.Revision, "epoch", accepted.Epoch, "digest", accepted.Digest)...)
 }
 
-// forwardChange proposes a change at another machine. Without an answer from it, the outcome is unknown.
+// forwardChange has another machine propose a change. If that machine doesn't answer, the error is of kind
+// unknown, since the change may have been written.
 func (s *Server) forwardChange(ctx context.Context, address string, change configuration.Change) (configuration.Accepted, error) {
 	var accepted configuration.Accepted
 	raw, err := json.Marshal(change)
--- a/internal/configuration/server/route.go
+++ b/internal/configuration/server/route.go
@@ -15,17 +15,18 @@
 // loops.
 const forwardedHeader = "Lemonrail-Forwarded-By"
 
+// isForwarded reports whether another control machine has forwarded a request.
 func isForwarded(r *http.Request) bool { return r.Header.Get(forwardedHeader) != "" }
 
-// call is a request that the leader of a group has to answer.
+// call is a request that the leader of a group has to answer; T is the type of the answer.
 type call[T any] struct {
-	group  string
-	local  func(ctx context.Context, g *group) (T, error)       // returns not-here if this machine isn't the leader
-	remote func(ctx context.Context, address string) (T, error) // sends the call to another machine
+	group  string                                               // name of the group
+	local  func(ctx context.Context, g *group) (T, error)       // answers here; the error is of kind not-here if this machine isn't the leader
+	remote func(ctx context.Context, address string) (T, error) // asks the machine at an HTTP address
 }
 
-// route brings a call to the leader of its group. It retries for the time of a few elections
-// (routeTimeoutTicks), as long as every attempt reports that certainly nothing was written.
+// route has a call answered by the leader of its group. It tries again for routeTimeoutTicks ticks, the time
+// of a few elections, as long as every attempt reports that certainly nothing was written.
 func route[T any](ctx context.Context, s *Server, c call[T]) (T, error) {
 	until := time.Now().Add(routeTimeoutTicks * s.settings.tick())
 	for {
@@ -41,7 +42,8 @@
 	}
 }
 
-// nothingWritten reports whether an error says that the call reached no leader with a majority.
+// nothingWritten reports whether an error says that certainly nothing was written, because the call reached
+// no leader with a majority.
 func nothingWritten(err error) bool {
 	kind := errorKind(err)
 	return kind == configuration.ErrorNoQuorum || kind == configuration.ErrorNotHere
@@ -55,6 +57,7 @@
 	return ""
 }
 
+// errorBody returns the *ErrorBody that an error wraps, or nil.
 func errorBody(err error) *configuration.ErrorBody {
 	var body *configuration.ErrorBody
 	if !errors.As(err, &body) {
@@ -63,7 +66,8 @@
 	return body
 }
 
-// noLeaderError converts a not-here error, left when no leader was found in time, into a no-quorum error.
+// noLeaderError converts an error of kind not-here, with which a call ended because no leader was found in
+// time, into one of kind no-quorum. Other errors stay as they are.
 func noLeaderError(group string, err error) error {
 	if errorKind(err) == configuration.ErrorNotHere {
 		return newError(configuration.ErrorNoQuorum, "no leader of %s was found: %s; nothing was written", group, errorBody(err).Message)
@@ -71,8 +75,8 @@
 	return err
 }
 
-// routeOnce tries a call once: here or, if another machine leads the group, there. A machine that doesn't
-// vote in the group tries the voters.
+// routeOnce tries a call once: at this machine or, if it knows that another one leads the group, at that one.
+// A machine that doesn't vote in the group asks the voters one after another.
 func routeOnce[T any](ctx context.Context, s *Server, c call[T]) (T, error) {
 	g := s.groups[c.group]
 	if g == nil || !g.votes(ctx) {
--- a/internal/configuration/server/route_test.go
+++ b/internal/configuration/server/route_test.go
@@ -11,7 +11,8 @@
 	"lemonrail/internal/replica"
 )
 
-// put makes a change at a machine through the operators' client, which resolves an unknown outcome.
+// put makes a change through the operators' client, connected to one machine. The client sends a change of
+// unknown outcome again.
 func put(t *testing.T, f *fakeFleet, machine string, change configuration.Change) (configuration.Accepted, error) {
 	t.Helper()
 	c, err := client.New(f.address(machine))
@@ -22,7 +23,7 @@
 	return c.Put(t.Context(), change)
 }
 
-// postOnce sends a change to a machine in a single call.
+// postOnce sends a change to a machine in a single request, without a second attempt.
 func postOnce(t *testing.T, f *fakeFleet, machine string, change configuration.Change) error {
 	t.Helper()
 	raw, err := json.Marshal(change)
@@ -53,7 +54,7 @@
 		name    string
 		machine string
 		scope   configuration.Scope
-		calls   map[string]int // expected calls of put, by machine
+		calls   map[string]int // expected number of requests for PutPath, by name of the machine
 	}{
 		{"the machine leads", "a1", configuration.Fleet, map[string]int{"a1": 1}},
 		{"the machine votes", "b1", testRegionA, map[string]int{"b1": 1, "a2": 1}},
@@ -188,7 +189,7 @@
 
 func TestNonVotingMachineForwardsChanges(t *testing.T) {
 	f := newFakeFleet(t)
-	f.replicas["region-a/a2"].votes = false // as after a disk failure
+	f.replicas["region-a/a2"].votes = false // as after a disk failure, when a machine no longer votes
 	accepted, err := put(t, f, "a2", testChange("1", testRegionA, 0, 2))
 	if err != nil || accepted.Revision != 1 {
 		t.Errorf("got %+v, %v", accepted, err)
--- a/internal/configuration/server/server.go
+++ b/internal/configuration/server/server.go
@@ -23,9 +23,9 @@
 
 // Limits on clients' requests and connections.
 const (
-	maxWatches           = 2000
-	maxConnections       = 4096
-	maxHeaderBytes       = 32 << 10
+	maxWatches           = 2000                                     // open watches of agents
+	maxConnections       = 4096                                     // open connections of all kinds
+	maxHeaderBytes       = 32 << 10                                 // of a request's header
 	maxChangeBytes       = 2*configuration.MaxDocumentBytes + 4<<10 // escaping in JSON may lengthen a document
 	maxReportBytes       = 32 << 10
 	maxPeerResponseBytes = 16 << 20 // of another machine's response
@@ -204,6 +204,7 @@
 	slots chan struct{} // holds a value for each open connection
 }
 
+// newLimitedListener returns a listener with at most maxOpen open connections.
 func newLimitedListener(listener net.Listener, maxOpen int) *limitedListener {
 	return &limitedListener{Listener: listener, slots: make(chan struct{}, maxOpen)}
 }
@@ -224,6 +225,7 @@
 	}
 }
 
+// limitedConn is a connection that holds a slot of its listener until it is closed.
 type limitedConn struct {
 	net.Conn
 	release func()
--- a/internal/configuration/server/server_test.go
+++ b/internal/configuration/server/server_test.go
@@ -41,7 +41,7 @@
 		t.Fatalf("a connection over the limit ended with %v, want io.EOF", err)
 	}
 	first.Close()
-	first.Close() // frees no second slot
+	first.Close() // a second Close, which must not free a second slot
 	dial()
 	<-accepted
 	if _, err := dial().Read(make([]byte, 1)); err != io.EOF {
--- a/internal/configuration/server/settings.go
+++ b/internal/configuration/server/settings.go
@@ -26,8 +26,8 @@
 
 // MachineConfig describes a control machine, with the addresses at which this machine reaches it.
 type MachineConfig struct {
-	Name    string            `toml:"name"`
-	Region  string            `toml:"region"`
+	Name    string            `toml:"name"`    // such as a1
+	Region  string            `toml:"region"`  // region that the machine is in
 	Address string            `toml:"address"` // of its HTTP server
 	Groups  map[string]string `toml:"groups"`  // raft address by group in which the machine votes
 }
@@ -65,8 +65,8 @@
 
 // settingsCheck validates a settings file. Its errors name the file, the line and the key.
 type settingsCheck struct {
-	file     string
-	raw      []byte
+	file     string // name of the file, for errors
+	raw      []byte // text of the file
 	settings *Settings
 }
 
@@ -84,6 +84,7 @@
 	return fmt.Errorf("%s: line %d: %s: %s", c.file, max(line, 1), key, fmt.Sprintf(format, args...))
 }
 
+// own checks the settings of this machine itself.
 func (c *settingsCheck) own() error {
 	s := c.settings
 	if s.Folder == "" {
@@ -108,6 +109,7 @@
 	return nil
 }
 
+// machines checks each [[machine]] table: valid names, and names and addresses that are used only once.
 func (c *settingsCheck) machines() error {
 	names := map[string]bool{}
 	addresses := map[string]bool{}
@@ -146,6 +148,7 @@
 	return keys
 }
 
+// addressOf returns the address under a key of addressKeys.
 func (m *MachineConfig) addressOf(key string) string {
 	if key == "address" {
 		return m.Address
@@ -195,6 +198,7 @@
 	return err
 }
 
+// checkAddress rejects an address that isn't HOST:PORT.
 func checkAddress(address string) error {
 	if _, port, err := net.SplitHostPort(address); err != nil {
 		return err
@@ -204,6 +208,7 @@
 	return nil
 }
 
+// machine returns the [[machine]] table with the given name, if there is one.
 func (s *Settings) machine(name string) (MachineConfig, bool) {
 	for _, m := range s.Machines {
 		if m.Name == name {
@@ -245,8 +250,11 @@
 	return members
 }
 
+// tick returns the raft tick.
 func (s *Settings) tick() time.Duration { return time.Duration(s.TickMs) * time.Millisecond }
 
+// settle returns the time after the start in which some agents may not have connected yet.
 func (s *Settings) settle() time.Duration { return time.Duration(s.SettleS * float64(time.Second)) }
 
+// groupFolder returns the folder of a group's raft log and votes.
 func (s *Settings) groupFolder(group string) string { return filepath.Join(s.Folder, group) }
--- a/internal/configuration/server/show.go
+++ b/internal/configuration/server/show.go
@@ -51,7 +51,8 @@
 	})
 }
 
-// confirmedRevision returns a scope's latest revision if this machine leads the scope's group.
+// confirmedRevision returns a scope's latest revision if this machine leads the scope's group and a majority
+// confirms that it still does.
 func (s *Server) confirmedRevision(ctx context.Context, g *group, scope configuration.Scope) (configuration.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -61,7 +62,8 @@
 	return g.revisionOrError(scope)
 }
 
-// readError converts a replica's error of a call that proposes nothing, so that the outcome is never unknown.
+// readError converts a replica's error of a call that proposes nothing into an *ErrorBody. Nothing can have
+// been written, so the kind is never unknown.
 func (s *Server) readError(g *group, err error) error {
 	body := errorBody(s.replicaError(g, err))
 	if body.Kind == configuration.ErrorUnknown {
@@ -120,7 +122,7 @@
 	writeJSON(w, revisions)
 }
 
-// machine answers with this machine's status in its groups.
+// machine answers with this machine's status in each group that it votes in.
 func (s *Server) machine(w http.ResponseWriter, r *http.Request) {
 	status := configuration.MachineStatus{Name: s.settings.Name, Region: s.settings.Region, Watches: len(s.watchSlots)}
 	for _, g := range s.groups {
@@ -130,7 +132,7 @@
 	writeJSON(w, status)
 }
 
-// status returns this machine's status in the group.
+// status returns this machine's status as a voter of the group, with the positions that it has applied.
 func (g *group) status(ctx context.Context) configuration.GroupStatus {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/internal/configuration/server/watch.go
+++ b/internal/configuration/server/watch.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	heartbeatInterval = 2 * time.Second
+	heartbeatInterval = 2 * time.Second  // between the empty lines that show the agent that the watch is alive
 	watchWriteTimeout = 10 * time.Second // for which a write may block before the reader is disconnected
 	lineOverheadBytes = 48               // added to a line by chunked encoding and the headers of TCP and IP
 )
 
 // watchQuery holds the parameters of an agent's watch request.
 type watchQuery struct {
-	place  configuration.Place
-	format int
-	have   map[configuration.Scope]configuration.Position
+	place  configuration.Place                            // name and location of the agent
+	format int                                            // latest document format that the agent supports
+	have   map[configuration.Scope]configuration.Position // position of each scope's document that the agent has
 }
 
 // parseWatchQuery parses a watch's parameters: agent, region, zone, service, format and, repeated,
@@ -77,8 +77,8 @@
 	return scope, at, nil
 }
 
-// watch sends an agent the updates that it lacks, and then further changes, until the agent or the process
-// ends the watch.
+// watch sends an agent the updates that it lacks, and after that an update for each further change, until the
+// agent or this process ends the watch.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	query, err := parseWatchQuery(r.URL.Query())
 	if err != nil {
@@ -114,16 +114,17 @@
 // watcher is the sending side of one watch.
 type watcher struct {
 	server  *Server
-	groups  []*group // those that write the agent's scopes
-	place   configuration.Place
+	groups  []*group                                       // those that write the agent's scopes
+	place   configuration.Place                            // where the agent is in the fleet, which decides its scopes
 	have    map[configuration.Scope]configuration.Position // the agent's positions after all updates sent so far
 	changed chan struct{}                                  // receives a value when a group's registry may have changed
-	pacer   *configuration.Pacer
+	pacer   *configuration.Pacer                           // limits the bytes per second to the agent
 
 	writer     http.ResponseWriter
 	controller *http.ResponseController
 }
 
+// newWatcher returns the watcher of a query and subscribes it to the groups that write the agent's scopes.
 func newWatcher(s *Server, w http.ResponseWriter, query watchQuery) *watcher {
 	watcher := &watcher{
 		server:     s,
@@ -143,13 +144,15 @@
 	return watcher
 }
 
+// unsubscribe ends the watcher's subscriptions.
 func (w *watcher) unsubscribe() {
 	for _, g := range w.groups {
 		g.unsubscribe(w.changed)
 	}
 }
 
-// run sends updates until the agent disconnects (done), stops reading, or the process ends.
+// run sends updates until the agent disconnects (done is closed), the agent stops reading, or this process
+// ends.
 func (w *watcher) run(done <-chan struct{}) {
 	w.writer.Header().Set("Content-Type", "application/x-ndjson")
 	w.writer.Header().Set("Connection", "close")
@@ -178,7 +181,8 @@
 	}
 }
 
-// pendingUpdates returns the updates that the agent lacks, as one set, and counts them as sent.
+// pendingUpdates returns the updates of all scopes that the agent lacks, as one set that takes effect
+// together, and counts them as sent.
 func (w *watcher) pendingUpdates() []configuration.Update {
 	var updates []configuration.Update
 	for _, scope := range w.place.Scopes() {
@@ -195,7 +199,7 @@
 	return updates
 }
 
-// sendUpdate sends an update once the pacer allows it. It returns false if the watch has ended.
+// sendUpdate sends an update after the wait that the pacer requires. It returns false if the watch has ended.
 func (w *watcher) sendUpdate(update configuration.Update, done <-chan struct{}) bool {
 	line, err := json.Marshal(update)
 	if err != nil {
--- a/internal/configuration/server/watch_test.go
+++ b/internal/configuration/server/watch_test.go
@@ -18,13 +18,15 @@
 	"lemonrail/internal/configuration"
 )
 
-// testWatch is an agent's side of a watch.
+// testWatch is an open watch as the agent sees it.
 type testWatch struct {
-	status int
+	status int // HTTP status of the response
 	body   io.ReadCloser
-	lines  *bufio.Reader
+	lines  *bufio.Reader // reads body
 }
 
+// watchQueryOf returns the query of an agent's watch. have holds the positions that the agent has, as
+// SCOPE@REVISION.EPOCH.
 func watchQueryOf(place configuration.Place, have ...string) url.Values {
 	return url.Values{"agent": {place.Agent}, "region": {place.Region}, "zone": {place.Zone}, "service": {place.Service}, "format": {"1"}, "have": have}
 }
@@ -64,7 +66,8 @@
 	}
 }
 
-// refusal returns the response's error body, and checks that the status matches its kind.
+// refusal returns the error body of a refused watch, and checks that the HTTP status matches the error's
+// kind.
 func (w *testWatch) refusal(t *testing.T) *configuration.ErrorBody {
 	t.Helper()
 	body := &configuration.ErrorBody{}
@@ -77,6 +80,7 @@
 	return body
 }
 
+// mustPut makes a change at a1 and fails the test if the change isn't accepted.
 func mustPut(t *testing.T, f *fakeFleet, change configuration.Change) configuration.Accepted {
 	t.Helper()
 	accepted, err := put(t, f, "a1", change)
@@ -112,7 +116,7 @@
 	region := mustPut(t, f, testChange("2", testRegionA, 0, 3))
 	have := []string{
 		fmt.Sprintf("fleet@%d.%d", fleet.Revision, fleet.Epoch),
-		fmt.Sprintf("region/a@%d.%d", region.Revision+5, region.Epoch), // received from a machine that has applied more
+		fmt.Sprintf("region/a@%d.%d", region.Revision+5, region.Epoch), // a later revision, received from a machine that has applied more than a1
 	}
 	w := openWatch(t, f, "a1", watchQueryOf(testPlace, have...))
 	mustPut(t, f, testChange("3", configuration.Fleet, 1, 4))
--- a/internal/configuration/status.go
+++ b/internal/configuration/status.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// InForce returns whether a revision of a scope, or a later one, is in force everywhere, by the statuses that
-// the reachable machines have of their agents. The newest status of each agent counts, and the agent is
-// connected if it is at any machine. Everywhere requires at least one agent, all agents connected and at the
-// revision, and no unreachable machine.
+// InForce returns which agents have a revision of a scope, or a later one, in force, and which are behind and
+// why. all holds the agents' statuses from each control machine that answered; unreachable names the machines
+// that didn't. Of an agent's statuses the newest counts, and the agent is connected if it has a watch open at
+// any machine. Everywhere is set if the scope has at least one agent, all its agents are connected and at the
+// revision, and no machine is unreachable.
 func InForce(scope Scope, at Position, all [][]AgentStatus, unreachable []string) Status {
 	agents := newestStatuses(scope, all)
 	status := Status{Scope: scope, Position: at, Agents: len(agents), Unreachable: unreachable}
@@ -28,7 +29,8 @@
 	return status
 }
 
-// newestStatuses returns the newest status of each agent that a scope applies to.
+// newestStatuses returns the newest status of each agent that a scope applies to. all holds the statuses from
+// each control machine.
 func newestStatuses(scope Scope, all [][]AgentStatus) map[agentKey]AgentStatus {
 	agents := map[agentKey]AgentStatus{}
 	for _, statuses := range all {
@@ -46,9 +48,9 @@
 	return agents
 }
 
-// newerStatus returns the newer of two machines' statuses of an agent, connected if either is. A watch
-// without a report is newer than a report from before it began, because the agent may have been restarted in
-// between.
+// newerStatus returns the newer of two machines' statuses of one agent, marked as connected if the agent has
+// a watch open at either machine. A status without a report, since a watch has just begun, is newer than a
+// report from before the watch, because the agent may have been restarted in between.
 func newerStatus(a, b AgentStatus) AgentStatus {
 	newer := a
 	if b.AgeMs < a.AgeMs {
@@ -58,7 +60,7 @@
 	return newer
 }
 
-// behindReason returns why an agent is behind, or "" if it has the revision in force.
+// behindReason returns why an agent doesn't have the revision or a later one in force, or "" if it has.
 func behindReason(scope Scope, at Position, agent AgentStatus) string {
 	age := time.Duration(agent.AgeMs * float64(time.Millisecond)).Round(time.Millisecond)
 	has := agent.InForce[scope]
@@ -76,6 +78,7 @@
 	return ""
 }
 
+// refusalFor returns the refusal of a revision of the scope from the agent's last report, if there is one.
 func refusalFor(scope Scope, agent AgentStatus) (Refusal, bool) {
 	i := slices.IndexFunc(agent.Refused, func(r Refusal) bool { return r.Scope == scope })
 	if i < 0 {
--- a/internal/configuration/timetable_test.go
+++ b/internal/configuration/timetable_test.go
@@ -20,20 +20,22 @@
 	timetable  = flag.Int("timetable", -1, "seed of the only timetable to simulate; -1: all")
 )
 
-// missingGuard names a protection that is disabled to show that the timetables detect its absence.
+// missingGuard names a check or rule of the program that a simulation leaves out, to show that the timetables
+// detect its absence.
 type missingGuard string
 
 const (
 	allGuards          missingGuard = ""                   // nothing is disabled
-	withoutCheck       missingGuard = "check"              // the agent doesn't check effective documents
-	withoutOrder       missingGuard = "order"              // the agent accepts older revisions
+	withoutCheck       missingGuard = "check"              // the agent applies effective documents unchecked
+	withoutOrder       missingGuard = "order"              // the agent accepts revisions older than the one received
 	withoutDigest      missingGuard = "digest"             // the agent doesn't compare digests
-	withoutFrom        missingGuard = "digest and from"    // the agent compares neither digests, which would detect a wrong base too, nor a patch's base revision
-	withEarlyReports   missingGuard = "apply, then report" // the agent reports before it applies
-	withoutReportReset missingGuard = "report anew"        // a new watch doesn't invalidate earlier reports
+	withoutFrom        missingGuard = "digest and from"    // the agent compares neither digests, which would detect a wrong base too, nor the revision to which a patch applies
+	withEarlyReports   missingGuard = "apply, then report" // the agent reports a document before its load balancer works with it
+	withoutReportReset missingGuard = "report anew"        // a new watch doesn't invalidate the agent's earlier reports
 )
 
-// timetableSteps is the number of random steps before the system becomes quiet.
+// timetableSteps is the number of random steps of a timetable, after which everything is delivered and the
+// final state is checked.
 const timetableSteps = 1500
 
 // simulation is a simulation in virtual time of two groups of control machines with replicated logs, and of
@@ -44,50 +46,55 @@
 	missing       missingGuard
 	failure       string // the first violation found
 	now           time.Duration
-	epoch         uint64                      // of the leaders of all groups
-	logs          map[string][]logEntry       // by group
-	leaders       map[string]*Registry        // by group; they have applied the whole log
-	history       map[Scope]map[uint64]string // document of each revision
+	epoch         uint64                      // raft term of the leaders of all groups
+	logs          map[string][]logEntry       // committed commands, by group
+	leaders       map[string]*Registry        // by group; each has applied the whole log of its group
+	history       map[Scope]map[uint64]string // documents by scope and revision number
 	machines      []*simulatedMachine
 	agents        []*simulatedAgent
-	allowRefusals bool                // generate documents that some agents refuse
+	allowRefusals bool                // changes include documents that some agents refuse
 	proposed      []Change            // proposed changes, which may be sent again
 	answers       map[string]Accepted // first answer to each change, by its ID
 	counts        map[string]int      // how often each kind of event has happened, such as "restarts"
 }
 
+// logEntry is a committed command of a group's log.
 type logEntry struct {
-	epoch   uint64
-	command []byte
+	epoch   uint64 // raft term in which the entry was written
+	command []byte // encoded Change
 }
 
+// simulatedMachine is a control machine, which may lag behind the logs.
 type simulatedMachine struct {
-	registries map[string]*Registry
-	applied    map[string]int // number of applied entries of each log
+	registries map[string]*Registry // by group
+	applied    map[string]int       // number of log entries applied, by group
 	tracker    *Tracker
 }
 
+// simulatedAgent is an agent with its current process.
 type simulatedAgent struct {
 	place       Place
-	settings    balance.Settings
-	names       wire.Names
+	settings    balance.Settings // of the agent's start file
+	names       wire.Names       // of the start file's classes and tenants
 	follower    *Follower
-	watches     []*simulatedWatch
-	reportDue   bool     // a report has to be sent
-	savedStates [][]byte // all that the agent's processes have saved on disk, the latest last
+	watches     []*simulatedWatch // open watches, at most two
+	reportDue   bool              // a report has to be sent, since what is in force or the watch has changed
+	savedStates [][]byte          // all that the agent's processes have saved on disk, the latest last
 
 	document      *Document          // that the load balancer works with
-	positions     map[Scope]Position // revisions of which document is made
-	maxApplied    map[Scope]uint64   // highest revisions that this process has had in force
-	reportedEarly *Effective         // document that was reported before it is applied
+	positions     map[Scope]Position // revisions that document was merged from
+	maxApplied    map[Scope]uint64   // highest revision of each scope that this process has had in force
+	reportedEarly *Effective         // with withEarlyReports: the document that was reported and is still being applied
 }
 
+// simulatedWatch is an open watch.
 type simulatedWatch struct {
 	machine *simulatedMachine
 	sent    map[Scope]Position // the agent's positions after all lines sent so far
 	lines   [][]byte           // sent, but not delivered yet
 }
 
+// simulatedScopes are the scopes that the random changes write.
 var simulatedScopes = []Scope{
 	Fleet, eastScope, zoneScope, {Level: LevelZone, Region: "east", Name: "e2"}, serviceScope,
 	{Level: LevelService, Name: "search"}, agentScope, {Level: LevelAgent, Region: "east", Name: "a2"},
@@ -101,6 +108,8 @@
 	return names
 }()
 
+// newSimulation returns a simulation of three machines of two groups and of six agents. Seeds that are odd
+// allow refusals.
 func newSimulation(t *testing.T, seed uint64, f missingGuard) *simulation {
 	w := &simulation{t: t, rng: newRand(seed), missing: f, epoch: 1, allowRefusals: seed%2 == 1,
 		logs: map[string][]logEntry{}, leaders: map[string]*Registry{},
@@ -135,7 +144,8 @@
 	return w
 }
 
-// record stores the document of each revision and fails if a revision has two.
+// record stores the document of each revision that a leader makes, and fails if a revision gets a second
+// document.
 func (w *simulation) record(r Revision) {
 	if w.history[r.Scope] == nil {
 		w.history[r.Scope] = map[uint64]string{}
@@ -146,7 +156,7 @@
 	w.history[r.Scope][r.Revision] = string(r.Document)
 }
 
-// fail records the first violation.
+// fail records a violation; only the first one is kept.
 func (w *simulation) fail(format string, values ...any) {
 	if w.failure == "" {
 		w.failure = fmt.Sprintf(format, values...)
@@ -159,7 +169,8 @@
 	return err
 }
 
-// startAgent begins a process of an agent and restores the saved state unless it is nil.
+// startAgent ends an agent's watches and begins a new process, which restores the saved state kept unless it
+// is nil.
 func (w *simulation) startAgent(a *simulatedAgent, kept []byte) {
 	for len(a.watches) > 0 {
 		w.endWatch(a, a.watches[0])
@@ -195,8 +206,8 @@
 	a.watches = slices.DeleteFunc(a.watches, func(other *simulatedWatch) bool { return other == watch })
 }
 
-// applyPending applies the pending documents and makes a report due afterwards, or before with
-// withEarlyReports.
+// applyPending applies the pending documents one after another and makes a report due. With withEarlyReports
+// it takes only the first one, which is due to be reported at once and applied by a later step.
 func (w *simulation) applyPending(a *simulatedAgent) {
 	for effective, ok := a.follower.Pending(); ok; effective, ok = a.follower.Pending() {
 		a.follower.Applied(effective)
@@ -210,7 +221,9 @@
 	}
 }
 
-// apply makes an effective document that of the load balancer, after checking that the agent may apply it.
+// apply makes an effective document the one that the agent's load balancer works with, and saves it. It fails
+// if the document is invalid for the agent, differs from what was written, or goes back to an earlier
+// revision.
 func (w *simulation) apply(a *simulatedAgent, effective *Effective) {
 	if err := a.check(effective.Document); err != nil {
 		w.fail("%s applies an invalid document: %v", a.place.Agent, err)
@@ -230,7 +243,7 @@
 	a.savedStates = append(a.savedStates, kept)
 }
 
-// step runs one random event.
+// step runs one random event and then checks a status.
 func (w *simulation) step() {
 	w.now += time.Duration(1+w.rng.IntN(1000)) * time.Microsecond
 	a, m := w.agents[w.rng.IntN(len(w.agents))], w.machines[w.rng.IntN(len(w.machines))]
@@ -267,7 +280,8 @@
 	w.checkStatus()
 }
 
-// change creates a new revision of a random scope at the leader of its group.
+// change proposes a change of a random scope at the leader of its group. One in ten is based on a revision
+// that isn't the latest.
 func (w *simulation) change() {
 	scope := simulatedScopes[w.rng.IntN(len(simulatedScopes))]
 	latest, _ := w.leaders[scope.Group()].Latest(scope)
@@ -284,8 +298,8 @@
 	w.propose(c)
 }
 
-// randomDocument returns a document that all agents can apply, or, with allowRefusals, sometimes one that
-// some can't.
+// randomDocument returns a document that all agents can apply. With allowRefusals one in three may be a
+// document that some agents can't apply.
 func (w *simulation) randomDocument() *Document {
 	if w.allowRefusals && w.rng.IntN(3) == 0 {
 		d := randomDocument(w.rng)
@@ -305,12 +319,14 @@
 	return d
 }
 
+// propose proposes a change for the first time.
 func (w *simulation) propose(c Change) {
 	w.proposed = append(w.proposed, c)
 	w.write(c)
 }
 
-// write proposes a change to the group of its scope and appends it to the log if it passes Check.
+// write proposes a change at the leader of its group. If it passes Check, it is appended to the log and
+// applied by the leader.
 func (w *simulation) write(c Change) {
 	leader := w.leaders[c.Scope.Group()]
 	if leader.Check(c) != nil {
@@ -332,14 +348,14 @@
 	w.counts["changes"]++
 }
 
-// resendChange sends one of the last 20 changes again.
+// resendChange proposes one of the last 20 changes again, as a client does after an unknown outcome.
 func (w *simulation) resendChange() {
 	if n := len(w.proposed); n > 0 {
 		w.write(w.proposed[n-1-w.rng.IntN(min(n, 20))])
 	}
 }
 
-// replicate lets a machine apply up to entries log entries.
+// replicate lets a machine apply the next log entries of its groups, at most the given number in total.
 func (w *simulation) replicate(m *simulatedMachine, entries int) {
 	for group, log := range w.logs {
 		for ; entries > 0 && m.applied[group] < len(log); entries-- {
@@ -370,7 +386,7 @@
 	m.tracker.keepReportsOnConnect = w.missing == withoutReportReset
 }
 
-// push lets a machine send the updates that its agents don't have yet.
+// push lets a machine send the updates that the agents which watch it don't have yet.
 func (w *simulation) push(m *simulatedMachine) {
 	for _, a := range w.agents {
 		for _, watch := range a.watches {
@@ -381,6 +397,7 @@
 	}
 }
 
+// pushTo sends the updates that one watch lacks, as one set.
 func (w *simulation) pushTo(a *simulatedAgent, watch *simulatedWatch) {
 	var updates []Update
 	for _, scope := range a.place.Scopes() {
@@ -406,7 +423,8 @@
 	}
 }
 
-// damageLine drops, repeats, reorders or alters a line, as a faulty connection might.
+// damageLine drops, repeats, reorders or alters a line that is not yet delivered to the agent, as a faulty
+// connection might.
 func (w *simulation) damageLine(a *simulatedAgent) {
 	if len(a.watches) == 0 {
 		return
@@ -433,8 +451,9 @@
 	w.counts["damaged"]++
 }
 
+// deliver passes the next line of one of the agent's watches to its follower and applies what is pending.
 func (w *simulation) deliver(a *simulatedAgent) {
-	if len(a.watches) == 0 || a.reportedEarly != nil { // the load balancer is still applying a document
+	if len(a.watches) == 0 || a.reportedEarly != nil { // an early-reported document is still being applied
 		return
 	}
 	watch := a.watches[w.rng.IntN(len(a.watches))]
@@ -453,7 +472,8 @@
 	w.applyPending(a)
 }
 
-// restart replaces an agent's process by a new one, which restores one of the last three saved states or none.
+// restart replaces an agent's process by a new one, which restores one of the last three saved states or none
+// of them.
 func (w *simulation) restart(a *simulatedAgent) {
 	var kept []byte
 	if n := len(a.savedStates); n > 0 && w.rng.IntN(3) > 0 {
@@ -463,7 +483,8 @@
 	w.counts["restarts"]++
 }
 
-// report sends an agent's report to the machine of a random watch.
+// report sends the agent's report, if one is due, to the machine of a random watch. It fails if the report
+// differs from what the load balancer works with.
 func (w *simulation) report(a *simulatedAgent) {
 	if !a.reportDue || len(a.watches) == 0 {
 		return
@@ -481,8 +502,9 @@
 	w.counts["reports"]++
 }
 
-// checkStatus fails if the status says that a revision is in force everywhere while a known agent's process
-// hasn't had it.
+// checkStatus computes the status of one of the last revisions of a random scope. It fails if the status says
+// that the revision is in force everywhere although the process of an agent that some machine knows hasn't
+// had it.
 func (w *simulation) checkStatus() {
 	scope := simulatedScopes[w.rng.IntN(len(simulatedScopes))]
 	latest, ok := w.leaders[scope.Group()].Latest(scope)
@@ -505,6 +527,7 @@
 	}
 }
 
+// allStatuses returns the agents' statuses that each machine has.
 func (w *simulation) allStatuses() (all [][]AgentStatus) {
 	for _, m := range w.machines {
 		all = append(all, m.tracker.Statuses(w.now))
@@ -512,7 +535,8 @@
 	return all
 }
 
-// deliverAll replicates all logs and delivers all updates and reports.
+// deliverAll lets all machines apply their whole logs, gives each agent a new watch that delivers all updates
+// without faults, and delivers the agents' reports.
 func (w *simulation) deliverAll() {
 	for _, m := range w.machines {
 		w.replicate(m, 1<<30)
@@ -544,8 +568,9 @@
 	}
 }
 
-// wantEffective checks what an agent has in force against an independent computation: canonical texts merged
-// as RFC 7396 patches, without the invalid ones.
+// wantEffective fails unless an agent has in force and refuses what an independent computation gives: the
+// canonical texts of the latest documents, merged as RFC 7396 patches. A document that is invalid for the
+// agent is refused, and the revision in force takes its place.
 func (w *simulation) wantEffective(a *simulatedAgent) {
 	merged := []byte(`{"format":1}`)
 	var refused []Scope
@@ -582,7 +607,8 @@
 	w.counts["refusals"] += len(refused)
 }
 
-// wantEverywhere checks that the status is in force everywhere unless some agent refuses the revision.
+// wantEverywhere fails unless the status of each scope's latest revision is in force everywhere, or an agent
+// refuses the revision.
 func (w *simulation) wantEverywhere() {
 	for _, scope := range simulatedScopes {
 		latest, ok := w.leaders[scope.Group()].Latest(scope)
@@ -602,7 +628,8 @@
 	}
 }
 
-// run runs one timetable: random steps, then quiet, then valid documents for all scopes, and quiet again.
+// run runs one timetable: random steps, then everything is delivered and checked; after that a document that
+// no agent refuses for each scope, and everything is delivered and checked once more.
 func (w *simulation) run() {
 	for range timetableSteps {
 		if w.step(); w.failure != "" {
@@ -653,7 +680,7 @@
 	}
 }
 
-// Each missing guard is detected within the first maxSeeds timetables.
+// If one of the guards is missing, one of the first maxSeeds timetables detects that.
 func TestTimetablesFindEachFault(t *testing.T) {
 	const maxSeeds = 20
 	for _, f := range []missingGuard{withoutCheck, withoutOrder, withoutDigest, withoutFrom, withEarlyReports, withoutReportReset} {
--- a/internal/configuration/tracker.go
+++ b/internal/configuration/tracker.go
@@ -11,9 +11,9 @@
 // Tracker holds what one control machine knows of the agents that watch it or have reported to it. Times are
 // readings of the machine's monotonic clock, with an arbitrary zero.
 type Tracker struct {
-	machine string        // name of the control machine
-	started time.Duration // when the machine started
-	agents  map[agentKey]*trackedAgent
+	machine string                     // name of the control machine
+	started time.Duration              // when the machine started
+	agents  map[agentKey]*trackedAgent // by region and name of the agent
 
 	keepReportsOnConnect bool // set by a test that shows why a new watch must invalidate earlier reports
 }
@@ -25,20 +25,22 @@
 	SettleTime  = 15 * time.Second // time after the machine's start in which agents may not have found it yet
 )
 
-// agentKey identifies an agent within the fleet.
+// agentKey identifies an agent within the fleet by its region and name.
 type agentKey struct{ region, agent string }
 
 func keyOf(p Place) agentKey { return agentKey{p.Region, p.Agent} }
 
+// compareKeys orders keys by region and then by agent.
 func compareKeys(a, b agentKey) int {
 	return cmp.Or(cmp.Compare(a.region, b.region), cmp.Compare(a.agent, b.agent))
 }
 
+// trackedAgent is what the machine knows of one agent.
 type trackedAgent struct {
-	report      Report        // Format 0: none since the last watch began
-	reportedAt  time.Duration // when the report came, or when the watch began if none has come since
-	lastContact time.Duration // last report, or beginning or end of a watch
-	watches     int           // open watches
+	report      Report        // the agent's last report; Format 0: none since the last watch began
+	reportedAt  time.Duration // when the last report came, or when the last watch began if no report has come since
+	lastContact time.Duration // last report, or beginning or end of a watch, whichever was latest
+	watches     int           // number of watches that the agent has open at this machine
 }
 
 // NewTracker returns the tracker of a machine that starts now and knows no agents.
@@ -162,6 +164,7 @@
 	return nil
 }
 
+// awayLonger reports whether agent a made its last contact before agent b, with ties broken by key.
 func (t *Tracker) awayLonger(a, b agentKey) bool {
 	order := cmp.Or(cmp.Compare(t.agents[a].lastContact, t.agents[b].lastContact), compareKeys(a, b))
 	return order < 0
--- a/internal/configuration/tracker_test.go
+++ b/internal/configuration/tracker_test.go
@@ -12,6 +12,7 @@
 	return Place{Agent: agent, Region: "east", Zone: "e1", Service: "cart"}
 }
 
+// reportOf returns an agent's report that it has a revision of the fleet's document in force.
 func reportOf(agent string, revision uint64) Report {
 	return Report{Place: agentPlace(agent), Format: Format, InForce: map[Scope]Position{Fleet: {revision, 1}}, Digest: "d"}
 }
@@ -28,7 +29,7 @@
 	must(t, tracker.Connected(agentPlace("b"), time.Hour))
 	must(t, tracker.Connected(agentPlace("a"), time.Hour))
 	must(t, tracker.Reported(reportOf("a", 2), time.Hour+time.Second))
-	must(t, tracker.Connected(agentPlace("a"), time.Hour+2*time.Second)) // before the end of the first watch is noticed
+	must(t, tracker.Connected(agentPlace("a"), time.Hour+2*time.Second)) // a second watch of a, opened before the end of the first one is noticed
 	if got := tracker.Statuses(time.Hour + 2*time.Second)[0]; got.Format != 0 || len(got.InForce) > 0 || !got.Connected {
 		t.Errorf("a report from before the watch still counts: %+v", got)
 	}
@@ -90,11 +91,11 @@
 	if err := tracker.Reported(reportOf("more", 1), time.Hour); err == nil {
 		t.Error("Reported accepted one agent too many")
 	}
-	must(t, tracker.Connected(name(5), time.Hour)) // known already
+	must(t, tracker.Connected(name(5), time.Hour)) // an agent that is known already is accepted at the limit
 	tracker.Disconnected(name(5), 2*time.Hour)
 	tracker.Disconnected(name(7), 4*time.Hour)
 	tracker.Disconnected(name(6), 3*time.Hour)
-	must(t, tracker.Connected(agentPlace("more"), 5*time.Hour)) // replaces the agent that has been disconnected for longest
+	must(t, tracker.Connected(agentPlace("more"), 5*time.Hour)) // takes the place of a6, which has been disconnected for longest
 	local := tracker.Statuses(5 * time.Hour)
 	if _, ok := tracker.agents[keyOf(name(6))]; ok || len(local) != MaxAgents {
 		t.Errorf("%d agents, a6 among them: %v", len(local), ok)
--- a/internal/configuration/watch/saved.go
+++ b/internal/configuration/watch/saved.go
@@ -9,10 +9,12 @@
 	"path/filepath"
 )
 
-// maxSavedBytes limits how much of a saved file is read. The file has a document for each of an agent's scopes.
+// maxSavedBytes limits how much of a file of saved documents is read. The file has one document for each of
+// an agent's scopes.
 const maxSavedBytes = 1 << 20
 
-// savedPath returns the path of this agent's file of saved documents, or "" if documents aren't saved.
+// savedPath returns the path of the file in which this agent's documents are saved, or "" if Config.Folder is
+// empty.
 func (w *Watcher) savedPath() string {
 	if w.cfg.Folder == "" {
 		return ""
@@ -20,7 +22,8 @@
 	return filepath.Join(w.cfg.Folder, "configuration-"+w.cfg.Place.Region+"-"+w.cfg.Place.Agent+".json")
 }
 
-// readSaved returns the content that an earlier process saved, or nil if there is none.
+// readSaved returns the content that an earlier process saved, or nil if no file was saved or the documents
+// aren't saved at all.
 func (w *Watcher) readSaved() ([]byte, error) {
 	path := w.savedPath()
 	if path == "" {
@@ -44,8 +47,7 @@
 	return raw, nil
 }
 
-// save writes the documents in force to the disk, if a folder is configured. A failure is logged and has no
-// other effect.
+// save writes the documents in force to the disk, if Config.Folder is set. If that fails, it is only logged.
 func (w *Watcher) save() {
 	path := w.savedPath()
 	if path == "" {
--- a/internal/configuration/watch/stream.go
+++ b/internal/configuration/watch/stream.go
@@ -18,34 +18,34 @@
 	"lemonrail/internal/configuration"
 )
 
-// Limits on the data read from a control machine.
+// Limits in bytes on the data read from a control machine.
 const (
-	MaxLineBytes    = 32 << 10 // of an update
+	MaxLineBytes    = 32 << 10 // longest line of a watch
 	maxHeadBytes    = 8 << 10  // of a response's status line and headers
 	maxErrorBytes   = 4 << 10  // of the body of an error
 	lineBufferBytes = 1 << 10  // read buffer of a watch; it grows while a longer line is read
 )
 
-// stream is an open watch. Its goroutine reads lines until the stream is closed or broken.
+// stream is an open watch. Its goroutine reads lines until the stream is closed or the watch breaks.
 type stream struct {
 	machine configuration.Machine
 	conn    net.Conn
-	lines   chan line      // the last one has an error
+	lines   chan line      // lines received; the last one has an error
 	closed  chan struct{}  // closed by close
 	once    sync.Once      // makes a second close harmless
 	reader  sync.WaitGroup // the goroutine that reads lines
 }
 
-// line is one line of a watch.
+// line is one line of a watch, or the reason why no further lines come.
 type line struct {
 	update *configuration.Update // nil for a heartbeat
 	err    error                 // set if the watch is broken
 }
 
-// openResult is the result of opening a watch.
+// openResult is the result of an attempt to open a watch.
 type openResult struct {
 	stream *stream
-	err    error
+	err    error // nil: the watch is open
 }
 
 var (
@@ -54,7 +54,7 @@
 	errLineTooLong = fmt.Errorf("a line of over %d bytes", MaxLineBytes)
 )
 
-// formatPosition formats a position as the watch's parameter have: SCOPE@REVISION.EPOCH.
+// formatPosition formats a scope's position as in the query parameter have of a watch: SCOPE@REVISION.EPOCH.
 func formatPosition(scope configuration.Scope, at configuration.Position) string {
 	return scope.String() + "@" + strconv.FormatUint(at.Revision, 10) + "." + strconv.FormatUint(at.Epoch, 10)
 }
@@ -71,7 +71,8 @@
 	return v.Encode()
 }
 
-// open opens a watch. It returns once the machine has started its response.
+// open opens a watch, which begins after the given positions. It returns once the machine has begun its
+// response.
 func (w *Watcher) open(ctx context.Context, machine configuration.Machine, from map[configuration.Scope]configuration.Position) (*stream, error) {
 	conn, err := w.dial(ctx, machine, w.timeouts.open)
 	if err != nil {
@@ -94,7 +95,8 @@
 	return s, nil
 }
 
-// dial connects to a machine. The timeout covers all use of the connection until its deadline is set again.
+// dial connects to a machine. The timeout is a deadline for connecting and for all reads and writes after it,
+// until the caller sets another deadline.
 func (w *Watcher) dial(ctx context.Context, machine configuration.Machine, timeout time.Duration) (net.Conn, error) {
 	until := time.Now().Add(timeout)
 	dialing, cancel := context.WithDeadline(ctx, until)
@@ -107,8 +109,8 @@
 	return conn, nil
 }
 
-// interruptOnDone makes pending reads and writes on a connection fail once ctx is done, unless stop was
-// called before.
+// interruptOnDone makes pending and later reads and writes on a connection fail once ctx is done, unless stop
+// was called before.
 func interruptOnDone(ctx context.Context, conn net.Conn) (stop func()) {
 	undo := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	return func() { undo() }
@@ -136,7 +138,8 @@
 	return nil, fmt.Errorf("answer: %s", response.Status)
 }
 
-// read delivers lines until the stream is closed or broken.
+// read delivers the lines of a watch until the stream is closed or the watch breaks. A watch on which nothing
+// arrives for the time silence counts as broken.
 func (s *stream) read(body io.Reader, silence time.Duration) {
 	in := bufio.NewScanner(body)
 	in.Buffer(make([]byte, 0, lineBufferBytes), MaxLineBytes)
@@ -160,7 +163,8 @@
 	}
 }
 
-// readError returns why there are no further lines, given the scanner's error.
+// readError returns the error that ended a watch: err is that of the scanner that read the lines, nil if the
+// machine has ended the response.
 func readError(err error) error {
 	var timeout net.Error
 	switch {
--- a/internal/configuration/watch/watch.go
+++ b/internal/configuration/watch/watch.go
@@ -43,15 +43,15 @@
 
 // timeouts are the time limits and intervals of a Watcher.
 type timeouts struct {
-	silence            time.Duration // until a watch that sends no complete line counts as broken; heartbeats come every 2 s
-	open               time.Duration // for a machine to accept a connection and to start its response
+	silence            time.Duration // without a complete line, after which a watch counts as broken; heartbeats come every 2 s
+	open               time.Duration // for a machine to accept a connection and to begin its response
 	report             time.Duration // for a report to be answered
 	reportRetry        time.Duration // from a failed report to the next one
-	reportInterval     time.Duration // after which a report is repeated although nothing has changed
-	tick               time.Duration // between checks for a due return or a repeated Apply
-	leave              time.Duration // for the last report of an agent that stops
-	apply              time.Duration // for the agent to put a document in force
-	firstWarning       time.Duration // until control is reported unreachable; doubles with each warning
+	reportInterval     time.Duration // from one report to the next if nothing has changed
+	tick               time.Duration // between checks whether to try a preferred machine or to apply a document again
+	leave              time.Duration // for sending the last report when Leave is called
+	apply              time.Duration // for the agent to apply a document
+	firstWarning       time.Duration // without contact after which the first warning is logged; the time doubles with each further warning
 	maxWarningInterval time.Duration // longest time between two warnings
 }
 
@@ -62,14 +62,14 @@
 
 // Status is the state of a Watcher.
 type Status struct {
-	Machine     string    // watched now or last; empty: none yet
-	Connected   bool      // a watch is open
-	LastContact time.Time // when the last line came from control, heartbeats included; zero: never
-	Restored    bool      // the documents in force were restored from the disk: control has sent none since
-	AppliedAt   time.Time // when documents were last put in force; zero: never
-	Changes     int       // number of times that documents were put in force
-	Refusals    int       // number of revisions that the agent has refused
-	Report      configuration.Report
+	Machine     string               // name of the machine that is watched or was watched last; empty: none yet
+	Connected   bool                 // a watch is open
+	LastContact time.Time            // when the last line of a watch arrived, heartbeats included; zero: never
+	Restored    bool                 // the documents in force were restored from the disk: control has sent none since
+	AppliedAt   time.Time            // when documents were last put in force; zero: never
+	Changes     int                  // number of times that documents were put in force
+	Refusals    int                  // number of revisions that the agent has refused
+	Report      configuration.Report // what is in force and what is refused
 }
 
 // Watcher gets an agent's configuration from the control machines and keeps it up to date.
@@ -92,7 +92,7 @@
 	lastStream       *stream               // opened last; it may be closed
 	redirect         string                // machine (name or address) from a not-here response; empty: none
 	reporting        bool                  // a report is being sent
-	reportPending    bool                  // the machine lacks what is in force now
+	reportPending    bool                  // the watched machine doesn't know yet what is in force now
 	reportResult     chan error            // result of the report that is being sent
 	nextReportAt     time.Time             // no report is sent before this time
 	reportRetryTimer <-chan time.Time      // fires at nextReportAt after a failed report; otherwise nil
@@ -100,8 +100,8 @@
 	returnResult     chan openResult       // result of the attempt to return to a preferred machine
 	cancelReturn     context.CancelFunc    // cancels that attempt; nil: none is in progress
 	retryApply       bool                  // the agent was too busy to apply the pending document
-	loggedRefusals   map[refusalKey]string // reasons of the refusals that were logged
-	warnedAge        time.Duration         // time without contact at the last warning; 0: none since contact
+	loggedRefusals   map[refusalKey]string // reasons of the refusals that are in force and were logged
+	warnedAge        time.Duration         // time without contact at the last warning; 0: no warning since the last contact
 }
 
 // refusalKey identifies a refused revision.
@@ -142,6 +142,7 @@
 	return w.status
 }
 
+// updateStatus changes the status under its lock.
 func (w *Watcher) updateStatus(f func(*Status)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -168,8 +169,8 @@
 	}
 }
 
-// Leave says that the agent stops as planned and isn't replaced. Run then reports this to control, so that
-// control no longer waits for the agent, and returns.
+// Leave says that the agent stops as planned and no other process takes its place. Run then reports this to a
+// control machine, so that a status no longer counts the agent, and returns.
 func (w *Watcher) Leave() { w.leave() }
 
 // Run follows the control machines until ctx is done or Leave is called.
@@ -186,7 +187,7 @@
 	return err
 }
 
-// sendLeavingReport tells the machine that was watched last that the agent no longer has anything in force.
+// sendLeavingReport tells the machine that was watched last that the agent leaves.
 func (w *Watcher) sendLeavingReport(ctx context.Context) {
 	if w.lastStream == nil {
 		return
@@ -231,6 +232,7 @@
 	}
 }
 
+// now returns the time on the clock of the selector, which starts with the Watcher.
 func (w *Watcher) now() time.Duration { return time.Since(w.startedAt) }
 
 // sleep waits for the given time. It returns false if ctx is done.
@@ -288,7 +290,7 @@
 	}
 }
 
-// switchTo makes a stream the one that is followed.
+// switchTo replaces the current watch by one that was just opened.
 func (w *Watcher) switchTo(s *stream) {
 	w.closeStream()
 	w.stream, w.lastStream = s, s
@@ -299,6 +301,7 @@
 	w.lineReceived()
 }
 
+// closeStream closes the current watch, if there is one.
 func (w *Watcher) closeStream() {
 	if w.stream == nil {
 		return
@@ -308,7 +311,8 @@
 	w.updateStatus(func(st *Status) { st.Connected = false })
 }
 
-// lineReceived records that control has sent a line.
+// lineReceived records contact with the watched machine, and logs the end of a time without contact that was
+// warned of.
 func (w *Watcher) lineReceived() {
 	now := time.Now()
 	var last time.Time
@@ -322,7 +326,8 @@
 	}
 }
 
-// warnDisconnected logs how long there has been no contact with control, at growing intervals.
+// warnDisconnected logs a warning that no control machine can be reached, for how long, and the cause, at
+// growing intervals.
 func (w *Watcher) warnDisconnected(cause error) {
 	st := w.Status()
 	last := st.LastContact
@@ -351,7 +356,8 @@
 	return nil
 }
 
-// apply has the agent apply the follower's pending documents.
+// apply has the agent apply the follower's pending documents. restored says that they come from the disk and
+// not from a control machine.
 func (w *Watcher) apply(ctx context.Context, restored bool) {
 	changed := false
 	w.retryApply = false
@@ -389,13 +395,15 @@
 	}
 }
 
+// applyOne has the agent apply one effective document within timeouts.apply.
 func (w *Watcher) applyOne(ctx context.Context, effective *configuration.Effective) error {
 	ctx, cancel := context.WithTimeout(ctx, w.timeouts.apply)
 	defer cancel()
 	return w.cfg.Apply(ctx, effective.Document)
 }
 
-// logRefusals logs new refusals and reports whether any refusal was added, removed or changed.
+// logRefusals logs the refusals that are new and reports whether any refusal was added, removed or changed
+// since the last call.
 func (w *Watcher) logRefusals(refused []configuration.Refusal) bool {
 	now := map[refusalKey]string{}
 	for _, r := range refused {
@@ -411,7 +419,7 @@
 	return differs
 }
 
-// positionsText lists revisions sorted by scope.
+// positionsText returns the revisions of all scopes as a text for logs, sorted by scope.
 func positionsText(positions map[configuration.Scope]configuration.Position) string {
 	var all []string
 	for scope, at := range positions {
@@ -423,8 +431,8 @@
 
 // ---- The preferred machine ----
 
-// startReturn opens a watch at the preferred machine, beside the current watch, when the selector says that
-// it is due.
+// startReturn begins to open a watch at a preferred machine, while the current watch continues, when the
+// selector says that it is time.
 func (w *Watcher) startReturn(ctx context.Context) {
 	if w.cancelReturn != nil {
 		return
@@ -441,7 +449,8 @@
 	}()
 }
 
-// finishReturn switches to the preferred machine if its watch was opened.
+// finishReturn ends an attempt to return: if the watch at the preferred machine was opened, it replaces the
+// current one.
 func (w *Watcher) finishReturn(r openResult) {
 	w.cancelReturn()
 	w.cancelReturn = nil
@@ -453,7 +462,7 @@
 	w.switchTo(r.stream)
 }
 
-// abortReturn cancels an attempt to return, because the watch beside which it was made has ended.
+// abortReturn cancels an attempt to return, because the watch that continued meanwhile has ended.
 func (w *Watcher) abortReturn() {
 	if w.cancelReturn == nil {
 		return
@@ -476,8 +485,8 @@
 	w.redirect = refusal.Machines[int(w.cfg.Rand()*float64(len(refusal.Machines)))]
 }
 
-// takeRedirect returns the stored machine, if its name or address is known, and clears it, so that it is
-// tried once.
+// takeRedirect returns the machine that saveRedirect stored, if Config.Machines has it, and clears it, so
+// that it is tried only once.
 func (w *Watcher) takeRedirect() (configuration.Machine, bool) {
 	named := w.redirect
 	w.redirect = ""
@@ -490,7 +499,8 @@
 
 // ---- Reports ----
 
-// startReport sends what is in force, if the machine lacks it or the last report was sent reportInterval ago.
+// startReport begins to send what is in force, if the watched machine doesn't know it or the last report was
+// sent at least reportInterval ago.
 func (w *Watcher) startReport(ctx context.Context) {
 	now := time.Now()
 	due := w.reportPending || now.Sub(w.reportSentAt) >= w.timeouts.reportInterval
@@ -503,6 +513,7 @@
 	go func() { w.reportResult <- w.sendReport(ctx, machine, report) }()
 }
 
+// finishReport records the end of a report. After a failure the report is due again in reportRetry.
 func (w *Watcher) finishReport(err error) {
 	w.reporting = false
 	if err != nil {
--- a/internal/configuration/watch/watch_test.go
+++ b/internal/configuration/watch/watch_test.go
@@ -44,8 +44,8 @@
 type fakeControl struct {
 	machine  configuration.Machine
 	server   *httptest.Server
-	queries  chan url.Values             // of the watches
-	lines    chan string                 // to be sent on the open watch
+	queries  chan url.Values             // the query of each watch request, in order of arrival
+	lines    chan string                 // each is sent on the open watch
 	reports  chan configuration.Report   // in order of arrival
 	onReport func(w http.ResponseWriter) // answers a report; nil: with 204
 	onWatch  func(w http.ResponseWriter) // answers in place of a watch; nil: the watch is opened
@@ -155,7 +155,8 @@
 	return l.text.String()
 }
 
-// testConfig returns a Config whose documents are all applied and sent to the channel.
+// testConfig returns a Config and a channel. Its Check accepts every document, and its Apply succeeds and
+// sends the document to the channel.
 func testConfig(machines ...configuration.Machine) (Config, chan *configuration.Document) {
 	applied := make(chan *configuration.Document, 1000)
 	return Config{Place: testPlace, Machines: machines, Rand: func() float64 { return 0 }, Log: slog.New(slog.DiscardHandler),
@@ -166,6 +167,7 @@
 		}}, applied
 }
 
+// start runs a Watcher until the test ends, with short intervals that change may adjust.
 func start(t testing.TB, cfg Config, change func(*timeouts)) *Watcher {
 	t.Helper()
 	w, err := New(cfg)
@@ -292,7 +294,8 @@
 	}
 }
 
-// An agent that is too busy to apply a document in time doesn't refuse it: the document is tried again.
+// An agent that is too busy to apply a document in time doesn't refuse the document, but applies it again
+// later.
 func TestBusyAgentIsRetried(t *testing.T) {
 	c := newFakeControl(t, "a1", "a")
 	cfg, applied := testConfig(c.machine)
@@ -331,8 +334,9 @@
 	return first, second
 }
 
-// When a machine sends nothing, ends the watch or sends an invalid line, the agent switches to another
-// machine, asks it for the missing updates and reports what is in force.
+// When a machine sends nothing, ends the watch, sends an invalid line or sends a patch to a revision that the
+// agent doesn't have, the agent switches to another machine, asks it for the missing updates and reports what
+// is in force.
 func TestBrokenWatch(t *testing.T) {
 	tests := map[string]func(*testing.T, *fakeControl){
 		"silent":       func(*testing.T, *fakeControl) {},
@@ -355,7 +359,7 @@
 			q := await(t, second.queries)
 			if have := q["have"]; name != "unknown origin" && !slices.Equal(have, []string{"fleet@1.3"}) {
 				t.Errorf("asked with %v", q)
-			} else if name == "unknown origin" && !slices.Equal(have, []string{"fleet@1.0"}) { // epoch 0: whole document
+			} else if name == "unknown origin" && !slices.Equal(have, []string{"fleet@1.0"}) { // epoch 0 asks for the whole document
 				t.Errorf("asked with %v", q)
 			}
 			second.waitReport(t, hasRevision(configuration.Fleet, 1))
@@ -363,8 +367,8 @@
 	}
 }
 
-// The agent tries another machine after one that can't be reached, or that accepts and never completes a
-// response head.
+// The agent tries another machine after one that can't be reached, or that accepts connections and never
+// completes the head of a response.
 func TestMachineThatDoesNotAnswer(t *testing.T) {
 	for name, address := range map[string]func(testing.TB) string{
 		"refuses": scripted.DeadAddr,
@@ -380,7 +384,7 @@
 			cfg, _ := testConfig(dead, live.machine)
 			start(t, cfg, func(tm *timeouts) {
 				if tm.open = 100 * time.Millisecond; name == "noise" {
-					tm.open = 2 * scripted.WaitTimeout // the limit on the head's length has to end it
+					tm.open = 2 * scripted.WaitTimeout // longer than the test waits, so that only the limit on the head's length can end the attempt
 				}
 			})
 			await(t, live.queries)
@@ -434,7 +438,7 @@
 	}
 }
 
-// Only one report is sent at a time; changes made meanwhile are in the next one.
+// Only one report is sent at a time; changes that take effect meanwhile are in the next report.
 func TestReportsAreCoalesced(t *testing.T) {
 	c := newFakeControl(t, "a1", "a")
 	release := make(chan struct{})
@@ -484,7 +488,8 @@
 	}
 }
 
-// An agent that stops as planned sends a last report that says so. It ends also if control hangs.
+// An agent that stops as planned sends a last report that says so. It stops even if the control machine
+// doesn't answer that report.
 func TestLeaveSendsALastReport(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
 		c := newFakeControl(t, "a1", "a")
@@ -522,8 +527,8 @@
 	}
 }
 
-// restore returns what a new process restores from a folder before it contacts a control machine (nil:
-// nothing), with its status and log.
+// restore returns the document that a new process restores from a folder before it contacts a control machine
+// (nil: none), with the Watcher's status and log.
 func restore(t *testing.T, folder string) (*configuration.Document, Status, string) {
 	t.Helper()
 	cfg, applied := testConfig(configuration.Machine{Name: "a1", Region: "a", Address: scripted.DeadAddr(t)})
@@ -543,8 +548,8 @@
 	}
 }
 
-// Documents in force are saved, and the next process restores them before it has reached control. A file that
-// is truncated, modified or another agent's is rejected as a whole.
+// Documents in force are saved, and the next process restores them before it has reached a control machine. A
+// file that is truncated, modified or written by another agent is rejected as a whole.
 func TestDocumentsSurviveARestart(t *testing.T) {
 	folder := t.TempDir()
 	c := newFakeControl(t, "a1", "a")
@@ -600,7 +605,7 @@
 	}
 }
 
-// A disk that can't be written has no effect but a warning in the log.
+// If the documents can't be written to the disk, this is logged as a warning and has no other effect.
 func TestFailingDiskIsOnlyLogged(t *testing.T) {
 	c := newFakeControl(t, "a1", "a")
 	cfg, _ := testConfig(c.machine)
@@ -617,7 +622,8 @@
 	}
 }
 
-// While control is unreachable the log says for how long, and afterwards that it is reachable again.
+// While no control machine can be reached, the log says for how long, and afterwards that contact was made
+// again.
 func TestDisconnectionWarnings(t *testing.T) {
 	c := newFakeControl(t, "a1", "a")
 	cfg, _ := testConfig(c.machine)
@@ -657,10 +663,10 @@
 	}
 }
 
-// Many watchers in one process need few goroutines, and all of them receive an update.
+// Many watchers in one process need few goroutines each, and all of them receive an update.
 func TestManyWatchers(t *testing.T) {
 	const watchers = 200
-	release := make(chan struct{}) // closed to send the line
+	release := make(chan struct{}) // closed to make the server send the line on all watches
 	c := newFakeControl(t, "a1", "a")
 	line := updateLine(t, configuration.Fleet, 1, attempts(2), false)
 	all := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -690,7 +696,8 @@
 	for range watchers { // the first report of each
 		await(t, c.reports)
 	}
-	// The server has one goroutine per connection; a watcher has Run, its reader and the one that the test keeps.
+	// Goroutines per watcher: Run, the stream's reader, the one that the test's start makes to call Run, and
+	// those of the HTTP server and the client for its connections.
 	if n := runtime.NumGoroutine() - before; n > 6*watchers {
 		t.Errorf("%d goroutines for %d watchers", n, watchers)
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -30,7 +30,7 @@
 // Route is one call of the control listener: a pattern of net/http.ServeMux and its handler. Each part of an agent
 // contributes the routes of its own calls.
 type Route struct {
-	Pattern string
+	Pattern string // such as "GET /api/ready"
 	Handle  http.HandlerFunc
 }
 
@@ -45,7 +45,8 @@
 	}}
 }
 
-// TextRoute returns a route that answers with the body that produce returns, or with 503 and the text of its error.
+// TextRoute returns a route that answers with the body that produce returns, as contentType. If produce
+// returns an error, the route answers with 503 and the error's text.
 func TextRoute(pattern, contentType string, produce func(context.Context) ([]byte, error)) Route {
 	return Route{pattern, func(w http.ResponseWriter, r *http.Request) {
 		body, err := produce(r.Context())
@@ -76,7 +77,7 @@
 	}}
 }
 
-// Handler returns the handler of all routes. Calls with a body are rejected.
+// Handler returns a handler that dispatches to the routes. It rejects calls with a body.
 func Handler(routes []Route) http.Handler {
 	mux := http.NewServeMux()
 	for _, r := range routes {
@@ -109,17 +110,17 @@
 // limitedListener is a listener with at most maxConnections open connections. It closes the oldest for a new one, since
 // callers who connect without finishing a call would otherwise lock out all others.
 type limitedListener struct {
-	net.Listener
-	mu    sync.Mutex
-	conns list.List // of *trackedConn, the oldest first
+	net.Listener // connections are accepted here
+	mu           sync.Mutex
+	conns        list.List // of *trackedConn, the oldest first
 }
 
 // trackedConn is an accepted connection that counts against the limit of its listener until it is closed.
 type trackedConn struct {
 	net.Conn
-	listener *limitedListener
-	element  *list.Element
-	once     sync.Once
+	listener *limitedListener // whose count the connection is part of
+	element  *list.Element    // of listener.conns
+	once     sync.Once        // makes a second Close harmless
 }
 
 // Accept waits for the next connection. At the limit it closes the oldest open connection.
--- a/internal/core/client_left_test.go
+++ b/internal/core/client_left_test.go
@@ -8,7 +8,7 @@
 	"lemonrail/balance"
 )
 
-// writingBackend writes each attempt at once, if its permit allows it.
+// writingBackend writes each attempt at once, if its permit allows it, and reports in began whether it did.
 type writingBackend struct {
 	unreachable
 	began chan bool
