--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -26,13 +26,15 @@
 	Step(now time.Duration, events []balance.Event) []balance.Action
 }
 
-// clock converts between wall-clock times and the decision module's time, the duration since the Unix epoch, so that
-// start times in lists convert and 0 lies far in the past. It advances with the monotonic clock alone, so
-// that steps of the system clock have no effect.
+// clock converts between wall-clock times and the decision module's time, the duration since the Unix epoch. With
+// this zero, start times in lists convert, and 0 lies far in the past. The clock advances with the monotonic
+// clock alone, so that steps of the system clock have no effect.
 type clock struct{ start time.Time }
 
+// now returns the current time as the decision module measures it.
 func (c clock) now() time.Duration { return c.at(time.Now()) }
 
+// at converts a wall-clock time to the decision module's time.
 func (c clock) at(t time.Time) time.Duration {
 	return time.Duration(c.start.UnixNano()) + t.Sub(c.start)
 }
@@ -62,9 +64,9 @@
 // Backend makes attempts. An attempt is written at most once, only while its Permit allows it, and is never
 // resent by the Backend itself.
 type Backend interface {
-	Exchange(ctx context.Context, p *Permit, to Target, request any) Response
-	Probe(to Target) Response
-	CloseIdleExcept(wanted func(Target) bool) // closes the idle connections to all targets for which wanted is false
+	Exchange(ctx context.Context, p *Permit, to Target, request any) Response // makes one attempt; blocks until it ends
+	Probe(to Target) Response                                                 // probes a backend outside of any request
+	CloseIdleExcept(wanted func(Target) bool)                                 // closes the idle connections to all targets for which wanted is false
 }
 
 // ListSource is the source of the list of backends. Its methods carry out the actions of the same names
@@ -75,7 +77,7 @@
 	Fetch()
 }
 
-// Peers sends data to one other agent or to all of them (balance.EveryPeer). Send never blocks.
+// Peers sends data to the agent with number to, or to all other agents (balance.EveryPeer). Send never blocks.
 type Peers interface{ Send(to int, data []byte) }
 
 // Kind is the kind of an Answer.
@@ -93,17 +95,17 @@
 type Answer struct {
 	Kind       Kind
 	RetryAfter time.Duration // with Refused; 0: no advice
-	Payload    any
+	Payload    any           // with Served: the backend's answer, as the Backend returned it
 }
 
 // Call is a client's open request. The loop owns the fields below Reply.
 type Call struct {
 	Event           balance.Request // TimeLeft is filled in by the loop
 	Request         any             // the request as the Backend takes it
-	Deadline        time.Time
-	UploadAllowance time.Duration // part of the time until Deadline that is reserved for receiving the rest of the body
-	Reply           chan Answer   // buffered, with room for the one final answer
-	HasClientLeft   func() bool   // reports whether the client has left, called from any goroutine; nil: only Loop.Left reports it
+	Deadline        time.Time       // when the client stops waiting
+	UploadAllowance time.Duration   // part of the time until Deadline that is reserved for receiving the rest of the body
+	Reply           chan Answer     // buffered, with room for the one final answer
+	HasClientLeft   func() bool     // reports whether the client has left, called from any goroutine; nil: only Loop.Left reports it
 
 	attempts []*attempt // in the order of their Sends
 	pending  int        // number of attempts that have not ended
@@ -112,20 +114,20 @@
 
 // attempt is the execution of one balance.Send.
 type attempt struct {
-	backend    string
-	addr       string
-	sent       time.Time // when the Send was executed
-	cancel     context.CancelFunc
-	permit     *Permit
-	ended      bool
-	mayHaveRun bool // set when ended: the backend may have executed the request
+	backend    string             // ID
+	addr       string             // address of the backend when the Send was executed
+	sent       time.Time          // when the Send was executed
+	cancel     context.CancelFunc // ends the context of Backend.Exchange
+	permit     *Permit            // says whether the attempt may still be written
+	ended      bool               // the Backend has returned its Response
+	mayHaveRun bool               // set when ended: the backend may have executed the request
 }
 
 // Observer observes the events of the loop. Its methods run on the loop's goroutine and must not block.
 type Observer interface {
-	Arrived(class int, repeat bool)
-	Listed(list balance.List) // as passed to the decision module
-	Ended(backend string, r Response, latency time.Duration)
+	Arrived(class int, repeat bool)                          // a client's request; repeat: the client marked it as a repeat
+	Listed(list balance.List)                                // as passed to the decision module
+	Ended(backend string, r Response, latency time.Duration) // an attempt; latency: since it was sent
 }
 
 // load returns the load report of the response, or balance.NoLoad if there was none.
@@ -136,25 +138,25 @@
 	return balance.NoLoad()
 }
 
-// Loop owns the balancer, the open calls and the timers. Every event reaches it as a function on its inbox;
+// Loop owns the decision module, the open calls and the timers. Every event reaches it as a function on its inbox;
 // only the loop decides the outcome of an attempt and the answer to a call.
 type Loop struct {
 	bal   Decider
 	clock clock
 	log   *slog.Logger
-	inbox chan func()
+	inbox chan func()   // functions that Run calls on the loop's goroutine
 	Done  chan struct{} // closed when Run has returned
 
 	Backend  Backend
 	Lists    ListSource
-	Peers    Peers    // nil where agents don't exchange messages
-	Observer Observer // nil: no observer
-	Figures  *metrics.Metrics
+	Peers    Peers             // nil where agents don't exchange messages
+	Observer Observer          // nil: no observer
+	Figures  *metrics.Metrics  // receives the numbers of listed and ejected backends; nil: none
 	settings *balance.Settings // those that apply now; replaced by Reconfigure, never modified
 
-	events         []balance.Event  // events for the next step
-	calls          map[string]*Call // by request id: open calls, and answered ones with pending attempts
-	recent         *recentIDs
+	events         []balance.Event   // events for the next step
+	calls          map[string]*Call  // by request id: open calls, and answered ones with pending attempts
+	recent         *recentIDs        // ids of the calls that ended last, so that their repeats are rejected
 	addrs          map[string]string // addresses of the listed backends, by ID
 	pool           *pool.Pool
 	timers         timers
@@ -165,9 +167,9 @@
 
 // recentIDs holds the ids of the calls that ended last, at most maxRecentIDs of them.
 type recentIDs struct {
-	ids  map[string]bool
-	ring []string // the ids in the order of their calls' ends, overwritten in a circle
-	next int      // position in ring of the oldest id
+	ids  map[string]bool // those in ring
+	ring []string        // the ids in the order of their calls' ends, overwritten in a circle
+	next int             // position in ring of the oldest id
 }
 
 const maxRecentIDs = 4096 // three seconds at 1,300 requests a second, longer than any client waits
@@ -245,7 +247,7 @@
 	}
 }
 
-// Event adds an event to the next step. Like Reconfigure, Arrived, Left, Listed and Stopping, it must be
+// Event adds an event to the next step. Like Reconfigure, Arrived, Left, ApplyList and SetStopDeadline, it must be
 // called on the loop's goroutine; other goroutines Post a function that calls it.
 func (l *Loop) Event(e balance.Event) { l.events = append(l.events, e) }
 
@@ -257,7 +259,7 @@
 	l.Event(balance.Reconfigure{Settings: *s})
 }
 
-// Arrived accepts a client's request.
+// Arrived accepts a client's request, or answers it as a Duplicate if its id is in use or was recently.
 func (l *Loop) Arrived(c *Call) {
 	if l.calls[c.Event.ID] != nil || l.recent.has(c.Event.ID) {
 		// Rejects an id that is or was recently in use: the decision module would take the second request for the
@@ -368,7 +370,7 @@
 	}
 }
 
-// forget drops an answered call without pending attempts and remembers its id.
+// forget drops a call that is answered and has no pending attempts, and remembers its id in recent.
 func (l *Loop) forget(c *Call) {
 	if c.answered && c.pending == 0 && l.calls[c.Event.ID] == c {
 		delete(l.calls, c.Event.ID)
@@ -401,7 +403,8 @@
 	l.forget(c)
 }
 
-// ApplyList processes a list from discovery, or the failure to get one.
+// ApplyList processes a list from discovery, or the failure to get one. addrs holds the addresses of the list's
+// backends, by ID.
 func (l *Loop) ApplyList(list balance.List, addrs map[string]string) {
 	if list.Kind == balance.ListFull || list.Kind == balance.ListCached {
 		clear(l.addrs)
@@ -486,7 +489,7 @@
 	return err
 }
 
-// Known reports whether a backend is listed or manually excluded.
+// Known reports whether the backend with this ID is listed or manually excluded.
 func (l *Loop) Known(id string) bool { return l.pool.Known(id) }
 
 // ReplaceExcluded replaces the sets of manually excluded backends and zones. includedAt holds the times at which other
@@ -585,8 +588,8 @@
 	}
 }
 
-// send starts an attempt on its own goroutine. The attempt's timeout and the client's deadline limit its
-// time.
+// send starts an attempt on its own goroutine. The attempt's timeout and the client's deadline limit how long it
+// may take.
 func (l *Loop) send(s balance.Send) {
 	c, addr := l.calls[s.Request], l.addrs[s.Backend]
 	if c == nil {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -23,7 +23,8 @@
 func (unreachable) Probe(Target) Response             { return Response{Result: balance.ConnectFailed} }
 func (unreachable) CloseIdleExcept(func(Target) bool) {}
 
-// newTestLoop returns a loop without a goroutine, which the test drives step by step, and a call.
+// newTestLoop returns a loop without a goroutine, which the test drives step by step, and a call that has not
+// arrived yet.
 func newTestLoop(bal Decider) (*Loop, *Call) {
 	l := New(bal, &balance.Settings{AnswerGrace: 20 * time.Millisecond}, slog.New(slog.DiscardHandler))
 	l.Backend = unreachable{}
--- a/internal/diameter/dictionary.go
+++ b/internal/diameter/dictionary.go
@@ -95,16 +95,16 @@
 
 // AVPRule bounds how often an AVP may occur in a message or a group.
 type AVPRule struct {
-	Name string `toml:"name"`
-	Min  int    `toml:"min"`
-	Max  int    `toml:"max"` // 0: unlimited
+	Name string `toml:"name"` // of the AVP
+	Min  int    `toml:"min"`  // minimum number of occurrences
+	Max  int    `toml:"max"`  // maximum number of occurrences; 0: unlimited
 }
 
 // AVPDef defines an AVP.
 type AVPDef struct {
 	Name   string            `toml:"name"`
 	Code   uint32            `toml:"code"`
-	Vendor uint32            `toml:"vendor"`
+	Vendor uint32            `toml:"vendor"` // 0: no vendor
 	Type   Type              `toml:"type"`
 	Must   bool              `toml:"mandatory"` // the M bit must be set
 	Values map[string]uint32 `toml:"values"`    // the named values of an Enumerated AVP
@@ -116,7 +116,7 @@
 	Name        string    `toml:"name"`
 	Code        uint32    `toml:"code"`
 	Application uint32    `toml:"application"`
-	Proxiable   bool      `toml:"proxiable"`
+	Proxiable   bool      `toml:"proxiable"` // the P bit must be set, otherwise it must not
 	Request     []AVPRule `toml:"request"`
 	Answer      []AVPRule `toml:"answer"`
 }
@@ -126,11 +126,13 @@
 	Commands []CommandDef `toml:"command"`
 	AVPs     []AVPDef     `toml:"avp"`
 
-	byKey     map[key]*AVPDef
-	byName    map[string]*AVPDef
-	byCommand map[[2]uint32]*CommandDef
+	byKey     map[key]*AVPDef           // AVPs by code and vendor
+	byName    map[string]*AVPDef        // AVPs by name
+	byCommand map[[2]uint32]*CommandDef // by application and command code
 }
 
+// dictionaryText is the built-in dictionary.
+//
 //go:embed dictionary.toml
 var dictionaryText []byte
 
@@ -287,23 +289,24 @@
 	Name    string `json:"name"`
 	Code    uint32 `json:"code"`
 	Vendor  uint32 `json:"vendor,omitempty"`
-	Flags   string `json:"flags,omitempty"`
-	Value   any    `json:"value,omitempty"`
+	Flags   string `json:"flags,omitempty"`   // letters of the flags that are set: V, M, P
+	Value   any    `json:"value,omitempty"`   // data of an AVP that has no Group
 	Meaning string `json:"meaning,omitempty"` // name of an Enumerated's value
-	Group   []Node `json:"group,omitempty"`
+	Group   []Node `json:"group,omitempty"`   // members of a Grouped AVP
 }
 
-// Tree is a message in readable form.
+// Tree is a message in readable form, for text and JSON output.
 type Tree struct {
 	Command     string `json:"command"`
 	Code        uint32 `json:"code"`
 	Application uint32 `json:"application"`
-	Flags       string `json:"flags"`
+	Flags       string `json:"flags"` // letters of the flags that are set: R, P, E, T
 	HopByHop    uint32 `json:"hop_by_hop"`
 	EndToEnd    uint32 `json:"end_to_end"`
 	AVPs        []Node `json:"avps"`
 }
 
+// flagNames returns the letters of the flags that are set in v. names holds them from the highest bit on.
 func flagNames(v uint8, names string) string {
 	var b strings.Builder
 	for i := range names {
@@ -327,6 +330,7 @@
 	return t
 }
 
+// nodes converts a list of AVPs at a nesting depth into its readable form.
 func (d *Dictionary) nodes(list []AVP, limits Limits, depth int) []Node {
 	out := []Node{}
 	for i := range list {
@@ -365,6 +369,7 @@
 	return b.String()
 }
 
+// writeNodes appends the AVPs to b, one per line, members of groups with a further indent.
 func writeNodes(b *strings.Builder, list []Node, indent string) {
 	for _, n := range list {
 		fmt.Fprintf(b, "%s%s (%d", indent, n.Name, n.Code)
--- a/internal/diameter/message.go
+++ b/internal/diameter/message.go
@@ -36,18 +36,18 @@
 )
 
 const (
-	version    = 1
-	headerSize = 20
+	version    = 1         // of the protocol
+	headerSize = 20        // bytes of a message's header
 	maxLength  = 1<<24 - 1 // of a message or an AVP: the length field has three bytes
 )
 
 // Message is a Diameter request or answer.
 type Message struct {
 	Flags       uint8
-	Command     uint32
-	Application uint32
-	HopByHop    uint32
-	EndToEnd    uint32
+	Command     uint32 // command code
+	Application uint32 // application ID
+	HopByHop    uint32 // Hop-by-Hop identifier, which relays replace
+	EndToEnd    uint32 // End-to-End identifier, which relays keep
 	AVPs        []AVP
 }
 
@@ -70,6 +70,7 @@
 // size returns the number of bytes of the encoded AVP, including padding.
 func (a *AVP) size() int { return (a.headerLen() + len(a.Data) + 3) &^ 3 }
 
+// headerLen returns the number of bytes before the AVP's data.
 func (a *AVP) headerLen() int {
 	if a.Flags&AVPVendor != 0 {
 		return 12
@@ -87,16 +88,17 @@
 // DefaultLimits returns limits that are sufficient for the base protocol, credit control and Sh.
 func DefaultLimits() Limits { return Limits{Message: 64 << 10, AVPs: 512, Depth: 8} }
 
-// Error is a violation of the protocol.
+// Error is a violation of the protocol by a received message.
 type Error struct {
 	Result uint32 // Result-Code of the answer
 	Failed *AVP   // content of Failed-AVP; nil: none
 	Fatal  bool   // the start of the next message can't be determined: the connection has to be closed
-	Text   string
+	Text   string // what was violated
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("diameter: %s (%d)", e.Text, e.Result) }
 
+// newError returns an Error that isn't fatal: the next message can be read.
 func newError(result uint32, failed *AVP, format string, args ...any) *Error {
 	return &Error{Result: result, Failed: failed, Text: fmt.Sprintf(format, args...)}
 }
--- a/internal/diameter/message_test.go
+++ b/internal/diameter/message_test.go
@@ -123,6 +123,7 @@
 	}
 }
 
+// result returns the Result-Code of an *Error; 0: another error or none.
 func result(err error) uint32 {
 	var e *Error
 	if errors.As(err, &e) {
@@ -204,6 +205,7 @@
 	}
 }
 
+// Streams that are no Diameter, or announce an impossible length, end with a fatal error.
 func TestReaderRejectsInvalidStreams(t *testing.T) {
 	for name, raw := range map[string][]byte{"HTTP": []byte("GET / HTTP/1.1\r\n\r\n"), "a huge message": {1, 0xff, 0xff, 0xfc}, "length 0": {1, 0, 0, 0}, "length 19": {1, 0, 0, 19}} {
 		_, err := NewReader(bytes.NewReader(append(raw, make([]byte, 100)...)), DefaultLimits()).Next()
@@ -214,6 +216,7 @@
 	}
 }
 
+// Values of each type are decoded as they were encoded; a number of another size than its type is refused.
 func TestValues(t *testing.T) {
 	when := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
 	late := time.Date(2040, 1, 1, 0, 0, 0, 0, time.UTC) // beyond 2036 the high bit is clear
@@ -263,6 +266,7 @@
 	}
 }
 
+// Each invalid dictionary file is refused with an error that names what is wrong.
 func TestInvalidDictionaries(t *testing.T) {
 	for text, want := range map[string]string{
 		"[[avp]]\nname='x'\ncode=1\ntype='Colour'\n":                  `type "Colour"`,
@@ -280,6 +284,7 @@
 	}
 }
 
+// Any bytes give a message or an *Error with a Result-Code; a decoded message survives encoding.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []*Message{cer(), ccr(1), ccr(4)} {
 		raw, _ := m.Append(nil)
--- a/internal/diameter/overload/overload.go
+++ b/internal/diameter/overload/overload.go
@@ -20,7 +20,7 @@
 
 // Config holds the parameters of a Reporter.
 type Config struct {
-	Interval     time.Duration // length of a measuring interval; the reduction changes at its end
+	Interval     time.Duration // length of a measuring interval, at the end of which the reduction changes
 	Validity     time.Duration // of a report; whole seconds, at least two intervals
 	MinAnswers   int           // an interval with fewer answers does not start a reduction
 	GrowthFactor float64       // growth of the admitted share per interval without refusals; above 1, at most 2
@@ -33,6 +33,7 @@
 	return Config{Interval: time.Second, Validity: 5 * time.Second, MinAnswers: 8, GrowthFactor: 1.2, MinReduction: 0.05, MaxReduction: 0.9}
 }
 
+// check returns an error for the first parameter that is out of its bounds.
 func (c Config) check() error {
 	switch {
 	case c.Interval <= 0:
@@ -68,8 +69,8 @@
 	issuedAt      time.Duration // when report was issued
 }
 
-// New returns a Reporter without a report. first must be above all sequence numbers that clients have
-// received from an earlier process; the current Unix time is sufficient.
+// New returns a Reporter that has no report to send. first must be above all sequence numbers that clients
+// have received from an earlier process; the current Unix time is sufficient.
 func New(cfg Config, first uint64) (*Reporter, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -108,8 +109,8 @@
 	}
 }
 
-// adjust computes the next reduction from the share refused of the requests that clients sent despite the
-// current one.
+// adjust computes the next reduction at the end of an interval: share is the part refused of the requests
+// that clients sent in it despite the current reduction.
 func (r *Reporter) adjust(share float64) {
 	if share > 0 {
 		r.reduction = min(1-(1-r.reduction)*(1-share), r.cfg.MaxReduction)
@@ -142,6 +143,7 @@
 	return r.report, percent > 0 || r.issuedAt > 0 && r.report.Validity == 0 && now-r.issuedAt < r.cfg.Validity
 }
 
+// issue makes a new report with the next sequence number; percent and validity are those of Report.
 func (r *Reporter) issue(percent, validity uint32, now time.Duration) {
 	r.report, r.issuedAt = Report{Sequence: r.report.Sequence + 1, Reduction: percent, Validity: validity}, now
 }
--- a/internal/diameter/overload/overload_test.go
+++ b/internal/diameter/overload/overload_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// newReporter returns a Reporter whose next report has sequence number 1001.
 func newReporter(t testing.TB) *Reporter {
 	t.Helper()
 	r, err := New(DefaultConfig(), 1000)
@@ -18,7 +19,8 @@
 	return r
 }
 
-// recordSecond records answers within one second, some of them refusals, and returns the report at its end.
+// recordSecond records a number of answers (ended) within one second, the first of them (refused) as
+// refusals, and returns the report at the end of the second.
 func recordSecond(r *Reporter, second int, ended, refused int) (Report, bool) {
 	for i := range ended {
 		r.Record(i < refused, time.Duration(second)*time.Second+time.Duration(i))
@@ -209,6 +211,7 @@
 	})
 }
 
+// An invalid parameter is refused with its name.
 func TestInvalidConfig(t *testing.T) {
 	for field, change := range map[string]func(*Config){
 		"Interval": func(c *Config) { c.Interval = 0 }, "Validity": func(c *Config) { c.Validity = 1500 * time.Millisecond },
--- a/internal/diameter/peer.go
+++ b/internal/diameter/peer.go
@@ -61,6 +61,7 @@
 	Responder      // R
 )
 
+// String returns the connection's letter in RFC 6733, or a hyphen.
 func (s Side) String() string { return []string{"-", "I", "R"}[min(s, 2)] }
 
 // Input is the kind of an Event.
@@ -82,7 +83,8 @@
 	Tick             // the time returned by Peer.Due has come
 )
 
-// Rebooting is the Disconnect-Cause after which the peer may be connected to again soon (RFC 6733, 5.4.3).
+// Rebooting is the Disconnect-Cause by which a peer announces that it will accept a connection again soon
+// (RFC 6733, 5.4.3).
 const Rebooting = 0
 
 // Event is an input to the state machine with its parameters.
@@ -116,6 +118,7 @@
 
 var actionNames = []string{"Connect", "SendCER", "SendCEA", "SendDWR", "SendDWA", "SendDPR", "SendDPA", "Disconnect", "Reject", "Deliver", "Opened", "Failover", "Failback", "Lost"}
 
+// String returns the constant's name.
 func (a ActionKind) String() string { return actionNames[a] }
 
 // Action is an operation and the connection that it applies to.
@@ -246,6 +249,7 @@
 	return acts
 }
 
+// side returns the connection that is open or being closed; NoSide: there is none.
 func (p *Peer) side() Side {
 	switch p.state {
 	case IOpen:
@@ -258,6 +262,7 @@
 	return NoSide
 }
 
+// connect makes the caller initiate a connection, and starts to wait for it.
 func (p *Peer) connect(now time.Duration, do func(ActionKind, Side)) {
 	p.reconnectDue = 0
 	do(Connect, Initiator)
@@ -278,6 +283,7 @@
 	do(Opened, p.side())
 }
 
+// resetWatchdog restarts the watchdog timer: it expires after Tw plus jitter.
 func (p *Peer) resetWatchdog(now time.Duration) {
 	p.watchdogDue = now + max(p.cfg.Watchdog+time.Duration((2*p.rng.Float64()-1)*float64(p.cfg.WatchdogJitter)), time.Millisecond)
 }
@@ -301,6 +307,7 @@
 	}
 }
 
+// stop begins to close an open connection by a DPR, ends attempts to connect, and plans no reconnect.
 func (p *Peer) stop(now time.Duration, do func(ActionKind, Side)) {
 	p.started, p.reconnectDue = false, 0
 	switch p.state {
@@ -318,6 +325,8 @@
 	}
 }
 
+// handleCER accepts the peer's connection if this node isn't connecting itself, resolves the election between the
+// two connections if it is, and rejects any further connection.
 func (p *Peer) handleCER(now time.Duration, e Event, do func(ActionKind, Side)) {
 	host := strings.ToLower(e.Host)
 	switch p.state {
@@ -347,6 +356,7 @@
 	}
 }
 
+// handleCEA opens the initiated connection if its CEA reports success, and closes it otherwise.
 func (p *Peer) handleCEA(now time.Duration, e Event, do func(ActionKind, Side)) {
 	switch p.state {
 	case WaitICEA, WaitReturns:
@@ -367,6 +377,8 @@
 	}
 }
 
+// handleDisconnect handles the end of a connection: the other connection goes on, if there is one, or the
+// peer is closed.
 func (p *Peer) handleDisconnect(now time.Duration, s Side, do func(ActionKind, Side)) {
 	switch {
 	case p.state == WaitConnAck && s == Initiator, p.state == WaitICEA && s == Initiator:
@@ -448,6 +460,7 @@
 	}
 }
 
+// handleTick handles the timers that have expired: reconnect, wait for the peer, watchdog.
 func (p *Peer) handleTick(now time.Duration, do func(ActionKind, Side)) {
 	if p.reconnectDue > 0 && now >= p.reconnectDue && p.state == Closed {
 		p.connect(now, do)
--- a/internal/diameter/peer_test.go
+++ b/internal/diameter/peer_test.go
@@ -12,6 +12,7 @@
 
 const s = time.Second
 
+// newPeer returns a closed peer with the default times and no jitter; local is this node's identity.
 func newPeer(local string) *Peer {
 	cfg := DefaultPeerConfig()
 	cfg.WatchdogJitter = 0
@@ -145,7 +146,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPeer(rapid.SampledFrom([]string{"a.example", "c.example"}).Draw(t, "local"))
 		now := s
-		up := map[Side]bool{}
+		up := map[Side]bool{} // connections that are established, by side
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 40).Draw(t, "s")) * s
 			e := Event{Input: Input(rapid.IntRange(0, int(Tick)).Draw(t, "input")), Side: Side(rapid.IntRange(0, 2).Draw(t, "side")), Host: "b.example", Result: Success}
--- a/internal/diameter/relay/overload.go
+++ b/internal/diameter/relay/overload.go
@@ -31,8 +31,8 @@
 	return err == nil && bits&lossAlgorithm != 0
 }
 
-// optional clears the M bit of the AVPs, so that a receiver that does not know them ignores them (RFC 7683,
-// 7.8).
+// optional clears the M bit of the AVPs and returns them. A receiver that doesn't know them then ignores them
+// (RFC 7683, 7.8).
 func optional(list ...diameter.AVP) []diameter.AVP {
 	for i := range list {
 		list[i] = diameter.WithoutMandatory(list[i])
--- a/internal/diameter/relay/overload_test.go
+++ b/internal/diameter/relay/overload_test.go
@@ -8,6 +8,7 @@
 	"lemonrail/internal/diameter/overload"
 )
 
+// Each case holds the AVPs of a request and whether its sender accepts reports with the loss algorithm.
 func TestAcceptsOverloadReports(t *testing.T) {
 	for name, tt := range map[string]struct {
 		avps []diameter.AVP
--- a/internal/diameter/relay/relay.go
+++ b/internal/diameter/relay/relay.go
@@ -23,9 +23,9 @@
 
 // Config is the content of a relay's configuration file, such as deploy/diameter.toml.
 type Config struct {
-	Listen      string   `toml:"listen"`   // address and port for clients
-	Identity    string   `toml:"identity"` // the relay's own, for Origin-Host and Route-Record
-	Realm       string   `toml:"realm"`
+	Listen      string   `toml:"listen"`      // address and port for clients
+	Identity    string   `toml:"identity"`    // the relay's own, for Origin-Host and Route-Record
+	Realm       string   `toml:"realm"`       // the relay's own, for Origin-Realm
 	Connections int      `toml:"connections"` // maximum number of client connections; 0: 256
 	Window      int      `toml:"window"`      // maximum number of pending requests on a server's connection; 0: 64
 	Servers     []Server `toml:"server"`
@@ -34,11 +34,12 @@
 	Classes     []Class  `toml:"class"`
 }
 
-// Server holds the Diameter address or identity of a backend, where its address in the list does not suffice.
+// Server gives the Diameter address or identity of a backend, where the address in the balancer's list of
+// backends isn't enough.
 type Server struct {
-	Host     string `toml:"host"`
-	Address  string `toml:"address"`  // empty: the address in the list
-	Identity string `toml:"identity"` // the Destination-Host for this server; empty: taken from its CEA
+	Host     string `toml:"host"`     // ID of the backend in that list
+	Address  string `toml:"address"`  // Diameter address and port; empty: the address in the list
+	Identity string `toml:"identity"` // the Destination-Host for this server; empty: the Origin-Host of its CEA
 }
 
 const (
@@ -49,8 +50,8 @@
 
 // Peer is a client that is allowed to connect.
 type Peer struct {
-	Identity string `toml:"identity"`
-	Address  string `toml:"address"` // IP address of the client; empty: any
+	Identity string `toml:"identity"` // Origin-Host of its CER
+	Address  string `toml:"address"`  // IP address of the client; empty: any
 }
 
 // Route names a realm and an application whose requests are relayed to the servers.
@@ -59,30 +60,31 @@
 	Application uint32 `toml:"application"`
 }
 
-// Class selects requests and defines their class. The first matching class of the file applies.
+// Class selects requests and defines how they are balanced. The first matching class of the file applies.
 type Class struct {
-	Name        string `toml:"name"`
-	Application uint32 `toml:"application"`
-	Command     uint32 `toml:"command"`
-	RequestType uint32 `toml:"request_type"` // CC-Request-Type; 0: any
-	Action      *int64 `toml:"action"`       // Requested-Action; absent: any
-	AimMs       int64  `toml:"aim_ms"`       // an answer within this time earns the full worth
-	DeadlineMs  int64  `toml:"deadline_ms"`  // the time that a client waits, over all attempts
+	Name        string `toml:"name"`         // for error messages
+	Application uint32 `toml:"application"`  // application ID of the requests
+	Command     uint32 `toml:"command"`      // command code of the requests
+	RequestType uint32 `toml:"request_type"` // CC-Request-Type of the requests; 0: any
+	Action      *int64 `toml:"action"`       // Requested-Action of the requests; absent: any
+	AimMs       int64  `toml:"aim_ms"`       // time in milliseconds within which an answer earns the full worth
+	DeadlineMs  int64  `toml:"deadline_ms"`  // time in milliseconds for which a client waits, over all attempts
 	Effect      string `toml:"effect"`       // safe, keyed or unsafe
 	Group       string `toml:"group"`        // for keyed: the servers among which a repeat is dropped: all, zone or cell
-	WindowMs    int64  `toml:"window_ms"`    // for keyed: servers drop repeats for this time after the first send
+	WindowMs    int64  `toml:"window_ms"`    // for keyed: time in milliseconds after the first send for which servers drop repeats
 }
 
 var (
 	effects = map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
-	groups  = map[string]balance.Group{"all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell}
+	// groups are the values of Class.Group in the file.
+	groups = map[string]balance.Group{"all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell}
 )
 
 // Rules is a validated Config.
 type Rules struct {
 	cfg            Config
-	addressByHost  map[string]string // of the configured servers; empty: the address in the list
-	hostByIdentity map[string]string // of the servers with a configured identity, which is in lower case
+	addressByHost  map[string]string // of each configured server, by backend ID; empty: the address in the list
+	hostByIdentity map[string]string // backend IDs by configured Diameter identity in lower case
 	// Classes are the decision module's classes, in the order of the file. The last one is for requests that
 	// match no class: unsafe, so that they are never sent twice.
 	Classes []balance.Class
@@ -212,10 +214,11 @@
 // Config returns the content of the file with defaults filled in.
 func (r *Rules) Config() Config { return r.cfg }
 
-// Address returns the Diameter address of a backend, given its address in the list.
+// Address returns the Diameter address of a backend: the configured one, or else listed, its address in the
+// balancer's list.
 func (r *Rules) Address(host, listed string) string { return cmp.Or(r.addressByHost[host], listed) }
 
-// HostByIdentity returns the backend whose server has the given Diameter identity in the file.
+// HostByIdentity returns the ID of the backend for which the file gives a Diameter identity.
 func (r *Rules) HostByIdentity(identity string) (host string, ok bool) {
 	host, ok = r.hostByIdentity[strings.ToLower(identity)]
 	return host, ok
@@ -236,6 +239,7 @@
 	return list
 }
 
+// identityAVP returns the host or realm name in an AVP of a message, or "" if it is missing or invalid.
 func identityAVP(m *diameter.Message, code uint32) string {
 	if a := diameter.Find(m.AVPs, code, 0); a != nil {
 		if v, err := a.Identity(); err == nil {
@@ -314,9 +318,9 @@
 	return len(r.cfg.Classes)
 }
 
-// Forward returns a client's request as it is sent to a server: with Route-Record added and the attempt's
-// Hop-by-Hop identifier. again sets the T bit: an earlier attempt may have run. A T bit that the client has
-// set is kept.
+// Forward returns a client's request as it is sent to a server: with a Route-Record that names the client
+// (from), and the attempt's Hop-by-Hop identifier (hop). again sets the T bit, since an earlier attempt may
+// have run. A T bit that the client has set is kept.
 func (r *Rules) Forward(m *diameter.Message, from string, hop uint32, again bool) *diameter.Message {
 	out := *m
 	out.HopByHop = hop
--- a/internal/diameter/relay/relay_test.go
+++ b/internal/diameter/relay/relay_test.go
@@ -14,6 +14,7 @@
 	"lemonrail/internal/diameter"
 )
 
+// rules returns the rules of the shipped configuration file.
 func rules(t testing.TB) *Rules {
 	t.Helper()
 	r, err := ReadRules("../../../deploy/diameter.toml")
@@ -31,6 +32,7 @@
 			diameter.Str(diameter.CodeDestinationRealm, "Example.NET")}, more...)}
 }
 
+// Each request is relayed, or refused with this Result-Code (0: relayed).
 func TestCheckRequest(t *testing.T) {
 	r := rules(t)
 	for _, tt := range []struct {
@@ -66,6 +68,7 @@
 	}
 }
 
+// Requests get the class of the shipped file that they match, or the last one.
 func TestClassify(t *testing.T) {
 	r := rules(t)
 	sh := request()
@@ -113,6 +116,7 @@
 	}
 }
 
+// Each invalid change of the shipped file is refused with the file, and the line or key.
 func TestInvalidRules(t *testing.T) {
 	whole, err := os.ReadFile("../../../deploy/diameter.toml")
 	if err != nil {
@@ -150,6 +154,8 @@
 	}
 }
 
+// A resend joins the pending request or gets the kept answer; only a request that is neither pending nor kept
+// is new.
 func TestTableResends(t *testing.T) {
 	table := NewTable(Limits{MaxPending: 2, MaxKept: 2, MaxKeptBytes: 100, KeepFor: time.Minute})
 	o := Origin{"c", 1}
@@ -219,6 +225,7 @@
 	})
 }
 
+// Hop-by-Hop identifiers wrap around, are unique among the pending attempts, and belong to one attempt each.
 func TestWindow(t *testing.T) {
 	w := NewWindow(2, 1<<32-1)
 	a, _ := w.Send(100)
@@ -246,6 +253,7 @@
 	}
 }
 
+// Any text gives rules or an error.
 func FuzzRules(f *testing.F) {
 	whole, err := os.ReadFile("../../../deploy/diameter.toml")
 	if err != nil {
@@ -264,6 +272,8 @@
 	})
 }
 
+// A backend is found by its configured identity without regard to case; incomplete or repeated entries are
+// refused.
 func TestServerIdentities(t *testing.T) {
 	const head = "identity = \"r.example.net\"\nrealm = \"example.net\"\n"
 	r, err := ParseRules("f", []byte(head+"[[server]]\nhost = \"a\"\nidentity = \"Ocs1.example.net\"\n[[server]]\nhost = \"b\"\naddress = \"127.0.0.1:1\"\n"))
--- a/internal/diameter/relay/table.go
+++ b/internal/diameter/relay/table.go
@@ -15,8 +15,8 @@
 // Waiter is a destination for an answer: a client connection and the Hop-by-Hop identifier of the request on
 // it.
 type Waiter struct {
-	Conn     uint64
-	HopByHop uint32
+	Conn     uint64 // number of the client connection
+	HopByHop uint32 // of the request on that connection
 }
 
 // Verdict is how a request that has arrived is to be treated.
@@ -31,9 +31,9 @@
 
 // Limits bounds a Table.
 type Limits struct {
-	MaxPending   int           // requests
-	MaxKept      int           // answers
-	MaxKeptBytes int           // total size of the kept answers
+	MaxPending   int           // number of pending requests
+	MaxKept      int           // number of kept answers
+	MaxKeptBytes int           // total size of the kept answers in bytes
 	KeepFor      time.Duration // how long an answer is kept
 }
 
@@ -50,27 +50,27 @@
 // attempt that its class does not allow, and a second final answer.
 type Table struct {
 	limits    Limits
-	pending   map[Origin]*entry
-	kept      map[Origin]*entry
-	keptOrder []*entry // the entries of kept, oldest first
-	keptBytes int      // total size of the kept answers
+	pending   map[Origin]*entry // by identity of the request
+	kept      map[Origin]*entry // answered requests with their answers, by identity of the request
+	keptOrder []*entry          // the entries of kept, oldest first
+	keptBytes int               // total size of the kept answers in bytes
 }
 
 // entry is a pending request with its waiters, or an answered one with its answer.
 type entry struct {
 	origin     Origin
-	waiters    []Waiter
-	answer     []byte
-	answeredAt time.Duration
+	waiters    []Waiter      // where the answer is to be sent
+	answer     []byte        // encoded; nil while the request is pending
+	answeredAt time.Duration // on the caller's clock
 }
 
-// NewTable returns an empty table.
+// NewTable returns a table without pending or answered requests.
 func NewTable(l Limits) *Table {
 	return &Table{limits: l, pending: map[Origin]*entry{}, kept: map[Origin]*entry{}}
 }
 
-// Arrive records a request. For Answered it returns the kept answer, in which the caller sets w's Hop-by-Hop
-// identifier.
+// Arrive records a request that arrived from w, and returns how it is to be treated. For Answered it also
+// returns the kept answer, in which the caller sets w's Hop-by-Hop identifier.
 func (t *Table) Arrive(o Origin, w Waiter, now time.Duration) (Verdict, []byte) {
 	t.expire(now)
 	if e := t.kept[o]; e != nil {
@@ -127,12 +127,14 @@
 // Pending returns the number of pending requests.
 func (t *Table) Pending() int { return len(t.pending) }
 
+// expire drops the answers that were kept for Limits.KeepFor.
 func (t *Table) expire(now time.Duration) {
 	for len(t.keptOrder) > 0 && now-t.keptOrder[0].answeredAt >= t.limits.KeepFor {
 		t.dropOldest()
 	}
 }
 
+// dropOldest drops the answer that was kept for the longest time.
 func (t *Table) dropOldest() {
 	e := t.keptOrder[0]
 	t.keptOrder[0] = nil
@@ -144,9 +146,9 @@
 // Window assigns Hop-by-Hop identifiers to a bounded number of pending attempts on one server's connection.
 // Identifiers wrap around; those in use are skipped.
 type Window struct {
-	size     int
-	next     uint32
-	attempts map[uint32]uint64 // pending attempts by Hop-by-Hop identifier
+	size     int               // maximum number of pending attempts
+	next     uint32            // the identifier to try next
+	attempts map[uint32]uint64 // numbers of the pending attempts, by Hop-by-Hop identifier
 }
 
 // NewWindow returns an empty window whose identifiers start at first, which should be random (RFC 6733, 3).
@@ -154,7 +156,8 @@
 	return &Window{size: size, next: first, attempts: map[uint32]uint64{}}
 }
 
-// Send assigns an identifier to an attempt; !ok: the window is full and the attempt must not be sent.
+// Send assigns a Hop-by-Hop identifier to an attempt; !ok: the window is full and the attempt must not be
+// sent.
 func (w *Window) Send(attempt uint64) (hop uint32, ok bool) {
 	if len(w.attempts) >= w.size {
 		return 0, false
@@ -188,5 +191,5 @@
 	return unanswered
 }
 
-// InUse returns the number of pending attempts.
+// InUse returns the number of assigned identifiers: attempts that are neither answered nor abandoned.
 func (w *Window) InUse() int { return len(w.attempts) }
--- a/internal/diameter/values.go
+++ b/internal/diameter/values.go
@@ -103,6 +103,7 @@
 
 // Constructors of AVPs.
 
+// avp returns an AVP without a vendor.
 func avp(code uint32, flags uint8, data []byte) AVP { return AVP{Code: code, Flags: flags, Data: data} }
 
 // U32 returns an AVP with an Unsigned32, Integer32 or Enumerated value and the M bit set, without a vendor.
@@ -143,7 +144,7 @@
 	return a
 }
 
-// check reports whether the data is valid for a type.
+// check returns an error if the data is invalid for a type.
 func (a *AVP) check(t Type, limits Limits, depth int) error {
 	if n := fixedSizes[t]; n > 0 && len(a.Data) != n {
 		return newError(InvalidAVPLength, a, "AVP %d: %d bytes where %s needs %d", a.Code, len(a.Data), t, n)
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-const lease = time.Second
+const lease = time.Second // of the duty in these tests
 
 func spec() Spec { return Spec{Name: "pace", Lease: lease} }
 
@@ -151,6 +151,7 @@
 	})
 }
 
+// Snapshots that are incomplete, have unknown fields or hold an invalid duty are refused.
 func TestInvalidSnapshots(t *testing.T) {
 	for _, raw := range []string{"", "{", `{"Duties":[{"Name":""}]}`, `{"Else":1}`, `{"Duties":null,"Recent":null} x`,
 		`{"Recent":[{"Agent":"a","IDs":[1],"Answers":[]}]}`} {
@@ -160,6 +161,7 @@
 	}
 }
 
+// Any bytes are refused or give a command, after which the table's snapshot can be restored.
 func FuzzCommand(f *testing.F) {
 	c := Command{ID: 3, Kind: Claim, Duty: "pace", Agent: "a"}
 	raw, _ := c.Bytes()
@@ -193,14 +195,14 @@
 	agents        []*Holder
 	clockRate     []float64   // speed of each agent's clock relative to true time
 	paused        []bool      // a paused agent does nothing until it is resumed
-	commands      [][]Command // of each agent, on their way to the voters
-	answers       [][]Answer  // to each agent, on their way
+	commands      [][]Command // of each agent, on their way to the voters, the oldest first
+	answers       [][]Answer  // to each agent, on their way, the oldest first
 	acts          []act       // actions that have not arrived yet
 	fence         *Fence
 	violation     string // the last rule found broken; empty: none
 	maxEpoch      Epoch  // highest epoch of an accepted action
 	disabled      disabledGuards
-	leaderChanges int // number of events 8 so far
+	leaderChanges int // number of times that event 8 was played: every fourth changes the leader
 }
 
 // act is an action that an agent has started under a permit.
@@ -213,6 +215,7 @@
 // for the clocks' drift, the fence, and the check of MayAct before an action.
 type disabledGuards struct{ drift, fence, check bool }
 
+// newWorld returns two agents that want a duty that nobody holds yet.
 func newWorld(g disabledGuards) *world {
 	w := &world{table: NewTable(), clocks: Clocks{Drift: 0.05}, clockRate: []float64{0.95, 1.05}, fence: NewFence(), disabled: g, now: time.Hour}
 	w.table.Apply(Command{Kind: Define, Duty: "pace", Spec: spec()})
@@ -233,7 +236,7 @@
 
 func (w *world) clock(i int) time.Duration { return time.Duration(w.clockRate[i] * float64(w.now)) }
 
-const eventKinds = 15
+const eventKinds = 15 // number of kinds of events, see event
 
 // event plays event number e, which is below eventKinds, and then checks that at most one agent may act.
 func (w *world) event(e int) {
@@ -307,6 +310,7 @@
 	}
 }
 
+// expire ends the leases that the Grantor finds expired.
 func (w *world) expire() {
 	for _, c := range w.grantor.ExpiredLeases(w.now) {
 		w.table.Apply(c)
--- a/internal/duty/fence.go
+++ b/internal/duty/fence.go
@@ -6,8 +6,8 @@
 // target that holders act upon has one. A fence that loses its memory, as in a restart, depends on the
 // holder's own checks until the next action arrives.
 type Fence struct {
-	highest map[string]Epoch
-	Refused uint64 // number of refused actions
+	highest map[string]Epoch // by duty: the highest epoch that Admit has accepted
+	Refused uint64           // number of refused actions
 }
 
 // FencedError reports an action of a holder that has been superseded: a later holder has acted since.
--- a/internal/duty/grantor.go
+++ b/internal/duty/grantor.go
@@ -19,20 +19,21 @@
 	return time.Duration(float64(lease) * (1 - c.Drift))
 }
 
-// Grantor detects expired leases. It runs beside each voter's table, and is active at the leader only.
+// Grantor detects expired leases by the clock of its voter. It runs beside each voter's table, and is active
+// at the leader only.
 type Grantor struct {
 	clocks  Clocks
-	leading bool
-	grants  map[string]grant
+	leading bool             // this voter is the leader
+	grants  map[string]grant // by duty
 }
 
 // grant is the lease of a duty's current holder, as the Grantor counts it.
 type grant struct {
 	epoch         Epoch
 	extendedAt    time.Duration // when the last command that extended the lease was applied, or this voter became leader
-	lease         time.Duration
-	renewals      uint64 // Duty.Kept when the lease was last extended
-	expirePending bool   // an Expire command has been returned and not been applied yet
+	lease         time.Duration // length of the lease
+	renewals      uint64        // Duty.Kept when the lease was last extended
+	expirePending bool          // an Expire command has been returned and not been applied yet
 }
 
 // NewGrantor returns the grantor of a voter that is not the leader.
@@ -50,7 +51,7 @@
 	}
 }
 
-// StopLeading makes the grantor inactive.
+// StopLeading makes the grantor inactive, since this voter is no longer the leader.
 func (g *Grantor) StopLeading() { g.leading = false }
 
 // Applied records the effect that an applied command had on its duty's lease.
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -7,13 +7,13 @@
 
 // HolderConfig configures an agent's side of one duty.
 type HolderConfig struct {
-	Agent      string
-	Zone       string // zone of this agent
-	Spec       Spec
-	Clocks     Clocks
+	Agent      string        // name of this agent
+	Zone       string        // zone of this agent
+	Spec       Spec          // the duty's definition
+	Clocks     Clocks        // bound of the clocks' drift
 	MaxActTime time.Duration // maximum duration of one action; none starts within this time of the lease's end
 	RoundTrip  time.Duration // usual time from a command to its answer; a command is retried after it
-	Seed       uint64
+	Seed       uint64        // for the jitter of delays
 }
 
 // Stage is an agent's state with regard to a duty.
@@ -46,20 +46,20 @@
 	now            time.Duration // the latest time passed in
 	wanted         bool          // the agent is available for the duty
 	stage          Stage
-	epoch          Epoch
-	leaseEnd       time.Duration // on the agent's clock; no action is allowed from then on
-	state          []byte
-	acts           uint64
-	prepared       bool   // a Prepare command was sent since this holder was created
-	renewing       bool   // the pending request renews the current epoch, which the voters still assign to this agent
-	successor      string // the agent that was named to take over, and whether it is ready
-	successorReady bool
-
-	nextSendAt time.Duration // when the next command is due; 0: none is
-	pending    map[uint64]pendingCommand
-	lastID     uint64
-	failures   int      // commands sent since the last success, at most 5: sets the backoff
-	changes    []Change // not taken by TakeChanges yet
+	epoch          Epoch         // epoch of the agent's current or last holding
+	leaseEnd       time.Duration // on the agent's clock; no action is allowed from then on; 0: no lease
+	state          []byte        // the duty's state as the voters last confirmed that they store it
+	acts           uint64        // Duty.Acts of that state: number of saves over all holders
+	prepared       bool          // a Prepare command was sent since this holder was created
+	renewing       bool          // the pending request renews the current epoch, which the voters still assign to this agent
+	successor      string        // agent that is named to take over; empty: none
+	successorReady bool          // that agent can begin at once
+
+	nextSendAt time.Duration             // when the next command is due; 0: none is
+	pending    map[uint64]pendingCommand // commands without an answer yet, by command ID
+	lastID     uint64                    // ID of the last command sent
+	failures   int                       // retries scheduled since the last success, at most 5: each doubles the next delay
+	changes    []Change                  // beginnings and ends of holdings, not taken by TakeChanges yet
 }
 
 // pendingCommand is a command whose answer has not arrived yet.
@@ -68,15 +68,15 @@
 	sentAt time.Duration // the time before the command was sent
 }
 
-const maxPending = 16
+const maxPending = 16 // bound of Holder.pending
 
 // Change is a beginning or an end of holding a duty, which the agent has to react to.
 type Change struct {
-	Began  bool // the agent holds the duty in Epoch; State is what earlier holders saved
+	Began  bool // the agent holds the duty in Epoch
 	Ended  bool // the agent no longer holds the duty
 	Epoch  Epoch
-	State  []byte
-	Reason string
+	State  []byte // for Began: what earlier holders saved
+	Reason string // for Ended: why
 }
 
 // NewHolder returns the holder of an agent that doesn't want the duty yet. firstID is drawn at random each
@@ -93,8 +93,9 @@
 	}
 }
 
-// claimDelay returns the delay before a claim. It favours agents that hold few duties and are in the duty's
-// preferred zone, and is jittered so that agents don't all claim at once.
+// claimDelay returns the delay before a claim: a random part of RoundTrip, one RoundTrip more for each duty
+// that the agent holds, and one more if it isn't in the duty's preferred zone. So agents with few duties
+// claim first, and not all at once.
 func (h *Holder) claimDelay(holds int) time.Duration {
 	rank := float64(holds)
 	if h.cfg.Spec.Zone != "" && h.cfg.Zone != h.cfg.Spec.Zone {
@@ -120,13 +121,13 @@
 	return Command{ID: h.lastID, Kind: k, Duty: h.cfg.Spec.Name, Agent: h.cfg.Agent, Epoch: h.epoch}
 }
 
-// Observe handles the state of the duty as an answer reported it: its holder and its named successor. holds is
-// the number of duties that this agent holds.
+// Observe handles the state of the duty as a voter's table reports it (its holder, its named successor), and
+// returns the commands that follow from it. holds is the number of duties that this agent holds.
 func (h *Holder) Observe(now time.Duration, a *Answer, holds int) (out []Command) {
 	h.now = max(h.now, now)
 	h.checkLease()
 	if a.Epoch < h.epoch {
-		return nil // out of date
+		return nil // the table is older than what this agent knows
 	}
 	h.successor, h.successorReady = a.Next, a.Ready
 	if a.Next != h.cfg.Agent && a.Holder != h.cfg.Agent {
@@ -192,7 +193,7 @@
 		h.scheduleRetry()
 	case Holding:
 		out = append(out, h.newCommand(Renew))
-		h.nextSendAt = h.now + h.cfg.Clocks.lowerBound(h.cfg.Spec.Lease)/3
+		h.nextSendAt = h.now + h.cfg.Clocks.lowerBound(h.cfg.Spec.Lease)/3 // the lease is renewed at each third
 	case HandingOn:
 		out = append(out, h.newCommand(HandOn))
 		h.scheduleRetry()
@@ -203,7 +204,8 @@
 	return out
 }
 
-// scheduleRetry sets the time of the next attempt, with exponential backoff and jitter.
+// scheduleRetry sets the time of the next attempt: after RoundTrip times a random factor of 0.5 to 1.5, doubled
+// with each further retry since the last success, four times at most.
 func (h *Holder) scheduleRetry() {
 	h.failures = min(h.failures+1, 5)
 	h.nextSendAt = h.now + time.Duration((0.5+h.rng.Float64())*float64(h.cfg.RoundTrip)*float64(int(1)<<h.failures)/2)
@@ -219,11 +221,13 @@
 			h.changes = append(h.changes, Change{Ended: true, Epoch: h.epoch, Reason: "its lease has run out"})
 		}
 		if h.wanted {
-			h.nextSendAt = h.now + h.claimDelay(1)
+			h.nextSendAt = h.now + h.claimDelay(1) // 1: as if it held a duty, so that other agents claim first
 		}
 	}
 }
 
+// endHolding ends a holding at once, since the agent may no longer act, and schedules a claim if the duty is
+// wanted.
 func (h *Holder) endHolding(reason string) {
 	h.changes = append(h.changes, Change{Ended: true, Epoch: h.epoch, Reason: reason})
 	h.stage, h.leaseEnd, h.nextSendAt, h.failures = Idle, 0, 0, 0
@@ -293,7 +297,8 @@
 	}
 }
 
-// loseDuty handles an answer by which this agent doesn't hold the duty.
+// loseDuty ends the holding, or the attempt to get or give up the duty, after an answer by which this agent is
+// not the holder.
 func (h *Holder) loseDuty(a *Answer) {
 	switch h.stage {
 	case Holding:
@@ -303,7 +308,7 @@
 	}
 }
 
-// Release makes the agent give the duty up at once.
+// Release ends the agent's actions at once and makes the next Tick send the command that gives the duty up.
 func (h *Holder) Release(now time.Duration) {
 	h.now = max(h.now, now)
 	h.checkLease()
@@ -313,9 +318,9 @@
 	}
 }
 
-// Permit allows one action.
+// Permit allows one action of the duty's holder.
 type Permit struct {
-	Epoch Epoch
+	Epoch Epoch         // to be passed to the Fence of the action's target
 	Until time.Duration // on the holder's clock; the action must not continue past it
 }
 
--- a/internal/duty/quorum/client.go
+++ b/internal/duty/quorum/client.go
@@ -35,9 +35,9 @@
 // ClientOptions configure a Client.
 type ClientOptions struct {
 	Settings *Settings
-	Name     string // of the agent
-	Zone     string
-	Tasks    map[string]Task // by duty: the duties that the agent is available for
+	Name     string          // name of the agent
+	Zone     string          // zone of the agent
+	Tasks    map[string]Task // by duty: what to do while the agent holds it; it is available for these duties only
 	Log      *slog.Logger
 	Now      func() time.Duration // nil: the monotonic clock
 	// For delays, command IDs and the choice of the voter to ask; nil: a random source of its own.
@@ -49,23 +49,23 @@
 type Client struct {
 	options      ClientOptions
 	startedAt    time.Time
-	inbox        chan func()
-	done         chan struct{}
-	connections  sync.WaitGroup
-	dialers      map[string]*transport.Dialer
-	voterNames   []string
-	leader       string                   // name of the voter that leads, as far as it is known; empty: unknown
-	holders      map[string]*duty.Holder  // by duty
-	states       map[string][]byte        // states of the duties that this agent holds, as last saved
-	lastStep     map[string]time.Duration // time of the last call of Task.Step, by duty
-	lastPoll     time.Duration            // time of the last request for the table, on the client's clock
-	table        []duty.Duty
-	tableSource  string        // voter that sent the table
-	tableAt      time.Duration // when the table was received; 0: never
-	history      []Event       // the last maxHistory events
-	heldCount    atomic.Int64  // number of duties held at the last iteration
-	pollCount    int           // number of requests for the table so far
-	leaderSeenAt time.Duration // when the last message of the leader was received
+	inbox        chan func()                  // functions for the goroutine of Run
+	done         chan struct{}                // closed when Run returns
+	connections  sync.WaitGroup               // goroutines of the dialers
+	dialers      map[string]*transport.Dialer // connections to the voters, by voter name
+	voterNames   []string                     // in the order of the settings
+	leader       string                       // name of the voter that leads, as far as it is known; empty: unknown
+	holders      map[string]*duty.Holder      // by duty
+	states       map[string][]byte            // states of the duties that this agent holds, as last saved
+	lastStep     map[string]time.Duration     // time of the last call of Task.Step, by duty
+	lastPoll     time.Duration                // time of the last request for the table, on the client's clock
+	table        []duty.Duty                  // all duties, as tableSource last reported them
+	tableSource  string                       // voter that sent the table
+	tableAt      time.Duration                // when the table was received; 0: never
+	history      []Event                      // the last maxHistory events
+	heldCount    atomic.Int64                 // number of duties held at the last iteration
+	pollCount    int                          // number of requests for the table so far
+	leaderSeenAt time.Duration                // when the last message of the leader was received
 }
 
 // NewClient creates a client. It contacts nobody before Run is called.
@@ -92,6 +92,7 @@
 	return c
 }
 
+// now returns the time on the client's clock.
 func (c *Client) now() time.Duration {
 	if c.options.Now != nil {
 		return c.options.Now()
@@ -135,6 +136,8 @@
 	}
 }
 
+// iterate sends the commands that are due, calls Task.Step for the duties that the agent holds, and asks a
+// voter for the table.
 func (c *Client) iterate() {
 	now := c.now()
 	for _, name := range c.dutyNames() {
@@ -171,14 +174,14 @@
 	c.heldCount.Store(holds)
 	if now-c.lastPoll >= interval {
 		c.lastPoll = now
-		// The connection is open but silent: another voter may be the leader by now.
+		// The leader's connection may be open but silent: another voter may be the leader by now.
 		if c.leader != "" && now-c.leaderSeenAt > maxSilentPolls*pollInterval {
 			c.leader = ""
 		}
 		c.pollCount++
 		all := c.dialersByPreference()
 		if c.leader != "" && c.pollCount%2 == 0 {
-			all = all[1:] // the voter that claims to lead may be partitioned from the others
+			all = all[1:] // every other request goes to another voter, since the one that claims to lead may be partitioned from the rest
 		}
 		for _, d := range all {
 			if d.Send(frameTableRequest, nil) {
@@ -188,6 +191,7 @@
 	}
 }
 
+// dutyNames returns the duties that the agent is available for, in the order of the settings.
 func (c *Client) dutyNames() []string {
 	var names []string
 	for _, s := range c.options.Settings.specs {
@@ -212,6 +216,7 @@
 	return all
 }
 
+// send sends each command to the first voter by preference whose connection accepts it.
 func (c *Client) send(cmds []duty.Command) {
 	for _, cmd := range cmds {
 		for _, d := range c.dialersByPreference() {
@@ -222,7 +227,8 @@
 	}
 }
 
-// recordChanges logs the changes of a holder and adds them to the history.
+// recordChanges logs the beginnings and ends of a duty's holding since the last call, and adds them to the
+// history.
 func (c *Client) recordChanges(name string, h *duty.Holder) {
 	for _, ch := range h.TakeChanges() {
 		e := Event{At: time.Now(), Duty: name, What: "began", Epoch: ch.Epoch, Reason: ch.Reason}
@@ -257,6 +263,7 @@
 	}
 }
 
+// handleReply learns from a voter's reply which voter leads, and passes the answer to the holder of its duty.
 func (c *Client) handleReply(from string, a *commandReply) {
 	switch {
 	case a.Asked:
@@ -274,6 +281,8 @@
 	c.recordChanges(a.Answer.Duty, h)
 }
 
+// handleTable passes the duties of a voter's table to the tasks and holders, unless the table is older than
+// the current one.
 func (c *Client) handleTable(t *tableReply) {
 	now := c.now()
 	if t.Leads {
@@ -311,7 +320,8 @@
 	}
 }
 
-// isOlder reports whether a table is older than the current one.
+// isOlder reports whether a table is older than the current one: a duty has a lower epoch or fewer saves in
+// it, or it has fewer duties.
 func (c *Client) isOlder(t *tableReply) bool {
 	for i := range t.Duties {
 		for k := range c.table {
--- a/internal/duty/quorum/client_control.go
+++ b/internal/duty/quorum/client_control.go
@@ -28,10 +28,11 @@
 	}
 }
 
-// ErrStopped reports that the agent is stopping.
+// ErrStopped reports that the call could not be carried out because Run has returned.
 var ErrStopped = fmt.Errorf("duties have ended")
 
-// HandOn names the agent that is to take a duty over. The holder hands it on once that agent is ready.
+// HandOn sends the command that names the agent to take a duty over, and doesn't wait for its result. The
+// holder hands the duty on once that agent is ready.
 func (c *Client) HandOn(ctx context.Context, name, to string) error {
 	return c.runOnLoop(ctx, func() { c.send([]duty.Command{{Kind: duty.NameSuccessor, Duty: name, Agent: to}}) })
 }
--- a/internal/duty/quorum/commands.go
+++ b/internal/duty/quorum/commands.go
@@ -11,9 +11,10 @@
 
 const maxPendingReplies = 4096 // limit of the commands whose answers have not been sent yet
 
-// commandRequest is a command sent to a voter; commandReply is its result, or tells which voter is the leader.
+// commandRequest is an agent's command, sent to a voter.
 type commandRequest struct{ Command duty.Command }
 
+// commandReply is the result of a command or, if the voter that got it isn't the leader, the leader's name.
 type commandReply struct {
 	Agent  string // the agent that sent the command
 	Answer duty.Answer
@@ -64,12 +65,15 @@
 	})
 }
 
+// reject counts an invalid message, and closes the connection that it came from.
 func (s *Member) reject(c *transport.Conn, err error) {
 	s.countInvalid(fmt.Errorf("%w: %w", transport.ErrInvalidFrame, err))
 	c.Close()
 }
 
-// handleCommand proposes a command that an agent sent, and answers it once it has been applied.
+// handleCommand proposes a command that an agent sent, and answers the agent once the command has been
+// applied. If this voter isn't the leader or has too many commands in hand, it answers at once that the
+// command was not proposed.
 func (s *Member) handleCommand(from *transport.Conn, c duty.Command) {
 	reply := func(a duty.Answer, leads bool) {
 		from.SendJSON(frameCommandReply, commandReply{c.Agent, a, leads, s.voter.Leader()})
@@ -85,18 +89,20 @@
 		reply(duty.Answer{ID: c.ID, Duty: c.Duty}, false)
 		return
 	}
-	if c.ID != 0 {
+	if c.ID != 0 { // 0: the agent expects no answer
 		k := waiterKey(c.Agent, c.Duty, c.ID)
 		s.waiters[k] = append(s.waiters[k], func(a duty.Answer) { reply(a, true) })
 		s.pendingReplies++
 	}
 }
 
+// propose reports whether raft has taken a command for the log. It may still not be committed.
 func (s *Member) propose(c *duty.Command) bool {
 	raw, err := c.Bytes()
 	return err == nil && s.voter.Propose(raw) == nil
 }
 
+// waiterKey returns the key in Member.waiters of an agent's command about a duty.
 func waiterKey(agent, name string, id uint64) string {
 	return fmt.Sprintf("%s\x00%s\x00%d", agent, name, id)
 }
@@ -114,6 +120,7 @@
 	delete(s.waiters, k)
 }
 
+// currentTable returns the table as this voter knows it.
 func (s *Member) currentTable() tableReply {
 	return tableReply{Seat: s.options.Name, Leader: s.voter.Leader(), Leads: s.voter.Leads(), Duties: s.table.Duties()}
 }
--- a/internal/duty/quorum/handover_test.go
+++ b/internal/duty/quorum/handover_test.go
@@ -21,7 +21,7 @@
 			p.kill()
 			p.start()
 		}
-		holderIndex := func() int {
+		holderIndex := func() int { // the process whose agent may act; -1: none
 			for i, p := range x.procs {
 				if p.up && !p.stopped {
 					if _, ok := p.client.holders["work"].MayAct(p.clock()); ok {
@@ -58,7 +58,7 @@
 			begun = x.now
 		}
 		for x.step(); holderIndex() < 0 && x.now < begun+2*time.Minute; {
-			x.step()
+			x.step() // until another agent may act
 		}
 		if x.violation != "" {
 			t.Fatalf("seed %d: %s", seed, x.violation)
@@ -69,6 +69,8 @@
 	return all
 }
 
+// After a kill the time without a holder is at most the lease plus 10 % plus two seconds, after a release two
+// seconds, after a hand-on 600 ms.
 func TestGapsWithoutHolder(t *testing.T) {
 	n := 6
 	if *seedCount >= 500 {
@@ -107,7 +109,7 @@
 				p.kill()
 				p.start()
 			}
-			until := map[int]time.Duration{}
+			until := map[int]time.Duration{} // by process: when its pause ends
 			for x.now < time.Hour {
 				x.step()
 				if stops && x.now%time.Minute == 0 {
--- a/internal/duty/quorum/host.go
+++ b/internal/duty/quorum/host.go
@@ -11,10 +11,10 @@
 	"lemonrail/internal/replica/voter"
 )
 
-// host implements the interface that the voter calls.
+// host implements voter.Host for a Member.
 type host struct{ *Member }
 
-// Send sends a message to another voter.
+// Send queues a voter's message to another voter. It returns false if the message is lost.
 func (h host) Send(to string, kind voter.Kind, content []byte) bool {
 	d := h.dialers[to]
 	return d != nil && d.Send(frameOfVoterKind[kind], content)
@@ -32,11 +32,11 @@
 	return nil
 }
 
-// snapshotData is the content of a snapshot.
+// snapshotData is the content of a snapshot. The JSON keys are part of the stored format.
 type snapshotData struct {
-	Table   json.RawMessage
-	Seats   map[uint64]string
-	Initial map[uint64]string
+	Table   json.RawMessage   // duty.Table.Snapshot
+	Seats   map[uint64]string // names of the quorum's members, by identity
+	Initial map[uint64]string // names of the initial quorum's members, by identity
 }
 
 // Snapshot encodes the table and the members of the quorum.
--- a/internal/duty/quorum/member.go
+++ b/internal/duty/quorum/member.go
@@ -26,7 +26,7 @@
 )
 
 const (
-	inboxSize = 1024
+	inboxSize = 1024 // functions that wait for the goroutine of Run
 	// How often the leader compares the duties' definitions and the quorum's members with the settings.
 	defineInterval = time.Second
 )
@@ -51,19 +51,19 @@
 	options   Options
 	server    *transport.Server
 	startedAt time.Time
-	inbox     chan func()
-	done      chan struct{}
+	inbox     chan func()                  // functions for the goroutine of Run
+	done      chan struct{}                // closed when Run returns
 	dialers   map[string]*transport.Dialer // to the other voters, by name
 
 	// The fields below belong to the goroutine of Run.
 
 	voter          *voter.Voter
 	table          *duty.Table
-	grantor        *duty.Grantor
-	waiters        map[string][]func(duty.Answer)
-	pendingReplies int
-	lastDefined    time.Duration // when the duties' definitions were last compared with the settings
-	lastIteration  time.Duration // when iterate was last called
+	grantor        *duty.Grantor                  // detects expired leases while this voter leads
+	waiters        map[string][]func(duty.Answer) // by waiterKey: what to call with the result of a proposed command
+	pendingReplies int                            // number of functions in waiters
+	lastDefined    time.Duration                  // when the duties' definitions were last compared with the settings
+	lastIteration  time.Duration                  // when iterate was last called
 
 	invalidFrames          atomic.Int64 // number of invalid frames and messages received
 	leadsGauge, votesGauge atomic.Int64 // 1 while the voter leads, and while it takes part in the quorum; else 0
@@ -99,6 +99,7 @@
 	return s, nil
 }
 
+// countInvalid counts and logs an invalid frame or message.
 func (s *Member) countInvalid(err error) {
 	s.invalidFrames.Add(1)
 	s.options.Log.Debug("duties", "err", err)
@@ -110,6 +111,7 @@
 // newRand returns a randomly seeded source, whose numbers can't be predicted.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
+// now returns the time on the voter's clock.
 func (s *Member) now() time.Duration {
 	if s.options.Now != nil {
 		return s.options.Now()
@@ -159,7 +161,8 @@
 	}
 }
 
-// iterate does the work that is due. A panic in the voter ends its part in the quorum, and not the agent.
+// iterate advances raft and, at the leader, expires leases and compares the settings. ticked: a raft tick has
+// passed. A panic in the voter ends its part in the quorum, and not the agent.
 func (s *Member) iterate(ticked bool) {
 	s.voter.Guard(func() {
 		now := s.now()
@@ -178,6 +181,7 @@
 	s.votesGauge.Store(gauge(s.voter.Voting()))
 }
 
+// gauge returns 1 for true and 0 for false.
 func gauge(on bool) int64 {
 	if on {
 		return 1
@@ -185,8 +189,9 @@
 	return 0
 }
 
-// runLeaderTasks does the work of the leader: it expires leases, defines duties and replaces members of the
-// quorum.
+// runLeaderTasks does the work of the leader: it proposes the end of expired leases and, at every
+// defineInterval, the duties' definitions that differ from the settings and the replacement of a dead member
+// of the quorum.
 func (s *Member) runLeaderTasks(now time.Duration) {
 	for _, c := range s.grantor.ExpiredLeases(now) {
 		s.propose(&c)
--- a/internal/duty/quorum/protocol.go
+++ b/internal/duty/quorum/protocol.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	magic       = "lemonrail duties 1"
-	idleTimeout = 30 * time.Second // after which a connection on which nothing is received is closed
+	magic       = "lemonrail duties 1" // name and version of the protocol
+	idleTimeout = 30 * time.Second     // after which a connection on which nothing is received is closed
 )
 
 // frameOfVoterKind maps the kinds of the voter's messages to kinds of frames.
--- a/internal/duty/quorum/settings.go
+++ b/internal/duty/quorum/settings.go
@@ -21,7 +21,7 @@
 	ActMs     int     `toml:"act_ms"`     // maximum duration of one action under a duty
 	TickMs    int     `toml:"tick_ms"`    // raft tick; the election timeout is ten ticks
 	ReplaceS  float64 `toml:"replace_s"`  // time for which a voter has to be dead before a spare replaces it; 0: never
-	FallbackS float64 `toml:"fallback_s"` // time for which agents follow the ramps that the holder of PaceDuty published last; then they act on their own
+	FallbackS float64 `toml:"fallback_s"` // seconds for which agents apply the ramps published last by the holder of PaceDuty; after them each applies its own
 	Seats     []struct {
 		Name    string `toml:"name"` // name of the agent
 		Address string `toml:"address"`
@@ -33,8 +33,8 @@
 		Eligible []string `toml:"eligible"`
 	} `toml:"duty"`
 
-	seats []seatAddress
-	specs []duty.Spec
+	seats []seatAddress // Seats, parsed
+	specs []duty.Spec   // Duties, checked
 }
 
 // seatAddress is the name and the address of an agent with a voter.
@@ -45,11 +45,11 @@
 
 // Names of the duties that agents have tasks for.
 const (
-	PaceDuty  = "pace"  // paces the ramp of a site that returns
-	NotesDuty = "notes" // keeps notes on the fleet's members that are not well
+	PaceDuty  = "pace"  // its holder publishes the ramps: the share of its load that each returning site takes, which rises to 1
+	NotesDuty = "notes" // its holder publishes how many members of the fleet are alive and which are unhealthy
 )
 
-const maxSeats = 16
+const maxSeats = 16 // agents with a voter
 
 // ReadSettings reads and checks a settings file.
 func ReadSettings(path string) (*Settings, error) {
@@ -118,6 +118,7 @@
 	return s, nil
 }
 
+// maxActTime returns the maximum duration of one action under a duty.
 func (s *Settings) maxActTime() time.Duration   { return time.Duration(s.ActMs) * time.Millisecond }
 func (s *Settings) tickInterval() time.Duration { return time.Duration(s.TickMs) * time.Millisecond }
 
@@ -131,6 +132,7 @@
 	return netip.AddrPort{}, false
 }
 
+// seatNames returns the names of the agents with a voter, in the order of the settings.
 func (s *Settings) seatNames() (all []string) {
 	for _, p := range s.seats {
 		all = append(all, p.name)
--- a/internal/duty/quorum/settings_test.go
+++ b/internal/duty/quorum/settings_test.go
@@ -10,6 +10,7 @@
 	"lemonrail/internal/replica/transport"
 )
 
+// The shipped file is valid; a file with one invalid value is refused with its line and key.
 func TestShippedFileAndInvalidSettings(t *testing.T) {
 	raw, err := os.ReadFile("../../../deploy/duties.toml")
 	if err != nil {
@@ -59,6 +60,7 @@
 	}
 }
 
+// Any bytes are refused or give a frame of a known kind that isn't longer than they are.
 func FuzzFrame(f *testing.F) {
 	f.Add(transport.AppendFrame(nil, frameTableRequest, nil))
 	f.Add(transport.AppendFrame(nil, frameRaft, []byte{8, 1, 16, 2}))
@@ -76,4 +78,5 @@
 	return proto.ReadFrame(r)
 }
 
+// reader returns a buffered reader of raw.
 func reader(raw []byte) *bufio.Reader { return bufio.NewReader(bytes.NewReader(raw)) }
--- a/internal/duty/quorum/simulation_test.go
+++ b/internal/duty/quorum/simulation_test.go
@@ -28,17 +28,19 @@
 // directions, and disks drop syncs. Frames pass through the connections' own queues; no goroutine runs. A
 // timetable is a run whose faults are drawn from a seed.
 const (
-	simStep     = 10 * time.Millisecond
-	simAgents   = 5
-	simSeats    = 3
-	simMaxDelay = 3 * time.Second // maximum delay of an action on its way to the target
+	simStep     = 10 * time.Millisecond // simulated time per step
+	simAgents   = 5                     // number of processes
+	simSeats    = 3                     // number of processes with a voter: the first ones
+	simMaxDelay = 3 * time.Second       // maximum delay of an action on its way to the target
 )
 
 var seedCount = flag.Int("timetables", 20, "number of seeded timetables to run")
 
-// disabledGuards selects safety measures to switch off, to verify that the tests notice their absence.
+// disabledGuards selects safety measures to switch off, to verify that the tests notice their absence: the
+// margin for the clocks' drift, the fence, and the check-in of a starting voter with the others.
 type disabledGuards struct{ drift, fence, startupCheck bool }
 
+// sim is one run of the simulation.
 type sim struct {
 	t            testing.TB
 	seed         uint64
@@ -49,52 +51,53 @@
 	procs        []*proc
 	blocked      [simAgents][simAgents]bool // blocked links, by sender and receiver
 	wires        []*wire
-	acts         []*simAct // actions that have not arrived at the target yet
-	fence        *duty.Fence
+	acts         []*simAct             // actions that have not arrived at the target yet
+	fence        *duty.Fence           // of the target of the actions
 	operations   []porcupine.Operation // actions that have arrived, and whether the fence accepted them
 	holders      map[duty.Epoch]string // the agent that acted in each epoch
-	savedActs    uint64                // highest number of acts that was confirmed as saved
+	savedActs    uint64                // highest count of acts in the state of an agent that may act: the voters have confirmed it
 	violation    string                // the first rule found broken; empty: none
 	droppingDisk int                   // index of the process whose disk drops syncs; -1: none
-	holdings     int                   // how often an agent began to hold the duty
+	holdings     int                   // number of times that an agent began to hold the duty
 }
 
+// proc is a process: an agent with its client and, if it has a disk, a voter.
 type proc struct {
 	sim       *sim
 	index     int
 	name      string
 	clockRate float64 // speed of the process's clock relative to simulated time
 	up        bool
-	stopped   bool // paused
-	disk      *store.FaultyDisk
-	seat      *Member
-	client    *Client
-	life      int    // number of starts
-	acts      uint64 // lower bound of the count that Step continues; never set, since the duty's state carries the count
+	stopped   bool              // paused
+	disk      *store.FaultyDisk // of the voter's store; nil: no voter
+	seat      *Member           // its voter; nil: none, or the process is down
+	client    *Client           // nil: the process is down
+	life      int               // number of starts
+	acts      uint64            // lower bound of the count that Step continues; never set, since the duty's state carries the count
 }
 
 // wire is the two ends of a connection between two processes; frames queued at one end are delivered to the
 // other.
 type wire struct {
-	from, to int
-	a, b     *transport.Conn // a at from, b at to
-	lives    [2]int          // proc.life at from and to when the ends were made; -1: the end at to is still missing
-	receiveA func(*transport.Conn, transport.Kind, []byte)
-	receiveB func(*transport.Conn, transport.Kind, []byte)
-	inFlight []delayedFrame // frames taken from either end and not delivered yet
+	from, to int                                           // indices of the processes: from has dialled to
+	a, b     *transport.Conn                               // the end at from, and the end at to, which is made once both processes are up
+	lives    [2]int                                        // how often from and to had been started when the ends were made; -1: the end at to is missing
+	receiveA func(*transport.Conn, transport.Kind, []byte) // called at from with each frame that arrives there
+	receiveB func(*transport.Conn, transport.Kind, []byte) // called at to with each frame that arrives there
+	inFlight []delayedFrame                                // frames taken from either end and not delivered yet
 }
 
 // delayedFrame is a frame on its way between the ends of a wire.
 type delayedFrame struct {
-	arrives time.Duration
-	toB     bool // on its way to the end b, not a
+	arrives time.Duration // the simulated time at which it can be delivered
+	toB     bool          // on its way to the process wire.to, not to wire.from
 	bytes   []byte
 }
 
 // simAct is an action of a holder on its way to the target.
 type simAct struct {
-	epoch   duty.Epoch
-	agent   int
+	epoch   duty.Epoch    // of the permit under which the agent acts
+	agent   int           // index of the process
 	call    time.Duration // when the agent started the action
 	arrives time.Duration // when the target gets it
 }
@@ -126,12 +129,14 @@
 	return x
 }
 
+// clock returns the time on the process's clock.
 func (p *proc) clock() time.Duration {
 	return time.Duration(p.clockRate*float64(p.sim.now)) + time.Hour
 }
 
 var silentLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
+// start starts the process with a new client and voter, on the disk as it is.
 func (p *proc) start() {
 	p.up, p.stopped = true, false
 	p.life++
@@ -245,6 +250,7 @@
 	}
 }
 
+// drain runs the functions that are in an inbox at the time of the call.
 func drain(inbox chan func()) {
 	for n := len(inbox); n > 0; n-- {
 		(<-inbox)()
@@ -362,6 +368,7 @@
 	}
 }
 
+// heal ends all faults except dropped syncs.
 func (x *sim) heal() {
 	x.blocked = [simAgents][simAgents]bool{}
 	for _, p := range x.procs {
@@ -406,6 +413,8 @@
 	return x.violation
 }
 
+// In no timetable may two agents act in one epoch or at the same time, a new holder lack acts that were
+// confirmed as saved, or an action be accepted after one of a higher epoch.
 func TestFaultTimetables(t *testing.T) {
 	acts, refused, epochs, began := 0, 0, 0, 0
 	for seed := range *seedCount {
@@ -431,9 +440,8 @@
 	}
 }
 
-// Seeds that once led to violations: an expiry that crossed with a renewal gave the duty to two agents; a disk
-// that dropped the leader's syncs went unnoticed, for entries that were committed by a majority that included the
-// leader itself.
+// These seeds led to violations once: an expiry that crossed with a renewal gave the duty to two agents; a
+// leader's disk that dropped syncs went unnoticed, although an entry's majority had counted that leader.
 func TestTimetableRegressions(t *testing.T) {
 	for _, seed := range []uint64{2069, 2651, 7238, 8582, 4479, 5367, 6479, 7876} {
 		if b := newSim(t, seed, disabledGuards{}).run(); b != "" {
@@ -442,7 +450,7 @@
 	}
 }
 
-// A failing seed must fail again, so that it can be debugged.
+// The same seed gives the same run, so that a failure can be debugged.
 func TestTimetablesAreDeterministic(t *testing.T) {
 	played := func(seed uint64) string {
 		x := newSim(t, seed, disabledGuards{})
--- a/internal/duty/startup.go
+++ b/internal/duty/startup.go
@@ -12,19 +12,19 @@
 // part in the quorum before they have answered.
 type StartupCheck struct {
 	cfg     StartupConfig
-	replies map[string]CheckInReply // the latest reply of each other voter, by name
-	since   time.Duration           // when the check began
+	replies map[string]CheckInReply // the latest reply of each other voter, by its name
+	since   time.Duration           // when the check began, on the caller's clock
 }
 
 // StartupConfig is what a voter knows about itself when it starts.
 type StartupConfig struct {
-	Name       string
+	Name       string   // this voter's name
 	Candidates []string // all candidates, this one included; the first Voters of them form the initial quorum
-	Voters     int
-	ID         uint64  // identity of the store
-	Empty      bool    // the store has promised nothing
-	Stored     Promise // what the disk holds; Voted is the term of Vote
-	Vote       uint64  // identity of the voter that got this voter's vote in that term
+	Voters     int      // size of the initial quorum
+	ID         uint64   // identity of the store
+	Empty      bool     // the store has promised nothing
+	Stored     Promise  // term and last log entry on the disk; Voted is the term of Vote
+	Vote       uint64   // identity of the voter that got this voter's vote in that term; 0: no vote
 }
 
 // Promise is what a voter has promised to another one: the term and index of the log that it confirmed as
@@ -36,7 +36,8 @@
 	return has.Term < p.Term || has.Term == p.Term && has.Index < p.Index
 }
 
-// CheckInReply is the reply of a voter to one that is starting.
+// CheckInReply is a voter's reply to a check-in: the question of a voter that starts, what it promised to the
+// replying voter under its stored identity.
 type CheckInReply struct {
 	Seat    string            // name of the replying voter
 	ID      uint64            // its identity
@@ -59,6 +60,7 @@
 	Discard                      // the stored data can't be trusted: set it aside, take a new identity, and ask again
 )
 
+// startNames are the actions' names in reports and logs, in the order of the constants.
 var startNames = [...]string{"wait", "sit", "begin", "join", "forget"}
 
 func (s StartAction) String() string {
@@ -71,8 +73,8 @@
 // Decision is the action to take, and the reason.
 type Decision struct {
 	Start   StartAction
-	Why     string
-	Initial map[uint64]string
+	Why     string            // why this action is taken
+	Initial map[uint64]string // for Bootstrap: names of the initial quorum's members, by identity
 }
 
 // NewStartupCheck returns a StartupCheck that has received no replies.
@@ -80,7 +82,8 @@
 	return &StartupCheck{cfg: c, replies: map[string]CheckInReply{}, since: now}
 }
 
-// AddReply records the reply of another voter.
+// AddReply records the reply of another voter in place of its earlier one. A reply under a name that is no
+// other candidate's is ignored.
 func (s *StartupCheck) AddReply(c CheckInReply) {
 	if c.Seat != s.cfg.Name && slices.Contains(s.cfg.Candidates, c.Seat) {
 		s.replies[c.Seat] = c
@@ -89,7 +92,8 @@
 
 // Decide returns the action that follows from the replies received so far.
 func (s *StartupCheck) Decide(now time.Duration) Decision {
-	// A reply that claims a promise beyond the stored state is always believed.
+	// A reply that claims a promise beyond the stored vote, term or last entry always leads to Discard: the
+	// disk has lost what this voter promised.
 	for _, name := range s.cfg.Candidates {
 		c, ok := s.replies[name]
 		if ok && (c.Promised.Voted > s.cfg.Stored.Term || c.Promised.Voted != 0 && c.Promised.Voted == s.cfg.Stored.Term && s.cfg.Vote != c.ID) {
@@ -112,10 +116,10 @@
 // the risk that lost promises to a leader that is away go unnoticed.
 const waitForAll = 3 * time.Second
 
-// resumeDecision handles a voter with a stored log: it needs a reply of every member or, after waitForAll, of
-// a majority.
+// resumeDecision decides for a voter with a stored log: Join if it was replaced in the quorum meanwhile,
+// Resume once every member has replied or, after waitForAll, a majority, otherwise Wait.
 func (s *StartupCheck) resumeDecision(now time.Duration) Decision {
-	seats := map[uint64]string{}
+	seats := map[uint64]string{} // names of the quorum's members, by identity, as a replying voter knows them
 	for _, c := range s.replies {
 		if c.Sits && len(c.Seats) > 0 {
 			seats = c.Seats
@@ -127,7 +131,7 @@
 			return Decision{Start: Join, Why: "it no longer sits"}
 		}
 	}
-	replies := 1
+	replies := 1 // this voter counts as one
 	for _, c := range s.replies {
 		if len(seats) == 0 || seats[c.ID] != "" {
 			replies++
@@ -142,7 +146,9 @@
 	return Decision{Start: Resume, Why: fmt.Sprintf("%d of %d seats know of nothing that is missing", replies, size)}
 }
 
-// bootstrapDecision handles a voter with an empty store: it starts for the first time, or its folder was lost.
+// bootstrapDecision decides for a voter with an empty store, which starts for the first time or has lost its
+// folder: Bootstrap if the initial quorum has to be formed or was just formed with it, Join if another quorum
+// exists, otherwise Wait.
 func (s *StartupCheck) bootstrapDecision() Decision {
 	for _, name := range s.cfg.Candidates {
 		c, ok := s.replies[name]
--- a/internal/duty/startup_test.go
+++ b/internal/duty/startup_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
+// Each case is a starting voter, the replies to its check-in, and the action that must follow.
 func TestStartupDecisions(t *testing.T) {
-	three := []string{"s1", "s2", "s3", "s4"}
+	three := []string{"s1", "s2", "s3", "s4"} // the candidates: the first three form the initial quorum, the fourth is a spare
 	members := map[uint64]string{1: "s1", 2: "s2", 3: "s3"}
 	for _, tt := range []struct {
 		name    string
@@ -45,6 +46,8 @@
 	}
 }
 
+// Each case says which candidates ask to be admitted and which are dead, and which identity must be replaced
+// by which; 0: none.
 func TestReplace(t *testing.T) {
 	seats, all := map[uint64]string{1: "s1", 2: "s2", 3: "s3"}, []string{"s1", "s2", "s3", "s4"}
 	lives := map[string]bool{"s4": true}
--- a/internal/duty/store/faultydisk.go
+++ b/internal/duty/store/faultydisk.go
@@ -35,6 +35,7 @@
 	return &FaultyDisk{rng: rand.New(rand.NewPCG(seed, 34)), files: map[string]*faultyFile{}, syncedNames: map[string]bool{}}
 }
 
+// step counts a step, and fails it from step FailAt on.
 func (d *FaultyDisk) step() error {
 	d.steps++
 	if d.FailAt > 0 && d.steps >= d.FailAt {
--- a/internal/duty/store/store.go
+++ b/internal/duty/store/store.go
@@ -39,12 +39,13 @@
 )
 
 const (
-	segmentBytes   = 1 << 20 // size from which a snapshot and a new segment are due
-	maxRecordBytes = 4 << 20
-	headerBytes    = 4 + 4 + 8 + 1
-	suffix         = ".log"
+	segmentBytes   = 1 << 20       // size from which a snapshot and a new segment are due
+	maxRecordBytes = 4 << 20       // bound of a record's content
+	headerBytes    = 4 + 4 + 8 + 1 // length, checksum, sequence number, kind
+	suffix         = ".log"        // of the names of segment files
 )
 
+// kind is what a record contains.
 type kind byte
 
 const (
@@ -75,6 +76,7 @@
 // Unwrap returns ErrCorrupt.
 func (e *CorruptError) Unwrap() error { return ErrCorrupt }
 
+// crcTable is the table for the CRC-32C of the records.
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 // Store is the persistent state of one voter.
@@ -154,7 +156,7 @@
 	}
 	number, _ := strconv.ParseUint(strings.TrimSuffix(name, suffix), 16, 64)
 	s.segmentNumber, s.segmentName = number, name
-	offset, headRecords := int64(0), 0
+	offset, headRecords := int64(0), 0 // headRecords: how many of the three records that begin a segment were read
 	corrupt := func(what string, v ...any) error { return &CorruptError{name, offset, fmt.Sprintf(what, v...)} }
 	var snap *pb.Snapshot
 	for int(offset) < len(raw) {
@@ -326,6 +328,7 @@
 	return nil
 }
 
+// writeAll writes b, and returns an error if only a part of it was written.
 func writeAll(f File, b []byte) error {
 	n, err := f.Write(b)
 	if err == nil && n < len(b) {
@@ -452,7 +455,8 @@
 	return s.startSegment(snap)
 }
 
-// Failure returns the error that made the store refuse further writes; nil: there was none.
+// Failure returns the error of the first failed write or sync, after which the store refuses further writes;
+// nil: none has failed.
 func (s *Store) Failure() error { return s.failure }
 
 // Close closes the segment file.
--- a/internal/duty/store/store_test.go
+++ b/internal/duty/store/store_test.go
@@ -23,6 +23,7 @@
 	return &pb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(vote), Commit: proto.Uint64(commit)}
 }
 
+// bootstrapSnapshot returns the snapshot that a log of these voters begins with.
 func bootstrapSnapshot(term uint64, voters ...uint64) *pb.Snapshot {
 	return &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(term), ConfState: &pb.ConfState{Voters: voters}}}
 }
@@ -51,6 +52,7 @@
 	return want
 }
 
+// content returns identity, hard state, voters and log entries of a store as text.
 func content(t testing.TB, s *Store) string {
 	t.Helper()
 	var b strings.Builder
@@ -67,6 +69,7 @@
 	return b.String()
 }
 
+// A closed store is read back unchanged, also after entries were overwritten or replaced by a snapshot.
 func TestReopen(t *testing.T) {
 	dir := Dir(t.TempDir())
 	want := fillStore(t, dir)
@@ -307,6 +310,7 @@
 	}))
 }
 
+// An empty store can change its identity; one that holds promises keeps it.
 func TestIdentity(t *testing.T) {
 	dir := Dir(t.TempDir())
 	s, _, err := Open(dir, 5)
--- a/internal/duty/table.go
+++ b/internal/duty/table.go
@@ -36,8 +36,8 @@
 
 // Bounds of the table and of its parts.
 const (
-	MaxDuties     = 64
-	MaxEligible   = 64
+	MaxDuties     = 64      // in a table
+	MaxEligible   = 64      // agents in Spec.Eligible
 	MaxStateBytes = 4 << 10 // bytes of a duty's state
 	MaxNameBytes  = 64      // bytes of a duty's or an agent's name
 	// Answers remembered for an agent and a duty, so that a command that is delivered twice takes effect once.
@@ -47,9 +47,9 @@
 // Spec is the definition of a duty.
 type Spec struct {
 	Name     string
-	Lease    time.Duration
-	Zone     string   // preferred zone of the holder; empty: any
-	Eligible []string // agents that may hold the duty; none: all
+	Lease    time.Duration // how long a holder keeps the duty without a renewal
+	Zone     string        // preferred zone of the holder; empty: any
+	Eligible []string      // agents that may hold the duty; none: all
 }
 
 // Check returns an error for the first invalid field.
@@ -82,7 +82,7 @@
 	Ready  bool   // Next has reported that it can begin at once
 }
 
-// Kind is the kind of a command.
+// Kind is what a command does to its duty.
 type Kind uint8
 
 const (
@@ -112,10 +112,10 @@
 	// Drawn by the sending agent, so that a command that is delivered twice takes effect once; 0: no such check.
 	ID    uint64
 	Kind  Kind
-	Duty  string
-	Agent string
-	Epoch Epoch
-	State []byte
+	Duty  string // name of the duty
+	Agent string // the agent that the comment of Kind names
+	Epoch Epoch  // epoch of the holding that the command is for
+	State []byte // of SaveState: the duty's new state
 	Acts  uint64 // of SaveState: the expected Duty.Acts, so that a save that arrives after a later one is refused
 	Kept  uint64 // of Expire: Duty.Kept when the lease ran out; the command is refused if the lease was extended since
 	Spec  Spec   // of Define
@@ -146,10 +146,11 @@
 	return fmt.Sprintf("why %d", uint8(w))
 }
 
-// Answer is the result of a command, and the duty's state after it.
+// Answer is the result of a command, and the duty's fields after it (those of Duty and Spec by the same
+// names).
 type Answer struct {
-	ID     uint64
-	Why    Result
+	ID     uint64 // ID of the command
+	Why    Result // the result
 	Duty   string
 	Holder string
 	Epoch  Epoch
@@ -160,28 +161,30 @@
 	Acts   uint64
 }
 
-// answerCache holds the answers to the last commands of an agent about a duty.
+// answerCache holds the answers to the last commands of one agent about one duty, at most maxAnswersPerAgent.
 type answerCache struct {
-	ids     []uint64
-	answers []Answer
+	ids     []uint64 // of the commands, the oldest first
+	answers []Answer // the answer to each of ids
 }
 
 // Table is the state machine that the voters replicate.
 type Table struct {
-	duties map[string]*Duty
-	// By agent and duty; at most maxAnswerCaches, the least recently used one is dropped.
+	duties map[string]*Duty // by name
+	// Keys are the agent's name, a zero byte and the duty's name. At most maxAnswerCaches; the least recently
+	// used one is dropped.
 	answered      map[string]*answerCache
 	answeredOrder []string // keys of answered, the most recently used one last
 }
 
-const maxAnswerCaches = 1024
+const maxAnswerCaches = 1024 // bound of Table.answered
 
-// NewTable returns an empty table.
+// NewTable returns a table without duties.
 func NewTable() *Table {
 	return &Table{duties: map[string]*Duty{}, answered: map[string]*answerCache{}}
 }
 
-// Apply applies a command. The result depends on nothing but the table and the command.
+// Apply applies a command and returns the result. A command whose ID is remembered is not applied again and
+// gets its first answer. The result depends on nothing but the table and the command.
 func (t *Table) Apply(c Command) Answer {
 	if c.ID > 0 {
 		if r := t.answered[c.Agent+"\x00"+c.Duty]; r != nil {
@@ -198,6 +201,7 @@
 	return a
 }
 
+// rememberAnswer keeps an answer under a key of Table.answered, and drops the oldest beyond the bounds.
 func (t *Table) rememberAnswer(requester string, a Answer) {
 	r := t.answered[requester]
 	if r == nil {
@@ -217,6 +221,7 @@
 	}
 }
 
+// answer returns a duty's fields as an Answer with the given result.
 func (t *Table) answer(name string, result Result) Answer {
 	a := Answer{Why: result, Duty: name}
 	if d := t.duties[name]; d != nil {
@@ -225,6 +230,7 @@
 	return a
 }
 
+// apply changes the table by a command, and returns whether or why not. Apply has handled repeated commands.
 func (t *Table) apply(c *Command) Result {
 	if c.Kind >= kindCount || len(c.State) > MaxStateBytes || len(c.Agent) > MaxNameBytes {
 		return Invalid
@@ -320,6 +326,7 @@
 	d.Epoch++
 }
 
+// define adds a duty, or changes the definition of an existing one.
 func (t *Table) define(c *Command) Result {
 	if c.Spec.Check() != nil || c.Duty != c.Spec.Name {
 		return Invalid
@@ -350,7 +357,8 @@
 	return all
 }
 
-// Duty returns a duty by name.
+// Duty returns a duty by name; false: the table has none of that name. The result shares State with the
+// table.
 func (t *Table) Duty(name string) (Duty, bool) {
 	if d := t.duties[name]; d != nil {
 		return *d, true
@@ -369,5 +377,5 @@
 	return n
 }
 
-// ErrInvalidTable reports that a table's bytes are invalid.
+// ErrInvalidTable reports that a snapshot of a table can't be decoded or exceeds a bound.
 var ErrInvalidTable = errors.New("duties: the table can't be read")
--- a/internal/duty/wire.go
+++ b/internal/duty/wire.go
@@ -47,16 +47,17 @@
 	return nil
 }
 
-// snapshot is the stored form of a table.
+// snapshot is the stored form of a table: its duties, and the answers that it remembers.
 type snapshot struct {
 	Duties []Duty
-	Recent []agentAnswers
+	Recent []agentAnswers // by agent and duty, the least recently used first
 }
 
+// agentAnswers are the remembered answers to the last commands of one agent about one duty.
 type agentAnswers struct {
-	Agent   string
-	IDs     []uint64
-	Answers []Answer
+	Agent   string   // key of Table.answered: the agent's name, a zero byte and the duty's name
+	IDs     []uint64 // IDs of the commands, the oldest first
+	Answers []Answer // the answer to each of IDs
 }
 
 // Snapshot encodes the table. Voters that have applied the same commands get the same bytes.
--- a/internal/exercise/exercise.go
+++ b/internal/exercise/exercise.go
@@ -25,21 +25,22 @@
 // Config describes the requests to send.
 type Config struct {
 	Target                string        // address and port
-	Identity              string        // of the clients; %d is replaced with the client's number, from 1
+	Identity              string        // Origin-Host of the clients; %d is replaced with the client's number, from 1
 	Realm                 string        // Destination-Realm
 	Host                  string        // Destination-Host; empty: any server
-	Application           uint32        // of the requests
-	Command               uint32        // of the requests
+	Application           uint32        // Application-Id of the requests
+	Command               uint32        // Command Code of the requests
 	Type                  uint32        // CC-Request-Type; 0: omitted
 	Action                int64         // Requested-Action; negative: omitted
 	Clients               int           // number of clients, each with one connection
 	RequestsPerClient     int           // requests per client
 	MaxPending            int           // maximum number of pending requests per client
 	AnswerTimeout         time.Duration // wait for an answer before a request is resent with the T flag, or abandoned
-	MaxResends            int           // maximum number per request
+	MaxResends            int           // maximum number of times that one request is resent
 	AcceptOverloadReports bool          // announce support for overload reports (RFC 7683); they are counted, but not applied
 }
 
+// check returns an error that names the first invalid value.
 func (c *Config) check() error {
 	for _, f := range []struct {
 		name       string
@@ -57,21 +58,21 @@
 
 // Report holds the results of a run. Latencies are in milliseconds.
 type Report struct {
-	Requests        int            `json:"requests"`
+	Requests        int            `json:"requests"` // requests sent, and those that weren't since their connection had ended
 	Answered        int            `json:"answered"`
-	Unanswered      int            `json:"unanswered"` // requests without an answer after all resends
-	Resent          int            `json:"resent"`
-	Duplicates      int            `json:"twice"`     // duplicate answers
-	Unsolicited     int            `json:"strangers"` // answers to unknown requests
-	OverloadReports int            `json:"overload_reports"`
-	Results         map[uint32]int `json:"results"` // by Result-Code; 0: an answer without one
-	P50             float64        `json:"p50_ms"`
+	Unanswered      int            `json:"unanswered"`       // requests without an answer after all resends
+	Resent          int            `json:"resent"`           // number of times that a request was resent
+	Duplicates      int            `json:"twice"`            // further answers to requests that were answered or abandoned
+	Unsolicited     int            `json:"strangers"`        // answers to requests that were never sent
+	OverloadReports int            `json:"overload_reports"` // answers with an overload report
+	Results         map[uint32]int `json:"results"`          // by Result-Code; 0: an answer without one
+	P50             float64        `json:"p50_ms"`           // latencies from the first sending of a request until its answer
 	P99             float64        `json:"p99_ms"`
 	Max             float64        `json:"max_ms"`
 	Seconds         float64        `json:"seconds"`
 
 	mu      sync.Mutex
-	latency *hdrhistogram.Histogram // microseconds
+	latency *hdrhistogram.Histogram // of answered requests, in microseconds
 }
 
 // Run sends the requests and returns once each has been answered or abandoned, or ctx ends. progress, which
@@ -132,20 +133,21 @@
 	return r, ctx.Err()
 }
 
-// client is the state of one client and its connection.
+// client is one connection and the requests that it is to send.
 type client struct {
 	cfg     *Config
 	report  *Report
 	conn    *standin.DiameterConn
-	name    string
-	firstID uint32              // identifier of its first request
+	name    string              // its Origin-Host
+	firstID uint32              // End-to-End identifier of its first request; the next ones count up from it
 	pending map[uint32]*request // requests without an answer, by End-to-End identifier
 	ended   map[uint32]bool     // End-to-End identifiers of the requests that were answered or abandoned
 }
 
+// request is a request that has not been answered yet.
 type request struct {
 	message *diameter.Message
-	began   time.Time
+	began   time.Time // time of the first sending
 	due     time.Time // when it is resent or abandoned
 	resends int
 }
@@ -170,6 +172,8 @@
 	}
 }
 
+// run sends the client's requests, at most Config.MaxPending at a time, until each is answered or abandoned, the connection
+// ends or ctx ends.
 func (c *client) run(ctx context.Context) {
 	sent := 0
 	for {
@@ -209,12 +213,14 @@
 	}
 }
 
+// count changes the report with f under the report's lock.
 func (c *client) count(f func(*Report)) {
 	c.report.mu.Lock()
 	defer c.report.mu.Unlock()
 	f(c.report)
 }
 
+// send sends the request with the given identifier for the first time.
 func (c *client) send(id uint32) {
 	m := &diameter.Message{Flags: diameter.FlagRequest | diameter.FlagProxiable, Command: c.cfg.Command, Application: c.cfg.Application,
 		HopByHop: id, EndToEnd: id, AVPs: []diameter.AVP{diameter.Str(diameter.CodeSessionID, fmt.Sprintf("%s;%d", c.name, id)),
@@ -240,6 +246,7 @@
 	c.conn.Send(m)
 }
 
+// handle counts an answer and ends its request.
 func (c *client) handle(m *diameter.Message) {
 	if m.Request() {
 		return // requests to clients are ignored
@@ -265,7 +272,7 @@
 	c.ended[id] = true
 }
 
-// handleOverdue resends or abandons the requests whose answers are overdue.
+// handleOverdue resends the requests whose answers are overdue, or abandons those that were resent MaxResends times.
 func (c *client) handleOverdue(now time.Time) {
 	for id, q := range c.pending {
 		switch {
--- a/internal/exercise/exercise_test.go
+++ b/internal/exercise/exercise_test.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// A lost connection, an invalid configuration and a failed connection attempt are reported.
+// Run reports a connection that ends with unanswered requests, and returns an error for an invalid configuration or a failed
+// connection attempt.
 func TestServerEnds(t *testing.T) {
 	s := node(t, func(c *standin.DiameterConn, m *diameter.Message) { c.Close() })
 	cfg := defaultConfig(s.Addr())
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -52,32 +52,32 @@
 
 	Request  string  `json:"request,omitempty"`
 	Class    string  `json:"class,omitempty"`
-	Reason   string  `json:"why,omitempty"`
-	Waited   float64 `json:"waited_ms,omitempty"` // why the request was refused or failed
-	Left     float64 `json:"left_ms,omitempty"`
-	Aim      float64 `json:"aim_ms,omitempty"`   // time until the client stops waiting
-	Repeat   bool    `json:"repeat,omitempty"`   // time until an answer earns less; negative: in the past
-	Attempts int     `json:"attempts,omitempty"` // attempts made for the request
+	Reason   string  `json:"why,omitempty"`       // why the request was refused or failed, a balance.Reason as text
+	Waited   float64 `json:"waited_ms,omitempty"` // time since the request arrived
+	Left     float64 `json:"left_ms,omitempty"`   // time until the client stops waiting
+	Aim      float64 `json:"aim_ms,omitempty"`    // time until an answer earns less; negative: in the past
+	Repeat   bool    `json:"repeat,omitempty"`    // the request counts as a client's repeat of an earlier one
+	Attempts int     `json:"attempts,omitempty"`  // attempts made for the request
 
 	PerBackend float64 `json:"per_backend"` // attempts that all agents may have in flight, per backend in use
 	Part       float64 `json:"part"`        // this agent's part of the limit on attempts in flight
 	Fraction   float64 `json:"fraction"`    // Part as a share of the limit of all agents
-	InFlight   int     `json:"in_flight"`
-	Stuck      int     `json:"stuck"` // attempts in flight that use no room: at backends out of use, or overdue
-	Overdue    int     `json:"overdue"`
-	Held       int     `json:"held"`     // requests that wait for room
-	Up         int     `json:"up"`       // backends that are up by the list
-	Used       int     `json:"used"`     // backends in use: up, and neither ejected nor down
-	Idle       int     `json:"idle"`     // backends in use where this agent has no attempt
-	Free       int     `json:"free"`     // backends that could take an attempt now
-	Capacity   float64 `json:"capacity"` // backends in use, each counted by its warmth
-	Delay      float64 `json:"delay"`    // running mean of latency over aim
-	Base       float64 `json:"base"`     // slow low of Delay: the delay without queues
-	Aimed      float64 `json:"aimed"`    // the target that the limit keeps Delay to
-	Usual      float64 `json:"usual_ms"` // mean latency over the classes
-	Spare      float64 `json:"spare_ms"` // saved attempt time below the limit
-	Errors     float64 `json:"errors"`   // recent share of errors over all backends
-	Tokens     float64 `json:"tokens"`   // tokens in the retry bucket
+	InFlight   int     `json:"in_flight"`   // this agent's attempts in flight, stuck ones included
+	Stuck      int     `json:"stuck"`       // attempts in flight that use no room: at backends out of use, or overdue
+	Overdue    int     `json:"overdue"`     // the stuck attempts that are at backends in use
+	Held       int     `json:"held"`        // requests that wait for room
+	Up         int     `json:"up"`          // backends that are up by the list
+	Used       int     `json:"used"`        // backends in use: up, and neither ejected nor down
+	Idle       int     `json:"idle"`        // backends in use where this agent has no attempt
+	Free       int     `json:"free"`        // backends that could take an attempt now
+	Capacity   float64 `json:"capacity"`    // backends in use, each counted by its warmth
+	Delay      float64 `json:"delay"`       // running mean of latency over aim
+	Base       float64 `json:"base"`        // slow low of Delay: the delay without queues
+	Aimed      float64 `json:"aimed"`       // the target that the limit keeps Delay to
+	Usual      float64 `json:"usual_ms"`    // mean latency over the classes
+	Spare      float64 `json:"spare_ms"`    // attempt time saved up while fewer attempts were in flight than the limit allows
+	Errors     float64 `json:"errors"`      // recent share of errors over all backends
+	Tokens     float64 `json:"tokens"`      // tokens in the retry bucket
 
 	Backends []Backend `json:"backends,omitempty"`
 }
@@ -95,6 +95,7 @@
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
+// record converts a note of the decision module. classes holds the classes' names by index.
 func record(agent string, classes []string, n *balance.Note) Record {
 	r := Record{Agent: agent, At: millis(n.At), Kind: n.Kind.String(), Request: n.Request, Reason: n.Reason.String(),
 		Waited: millis(n.Waited), Left: millis(n.TimeLeft), Aim: millis(n.AimLeft), Repeat: n.Repeat, Attempts: n.Attempts,
@@ -110,20 +111,20 @@
 	return r
 }
 
-const queueCapacity = 1024 // maximum number of notes that wait to be written
+const queueCapacity = 1024 // maximum number of notes that wait to be written; further ones are skipped
 
 // Writer writes notes in a goroutine of its own.
 type Writer struct {
-	agent    string
-	classes  []string
+	agent    string   // the agent's name, in each record
+	classes  []string // names of the classes, by index
 	notes    chan balance.Note
 	skipped  atomic.Uint64 // notes that found the queue full since the last one written
 	out      io.Writer
-	file     *os.File // nil: notes go to standard error
-	path     string
-	maxBytes int64
-	done     chan struct{}
-	err      error
+	file     *os.File      // nil: notes go to standard error
+	path     string        // path of the notes file
+	maxBytes int64         // size in bytes from which the notes file is rotated
+	done     chan struct{} // closed when the writing goroutine has ended
+	err      error         // first error of writing; valid after done is closed
 }
 
 // Open starts a Writer. It returns nil if c names no file.
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// An error of writing ends the notes only, and Close returns it.
+// After a failed write the writer writes no more notes, Write still doesn't block, and Close returns the error.
 func TestWriteErrorIsReturnedByClose(t *testing.T) {
 	dir := t.TempDir()
 	w, err := Open(Config{Path: filepath.Join(dir, "notes")}, "n0", nil)
--- a/internal/explain/fleet.go
+++ b/internal/explain/fleet.go
@@ -42,21 +42,23 @@
 	Held      float64        `json:"held"`      // sum of the requests that wait for room
 	MinUp     int            `json:"up_least"`  // smallest and largest number of backends up, over the agents
 	MaxUp     int            `json:"up_most"`
-	Used      float64        `json:"used"`     // mean number of backends in use
-	Capacity  float64        `json:"capacity"` // mean of the backends in use, each counted by its warmth
-	Delay     float64        `json:"delay"`    // mean of latency over aim
-	Aimed     float64        `json:"aimed"`    // mean of the target for Delay
-	Tokens    float64        `json:"tokens"`   // mean number of tokens in the retry bucket
-	Dry       int            `json:"dry"`      // agents whose retry bucket held fewer tokens than a retry takes at some time
-	Ejections float64        `json:"ejections"`
-	Refused   map[string]int `json:"refused,omitempty"`
-	Failed    map[string]int `json:"failed,omitempty"`
-	Cuts      int            `json:"cuts"`       // cuts of the agents' limits on attempts in flight
-	ListFails int            `json:"list_fails"` // failed calls to discovery, from the logs
+	Used      float64        `json:"used"`              // mean number of backends in use
+	Capacity  float64        `json:"capacity"`          // mean of the backends in use, each counted by its warmth
+	Delay     float64        `json:"delay"`             // mean of latency over aim
+	Aimed     float64        `json:"aimed"`             // mean of the target for Delay
+	Tokens    float64        `json:"tokens"`            // mean number of tokens in the retry bucket
+	Dry       int            `json:"dry"`               // agents whose retry bucket held fewer tokens than a retry takes at some time
+	Ejections float64        `json:"ejections"`         // backends that an agent has ejected at a time, summed over the agents
+	Refused   map[string]int `json:"refused,omitempty"` // number of refused requests, by reason
+	Failed    map[string]int `json:"failed,omitempty"`  // number of failed requests, by reason
+	Cuts      int            `json:"cuts"`              // cuts of the agents' limits on attempts in flight
+	ListFails int            `json:"list_fails"`        // failed calls to discovery, from the logs
 
-	states map[string]*agentStates
+	states map[string]*agentStates // the states that the sums and means are made of, by agent
 }
 
+// agentStates holds the number of one agent's state notes in one window (n) and the running means of their values.
+// ejections is the mean number of backends that the agent had ejected, minTokens the minimum of its retry tokens.
 type agentStates struct {
 	n                                                                                       float64
 	inFlight, part, stuck, held, used, capacity, delay, aimed, tokens, ejections, minTokens float64
@@ -68,13 +70,14 @@
 	States      int     `json:"states"`  // state notes of all agents
 	Out         float64 `json:"out"`     // mean number of attempts in flight there, per state note
 	Ejected     float64 `json:"ejected"` // share of the states in which the agent had ejected the backend
-	Down        float64 `json:"down"`    // share of the states in which the agent took the backend for gone
-	Cold        float64 `json:"cold"`    // share of the states in which the agent took the backend for cold
-	Slow        float64 `json:"slow"`    // mean over the states that have a value
-	slowSamples int
+	Down        float64 `json:"down"`    // share of the states in which the backend's process looked gone to the agent
+	Cold        float64 `json:"cold"`    // share of the states in which the agent counted the backend with less than its full capacity
+	Slow        float64 `json:"slow"`    // latency over the mean of all backends, averaged over the states that have a value
+	slowSamples int     // number of states that have a value of Slow
 }
 
 const (
+	// Bounds of a summary: notes of further agents and states of further backends are counted as omitted.
 	maxAgents   = 10000
 	maxBackends = 4096
 	retryTokens = 5 // tokens that a retry takes
@@ -229,10 +232,10 @@
 
 // FleetReport is the summary of a fleet's notes.
 type FleetReport struct {
-	WindowS    float64         `json:"window_s"`
-	Agents     int             `json:"agents"`
-	Omitted    int             `json:"left_out"`
-	OtherLines int             `json:"other_lines"`
+	WindowS    float64         `json:"window_s"`    // length of a window in seconds
+	Agents     int             `json:"agents"`      // number of agents with state notes
+	Omitted    int             `json:"left_out"`    // notes beyond a bound on agents, backends or windows
+	OtherLines int             `json:"other_lines"` // lines that are neither a note nor a log line about discovery
 	Windows    []*FleetWindow  `json:"windows"`
 	Backends   []*FleetBackend `json:"backends"` // sorted by the share of states in which agents avoided them, largest first
 }
@@ -254,6 +257,7 @@
 	return rep
 }
 
+// sumStates computes the window's sums and means from the states of its agents.
 func (w *FleetWindow) sumStates() {
 	w.Agents = len(w.states)
 	for _, name := range slices.Sorted(maps.Keys(w.states)) {
--- a/internal/explain/fleet_test.go
+++ b/internal/explain/fleet_test.go
@@ -22,7 +22,7 @@
 		agent, at, inFlight, up, up, tokens, backends)
 }
 
-// Sums count each agent with the mean of its states, and do not depend on the order of the files.
+// A fleet's sums count each agent once, with the mean of its states in the window, and don't depend on the order of the files.
 func TestFleetAddsUp(t *testing.T) {
 	bad := `{"id":"b0","out":1,"ejected_ms":5,"down":true,"warmth":1,"slow":2},{"id":"b1","out":0,"warmth":0.5,"slow":0}`
 	good := `{"id":"b0","out":0,"warmth":1,"slow":1},{"id":"b1","out":2,"warmth":1,"slow":0}`
--- a/internal/explain/report.go
+++ b/internal/explain/report.go
@@ -16,21 +16,21 @@
 // Window summarizes the notes of one agent over a span of time: counts of refused and failed requests and of
 // cuts of the limit, and means of the states.
 type Window struct {
-	T        float64        `json:"t"` // s since the first note
-	Refused  map[string]int `json:"refused,omitempty"`
-	Failed   map[string]int `json:"failed,omitempty"`
-	Cuts     int            `json:"cuts"`   // cuts of the limit on attempts in flight
-	States   int            `json:"states"` // number of state notes behind the means
-	Part     float64        `json:"part"`   // this agent's part of the limit on attempts in flight
-	InFlight float64        `json:"in_flight"`
-	Stuck    float64        `json:"stuck"`    // attempts in flight at backends out of use, or overdue
-	Held     float64        `json:"held"`     // requests that wait for room
-	Up       float64        `json:"up"`       // backends up by the list
-	Used     float64        `json:"used"`     // backends in use
-	Capacity float64        `json:"capacity"` // backends in use, each counted by its warmth
-	Delay    float64        `json:"delay"`    // latency over aim
-	Aimed    float64        `json:"aimed"`    // target for Delay
-	Tokens   float64        `json:"tokens"`   // tokens in the retry bucket
+	T        float64        `json:"t"`                 // s since the first note
+	Refused  map[string]int `json:"refused,omitempty"` // number of refused requests, by reason
+	Failed   map[string]int `json:"failed,omitempty"`  // number of failed requests, by reason
+	Cuts     int            `json:"cuts"`              // cuts of the limit on attempts in flight
+	States   int            `json:"states"`            // number of state notes behind the means
+	Part     float64        `json:"part"`              // this agent's part of the limit on attempts in flight
+	InFlight float64        `json:"in_flight"`         // attempts in flight, stuck ones included
+	Stuck    float64        `json:"stuck"`             // attempts in flight at backends out of use, or overdue
+	Held     float64        `json:"held"`              // requests that wait for room
+	Up       float64        `json:"up"`                // backends up by the list
+	Used     float64        `json:"used"`              // backends in use: up, and neither ejected nor down
+	Capacity float64        `json:"capacity"`          // backends in use, each counted by its warmth
+	Delay    float64        `json:"delay"`             // mean of latency over aim
+	Aimed    float64        `json:"aimed"`             // target for Delay
+	Tokens   float64        `json:"tokens"`            // tokens in the retry bucket
 }
 
 // Group summarizes the requests of one class that were refused or failed for one reason.
@@ -38,10 +38,10 @@
 	Kind            string  `json:"kind"` // refused, failed
 	Reason          string  `json:"why"`
 	Class           string  `json:"class"`
-	Repeat          bool    `json:"repeat"`
+	Repeat          bool    `json:"repeat"` // whether these requests are clients' repeats
 	Count           int     `json:"count"`
-	Waited          float64 `json:"waited_p50_ms"`
-	Left            float64 `json:"left_p50_ms"`
+	Waited          float64 `json:"waited_p50_ms"`     // median time from the request's arrival until it was refused or failed
+	Left            float64 `json:"left_p50_ms"`       // median time that was left then until the client stops waiting
 	WithIdleBackend int     `json:"with_idle_backend"` // requests refused or failed while a backend in use had none of this agent's attempts
 }
 
--- a/internal/front/diameter/bench_test.go
+++ b/internal/front/diameter/bench_test.go
@@ -10,7 +10,7 @@
 
 // pipelined sends b.N requests, of which up to eight are pending at a time.
 func pipelined(b *testing.B, c *standin.DiameterConn, ask func() *diameter.Message) {
-	const out = 8
+	const out = 8 // maximum number of pending requests
 	b.ReportAllocs()
 	b.ResetTimer()
 	sent := 0
@@ -28,7 +28,7 @@
 	}
 }
 
-// The same client and server, connected directly and through the relay, in one run.
+// The time per request of the same client and server, connected directly and through the relay.
 func BenchmarkRequests(b *testing.B) {
 	b.Run("direct", func(b *testing.B) {
 		node, err := standin.NewDiameterNode("s0.example.net", answerSuccess)
--- a/internal/front/diameter/front.go
+++ b/internal/front/diameter/front.go
@@ -32,14 +32,14 @@
 // Config holds the parameters of a Front.
 type Config struct {
 	Rules             *relay.Rules
-	Identity          string
-	Realm             string
-	ClassOffset       int // index of the rules' first class among the decision module's classes
-	Limits            relay.Limits
-	Overload          overload.Config // for clients that accept overload reports
-	Peer              diameter.PeerConfig
+	Identity          string                                          // the relay's Diameter identity, for Origin-Host
+	Realm             string                                          // the relay's realm, for Origin-Realm
+	ClassOffset       int                                             // index of the rules' first class among the decision module's classes
+	Limits            relay.Limits                                    // of the pending requests and the kept answers
+	Overload          overload.Config                                 // for clients that accept overload reports
+	Peer              diameter.PeerConfig                             // timing of the clients' connections
 	BackendByIdentity func(identity string) (backend string, ok bool) // returns the backend whose server has this Diameter identity
-	Connections       int                                             // maximum number; further ones are closed at once
+	Connections       int                                             // maximum number of client connections; further ones are closed at once
 	CERTimeout        time.Duration                                   // time limit for a client's CER
 	Log               *slog.Logger
 }
@@ -57,13 +57,13 @@
 	wait      sync.WaitGroup
 
 	mu       sync.Mutex
-	reporter *overload.Reporter
-	table    *relay.Table
-	conns    map[uint64]*conn
-	lastConn uint64
-	calls    uint64 // number of requests passed to the core
-	stopping bool   // a planned stop has begun: a DPR was sent to the clients, pending requests are still answered
-	closed   bool
+	reporter *overload.Reporter // counts answers and refusals of all clients
+	table    *relay.Table       // pending and recently answered requests
+	conns    map[uint64]*conn   // open connections, by number
+	lastConn uint64             // number of the last connection
+	calls    uint64             // number of requests passed to the core
+	stopping bool               // a planned stop has begun: a DPR was sent to the clients, pending requests are still answered
+	closed   bool               // no connections or requests are accepted any longer
 }
 
 // New returns a front that passes requests to loop.
@@ -75,21 +75,22 @@
 	return &Front{cfg: cfg, loop: loop, startedAt: time.Now(), reporter: load, table: relay.NewTable(cfg.Limits), conns: map[uint64]*conn{}}, nil
 }
 
+// now returns the time since the start; it is never 0, which the state machines take for unset.
 func (f *Front) now() time.Duration { return time.Since(f.startedAt) + time.Millisecond }
 
 // conn is a connection of a client.
 type conn struct {
 	net.Conn
 	f      *Front
-	id     uint64
-	writes chan []byte
-	ended  chan struct{}
+	id     uint64        // number of the connection, as in relay.Waiter
+	writes chan []byte   // encoded messages for the client
+	ended  chan struct{} // closed when the reader has ended
 
 	mu          sync.Mutex
-	peer        *diameter.Peer
-	name        string // the client's identity; empty until its CER was accepted
-	timer       *time.Timer
-	lastID      uint32 // identifier of the last request of the base protocol
+	peer        *diameter.Peer // state machine of the client's connection
+	name        string         // the client's identity; empty until its CER was accepted
+	timer       *time.Timer    // for the state machine's next Tick
+	lastID      uint32         // identifier of the last request of the base protocol
 	closed      bool
 	dpaReceived bool // the client has answered the DPR of a planned stop, or its connection is to be closed
 }
@@ -184,6 +185,7 @@
 	return f.stopping && f.table.Pending() > 0
 }
 
+// accept starts the goroutines of a new connection, or closes it beyond the bound.
 func (f *Front) accept(nc net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -211,6 +213,7 @@
 	}
 }
 
+// write writes queued messages until the reader has ended and the queue is empty.
 func (c *conn) write() {
 	for {
 		select {
@@ -238,6 +241,7 @@
 	}
 }
 
+// read handles messages until the connection ends or a message makes it end.
 func (c *conn) read() {
 	defer c.handleClosed()
 	limits := diameter.DefaultLimits()
@@ -281,7 +285,8 @@
 	close(c.ended)
 }
 
-// answer sends an error answer, or the relay's own answer, to a request that is not relayed.
+// answer sends the relay's own answer to a request that isn't relayed: an error, or success for requests of
+// the base protocol.
 func (c *conn) answer(m *diameter.Message, e *diameter.Error) {
 	a := c.f.cfg.Rules.LocalAnswer(m, e.Result, e.Text)
 	if e.Failed != nil {
--- a/internal/front/diameter/front_test.go
+++ b/internal/front/diameter/front_test.go
@@ -29,16 +29,17 @@
 // relaySite is a relay with scripted servers that test clients connect to.
 type relaySite struct {
 	t         testing.TB
-	addr      string
+	addr      string // of the front
 	loop      *core.Loop
-	nodes     []*standin.DiameterNode
-	list      func(state ...balance.BackendState)
-	ids       atomic.Uint32
-	stopFront context.CancelFunc // begins a planned stop of the front
-	stopped   chan struct{}      // closed when the front has stopped
-	stopLimit time.Duration      // maximum duration of the planned stop
+	nodes     []*standin.DiameterNode             // the servers
+	list      func(state ...balance.BackendState) // gives the balancer a list of all servers; state i is that of server i, default Up
+	ids       atomic.Uint32                       // last number used by newRequest
+	stopFront context.CancelFunc                  // begins a planned stop of the front
+	stopped   chan struct{}                       // closed when the front has stopped
+	stopLimit time.Duration                       // maximum duration of the planned stop
 }
 
+// newSite starts a relay with one server for each script; window is the bound of pending requests per server.
 func newSite(t testing.TB, window int, scripts ...func(c *standin.DiameterConn, m *diameter.Message)) *relaySite {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -117,6 +118,7 @@
 	return site
 }
 
+// client returns a connection that has exchanged capabilities with the relay.
 func (s *relaySite) client() *standin.DiameterConn {
 	s.t.Helper()
 	c, err := standin.DialDiameter(s.addr, "client1.example.net", diameter.AppCreditControl)
@@ -130,6 +132,7 @@
 	return c
 }
 
+// code returns the Result-Code of an answer; 0: none, or the connection has ended.
 func code(m *diameter.Message) uint32 {
 	if m == nil {
 		return 0
@@ -152,6 +155,7 @@
 	return m
 }
 
+// answerSuccess is a script of a server that answers each request with success.
 func answerSuccess(c *standin.DiameterConn, m *diameter.Message) { c.Answer(m, diameter.Success) }
 
 // A client gets the server's answer with its own identifiers; the forwarded request has Route-Record.
--- a/internal/front/diameter/ledger_test.go
+++ b/internal/front/diameter/ledger_test.go
@@ -17,7 +17,7 @@
 // Session-Id.
 type effectLog struct {
 	mu  sync.Mutex
-	ran map[string]bool
+	ran map[string]bool // by Session-Id: the request was run
 }
 
 // first reports whether a keyed request is the first one with its Session-Id, and records it.
@@ -41,6 +41,7 @@
 	late         // answers after 1.5 s, which is past the deadline of a balance check
 )
 
+// sessionID returns a request's Session-Id; empty: it has none.
 func sessionID(m *diameter.Message) string {
 	if a := diameter.Find(m.AVPs, diameter.CodeSessionID, 0); a != nil {
 		return string(a.Data)
@@ -59,8 +60,9 @@
 	return "charge"
 }
 
-// recordingScript returns a server script that records each attempt and its outcome in the ledger; decide
-// picks a fault by the number of requests that the server has received.
+// recordingScript returns a script of the server node that records each attempt and its outcome in the
+// ledger. decide picks the fault by the number of requests that the server has received and the request's
+// class; after counts the late answers that are still to be sent.
 func recordingScript(l *ledger.Ledger, done *effectLog, node string, after *sync.WaitGroup, decide func(n int64, kind string) fault) func(*standin.DiameterConn, *diameter.Message) {
 	var n atomic.Int64
 	return func(c *standin.DiameterConn, m *diameter.Message) {
@@ -96,10 +98,10 @@
 	}
 }
 
-// The balancer's four rules over Diameter, checked by an independent ledger: servers close connections
+// The balancer's four rules over Diameter, checked by an independent ledger: each request gets one final
+// answer, no effect takes place twice, and a draining server gets no new requests. Servers close connections
 // without answers, refuse, fail, stay silent, answer too late and drain; clients resend requests that are
-// pending or answered. Each request gets one final answer, no effect takes place twice, and the draining
-// server gets no new requests.
+// pending or answered.
 func TestGuaranteesOverDiameter(t *testing.T) {
 	l := ledger.New(ledger.Rules{Classes: map[string]ledger.Class{"balance-check": {Effect: ledger.Safe}, "other": {Effect: ledger.Unsafe},
 		"charge": {Effect: ledger.Keyed, Group: ledger.Zone, Window: 30 * time.Second}},
--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -27,20 +27,20 @@
 
 // Limits on what a client may use.
 const (
-	HeadTimeout        = 2600 * time.Millisecond // for a request's head; the protocol allows 3 s for an unfinished one
-	IdleTimeout        = 2200 * time.Millisecond // for an idle connection; the protocol grants it 2 s
+	HeadTimeout        = 2600 * time.Millisecond // for a client to send a request's head; the protocol allows 3 s for an unfinished one
+	IdleTimeout        = 2200 * time.Millisecond // after which an idle connection is closed; the protocol grants it 2 s
 	answerWriteTimeout = 2 * time.Second         // for writing an answer to a client that does not read
-	maxTimeLeft        = time.Hour               // a longer time left is taken for a client's error
-	maxHeadBytes       = 16 << 10
-	MaxBodyBytes       = 33 << 20 // bytes of a request's body; clients send up to 32 MB
-	maxIDBytes         = 256      // bytes of a request id
-
-	firstPartBytes  = 64 << 10        // of a body, read before the core gets the request
-	bodyMemoryShare = 32              // one body may occupy Memory divided by this; longer ones are streamed
-	maxHeldBody     = 4 << 20         // bytes of one body held in memory at the most
-	minUploadRate   = 48 << 10        // bytes per second at which a body must arrive: clients send 64 kB/s
-	uploadGrace     = 2 * time.Second // added to the time that minUploadRate allows
-	maxUploadTime   = 10 * time.Minute
+	maxTimeLeft        = time.Hour               // a request that says that its client waits longer than this is rejected as invalid
+	maxHeadBytes       = 16 << 10                // bytes of a request's head
+	MaxBodyBytes       = 33 << 20                // bytes of a request's body; clients send up to 32 MB
+	maxIDBytes         = 256                     // bytes of a request id
+
+	firstPartBytes  = 64 << 10         // bytes of a body that are read before the core gets the request
+	bodyMemoryShare = 32               // divisor of Server.Memory: one body may occupy that share; longer ones are streamed
+	maxHeldBody     = 4 << 20          // bytes of one body that are held in memory at the most; longer ones are streamed
+	minUploadRate   = 48 << 10         // bytes per second at which a body must arrive: clients send 64 kB/s
+	uploadGrace     = 2 * time.Second  // added to the time that a body may take at minUploadRate
+	maxUploadTime   = 10 * time.Minute // limit on the time for the rest of a streamed body, whatever its length
 )
 
 // singleValued are the headers that decide how a request is handled: two values would contradict each other.
@@ -55,8 +55,8 @@
 	Settings *balance.Settings // settings at the start; SetMaxRetryAfter replaces MaxRetryAfter
 	Names    wire.Names        // names of the classes and tenants that Settings knows by index
 	Memory   int64             // bytes of memory that the process may use; 0: unknown
-	Ready    atomic.Bool       // the state that /up reports
-	Figures  *metrics.Metrics
+	Ready    atomic.Bool       // whether /up answers with 200; false: with 503
+	Figures  *metrics.Metrics  // counts requests in hand and answers
 
 	maxRetryAfter atomic.Int64 // set by SetMaxRetryAfter, in nanoseconds plus 1; 0: Settings.MaxRetryAfter applies
 }
@@ -151,7 +151,7 @@
 	reject(conn, w, http.StatusBadGateway, errors.New("the client has gone away"))
 }
 
-// results maps the kind of an answer to the result that metrics count.
+// results maps the kind of an answer to the result under which metrics count the answer.
 var results = map[core.Kind]metrics.Result{core.Served: metrics.OK, core.Refused: metrics.Shed,
 	core.Failed: metrics.Errors, core.Duplicate: metrics.Errors}
 
@@ -199,7 +199,7 @@
 	if !bytes.HasPrefix(head, line) {
 		return false // the captured bytes are not the head of this request, as parts that arrived early were not captured
 	}
-	end := len(head)
+	end := len(head) // where the empty line after the head begins; without one, len(head)
 	for _, empty := range []string{"\r\n\r\n", "\n\n", "\n\r\n"} {
 		if i := bytes.Index(head, []byte(empty)); i >= 0 {
 			end = min(end, i)
@@ -312,12 +312,12 @@
 	return min(bodyTime(length-int64(read)), maxUploadTime)
 }
 
-// bodyTime returns how long that many bytes of a body may take to arrive.
+// bodyTime returns how long that many bytes of a body may take to arrive, in all, at minUploadRate.
 func bodyTime(bytes int64) time.Duration {
 	return uploadGrace + time.Duration(float64(bytes)/minUploadRate*float64(time.Second))
 }
 
-// heldBodyLimit returns how many bytes of one body are held in memory.
+// heldBodyLimit returns how many bytes of one body may be held in memory; a longer body is streamed to the backend.
 func (s *Server) heldBodyLimit() int64 {
 	if s.Memory == 0 {
 		return maxHeldBody
@@ -417,7 +417,8 @@
 	return time.Duration(v * float64(unit)), nil
 }
 
-// parseTimeLeft parses a number with a unit: m for milliseconds or u for microseconds.
+// parseTimeLeft parses how long a client still waits for its answer: a number with a unit, m for milliseconds or u for
+// microseconds.
 func parseTimeLeft(text string) (d time.Duration, err error) {
 	if number, ok := strings.CutSuffix(text, "m"); ok {
 		d, err = parseDecimal(number, time.Millisecond)
@@ -432,11 +433,11 @@
 	return d, nil
 }
 
-// formatSeconds formats a duration for the Retry-After header.
+// formatSeconds formats a duration in seconds with three decimals, for the Retry-After header.
 func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// RetryAfter returns the Retry-After for requests that the front end refuses itself; 0 if the settings disable
-// the header.
+// RetryAfter returns the time after which a client that the front end itself refuses is asked to try again; 0: the
+// settings disable the Retry-After header.
 func (s *Server) RetryAfter() time.Duration {
 	if !s.Settings.RetryAfter {
 		return 0
@@ -447,8 +448,8 @@
 	return s.Settings.MaxRetryAfter
 }
 
-// SetMaxRetryAfter replaces the longest Retry-After. It is safe for concurrent use. The other settings that the server
-// reads can't change while it runs.
+// SetMaxRetryAfter replaces Settings.MaxRetryAfter while the server runs. It is safe for concurrent use. The other settings
+// that the server reads can't change while it runs.
 func (s *Server) SetMaxRetryAfter(longest time.Duration) { s.maxRetryAfter.Store(int64(longest) + 1) }
 
 // failureStatuses maps the kind of an answer that was not served to its HTTP status.
@@ -489,7 +490,7 @@
 
 const partWriteTimeout = 10 * time.Second // for a client to receive one part; clients may pause for seconds
 
-// streamAnswer forwards a long answer as it arrives.
+// streamAnswer forwards a long answer to the client as it arrives from the backend.
 func streamAnswer(conn *admission.Conn, w http.ResponseWriter, a *http1.Answer) error {
 	controller := http.NewResponseController(w)
 	part := a.Body
--- a/internal/http1/chunks.go
+++ b/internal/http1/chunks.go
@@ -21,7 +21,7 @@
 
 const (
 	maxChunkLine    = 4 << 10 // bytes of a chunk-size line with its extensions, or of a trailer line
-	maxTrailerLines = 64
+	maxTrailerLines = 64      // lines of the trailer
 )
 
 var errChunk = errors.New("invalid chunked encoding")
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -10,16 +10,16 @@
 	"net/url"
 )
 
-// Header names of the protocol.
+// Names of the headers of requests to the front and to the backends, and of backends' answers.
 const (
-	HeaderCorrelationID  = "X-Correlation-Id"
-	HeaderTenant         = "X-Account"
-	HeaderTimeLeft       = "X-Time-Left"
-	HeaderRepeat         = "X-Repeat"
-	HeaderWeightHint     = "X-Weight-Hint"
-	HeaderIdempotencyKey = "Idempotency-Key"
-	HeaderLoad           = "X-Backend-Load"
-	HeaderNotProcessed   = "X-Unprocessed"
+	HeaderCorrelationID  = "X-Correlation-Id" // id of the request
+	HeaderTenant         = "X-Account"        // name of the request's tenant
+	HeaderTimeLeft       = "X-Time-Left"      // how long the client waits for the answer
+	HeaderRepeat         = "X-Repeat"         // the client marks the request as a repeat
+	HeaderWeightHint     = "X-Weight-Hint"    // expected work of the request
+	HeaderIdempotencyKey = "Idempotency-Key"  // key by which backends recognise repeats
+	HeaderLoad           = "X-Backend-Load"   // of an answer: the backend's load report
+	HeaderNotProcessed   = "X-Unprocessed"    // of an answer: 1: the backend rejected the request without processing it
 )
 
 // Answer is a backend's answer. A long one has two parts: Body is the data that has arrived, More reads the
--- a/internal/http1/stream.go
+++ b/internal/http1/stream.go
@@ -8,7 +8,7 @@
 )
 
 // Stream is the part of a request's body that is not buffered. It can be read once, by one attempt. The front
-// that reads the body from its client creates it, and calls Whole before it answers.
+// that reads the body from its client creates it, and calls Finish before it answers the client.
 type Stream struct {
 	Length   int64         // of the whole body; -1: unknown
 	TimeLeft time.Duration // how long the client waits, counted from the body's last byte
@@ -26,9 +26,9 @@
 type streamState uint8
 
 const (
-	streamUnread streamState = iota
-	streamReading
-	streamDone
+	streamUnread  streamState = iota // no attempt has begun to read
+	streamReading                    // an attempt reads
+	streamDone                       // the attempt has stopped reading, or Finish was called
 )
 
 // Errors of a body that can't be read to its end.
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -18,34 +18,34 @@
 	"time"
 )
 
-// Effect says whether a request may be repeated.
+// Effect says whether a request may be executed more than once.
 type Effect string
 
 const (
-	Safe   Effect = "safe"
-	Keyed  Effect = "keyed"
-	Unsafe Effect = "unsafe"
+	Safe   Effect = "safe"   // may be repeated anywhere
+	Keyed  Effect = "keyed"  // carries an idempotency key, by which the nodes of a Group drop repeats
+	Unsafe Effect = "unsafe" // must not be executed twice
 )
 
 // Group says which nodes drop repeats of a keyed request: all, those of one zone or those of one cell.
 type Group string
 
 const (
-	All  Group = "all"
-	Zone Group = "zone"
-	Cell Group = "cell"
+	All  Group = "all"  // all nodes
+	Zone Group = "zone" // the nodes of one zone
+	Cell Group = "cell" // the nodes of one cell
 )
 
 // Class holds the properties of a class of requests that the rules depend on.
 type Class struct {
 	Effect Effect
-	Group  Group
-	Window time.Duration
+	Group  Group         // of class Keyed: which nodes drop repeats
+	Window time.Duration // of class Keyed: time for which they do
 }
 
 // Rules holds the parameters that the four rules are checked against.
 type Rules struct {
-	Classes map[string]Class
+	Classes map[string]Class // by name of the class
 
 	AnswerGrace  time.Duration // time after a request's deadline within which an answer still counts
 	DrainGrace   time.Duration // time for which an agent may still send to a node after discovery reported to it that the node drains
@@ -62,10 +62,10 @@
 type Rule string
 
 const (
-	RuleNoRequestLost    Rule = "no request lost"
-	RuleNoRepeatedEffect Rule = "no effect twice"
-	RuleDrainsKept       Rule = "drains kept"
-	RuleNoColdOverload   Rule = "no cold node pushed over"
+	RuleNoRequestLost    Rule = "no request lost"          // each request gets exactly one answer in time, made for it, and isn't sent to a node after that
+	RuleNoRepeatedEffect Rule = "no effect twice"          // no request takes effect more often than its class allows
+	RuleDrainsKept       Rule = "drains kept"              // no node gets requests from an agent that has known it to be draining or gone for longer than DrainGrace
+	RuleNoColdOverload   Rule = "no cold node pushed over" // agents that know of a node's cold start don't make it fail by too much work
 )
 
 // Breach is one violation of a rule, with its evidence.
@@ -114,33 +114,36 @@
 	AnswerBody []byte // body of the answer that the node wrote; nil if it wrote none
 }
 
+// attempt is an attempt and, once it has ended, its outcome.
 type attempt struct {
 	Attempt
 	Outcome
-	ended bool
+	ended bool // Outcome is valid
 }
 
+// request is what the ledger knows of one request.
 type request struct {
 	class       string
 	agent       string
-	sent        time.Time
-	timeLeft    time.Duration
-	answers     []Answer
-	answered    time.Time // time of the first answer
-	abandoned   bool      // the client closed before it had an answer
+	sent        time.Time     // when the client wrote its last byte; zero: no client has been recorded yet
+	timeLeft    time.Duration // time from sent until the client stops waiting
+	answers     []Answer      // all final answers that the client received; a correct one has at most one
+	answered    time.Time     // time of the first answer
+	abandoned   bool          // the client closed before it had an answer
 	abandonedAt time.Time
 	attempts    []*attempt
 }
 
-// nodeStart is the latest start of a node that discovery reported to an agent, and the time of that report.
+// nodeStart is the latest start of a node that one agent knows of (started), and when discovery reported it to the agent (at).
 type nodeStart struct{ started, at time.Time }
 
-// stateReport is a state of a node that discovery reported to an agent, and the time of that report.
+// stateReport is a state of a node that discovery reported to one agent, and when.
 type stateReport struct {
 	state string
 	at    time.Time
 }
 
+// coldNode is a node whose process started cold, and the work that it received since.
 type coldNode struct {
 	started    time.Time // zero: long ago, so the node is warm
 	rate       float64   // capacity when warm, in seconds of work per second
@@ -148,6 +151,7 @@
 	failed     bool      // failed under too much work
 }
 
+// work is one piece of work that an agent sent to a node.
 type work struct {
 	at    time.Time
 	agent string
@@ -164,21 +168,22 @@
 	rules Rules
 
 	mu           sync.Mutex
-	requests     map[string]*request
-	deadlines    []deadline                  // when each request ends at the latest; settle checks and forgets it Rules.Settle later
-	stateReports map[[2]string][]stateReport // by agent and node
-	nodes        map[string]*coldNode
-	knownStarts  map[[2]string]nodeStart // by agent and node
+	requests     map[string]*request         // requests that have not been checked yet, by id
+	deadlines    []deadline                  // when each request ends at the latest, in the order in which the requests were recorded
+	stateReports map[[2]string][]stateReport // reported states in order of time, by agent and node
+	nodes        map[string]*coldNode        // nodes that started cold, by id
+	knownStarts  map[[2]string]nodeStart     // latest start that an agent knows of, by agent and node
 
 	verdict Verdict
 }
 
+// deadline is the time at which a request ends at the latest.
 type deadline struct {
 	id string
 	at time.Time
 }
 
-// Verdict is the result of a run.
+// Verdict is the result of a run: numbers of requests, by how they ended for the client, and broken rules.
 type Verdict struct {
 	Requests int64          `json:"requests"`
 	Served   int64          `json:"served"`
@@ -187,7 +192,7 @@
 	Gone     int64          `json:"gone"`     // the client closed before it had an answer
 	Attempts int64          `json:"attempts"` // received by nodes
 	Effects  int64          `json:"effects"`  // effects that took place, with repeats
-	Broken   map[Rule]int64 `json:"broken"`
+	Broken   map[Rule]int64 `json:"broken"`   // number of breaches, by rule
 	Breaches []Breach       `json:"breaches"` // the first maxBreaches
 }
 
@@ -211,7 +216,7 @@
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-// New returns an empty ledger.
+// New returns a ledger without requests, which checks against the given rules.
 func New(rules Rules) *Ledger {
 	if rules.Settle == 0 {
 		rules.Settle = 10 * time.Second
@@ -272,7 +277,7 @@
 }
 
 // AttemptStarted records that a node received an attempt. The caller must call the returned function once, with the
-// attempt's outcome.
+// attempt's outcome, when the node has finished with it.
 func (l *Ledger) AttemptStarted(a Attempt) (ended func(Outcome)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -309,7 +314,7 @@
 	if n := len(list); n > 0 && list[n-1].state == state {
 		return
 	}
-	// Reports that are older than any attempt still to come no longer matter.
+	// Keep the latest 8 reports: no attempt is recorded so late that an earlier one was the latest at its first byte.
 	if len(list) >= 16 {
 		list = append(list[:0], list[len(list)-8:]...)
 	}
@@ -328,7 +333,7 @@
 	if last == nil || last.state == "ready" {
 		return
 	}
-	// After "draining" discovery may have reported "gone" to the agent as well: the grace runs from the first report.
+	// The node may have been reported as draining first and then as gone: the grace counts from the first of these reports.
 	since := last.at
 	for i := len(list) - 1; i >= 0; i-- {
 		if list[i].at.After(x.FirstByte) {
@@ -345,16 +350,16 @@
 	}
 }
 
-// NodeStarted records that a node's process started cold, and its capacity when warm, in seconds of work (on all
-// cores together) per second.
+// NodeStarted records that a node's process started cold. rate is the node's capacity when warm: seconds of work per second,
+// on all cores together.
 func (l *Ledger) NodeStarted(name string, at time.Time, rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.nodes[name] = &coldNode{started: at, rate: rate}
 }
 
-// WorkSent records work that was sent to a node, accepted or rejected. It reports whether the node, being cold,
-// fails under it.
+// WorkSent records work that an agent sent to a node, in seconds of work, accepted or rejected. It reports whether the node,
+// being cold, fails under it.
 func (l *Ledger) WorkSent(name, agent string, at time.Time, amount float64) (falls bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -377,7 +382,7 @@
 	sum, informed := 0.0, 0.0
 	for _, w := range n.recentWork {
 		sum += w.work
-		// Lists give start times in whole milliseconds.
+		// Lists give start times in whole milliseconds, so a known start may seem up to 2 ms early.
 		if k := l.knownStarts[[2]string{w.agent, name}]; k.started.After(n.started.Add(-2*time.Millisecond)) && !k.at.After(w.at) {
 			informed += w.work
 		}
@@ -394,7 +399,7 @@
 	return true
 }
 
-// settle checks the requests that ended more than Rules.Settle before now.
+// settle checks and forgets the requests whose deadlines were more than Rules.Settle before now.
 func (l *Ledger) settle(now time.Time) {
 	n := 0
 	for n < len(l.deadlines) && now.Sub(l.deadlines[n].at) > l.rules.Settle {
@@ -428,7 +433,7 @@
 	return v
 }
 
-// judge checks one request against the rules on answers and on effects, and forgets it.
+// judge checks one request against the rules on answers and on effects, counts it and forgets it.
 func (l *Ledger) judge(id string) {
 	r := l.requests[id]
 	if r == nil {
@@ -488,7 +493,7 @@
 	l.checkNoLateAttempts(id, r, r.answered)
 }
 
-// checkNoLateAttempts checks that no attempt started after a request had ended.
+// checkNoLateAttempts checks that no attempt of a request reached a node after the request had ended for the client.
 func (l *Ledger) checkNoLateAttempts(id string, r *request, ended time.Time) {
 	for _, x := range r.attempts {
 		if x.FirstByte.After(ended.Add(l.rules.Slack)) {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -9,10 +9,12 @@
 
 var t0 = time.Unix(1784003400, 0)
 
+// at returns the time the given number of milliseconds after the beginning of a test.
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
 const ms = time.Millisecond
 
+// rules returns rules with one class of each kind of effect and group.
 func rules() Rules {
 	return Rules{Classes: map[string]Class{"read": {Effect: Safe}, "sub": {Effect: Keyed, Group: Zone, Window: 1000 * ms},
 		"any": {Effect: Keyed, Group: All, Window: 1000 * ms}, "cell": {Effect: Keyed, Group: Cell, Window: 1000 * ms}, "pay": {Effect: Unsafe}},
@@ -24,7 +26,7 @@
 
 func (p exchange) sent(class string) { p.l.RequestSent("d1", class, "n0", at(0), 1000*ms) }
 
-// attempt records an attempt from first to last (ms), with its outcome if it ended.
+// attempt records an attempt whose first and last byte reach the node at the given times (ms), with its outcome if it ended.
 func (p exchange) attempt(node, zone string, cell, first, last int, e ...Outcome) {
 	ended := p.l.AttemptStarted(Attempt{Request: "d1", Agent: "n0", Node: node, Zone: zone, Cell: cell, FirstByte: at(first), LastByte: at(last)})
 	for _, x := range e {
@@ -42,7 +44,7 @@
 	failed = Outcome{}
 )
 
-// TestRules checks each rule with an agent that breaks it and with one that stays just within it.
+// TestRules checks each rule with a sequence of events that breaks it and with one that stays just within it.
 func TestRules(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -204,8 +206,8 @@
 	}
 }
 
-// A cold node fails when it is sent too much work. That is a breach only if agents that knew of its start sent
-// the work.
+// A cold node fails when it is sent too much work. That is a breach only if agents to which discovery had reported its start
+// sent at least two thirds of the work.
 func TestColdNode(t *testing.T) {
 	// At its start the node has 0.5 of 4 s per second: more than 2 × 0.5 × 4 × 1 s = 4 s of work within 1 s
 	// makes it fail.
@@ -241,8 +243,8 @@
 	}
 }
 
-// The ledger keeps only the requests of the last Settle, whatever the length of the run, and has checked those
-// that it forgot.
+// The ledger keeps only the requests that ended within the last Settle, so that its memory doesn't grow with the run, and has
+// checked the requests that it no longer keeps.
 func TestSettles(t *testing.T) {
 	l := New(rules())
 	for i := range 20000 {
@@ -264,6 +266,7 @@
 	}
 }
 
+// A request that a client sends once more on a new connection counts as one request.
 func TestSentAgain(t *testing.T) {
 	l := New(rules())
 	p := exchange{l}
--- a/internal/load/accesslog.go
+++ b/internal/load/accesslog.go
@@ -12,14 +12,14 @@
 // logSource reads access logs line by line. It tries the formats on each line, starting with the format that
 // matched the previous line, so files may mix formats.
 type logSource struct {
-	file       string
+	file       string // name of the file, for errors and entries
 	lines      *lineReader
 	closer     io.Closer
-	formats    []*Format
+	formats    []*Format  // tried in this order on each line
 	json       *jsonLines // nil if JSON lines are not accepted
-	counts     *Counts
-	pending    []*Entry // entries already parsed from the last line, returned by the next calls
-	pendingErr error    // error that every later call of Next returns
+	counts     *Counts    // where repairs are counted
+	pending    []*Entry   // entries already parsed from the last line, returned by the next calls
+	pendingErr error      // error that every later call of Next returns
 }
 
 // NewLogSource returns a Source for an access log in any of the formats. JSON lines are accepted if names is
@@ -70,15 +70,17 @@
 	}
 }
 
+// skip returns the error for the current line.
 func (s *logSource) skip(reason, detail string) *Skip {
 	return &Skip{Reason: reason, File: s.file, Line: s.lines.lineNumber, Detail: detail}
 }
 
+// newEntry returns an entry with the place of the current line.
 func (s *logSource) newEntry() *Entry {
 	return &Entry{File: s.file, Line: s.lines.lineNumber, BodySize: -1}
 }
 
-// parseLine parses one line, which may hold two records that were run together.
+// parseLine parses one line. It returns the first entry; if two records were run together on the line, the second one goes to pending.
 func (s *logSource) parseLine(line []byte) (*Entry, error) {
 	if line[0] == '{' && s.json != nil {
 		e := s.newEntry()
@@ -131,6 +133,7 @@
 	}
 }
 
+// excerpt returns the beginning of a line, quoted, for errors.
 func excerpt(line []byte) string { return fmt.Sprintf("%.60q", line) }
 
 // JSONNames lists the member names under which each value of a JSON line may stand. They are tried in order. A
@@ -169,6 +172,7 @@
 // jsonLines parses log lines that are JSON objects.
 type jsonLines struct{ names JSONNames }
 
+// parse stores the values of a line that is a JSON object in e.
 func (j *jsonLines) parse(line []byte, e *Entry) error {
 	dec := json.NewDecoder(bytes.NewReader(line))
 	dec.UseNumber()
@@ -241,6 +245,7 @@
 	return lookupMember(inner, rest)
 }
 
+// scalarText returns a JSON scalar as text, of a list the first element. It reports false for other values.
 func scalarText(v any) (string, bool) {
 	switch v := v.(type) {
 	case string:
@@ -258,8 +263,8 @@
 }
 
 const (
-	maxFields = 64
-	maxDepth  = 3
+	maxFields = 64 // maximum number of fields of an entry
+	maxDepth  = 3  // maximum depth of nested objects that are read
 )
 
 // flatten appends an object's members to fields under lower-case names, in sorted order because Go maps have
--- a/internal/load/format.go
+++ b/internal/load/format.go
@@ -11,15 +11,15 @@
 	"unicode/utf8"
 )
 
-// Format is the compiled line format of an access log. It is not safe for concurrent use.
+// Format is the compiled line format of an access log. It is not safe for concurrent use, since it caches parsed times.
 type Format struct {
 	Name        string
-	pieces      []piece
-	jsonEscapes bool // values are escaped as JSON strings
-	times       commonTimeCache
+	pieces      []piece         // the line from left to right
+	jsonEscapes bool            // values are escaped as JSON strings
+	times       commonTimeCache // cache of the last time parsed
 }
 
-// piece is a literal text, or a field that extends to the next literal.
+// piece is a part of a format: a literal text (field is fieldNone), or a field whose value extends to the next literal.
 type piece struct {
 	literal string
 	field   field
@@ -27,6 +27,7 @@
 	quoted  bool   // the value stands between double quotes and may contain escapes
 }
 
+// field is the kind of value that a piece of a format holds.
 type field uint8
 
 const (
@@ -51,13 +52,14 @@
 	fieldOther
 )
 
-// Formats known by name, as Apache LogFormat strings.
+// Formats known by name, as format strings of Apache's LogFormat.
 const (
 	Common        = `%h %l %u %t "%r" %>s %b`
 	Combined      = Common + ` "%{Referer}i" "%{User-Agent}i"`
 	VhostCombined = `%v:%p ` + Combined
 )
 
+// nginxFields maps nginx variables to the fields that they hold.
 var nginxFields = map[string]field{
 	"remote_addr": fieldClient, "realip_remote_addr": fieldClient, "request": fieldRequest, "request_method": fieldMethod,
 	"request_uri": fieldTarget, "uri": fieldPath, "document_uri": fieldPath, "args": fieldQuery, "query_string": fieldQuery,
@@ -268,6 +270,7 @@
 	return piece{field: fieldOther, name: strings.ToLower(strings.TrimSpace(string(d) + "." + arg))}, false
 }
 
+// add appends the collected literal, if any, and then p to the pieces, and empties the literal.
 func (f *Format) add(literal *string, p piece) {
 	if *literal != "" {
 		f.pieces = append(f.pieces, piece{literal: *literal})
@@ -305,7 +308,7 @@
 	return f, nil
 }
 
-// parse parses a line into e and returns the rest of the line after the end of the format.
+// parse parses a line into e. It returns the rest of the line after the end of the format, and whether the line has the format.
 func (f *Format) parse(line []byte, e *Entry) (rest []byte, ok bool) {
 	remaining := line
 	var path, query string
@@ -379,8 +382,8 @@
 	return at[:n], at[n:], true
 }
 
-// setField stores the value of a piece in e, or in path or query. It returns false if the value does not fit
-// the field.
+// setField stores the value of a piece in e, or in *path or *query, of which the target is made later. It returns false if the value
+// can't be one of the field.
 func (f *Format) setField(e *Entry, p *piece, value []byte, path, query *string) bool {
 	var err error
 	switch p.field {
--- a/internal/load/generate.go
+++ b/internal/load/generate.go
@@ -17,16 +17,16 @@
 	Seconds float64
 	Format  string  // combined (whole seconds), json (with milliseconds and keys), har
 	Share   float64 // share of point-read requests; 0 for 0.57
-	Repeats float64 // share of requests that are sent a second time
+	Repeats float64 // share of requests that are sent a second time, as by a client that retries
 	Clients int     // number of values of the last octet of client addresses; 0 for 200
 	Seed    uint64
 	Start   time.Time
 }
 
-// Generated counts the requests of a synthetic log.
+// Generated counts the requests that Generate wrote.
 type Generated struct {
-	Requests, Repeats int64
-	Classes           map[string]int64
+	Requests, Repeats int64            // requests, repeats included, and the repeats among them
+	Classes           map[string]int64 // requests by class
 }
 
 // Generate writes a synthetic log to w. The same options give the same bytes.
@@ -130,17 +130,20 @@
 	return totals, out.Flush()
 }
 
+// generatedRequest is one request of a synthetic log.
 type generatedRequest struct {
 	at                                         time.Time
 	class, method, client, key, idempotencyKey string
 	status                                     int
 }
 
+// combined writes the request as a line in Apache's combined format.
 func (g *generatedRequest) combined(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "%s - - [%s] \"%s /%s?key=%s HTTP/1.1\" %d 312 \"-\" \"advisory/4.2\"\n", g.client, g.at.Format("02/Jan/2006:15:04:05 -0700"), g.method, g.class, g.key, g.status)
 	return err
 }
 
+// json writes the request as a line of JSON.
 func (g *generatedRequest) json(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "{\"time\":%q,\"remote_addr\":%q,\"method\":%q,\"uri\":\"/%s?key=%s\",\"status\":%d", g.at.Format("2006-01-02T15:04:05.000Z07:00"), g.client, g.method, g.class, g.key, g.status)
 	if g.idempotencyKey != "" {
@@ -152,6 +155,7 @@
 	return err
 }
 
+// har writes the request as an entry of a HAR file.
 func (g *generatedRequest) har(w io.Writer) error {
 	headers := []harPair{{"X-Forwarded-For", g.client}}
 	request := map[string]any{"method": g.method, "url": "http://api.internal/" + g.class + "?key=" + g.key, "httpVersion": "HTTP/1.1", "bodySize": 0}
--- a/internal/load/har.go
+++ b/internal/load/har.go
@@ -15,13 +15,13 @@
 
 // harSource reads the entries of a HAR file (HTTP Archive 1.1 and 1.2) one at a time.
 type harSource struct {
-	file        string
+	file        string // name of the file, for errors and entries
 	closer      io.Closer
-	limit       *entryLimit
+	limit       *entryLimit // bounds the bytes that the decoder reads for one entry
 	dec         *json.Decoder
-	entryNumber int64
-	started     bool
-	done        bool
+	entryNumber int64 // number of the current entry, from 1
+	started     bool  // the decoder is inside of log.entries
+	done        bool  // the file has ended, or no further entry can be found in it
 }
 
 // entryLimit is a reader that fails after remaining bytes. It bounds the memory that one entry takes.
@@ -96,11 +96,13 @@
 	} `json:"postData"`
 }
 
+// harPair is a header or a parameter.
 type harPair struct {
 	Name  string `json:"name"`
 	Value string `json:"value"`
 }
 
+// skip returns the error for the current entry.
 func (s *harSource) skip(reason, detail string) *Skip {
 	return &Skip{Reason: reason, File: s.file, Line: s.entryNumber, Detail: detail}
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -33,6 +33,7 @@
 	return drain(t, src, counts), counts
 }
 
+// drain returns the entries of a source and counts what the source skips.
 func drain(t testing.TB, src Source, counts *Counts) (list []*Entry) {
 	t.Helper()
 	for {
@@ -50,6 +51,7 @@
 	}
 }
 
+// summary returns one line of text per entry.
 func summary(list []*Entry) string {
 	var b strings.Builder
 	for _, e := range list {
@@ -335,7 +337,7 @@
 	}
 }
 
-// For arbitrary times, Order returns every entry once, and times never decrease.
+// For random times, Order returns every entry once, in an order in which times never decrease.
 func TestOrderKeepsEveryEntryInTimeOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 200).Draw(t, "n")
--- a/internal/load/mapping.go
+++ b/internal/load/mapping.go
@@ -25,13 +25,13 @@
 	Time           time.Time     // recorded time, as corrected by Order
 	Class          string
 	Method         string
-	Target         string // path and query; begins with a slash
-	Key            string // key of the data that the request reads or changes
-	IdempotencyKey string // idempotency key; empty if none
-	Tenant         string
+	Target         string        // path and query; begins with a slash
+	Key            string        // key of the data that the request reads or changes
+	IdempotencyKey string        // idempotency key; empty if none
+	Tenant         string        // tenant (customer) on whose behalf the request is sent; empty: none
 	TimeLeft       time.Duration // how long the client waits for the answer
 	Body           []byte
-	Client         string
+	Client         string // name of the client, which decides its target
 
 	Repeat bool  // the client's repeat of an earlier request
 	Origin int64 // number of the first request of which this is a repeat, or its own number
@@ -51,21 +51,21 @@
 // that is left out matches any entry.
 type Rule struct {
 	Class               string            `toml:"class"`
-	Method              []string          `toml:"method"`      // any of these
-	Path                string            `toml:"path"`        // regular expression on the path
-	Host                string            `toml:"host"`        // regular expression on the host
-	Status              []string          `toml:"status"`      // "200", "2xx", "500-599", "0" for none
-	Field               map[string]string `toml:"field"`       // regular expressions on the values of fields, by name
-	SendMethod          string            `toml:"send_method"` // GET or POST
-	Target              string            `toml:"target"`      // template; empty: /CLASS and the key
-	Key                 string            `toml:"key"`         // template
-	IdempotencyKey      string            `toml:"idempotency_key"`
-	Tenant              string            `toml:"tenant"`
-	TimeLeftMs          float64           `toml:"time_left_ms"`
-	TimeLeft            string            `toml:"time_left"`  // template for a recorded value, such as "{header:x-time-left}"
-	Body                string            `toml:"body"`       // "recorded", "filled", "none"
-	BodyBytes           int               `toml:"body_bytes"` // size of a body that was not recorded
-	NeedsIdempotencyKey bool              `toml:"keyed"`      // a key is generated where none was recorded
+	Method              []string          `toml:"method"`          // any of these
+	Path                string            `toml:"path"`            // regular expression on the path; empty: any
+	Host                string            `toml:"host"`            // regular expression on the host; empty: any
+	Status              []string          `toml:"status"`          // "200", "2xx", "500-599", "0" for none
+	Field               map[string]string `toml:"field"`           // regular expressions on the values of fields, by name
+	SendMethod          string            `toml:"send_method"`     // GET or POST
+	Target              string            `toml:"target"`          // template; empty: /CLASS and the key
+	Key                 string            `toml:"key"`             // template
+	IdempotencyKey      string            `toml:"idempotency_key"` // template of the idempotency key
+	Tenant              string            `toml:"tenant"`          // template of the tenant
+	TimeLeftMs          float64           `toml:"time_left_ms"`    // time that the client waits for the answer
+	TimeLeft            string            `toml:"time_left"`       // template for a recorded value, such as "{header:x-time-left}"
+	Body                string            `toml:"body"`            // "recorded", "filled", "none"
+	BodyBytes           int               `toml:"body_bytes"`      // size of a body that was not recorded
+	NeedsIdempotencyKey bool              `toml:"keyed"`           // a key is generated where none was recorded
 
 	pathPattern, hostPattern *regexp.Regexp
 	fieldPatterns            map[string]*regexp.Regexp
@@ -196,6 +196,7 @@
 	return nil
 }
 
+// parseStatusRange parses a condition on the status and returns the lowest and highest status that it matches.
 func parseStatusRange(s string) ([2]int, error) {
 	if len(s) == 3 && strings.HasSuffix(s, "xx") && s[0] >= '0' && s[0] <= '9' {
 		n := int(s[0]-'0') * 100
@@ -213,7 +214,7 @@
 	return [2]int{a, b}, nil
 }
 
-// matches reports whether the rule applies to an entry with this path.
+// matches reports whether all conditions of the rule hold for an entry with this path.
 func (r *Rule) matches(e *Entry, path string) bool {
 	if len(r.Method) > 0 && !slices.ContainsFunc(r.Method, func(m string) bool { return strings.EqualFold(m, e.Method) }) {
 		return false
@@ -232,12 +233,12 @@
 	return true
 }
 
-// Mapper converts entries to requests, and counts them.
+// Mapper converts entries to requests by the rules of a mapping, and counts them.
 type Mapper struct {
 	mapping *Mapping
-	counts  *Counts
+	counts  *Counts // where repairs are counted
 
-	Unmatched         int64
+	Unmatched         int64    // number of entries that no rule matched
 	UnmatchedExamples []string // the first unmatched entries
 	RequestsByRule    []int64  // by index of the rule
 	RequestsByClass   map[string]int64
@@ -283,6 +284,7 @@
 	return nil, nil
 }
 
+// newRequest makes the request for an entry that rule r matches, or returns a *Skip if a value can't be sent.
 func (m *Mapper) newRequest(r *Rule, e *Entry, path, rawQuery string) (*Request, error) {
 	skip := func(reason, detail string) error {
 		return &Skip{Reason: reason, File: e.File, Line: e.Line, Detail: detail}
@@ -333,7 +335,7 @@
 	return q, m.setBody(r, e, q, skip)
 }
 
-// fillerBody fills in for bodies that were not recorded; all requests share it.
+// fillerBody is the text that bodies are filled up with where they were not recorded; all requests share it.
 var fillerBody = bytes.Repeat([]byte("x"), MaxBody)
 
 // setBody gives a request the recorded body, filled up to the recorded size where it is incomplete.
--- a/internal/load/open.go
+++ b/internal/load/open.go
@@ -13,7 +13,7 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Options define how files are read.
+// Options define how recorded files are read.
 type Options struct {
 	Format string     // "auto", "har", "json", "common", "combined", "vhost_combined" or "custom"; empty for auto
 	Nginx  []string   // log_format strings or directives that are tried first
@@ -134,6 +134,7 @@
 	return readCloser{buf, raw}, nil
 }
 
+// closers closes several closers in order.
 type closers []io.Closer
 
 func (c closers) Close() error {
--- a/internal/load/order.go
+++ b/internal/load/order.go
@@ -49,7 +49,7 @@
 	pendingSkip     error         // *Skip that Next returns before anything is read
 	sourceErr       error         // final error of src, io.EOF included
 	removedSilence  time.Duration // sum of what was cut from long gaps
-	lastUnshortened time.Time     // time of the last entry before gaps were cut
+	lastUnshortened time.Time     // time of the last entry, before long gaps were shortened
 }
 
 // Order returns a Source that yields the entries of src, which reads one file, in order of time.
@@ -72,6 +72,7 @@
 	seq   int64
 }
 
+// entryHeap is a heap (container/heap) of entries, the earliest first.
 type entryHeap []heapItem
 
 func (h entryHeap) Len() int { return len(h) }
@@ -127,7 +128,7 @@
 	}
 }
 
-// add adds one entry that was read from the source.
+// add sorts one entry that was read from the source into the heap, or into the entries whose place isn't known yet.
 func (o *orderedSource) add(e *Entry) {
 	if e.Time.IsZero() {
 		o.untimed = append(o.untimed, e)
@@ -153,12 +154,13 @@
 	}
 }
 
+// push adds an entry to the heap, sorted by the time at.
 func (o *orderedSource) push(e *Entry, at time.Time) {
 	o.seq++
 	heap.Push(&o.heap, heapItem{e, at, o.seq})
 }
 
-// placeUntimed spreads the entries without a time evenly between the last recorded time and now.
+// placeUntimed gives the entries without a time times evenly between the last recorded time and now, and pushes them.
 func (o *orderedSource) placeUntimed(now time.Time) {
 	if len(o.untimed) == 0 {
 		return
@@ -183,7 +185,7 @@
 	o.untimed = o.untimed[:0]
 }
 
-// flushLate places the late entries where they stood in the file: at the latest time read so far.
+// flushLate gives the entries that came late the latest time read so far, as their place in the file, and pushes them.
 func (o *orderedSource) flushLate() {
 	for _, e := range o.lateRun {
 		e.Time, e.Coarse = o.latestRead, false
@@ -193,7 +195,7 @@
 	o.lateRun = o.lateRun[:0]
 }
 
-// handleStepBack shifts the clock forward by the step that the run of late entries shows.
+// handleStepBack adds to clockShift the step by which the run of late entries shows that the clock was set back.
 func (o *orderedSource) handleStepBack() {
 	first := o.lateRun[0].Time.Add(o.clockShift)
 	o.clockShift += o.latestRead.Sub(first)
@@ -294,10 +296,11 @@
 	return &mergedSource{sources: sources, heads: make([]*Entry, len(sources)), ended: make([]bool, len(sources))}
 }
 
+// mergedSource merges sources by time.
 type mergedSource struct {
 	sources []Source
-	heads   []*Entry
-	ended   []bool
+	heads   []*Entry // next entry of each source; nil: not read yet
+	ended   []bool   // whether each source has ended
 }
 
 func (m *mergedSource) Close() error {
--- a/internal/load/parse_time.go
+++ b/internal/load/parse_time.go
@@ -64,6 +64,7 @@
 	return n, len(s) > 0
 }
 
+// isoLayouts are the accepted forms of ISO 8601 times, as layouts of package time.
 var isoLayouts = []string{time.RFC3339Nano, "2006-01-02T15:04:05.999999999Z0700", "2006-01-02 15:04:05.999999999Z07:00",
 	"2006-01-02 15:04:05.999999999 -0700", "2006-01-02T15:04:05.999999999", "2006-01-02 15:04:05.999999999"}
 
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Plan is the stream of requests, in order of time, that a mapping makes of the entries of files.
+// Plan is the stream of requests, in order of time, that a Mapping makes of the entries of recorded files.
 type Plan struct {
 	Counts  *Counts
 	Mapper  *Mapper
 	Repeats *Repeats
 
-	src   Source
-	first time.Time
+	src   Source    // entries of all files, in order of time
+	first time.Time // time of the first request
 }
 
 // NewPlan opens the files. Each file is sorted by time separately, then all are merged by time. A nil mapping
@@ -75,33 +75,33 @@
 	}
 }
 
-// Window counts the requests of one time window of a plan.
+// Window counts the requests of one time window of a recorded plan.
 type Window struct {
 	T        float64          `json:"t"` // start, in seconds since the first request
 	Requests int64            `json:"requests"`
 	Classes  map[string]int64 `json:"classes"`
 }
 
-// Inspection summarises a plan.
+// Inspection summarises the requests of a plan, without playing it.
 type Inspection struct {
 	Requests  int64            `json:"requests"` // repeats included
 	Repeats   int64            `json:"repeats"`
-	Unmatched int64            `json:"unmatched"` // entries that match no rule
-	Skipped   map[string]int64 `json:"skipped"`   // by reason
-	Repairs   map[string]int64 `json:"notes"`     // repairs, by kind
-	First     string           `json:"first"`     // RFC 3339
-	Last      string           `json:"last"`
-	SpanS     float64          `json:"span_s"`
-	RatePerS  float64          `json:"rate_per_s"`
+	Unmatched int64            `json:"unmatched"`  // entries that match no rule
+	Skipped   map[string]int64 `json:"skipped"`    // by reason
+	Repairs   map[string]int64 `json:"notes"`      // repairs, by kind
+	First     string           `json:"first"`      // time of the first request (RFC 3339)
+	Last      string           `json:"last"`       // time of the last request
+	SpanS     float64          `json:"span_s"`     // time from the first to the last request, in seconds
+	RatePerS  float64          `json:"rate_per_s"` // mean requests per second
 	Classes   map[string]int64 `json:"classes"`
-	WindowS   float64          `json:"window_s"`
+	WindowS   float64          `json:"window_s"` // length of a window, in seconds
 	Windows   []Window         `json:"windows"`
 
 	Examples          []string `json:"skipped_examples"`
 	UnmatchedExamples []string `json:"unmatched_examples"`
 }
 
-// maxWindows is the maximum number of windows of an inspection; later requests are counted in the last one.
+// maxWindows is the maximum number of windows of an Inspection; requests after the last one are counted in it.
 const maxWindows = 200_000
 
 // Inspect reads a plan to its end. progress, if not nil, is called every 65536 requests; an error from it ends
--- a/internal/load/player.go
+++ b/internal/load/player.go
@@ -39,7 +39,7 @@
 	Target        string    // address of the agent
 	Due           time.Time // when it was scheduled to be sent
 	Sent          time.Time // when its last byte was written; zero if never
-	Ended         time.Time
+	Ended         time.Time // when its outcome was known
 	Outcome       Outcome
 	Status        int           // 0 if there was no complete answer
 	Body          []byte        // body of a 200
@@ -71,14 +71,14 @@
 const DefaultMaxInFlight = 4096
 
 const (
-	maxIdleConns   = 1024 // per target
-	maxAnswerBytes = 1 << 20
+	maxIdleConns   = 1024                   // maximum number of idle connections per target
+	maxAnswerBytes = 1 << 20                // maximum size of an answer
 	answerGrace    = 500 * time.Millisecond // a client waits this long after its time has passed, to record a late answer
 )
 
-// Totals summarise a play.
+// Totals summarise a play for its Report.
 type Totals struct {
-	Played   int64
+	Played   int64 // requests of the plan that have an outcome
 	Unsent   int64 // requests not sent because MaxInFlight requests were open
 	Stopped  bool  // the caller's context ended the play
 	Started  time.Time
@@ -97,7 +97,7 @@
 	sleep := time.NewTimer(0)
 	defer sleep.Stop()
 	<-sleep.C
-	// A free worker takes the next request, so that goroutines are reused.
+	// An idle worker goroutine takes the next request, so that goroutines are reused; a new one starts only if all are busy.
 	work := make(chan *Sample)
 	workers := 0
 	var idle atomic.Int64
@@ -240,12 +240,14 @@
 	return p, nil
 }
 
+// player sends requests to the targets of its options.
 type player struct {
 	options PlayOptions
-	pools   []*connPool
-	mu      sync.Mutex // serialises calls of options.Done
+	pools   []*connPool // connections to each target
+	mu      sync.Mutex  // serialises calls of options.Done
 }
 
+// reportDone passes a request that has ended to options.Done, one at a time.
 func (p *player) reportDone(s *Sample) {
 	if p.options.Done != nil {
 		p.mu.Lock()
@@ -265,7 +267,7 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// poolFor chooses the target of a request. All requests of a client go to the same target.
+// poolFor chooses the target of a request by a hash of its client: all requests of a client go to the same target.
 func (p *player) poolFor(q *Request) *connPool {
 	if len(p.pools) == 1 {
 		return p.pools[0]
@@ -381,13 +383,14 @@
 	return false
 }
 
-// connPool keeps idle connections to one target.
+// connPool keeps idle connections to one target for reuse.
 type connPool struct {
 	addr string
 	mu   sync.Mutex
 	idle []*conn
 }
 
+// conn is a connection to a target.
 type conn struct {
 	net.Conn
 	r       *bufio.Reader
@@ -414,6 +417,7 @@
 	return &conn{Conn: nc, r: bufio.NewReader(nc)}, false, nil
 }
 
+// put keeps an idle connection for reuse, or closes it if maxIdleConns are kept already.
 func (p *connPool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -424,7 +428,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// closeIdle closes the idle connections. It is called when the server has begun to close them.
+// closeIdle closes the idle connections, once the server has closed one of them.
 func (p *connPool) closeIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/load/player_test.go
+++ b/internal/load/player_test.go
@@ -181,7 +181,8 @@
 	}
 }
 
-// Requests that are sent late show as lateness, and as errors of rate and mix.
+// Requests that are sent later than they were due show in the report's lateness, and in its errors of the rate and of the mix of
+// classes.
 func TestReportShowsRateAndMixErrors(t *testing.T) {
 	rec := NewRecorder(time.Second)
 	begun := time.Unix(1784003400, 0)
--- a/internal/load/repeats.go
+++ b/internal/load/repeats.go
@@ -16,11 +16,11 @@
 // request (class, target, body) of the same client, within a window. A repeat keeps its own time and number;
 // its origin is the first request, whose idempotency key it shares.
 type Repeats struct {
-	window, keyWindow time.Duration // windows of requests without and with an idempotency key
-	byKey             map[[sha256.Size]byte]*list.Element
-	keyText           []byte     // buffer of the text that is hashed to a key of byKey
-	unkeyed, keyed    *list.List // of *rememberedRequest, the oldest first; keyed ones are remembered for longer
-	seq               int64
+	window, keyWindow time.Duration                       // windows of requests without and with an idempotency key
+	byKey             map[[sha256.Size]byte]*list.Element // remembered requests, by a hash of what repeats have in common
+	keyText           []byte                              // buffer of the text that is hashed to a key of byKey
+	unkeyed, keyed    *list.List                          // of *rememberedRequest, the oldest first; keyed ones are remembered for longer
+	seq               int64                               // number of requests so far
 
 	Found int64 // number of repeats detected so far
 }
@@ -86,18 +86,19 @@
 	}
 }
 
-// dropBefore drops the requests whose last time is before a time, and which can no longer be repeated.
+// dropBefore forgets the requests whose last time is before a time: their window has passed.
 func (r *Repeats) dropBefore(entries *list.List, before time.Time) {
 	for oldest := entries.Front(); oldest != nil && oldest.Value.(*rememberedRequest).lastTime.Before(before); oldest = entries.Front() {
 		r.dropOldest(entries)
 	}
 }
 
+// dropOldest forgets the oldest of the entries.
 func (r *Repeats) dropOldest(entries *list.List) {
 	delete(r.byKey, entries.Remove(entries.Front()).(*rememberedRequest).key)
 }
 
-// generatedKey returns an idempotency key for a request for which none was recorded.
+// generatedKey returns an idempotency key for a request without a recorded one, made of its number, so that it is the same at each play.
 func generatedKey(seq int64) string {
 	h := fnv.New128a()
 	h.Write(strconv.AppendInt([]byte("lemonrail load "), seq, 10))
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -27,6 +27,7 @@
 	return hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 }
 
+// recordDuration records a duration in a histogram of newHistogram: at least as 1 µs, at most as the highest value.
 func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
 	h.RecordValue(min(max(1, d.Microseconds()), h.HighestTrackableValue()))
 }
@@ -42,8 +43,8 @@
 // PlayedWindow is one time window of a play: the requests that were due in it and those that were sent in it.
 type PlayedWindow struct {
 	T       float64            `json:"t"`      // start, in seconds since the start of the play
-	Source  map[string]int64   `json:"source"` // requests due in the window, by class
-	Played  map[string]int64   `json:"played"` // requests sent in the window, by class
+	Source  map[string]int64   `json:"source"` // requests that were due in the window, by class
+	Played  map[string]int64   `json:"played"` // requests that were sent in the window, by class
 	Ended   map[Outcome]int64  `json:"ended"`  // requests due in the window, by outcome
 	P99     map[string]float64 `json:"p99_ms"` // latency of the served requests, by class
 	latency map[string]*hdrhistogram.Histogram
@@ -52,11 +53,11 @@
 // Recorder collects samples into a Report. Its memory doesn't grow with their number: when the number of windows
 // reaches maxPlayedWindows, the windows are made twice as long.
 type Recorder struct {
-	windowLength   time.Duration
-	started        time.Time
+	windowLength   time.Duration // length of a window; doubled when there are maxPlayedWindows
+	started        time.Time     // start of the play
 	windows        []*PlayedWindow
 	latencyAll     *hdrhistogram.Histogram // of all classes
-	lateness       *hdrhistogram.Histogram
+	lateness       *hdrhistogram.Histogram // how long after its due time each request was sent
 	latencyByClass map[string]*hdrhistogram.Histogram
 	report         Report
 }
@@ -69,6 +70,7 @@
 		report: Report{Outcomes: map[Outcome]int64{}, Statuses: map[int]int64{}, Classes: map[string]*ClassReport{}}}
 }
 
+// windowAt returns the window of a time since the start of the play, and doubles the windows' length first if there are too many.
 func (r *Recorder) windowAt(at time.Duration) *PlayedWindow {
 	for at/r.windowLength >= maxPlayedWindows {
 		r.doubleWindows()
@@ -81,7 +83,7 @@
 	return r.windows[i]
 }
 
-// doubleWindows doubles the length of the windows by joining each pair.
+// doubleWindows doubles the length of the windows by merging them in pairs.
 func (r *Recorder) doubleWindows() {
 	r.windowLength *= 2
 	var joined []*PlayedWindow
@@ -161,19 +163,19 @@
 type Report struct {
 	Requests int64                   `json:"requests"`
 	Repeats  int64                   `json:"repeats"`
-	SpanS    float64                 `json:"span_s"`
-	RatePerS float64                 `json:"rate_per_s"`
-	Stopped  bool                    `json:"stopped"`
-	Lateness Quantiles               `json:"lateness"` // of sends, compared to the due times
-	All      Quantiles               `json:"latency"`  // of served requests of all classes, from their due times
+	SpanS    float64                 `json:"span_s"`     // duration of the play, in seconds
+	RatePerS float64                 `json:"rate_per_s"` // requests per second
+	Stopped  bool                    `json:"stopped"`    // the caller's context ended the play
+	Lateness Quantiles               `json:"lateness"`   // of sends, compared to the due times
+	All      Quantiles               `json:"latency"`    // of served requests of all classes, from their due times
 	Outcomes map[Outcome]int64       `json:"outcomes"`
-	Statuses map[int]int64           `json:"statuses"`
+	Statuses map[int]int64           `json:"statuses"` // requests by HTTP status of the answer; 0: no complete answer
 	Classes  map[string]*ClassReport `json:"classes"`
-	WindowS  float64                 `json:"window_s"`
+	WindowS  float64                 `json:"window_s"` // length of a window, in seconds
 	Windows  []*PlayedWindow         `json:"windows"`
 
-	RateError float64 `json:"rate_error"` // the largest of any window, as a share of the source's rate
-	MixError  float64 `json:"mix_error"`  // the largest of any class in any window, as a share of the window's requests
+	RateError float64 `json:"rate_error"` // largest difference between the rates of sent and due requests in a window, as a share of the due rate
+	MixError  float64 `json:"mix_error"`  // largest difference between the shares of a class in sent and due requests of a window, as a share of all
 
 	Source  *SourceReport `json:"source,omitempty"`
 	Verdict any           `json:"verdict,omitempty"` // result of the checks by the observer
@@ -226,6 +228,7 @@
 	return out
 }
 
+// sum returns the sum of the values of m.
 func sum(m map[string]int64) (n int64) {
 	for _, v := range m {
 		n += v
--- a/internal/member/export_test.go
+++ b/internal/member/export_test.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Audit compares the indexes and counts of m with a full scan of all members.
+// Audit compares the indexes, counts and queue of m, which are updated with each change, with a full scan of all
+// members, and returns an error that names the first difference.
 func (m *Member) Audit() error {
 	var want peerCounts
 	accused := map[*peer]int{}
--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -13,15 +13,16 @@
 	"lemonrail/internal/member/membersim"
 )
 
-const lanLatency = time.Millisecond
+const lanLatency = time.Millisecond // maximum transit time of a datagram, unless a test sets another
 
-// fleet is a simulated fleet of n members that know each other; member i is in zone i modulo zones.
+// fleet is a simulated fleet of n members that know each other and have started; member i is in zone i modulo zones.
 type fleet struct {
 	*membersim.Arena
 	t       testing.TB
-	changes map[int][]string // state changes, by the member that saw them
+	changes map[int][]string // key: a member; value: the state changes of others that it has seen since newFleet returned
 }
 
+// newFleet starts a fleet and checks that each member sees all others before a test goes on.
 func newFleet(t testing.TB, n, zones int, net membersim.Net, change func(*member.Config)) *fleet {
 	t.Helper()
 	if net.Latency[1] == 0 {
@@ -42,6 +43,7 @@
 	return f
 }
 
+// view returns the view of member i, which must be running.
 func (f *fleet) view(i int) member.View {
 	f.t.Helper()
 	n := f.Node(i)
@@ -51,10 +53,11 @@
 	return n.(*membersim.Member).View()
 }
 
+// state returns how member at sees member of.
 func (f *fleet) state(at, of int) member.MemberInfo { return f.view(at).Members[of] }
 
-// checkConverged runs for d and checks that all running members then have the same view and the right
-// states.
+// checkConverged runs the simulation for d and checks that all running members then have the same view, in which
+// exactly the running members are alive.
 func (f *fleet) checkConverged(d time.Duration) {
 	f.t.Helper()
 	f.checkIndexes()
@@ -94,7 +97,7 @@
 	}
 }
 
-// checkMaxChanges checks that no member, except those in exclude, saw more than n state changes.
+// checkMaxChanges checks that no member, except those in exclude, saw more than n changes of others' states.
 func (f *fleet) checkMaxChanges(n int, exclude ...int) {
 	f.t.Helper()
 	for by, m := range f.changes {
@@ -108,6 +111,7 @@
 	}
 }
 
+// checkNoFalseDeaths checks that no running member was declared dead during the whole run.
 func (f *fleet) checkNoFalseDeaths() {
 	f.t.Helper()
 	f.checkIndexes()
@@ -188,10 +192,12 @@
 	f.checkMaxChanges(2)
 }
 
+// cutBetween returns a Net.Cut that loses datagrams from the members in from to those in to.
 func cutBetween(from, to func(int) bool) func(int, int) bool {
 	return func(a, b int) bool { return from(a) && to(b) }
 }
 
+// Sets of members.
 func is(n int) func(int) bool    { return func(i int) bool { return i == n } }
 func all(int) bool               { return true }
 func zoneA(i int) bool           { return i%2 == 0 }
@@ -199,6 +205,7 @@
 func under(n int) func(int) bool { return func(i int) bool { return i < n } }
 func from(n int) func(int) bool  { return func(i int) bool { return i >= n } }
 
+// anyOf returns a Net.Cut that loses what any of the given ones loses.
 func anyOf(f ...func(int, int) bool) func(int, int) bool {
 	return func(a, b int) bool {
 		for _, cut := range f {
@@ -217,8 +224,8 @@
 		name       string
 		n          int
 		cut        func(int, int) bool
-		maxChanges int // maximum changes seen by a member
-		dead       int // member that may be declared dead, since nothing is received from it; -1: none
+		maxChanges int // maximum number of state changes that a member sees
+		dead       int // member that may be declared dead, since no other receives anything from it; -1: none
 		check      func(*testing.T, *fleet)
 	}{
 		{"3 isn't heard by 4", 7, cutBetween(is(3), is(4)), 0, -1, func(t *testing.T, f *fleet) {
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// queueUpdate queues the record of p for gossip.
+// queueUpdate queues the record of p for gossip, as if it had not been sent yet.
 func (m *Member) queueUpdate(p *peer) {
 	m.updates.remove(p)
 	p.sendCount, p.sendLimit = 0, int(math.Ceil(spreadFactor*math.Log2(float64(len(m.peers)+1))))
@@ -126,8 +126,8 @@
 	m.setRecord(m.self, next)
 }
 
-// reconcile sends p records that it may lack, by a comparison of digests. p returns newer records as a
-// correction.
+// reconcile sends p records that it may lack: those of buckets whose digest at p (theirs) differs from the one here. If
+// p holds newer records, it sends those back.
 func (m *Member) reconcile(p *peer, theirs [buckets]uint16) {
 	var differing []int
 	for b := range buckets {
@@ -174,7 +174,7 @@
 	}
 }
 
-// priority orders datagrams when Config.Rate limits sending.
+// priority decides how much of the send budget (Config.Rate) must be left for a datagram to be sent.
 type priority uint8
 
 const (
--- a/internal/member/index.go
+++ b/internal/member/index.go
@@ -19,7 +19,7 @@
 
 func byID(p *peer, id ID) int { return cmp.Compare(p.id, id) }
 
-// build fills the index with all members at once.
+// build fills an empty index with all members at once.
 func (x *index) build(all []*peer) {
 	x.order = slices.SortedFunc(slices.Values(all), func(a, b *peer) int { return cmp.Compare(a.id, b.id) })
 	for r := range x.rings {
@@ -34,6 +34,7 @@
 	}
 }
 
+// insert adds p to all orders.
 func (x *index) insert(p *peer) {
 	at, _ := slices.BinarySearchFunc(x.order, p.id, byID)
 	x.order = slices.Insert(x.order, at, p)
@@ -45,6 +46,7 @@
 	*b = slices.Insert(*b, at, p)
 }
 
+// remove removes p from all orders.
 func (x *index) remove(p *peer) {
 	same := func(o *peer) bool { return o == p }
 	x.order = slices.DeleteFunc(x.order, same)
@@ -86,7 +88,7 @@
 	}
 }
 
-// markPending makes the next evaluate examine p.
+// markPending makes the next evaluate derive the state of p again.
 func (m *Member) markPending(p *peer) {
 	if !p.pending {
 		p.pending = true
@@ -94,16 +96,17 @@
 	}
 }
 
-// updateQueue holds peers whose records are gossiped, in tiers by number of sends. A peer is in one tier at
-// most.
+// updateQueue holds the peers whose records are still gossiped, in tiers by the number of times that this agent has
+// sent the record. A peer is in one tier at most.
 type updateQueue struct {
 	tiers [][]*peer // by number of sends so far
 	n     int       // queued peers in all tiers
 }
 
-// maxTiers is the number of tiers. Peers sent maxTiers-1 times or more share the last one.
+// maxTiers is the number of tiers. Peers whose records were sent maxTiers-1 times or more share the last one.
 const maxTiers = 96
 
+// add queues p in the tier of its sendCount; p must not be queued.
 func (q *updateQueue) add(p *peer) {
 	tier := min(p.sendCount, maxTiers-1)
 	for len(q.tiers) <= tier {
@@ -114,6 +117,7 @@
 	q.n++
 }
 
+// remove takes p out of the queue, if it is queued.
 func (q *updateQueue) remove(p *peer) {
 	if !p.queued {
 		return
@@ -127,7 +131,7 @@
 	q.n--
 }
 
-// countSends adds n to the sends of p, and removes p once it has been sent often enough.
+// countSends adds n to the number of times that p's record was sent, and stops gossiping it at p.sendLimit.
 func (q *updateQueue) countSends(p *peer, n int) {
 	q.remove(p)
 	if p.sendCount += n; p.sendCount < p.sendLimit {
--- a/internal/member/link/config.go
+++ b/internal/member/link/config.go
@@ -12,15 +12,15 @@
 	"lemonrail/internal/strict"
 )
 
-// Settings are the contents of deploy/members.toml.
+// Settings are the contents of deploy/members.toml, the settings file of the membership.
 type Settings struct {
 	Fleet     string  `toml:"fleet"`     // datagrams of agents with another fleet name are dropped
-	Zone      string  `toml:"zone"`      // of this agent; empty: from the agent's settings
-	Expected  int     `toml:"expected"`  // size of the complete fleet; 0: the listed agents
-	PeriodMs  int     `toml:"period_ms"` // between two probes
+	Zone      string  `toml:"zone"`      // zone of this agent; empty: from the agent's own settings
+	Expected  int     `toml:"expected"`  // number of agents in the complete fleet; 0: the listed agents
+	PeriodMs  int     `toml:"period_ms"` // time between two probes
 	PauseMs   int     `toml:"pause_ms"`  // silence after which an agent may be declared dead
 	Rate      float64 `toml:"rate"`      // maximum datagrams sent per second
-	Folder    string  `toml:"folder"`    // stores the start counter; empty: derived from the clock only
+	Folder    string  `toml:"folder"`    // existing folder in which the start counter is stored; empty: it is derived from the clock only
 	Strangers bool    `toml:"strangers"` // agents that are not listed may join
 	Listen    string  `toml:"listen"`    // address for peer traffic if the platform gives none
 	Advertise string  `toml:"advertise"` // address announced to agents that don't list this one; empty: listen
@@ -30,9 +30,9 @@
 		Address string `toml:"address"`
 	} `toml:"member"` // the fleet if the platform gives no peer list; this agent included
 
-	listed     []Listed
-	listenAddr netip.AddrPort
-	advertised netip.AddrPort
+	listed     []Listed       // Members, checked
+	listenAddr netip.AddrPort // Listen; invalid if empty
+	advertised netip.AddrPort // Advertise, or Listen if that is empty; invalid if both are
 }
 
 // Listed is an agent in the list of the settings file.
@@ -130,6 +130,7 @@
 	return s, nil
 }
 
+// period returns PeriodMs as a duration.
 func (s *Settings) period() time.Duration { return time.Duration(s.PeriodMs) * time.Millisecond }
 
 // config returns the member settings, without the agent's identity.
@@ -151,6 +152,7 @@
 // ListenAddr returns the address to listen on if the file lists the agents; invalid: use the platform's.
 func (s *Settings) ListenAddr() netip.AddrPort { return s.listenAddr }
 
+// address parses an IPv4 address with a port; the result is invalid if text is empty.
 func address(text string) (netip.AddrPort, error) {
 	if text == "" {
 		return netip.AddrPort{}, nil
