--- a/internal/member/link/link.go
+++ b/internal/member/link/link.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	inboxSize       = 512 // maximum datagrams and calls that wait for Run
-	maxTickInterval = time.Second
-	leaveWait       = 300 * time.Millisecond // time given to leave announcements
+	inboxSize       = 512                    // maximum number of datagrams and calls that wait for Run's goroutine
+	maxTickInterval = time.Second            // maximum time between two steps of Run
+	leaveWait       = 300 * time.Millisecond // maximum time that Leave waits, so that the announcements are sent
 )
 
 // ErrEnded is returned by calls on a membership that is not running.
@@ -31,12 +31,12 @@
 type Options struct {
 	Settings *Settings
 	Name     string
-	Zone     string           // used if the settings have none
-	Self     member.ID        // NoID: derived from a hash of the name
-	Peers    []netip.AddrPort // indexed by agent number, this agent included; empty: use the settings' list
-	Seed     uint64
+	Zone     string                               // zone of this agent if the settings have none
+	Self     member.ID                            // NoID: derived from a hash of the name
+	Peers    []netip.AddrPort                     // addresses of the fleet's agents, indexed by ID, this agent included; empty: use the settings' list
+	Seed     uint64                               // of all random choices
 	Send     func(to netip.AddrPort, data []byte) // must not block; may drop the datagram
-	OnCount  func(member.Count)                   // called on changes; must not block for long
+	OnCount  func(member.Count)                   // called when the count of agents changes; must not block for long
 	Log      *slog.Logger
 }
 
@@ -48,14 +48,14 @@
 	addrs     map[member.ID]netip.AddrPort // addresses of the listed agents
 	ids       map[netip.AddrPort]member.ID // the reverse of addrs
 	startedAt time.Time
-	inbox     chan func()
-	ended     chan struct{}
+	inbox     chan func()   // functions for Run's goroutine
+	ended     chan struct{} // closed when Run returns
 
-	muted     atomic.Bool // another process of this agent takes part instead
-	dropped   atomic.Int64
-	alive     atomic.Int64
-	majority  atomic.Int64
-	changes   atomic.Int64
+	muted     atomic.Bool  // another process of this agent takes part in the membership instead
+	dropped   atomic.Int64 // datagrams dropped because the inbox was full
+	alive     atomic.Int64 // metric: members in state Alive
+	majority  atomic.Int64 // metric: 1 if this agent sees more than half of the fleet, else 0
+	changes   atomic.Int64 // metric: changes of the view so far
 	lastCount member.Count // the latest count that was passed to OnCount
 }
 
@@ -153,6 +153,7 @@
 // instead.
 func (l *Link) Mute(mute bool) { l.muted.Store(mute) }
 
+// now returns the time on the clock of the member.Member: since Run began.
 func (l *Link) now() time.Duration { return time.Since(l.startedAt) }
 
 // Run runs the membership until ctx ends.
@@ -223,8 +224,8 @@
 	l.options.Log.Info("membership", "member", l.member.Name(c.Member), "was", c.From, "is", c.To, "proved", c.Proved, "moved", c.Sequence)
 }
 
-// Leave announces to the others that this agent leaves, and waits for a short time within the limit. It
-// does nothing while muted.
+// Leave announces to the others that this agent leaves, and gives the announcement leaveWait to be sent, but no longer
+// than within. It does nothing while muted.
 func (l *Link) Leave(within time.Duration) {
 	if l.muted.Load() {
 		return
@@ -257,19 +258,19 @@
 	}
 }
 
-// Report is a view in the form of the control API.
+// Report is the view of this agent in the form of the control API.
 type Report struct {
-	Name        string          `json:"name"`
-	Zone        string          `json:"zone"`
-	Start       uint32          `json:"start"`
-	Incarnation uint16          `json:"incarnation"`
-	Number      uint64          `json:"view"`
-	Digest      string          `json:"digest"`
-	Changes     uint64          `json:"changes"`
-	Standing    string          `json:"standing"`
+	Name        string          `json:"name"`        // name of this agent
+	Zone        string          `json:"zone"`        // zone of this agent
+	Start       uint32          `json:"start"`       // start counter
+	Incarnation uint16          `json:"incarnation"` // lives since that start, from 0
+	Number      uint64          `json:"view"`        // see member.View
+	Digest      string          `json:"digest"`      // hash of all records, in hexadecimal; the same at agents with the same view
+	Changes     uint64          `json:"changes"`     // number of changes that this agent has seen since its start
+	Standing    string          `json:"standing"`    // see member.Standing
 	Majority    bool            `json:"majority"`
-	Expected    int             `json:"expected"`
-	Alive       int             `json:"alive"`
+	Expected    int             `json:"expected"` // number of agents in the complete fleet
+	Alive       int             `json:"alive"`    // members in state alive, this agent included
 	Living      int             `json:"living"`   // see member.Count
 	Possible    int             `json:"possible"` // see member.Count
 	Muted       bool            `json:"muted,omitempty"`
@@ -284,12 +285,12 @@
 	Name            string    `json:"name"`
 	Zone            string    `json:"zone"`
 	State           string    `json:"state"`
-	Proved          bool      `json:"proved,omitempty"`
-	Start           uint32    `json:"start"`
-	Incarnation     uint16    `json:"incarnation"`
-	Since           time.Time `json:"since"`
-	Accused         int       `json:"accused,omitempty"`
-	Doubts          bool      `json:"doubts,omitempty"`
+	Proved          bool      `json:"proved,omitempty"`  // dead, and its host reported that no process listens
+	Start           uint32    `json:"start"`             // start counter
+	Incarnation     uint16    `json:"incarnation"`       // lives since that start, from 0
+	Since           time.Time `json:"since"`             // when it entered State
+	Accused         int       `json:"accused,omitempty"` // observers that list it as unreachable
+	Doubts          bool      `json:"doubts,omitempty"`  // it believes that it may be cut off itself
 	UnreachableFrom []string  `json:"unreachable_from,omitempty"`
 }
 
@@ -299,6 +300,7 @@
 	return r, err
 }
 
+// report builds the report; it must run on Run's goroutine.
 func (l *Link) report() *Report {
 	v, c := l.member.View(), l.member.Count()
 	r := &Report{Number: v.Number, Digest: fmt.Sprintf("%016x", v.Digest), Changes: v.Changes, Standing: v.Standing.String(), Majority: v.Majority(),
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -35,40 +35,40 @@
 	"time"
 )
 
-// ID is an agent's number: its index in the configured list of peers, or a hash of its name (see NameID).
+// ID is the number of an agent: its index in the configured list of peers, or a hash of its name (see NameID).
 type ID uint32
 
 // NoID is the reserved ID that no agent has.
 const NoID ID = 0xffffffff
 
-// Peer is an agent that the configuration names.
+// Peer is an agent that the configuration names. All of them together are the expected fleet.
 type Peer struct {
 	ID   ID
 	Name string // empty: taken from the agent's own record
-	Zone string
+	Zone string // empty: taken from the agent's own record
 }
 
 // Config holds the settings of a Member. DefaultConfig fills all but Self, Name, Zone, Start, Peers and
 // Seed.
 type Config struct {
 	Self  ID
-	Name  string // at most MaxName bytes
-	Zone  string // at most MaxZone bytes
-	Start uint32 // start counter; greater than in every earlier life of this name, as far as known
-	Addr  netip.AddrPort
-	Peers []Peer // the expected fleet, with or without this agent
-	Seed  uint64
+	Name  string         // at most MaxName bytes
+	Zone  string         // at most MaxZone bytes
+	Start uint32         // start counter; greater than in every earlier life of this name, as far as known
+	Addr  netip.AddrPort // announced to the others, which need it to reach an agent that isn't in their Peers; invalid: none
+	Peers []Peer         // the expected fleet, with or without this agent
+	Seed  uint64         // of all random choices
 
 	Fleet      uint16        // datagrams of another fleet are dropped
-	Expected   int           // size of the complete fleet; 0: Peers and this agent
-	Period     time.Duration // between two probes
+	Expected   int           // number of agents in the complete fleet; 0: Peers and this agent
+	Period     time.Duration // time between two regular probes that this agent sends
 	Pause      time.Duration // silence after which an agent may be declared dead
 	Rate       float64       // maximum datagrams sent per second
-	Strangers  bool          // agents that are not in Peers may join
+	Strangers  bool          // agents that are not in Peers (strangers) may join
 	MaxMembers int           // maximum known members, this agent included
 }
 
-// Bounds of names and notes, in bytes, and of the expected fleet, in agents. SetNote cuts a note to
+// Upper bounds of names and notes, in bytes, and of the expected fleet, in agents. SetNote cuts a longer note to
 // MaxNote.
 const (
 	MaxName     = 31
@@ -77,7 +77,7 @@
 	MaxExpected = 1 << 16
 )
 
-// DefaultConfig returns the times and bounds for agents of one region.
+// DefaultConfig returns the times and upper bounds for agents within one region.
 func DefaultConfig() Config {
 	return Config{Period: 250 * time.Millisecond, Pause: 8 * time.Second, Rate: 40, MaxMembers: 4096}
 }
@@ -119,54 +119,54 @@
 // Constants of the protocol. A duration without a unit is in probe periods. docs/design/membership.md has
 // the reasons.
 const (
-	rings       = 5 // rings, and so observers of each agent
+	rings       = 5 // number of hash rings, and so about the number of observers of each agent
 	randomEvery = 6 // one in this many probes goes to an agent outside the observed ones
-	// Consecutive failed probes of each of two agents (or of the only other one) that trigger the
-	// self-check.
+	// If each of two agents (or the only other one) failed this many consecutive probes, this agent checks whether it is
+	// cut off itself (the self-check).
 	alarmFailures     = 3
-	requiredObservers = 3 // observers that must agree on a suspicion or a death
-	suspectFailures   = 6 // consecutive failed probes before an observer lists an agent
-	// The same for a broken link to an agent that others can reach: packet loss alone must not reach this
-	// count.
+	requiredObservers = 3 // observers that must agree that an agent is suspect or dead
+	suspectFailures   = 6 // consecutive failed probes after which an observer lists an agent as unreachable
+	// Consecutive failed probes after which an observer lists its link to an agent as broken though others reach the
+	// agent: so many that packet loss alone doesn't reach this count.
 	linkFailures           = 24
 	maxHelpers             = 3    // helpers asked for an indirect probe after a failed probe
-	maxListEntries         = 32   // maximum entries on a list
-	maxListInDoubt         = 12   // maximum entries on the list of an agent that doubts itself
-	longList               = 6    // a list with more entries is published less often
-	probeReserve           = 0.4  // share of the send burst that gossip and sync leave to probes
+	maxListEntries         = 32   // maximum entries on an agent's list of those that it cannot hear or reach
+	maxListInDoubt         = 12   // the same for an agent that doubts itself, that is, that may be cut off
+	longList               = 6    // a list with more entries than this is published only every two periods
+	probeReserve           = 0.4  // share of the send burst (see burst) that gossip and sync leave to probes
 	refusalSpacing         = 1    // periods after a counted refusal in which further refusals by that agent's host don't count
-	slowProbeInterval      = 2    // minimum periods between probes of an agent that has failed for long
-	failingProbesPerPeriod = 1    // probes per period shared by all agents that have failed for long
-	maxLocalHealth         = 3    // the probe timeout is extended to at most 1 + this many periods
+	slowProbeInterval      = 2    // minimum periods between two probes of an agent that failed more than suspectFailures probes
+	failingProbesPerPeriod = 1    // probes per period that all such agents share
+	maxLocalHealth         = 3    // upper bound of Member.localHealth: a probe times out after at most 1 + this many periods
 	stallPeriods           = 4    // periods without a tick after which this agent was stalled itself
-	endHoldOff             = 12   // periods after a start or a stall in which this agent declares no death
-	clearSuspicionAfter    = 4    // periods with too few accusers that clear a suspicion
-	clearDoubtAfter        = 8    // periods without a reason for doubt that clear the doubt
-	evidenceTTL            = 12   // periods for which a direct contact or an indirect ack counts
-	listedEvidenceTTL      = 36   // the same once a broken link is listed, so that a steady cut doesn't flap
-	sampleTTL              = 32   // periods for which a probe result counts in the self-check
-	minSample              = 12   // minimum results for the self-check, or one of each other agent if fewer
-	firstSweep             = 4    // probes outside the observed agents when the self-check starts; then one per period
-	maxSample              = 24   // maximum agents in the self-check
+	endHoldOff             = 12   // periods after a start, a stall or the end of doubt in which this agent declares no death
+	clearSuspicionAfter    = 4    // periods with too few accusers (observers that list the agent) after which a suspicion ends
+	clearDoubtAfter        = 8    // periods without a reason for doubt after which this agent no longer doubts itself
+	evidenceTTL            = 12   // periods for which a direct contact with an agent, or one that another agent reports, counts
+	listedEvidenceTTL      = 36   // the same once the link is listed as broken, so that a lasting cut doesn't enter and leave the list
+	sampleTTL              = 32   // periods for which the result of a probe counts in the self-check
+	minSample              = 12   // minimum probe results from which the self-check concludes anything, or one of each other agent if fewer
+	firstSweep             = 4    // probes sent to agents in round-robin order when the self-check starts; then one per period
+	maxSample              = 24   // maximum agents whose results the self-check counts
 	doubtThreshold         = 0.4  // an agent doubts itself when this share of the sample or less answers
 	clearDoubtThreshold    = 0.55 // doubt ends from this share on; the gap absorbs random loss
 	// Maximum observers of this agent on a ring: the nearest predecessor, and those behind it while it is in
 	// doubt.
 	maxObserversPerRing = 5
-	contactsPerPeriod   = 2                // observers contacted per period while this agent doubts itself
-	maxCorrections      = 8                // newer records returned to a sender of outdated ones
-	maxRelays           = 64               // maximum indirect probes under way for other agents
-	syncOdds            = 4                // while updates spread, one in this many pings with a different digest starts a sync
-	maxSyncBuckets      = 4                // buckets sent at once to an agent that lacks most records
+	contactsPerPeriod   = 2                // observers to which this agent sends a datagram per period while it doubts itself
+	maxCorrections      = 8                // newer records returned at most to the sender of outdated ones
+	maxRelays           = 64               // maximum indirect probes under way on behalf of other agents
+	syncOdds            = 4                // while updates spread, one in this many pings whose digests differ from this agent's starts a sync
+	maxSyncBuckets      = 4                // buckets whose records are sent at once to an agent that lacks most records
 	healthStep          = 0.5              // extension of the probe timeout per sign of local slowness, in periods
 	healthRecovery      = 0.1              // reduction of that extension per answered probe
-	drawsPerPick        = 4                // random draws per agent to pick, before scanning all members
-	maxSkipped          = 32               // records that don't fit, after which a datagram is sent as it is
-	spreadFactor        = 3                // an update is sent this factor times log2 of the fleet size
-	duplicateSends      = 4                // sends credited to an update when another agent repeats it
+	drawsPerPick        = 4                // random draws per agent to pick, before all members are scanned instead
+	maxSkipped          = 32               // records too large for the rest of a datagram, after which no further ones are tried
+	spreadFactor        = 3                // each agent sends an update this many times log2 of the fleet size
+	duplicateSends      = 4                // sends that an update counts as having had when another agent repeats it
 	gossipInterval      = 0.4              // periods between two gossip rounds
 	fanout              = 2                // datagrams per gossip round
-	strangerRetention   = 24 * time.Hour   // how long an ended agent outside Peers is remembered when space runs out
+	strangerRetention   = 24 * time.Hour   // how long a stranger whose life has ended is remembered even if space runs out
 	minTickGap          = time.Millisecond // minimum delay returned by Wake; the clock is not finer
 	leaveRepeats        = 3                // rounds of leave messages
 	leaveReceivers      = 8                // receivers of each round
@@ -175,18 +175,18 @@
 // Datagram is a datagram to send.
 type Datagram struct {
 	To   ID
-	Addr netip.AddrPort // address that an unlisted agent announced; invalid: use the configured one
+	Addr netip.AddrPort // address that an agent outside Config.Peers announced; invalid: use the configured one
 	Data []byte
 }
 
-// Counters count datagrams and stalls since the start.
+// Counters count datagrams and stalls since this Member was created.
 type Counters struct {
 	Sent, Received   uint64
 	Bytes            uint64 // bytes sent
-	Held             uint64 // datagrams not sent, since they would have exceeded Config.Rate
-	Foreign, Garbled uint64 // received from another fleet or protocol version; truncated or malformed
+	Held             uint64 // datagrams that were not sent, since they would have exceeded Config.Rate
+	Foreign, Garbled uint64 // received datagrams of another fleet or protocol version; truncated or malformed ones
 	Strange          uint64 // received from an unknown sender, or with a sender ID that doesn't match the address
-	Wakes            uint64 // times that this agent noticed that it had been stalled
+	Wakes            uint64 // times that this agent noticed that it had been stalled (no Tick for stallPeriods)
 }
 
 // Member holds what one agent knows of the fleet.
@@ -196,48 +196,48 @@
 
 	now, startedAt time.Duration
 	lastTick       time.Duration // last advance of the clock, by a Tick or any other call
-	noEndsUntil    time.Duration // before this time this agent declares no death
+	noEndsUntil    time.Duration // before this time this agent declares no other agent dead
 	seq            uint32        // sequence number of the last probe
 	tokens         float64       // datagrams that may be sent now: a token bucket with rate Config.Rate
 	tokensAt       time.Duration // when tokens was last refilled
 	peers          map[ID]*peer  // all members, this agent included
 	index
 	counts       peerCounts
-	pending      []*peer // peers that the next evaluate examines
-	sparePending []*peer // spare backing array for pending
-	reporters    []*peer // peers with entries on their lists; entries may have gone since
+	pending      []*peer // peers whose states the next evaluate derives again
+	sparePending []*peer // empty slice whose memory evaluate reuses for pending
+	reporters    []*peer // peers with entries on their lists, and some whose lists have become empty since
 	self         *peer
 	leaving      bool            // Leave was called
 	leaveRounds  int             // rounds of leave messages sent so far
 	digests      [buckets]uint32 // by bucket: XOR of the hashes of its members' records
-	nextProbe    time.Duration
-	lastReceived time.Duration // last datagram from any agent, or refusal by a host
+	nextProbe    time.Duration   // when the next regular probe is due
+	lastReceived time.Duration   // when the last datagram from any agent, or refusal by a host, came
 	nextGossip   time.Duration
-	probes       int          // regular probe periods so far; every randomEvery-th probes outside the observed agents
-	slots        map[ID]*slot // probe state by agent
-	slotList     []*slot      // the same slots in a deterministic order
-	probeOrder   []ID         // remaining round-robin order of probes outside the observed agents
-	localHealth  float64      // 0: healthy, up to maxLocalHealth; extends timeouts by as many periods
-	wasAlarmed   bool         // the self-check ran in the last probe period
-	sample       [2 * maxSample]outcome
-	sampleCount  int
-	updates      updateQueue // records that are still gossiped
+	probes       int                    // regular probe periods so far; every randomEvery-th probes outside the observed agents
+	slots        map[ID]*slot           // probe state by agent
+	slotList     []*slot                // the same slots in a deterministic order
+	probeOrder   []ID                   // agents that are still to be probed in the present random round, last one first
+	localHealth  float64                // extension of the probe timeout in periods, since this agent seems slow; 0: it doesn't
+	wasAlarmed   bool                   // the self-check ran in the last probe period
+	sample       [2 * maxSample]outcome // a ring of the latest probe results for the self-check
+	sampleCount  int                    // number of results added to sample so far
+	updates      updateQueue            // records that are still gossiped
 	relays       []relay
-	listChanged  bool   // this agent's list differs from its published record
-	note         string // published in this agent's record
-	nextPublish  time.Duration
-	dirty        bool // an input of evaluate has changed
-	nextEvaluate time.Duration
-	doubt        bool
-	noDoubtSince time.Duration // start of the time without a reason for doubt; -1: there is a reason
+	listChanged  bool          // what this agent would list differs from its published record
+	note         string        // published in this agent's record
+	nextPublish  time.Duration // before this time this agent's own record is not published again
+	dirty        bool          // an input of evaluate has changed
+	nextEvaluate time.Duration // when evaluate must run though nothing has changed; 0: not needed
+	doubt        bool          // this agent doubts itself: it may be cut off from the fleet
+	noDoubtSince time.Duration // start of the time without a reason for doubt; -1: there is one now
 	lastStanding Standing
 	ringsChanged bool    // assignObservers must run again
-	subjects     []*peer // agents that this one observes, in ring order
-	observers    []*peer // agents that observe this one, as far as known
-	contactIndex int     // which of observers are contacted next while this agent doubts itself
+	subjects     []*peer // agents that this one observes (probes regularly), in ring order
+	observers    []*peer // agents that observe this one, as far as this one knows
+	contactIndex int     // position in observers, modulo their number, of the one that is contacted next while this agent doubts itself
 	out          []Datagram
 	changes      []Change
-	number       uint64 // View.Number: sum of the ranks of all records
+	number       uint64 // View.Number: sum of the ranks of all records, so that it grows with each new life and each end
 	changeCount  uint64 // changes of this member's view so far
 	counters     Counters
 }
@@ -273,15 +273,15 @@
 	return m, nil
 }
 
-// burst returns the maximum number of datagrams sent at once at a rate of so many datagrams a second.
+// burst returns the maximum number of datagrams sent at once by a member with the given Config.Rate.
 func burst(rate float64) float64 { return max(8, rate/2) }
 
-// fraction returns a random part of d, so that agents started together don't act in step.
+// fraction returns a random part of d, so that agents that start at the same time don't send at the same times.
 func (m *Member) fraction(d time.Duration) time.Duration {
 	return time.Duration(m.rng.Float64() * float64(d))
 }
 
-// newPeer creates a peer and adds it to peers, but not to the indexes.
+// newPeer creates a peer and adds it to Member.peers, but not to the index.
 func (m *Member) newPeer(id ID, name, zone string) *peer {
 	p := &peer{id: id, state: Unseen, since: m.now, heardAt: -1, lastAckAt: -1, lastFailAt: -1}
 	p.rec.name, p.rec.zone = name, zone
@@ -292,7 +292,7 @@
 	return p
 }
 
-// Wake returns the latest time for the next Tick. Calling Tick earlier is harmless.
+// Wake returns the time at which the next Tick is due. Calling Tick earlier is harmless.
 func (m *Member) Wake() time.Duration {
 	at := m.nextProbe
 	if m.updates.n > 0 {
@@ -325,7 +325,7 @@
 	m.evaluate()
 }
 
-// advance moves the clock to now, detects a stall and refills the send budget.
+// advance moves the clock to now, detects a stall of this agent (no call for stallPeriods) and refills the send budget.
 func (m *Member) advance(now time.Duration) {
 	m.now = max(now, m.now)
 	if gap := m.now - m.lastTick; gap > stallPeriods*m.cfg.Period {
@@ -349,8 +349,8 @@
 	m.nextProbe = m.now
 }
 
-// discardEvidence drops what this agent holds against others, except refusals, and makes it declare no death for a
-// while, not even one that the lists of others support: those agents may have to discard their evidence too.
+// discardEvidence resets all probe state but that of agents whose hosts refused, and makes this agent declare no death
+// for endHoldOff, not even one that the lists of others support: they may have to discard their evidence too.
 func (m *Member) discardEvidence() {
 	m.noEndsUntil = m.now + endHoldOff*m.cfg.Period
 	for _, s := range m.slotList {
@@ -361,8 +361,8 @@
 	m.dirty, m.listChanged = true, true
 }
 
-// Receive processes a datagram. from is the agent that owns the sender's address; NoID: the address is
-// not listed.
+// Receive processes a datagram. from is the agent to which the configuration gives the sender's address; NoID: it gives
+// that address to none.
 func (m *Member) Receive(now time.Duration, from ID, data []byte) {
 	m.advance(now)
 	m.counters.Received++
@@ -389,8 +389,8 @@
 	m.handle(p, pk)
 }
 
-// admit adds the sender of a datagram that is not in Config.Peers, if it sent its own record with an
-// address.
+// admit adds the sender of a datagram as a stranger (an agent not in Config.Peers) if the settings allow it and the
+// sender's own record with an address is in the datagram; nil if not.
 func (m *Member) admit(pk *packet) *peer {
 	if !m.cfg.Strangers {
 		return nil
@@ -403,8 +403,8 @@
 	return nil
 }
 
-// addStranger adds a peer that is not in Config.Peers; nil if MaxMembers is reached and no peer can be
-// removed.
+// addStranger adds a peer that is not in Config.Peers. If Config.MaxMembers is reached, it replaces the stranger that
+// ended the longest ago, at least strangerRetention; nil if there is no such stranger.
 func (m *Member) addStranger(id ID) *peer {
 	if len(m.peers) >= m.cfg.MaxMembers {
 		var oldest *peer
@@ -425,7 +425,7 @@
 	return p
 }
 
-// removePeer removes all that is known of p.
+// removePeer removes p and all state about it.
 func (m *Member) removePeer(p *peer) {
 	m.removeFromDigest(p)
 	m.adjustCounts(p, -1)
@@ -439,10 +439,10 @@
 	m.ringsChanged = true
 }
 
-// handle processes a datagram from p.
+// handle processes a datagram that p sent: it merges the records in it and answers it.
 func (m *Member) handle(p *peer, pk *packet) {
 	m.recordContact(p)
-	var behind []record // records that p should know by now
+	var behind []record // newer records than those that p sent
 	for i := range pk.records {
 		if newer := m.merge(&pk.records[i], pk.kind == kindSync); newer != nil && len(behind) < maxCorrections {
 			behind = append(behind, newer.rec)
@@ -487,14 +487,14 @@
 	}
 }
 
-// SetNote publishes a few bytes, MaxNote at most, that have a meaning only to users of the view, in
+// SetNote publishes a few bytes, MaxNote at most, that this package doesn't interpret; other agents find them in
 // MemberInfo.Note. Each change is gossiped to the whole fleet.
 func (m *Member) SetNote(now time.Duration, note []byte) {
 	m.advance(now)
 	m.note = string(note[:min(len(note), MaxNote)])
 }
 
-// Leave announces that this agent leaves. Afterwards Tick only repeats the announcement a few times.
+// Leave announces that this agent leaves the fleet. Afterwards Tick only repeats the announcement, leaveRepeats rounds in all.
 func (m *Member) Leave(now time.Duration) {
 	m.advance(now)
 	if m.leaving {
--- a/internal/member/membersim/compare.go
+++ b/internal/member/membersim/compare.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Protocols returns the protocols to compare.
+// Protocols returns the failure detectors to compare: all-to-all heartbeats, SWIM, and that of internal/member ("this").
 func Protocols() []Protocol {
 	return []Protocol{
 		{"heartbeats, 3 s", Heartbeats(time.Second, 3*time.Second), 300},
@@ -22,35 +22,35 @@
 	}
 }
 
-// Protocol is a failure detector. In fleets of more than MaxMembers members (0: no limit) only the time
-// until one death is known is simulated.
+// Protocol is a failure detector to compare. In fleets of more than MaxMembers members (0: no limit) a run simulates
+// only one killed process and the 15 s after it, since a longer run would take too much time.
 type Protocol struct {
 	Name       string
 	Make       NodeFactory // starts its members
 	MaxMembers int
 }
 
-// Case is a scenario that runs with each protocol once its members know each other.
+// Case is a scenario that is run with each protocol, from the moment at which its members know each other.
 type Case struct {
 	Name    string
 	Members int
 	Span    time.Duration                       // simulated time during which faults occur
 	Loss    float64                             // share of datagrams lost
 	Pauses  bool                                // each minute one member in ten is stopped for 1 to 5 s
-	Kills   int                                 // processes to kill, evenly over Span
-	Vanish  bool                                // kill their hosts too
+	Kills   int                                 // number of processes to kill, evenly over Span
+	Vanish  bool                                // kill the hosts of these processes too, so that nothing refuses datagrams
 	Cut     func(n int) func(from, to int) bool // returns Net.Cut for n members
 	Runs    int                                 // number of seeds; 0: 1
 }
 
 const (
-	startSpan       = 10 * time.Second // time to meet for up to startSize members; proportionally more for larger fleets
-	startSize       = 300
-	settleAfterKill = 30 * time.Second // run time after the last kill
+	startSpan       = 10 * time.Second // time for up to startSize members to get to know each other; proportionally more for larger fleets
+	startSize       = 300              // members
+	settleAfterKill = 30 * time.Second // simulated time after the last kill, in which the members learn of it
 	settleBeyondMax = 10 * time.Second // the same for a fleet larger than the protocol's MaxMembers
 )
 
-// warmUp returns the time that the members of a case get to know each other.
+// warmUp returns how long a case is simulated before its faults begin, so that the members know each other by then.
 func (c *Case) warmUp(p *Protocol) time.Duration {
 	if p.MaxMembers > 0 && c.Members > p.MaxMembers { // its members know each other at once
 		return startSpan / 2
@@ -58,22 +58,22 @@
 	return time.Duration(float64(startSpan) * max(1, float64(c.Members)/startSize))
 }
 
-// Row is the result of a case with a protocol, over all runs.
+// Row is the result of a case with a protocol, over all runs of the case.
 type Row struct {
 	Protocol     string  `json:"protocol"`
 	Case         string  `json:"case"`
 	Members      int     `json:"members"`
-	MemberHours  float64 `json:"member_hours"`
+	MemberHours  float64 `json:"member_hours"` // running time of all members together
 	FalseDeaths  int     `json:"false_deaths"`
 	PerHour      float64 `json:"false_deaths_a_member_hour"` // false deaths per member-hour
 	Suspicions   int     `json:"false_suspicions"`           // times that a running member was suspected
-	Changes      float64 `json:"changes_a_member_minute"`    // of a member's view
-	Noticed      Spread  `json:"noticed"`                    // time until a death was suspected or known, per other member
-	Known        Spread  `json:"known"`                      // time until a death was known
-	Untold       int     `json:"untold"`                     // pairs of a death and a running member that doesn't know it
+	Changes      float64 `json:"changes_a_member_minute"`    // status changes that a member sees in a minute
+	Noticed      Spread  `json:"noticed"`                    // time from a death until another member suspected or knew it
+	Known        Spread  `json:"known"`                      // time from a death until another member knew it
+	Untold       int     `json:"untold"`                     // pairs of a killed and a running member that doesn't see it as dead at the end
 	Datagrams    float64 `json:"datagrams_a_member_second"`
 	Bytes        float64 `json:"bytes_a_member_second"`
-	RealSeconds  float64 `json:"real_seconds"`
+	RealSeconds  float64 `json:"real_seconds"` // time that the simulation itself took
 	SimulatedHrs float64 `json:"simulated_hours"`
 }
 
@@ -128,6 +128,7 @@
 	return cases
 }
 
+// partialCuts are cuts that hit only some pairs or directions; cut returns Net.Cut for n members.
 var partialCuts = []struct {
 	name string
 	cut  func(n int) func(from, to int) bool
@@ -141,7 +142,8 @@
 	{"a third is cut off", func(n int) func(int, int) bool { return func(a, b int) bool { return (b%3 == 0) != (a%3 == 0) } }},
 }
 
-// Compare runs cases with protocols, several at a time, and returns a row for each in their order.
+// Compare runs each case with each protocol, as many at a time as there are processors, and returns a row for each
+// pair in that order. The runs of a case have the seeds from seed upwards. If ctx ends, the rows are incomplete.
 func Compare(ctx context.Context, cases []Case, protocols []Protocol, seed uint64, progress io.Writer) ([]Row, error) {
 	type job struct {
 		row  int
@@ -220,6 +222,7 @@
 	return rows, ctx.Err()
 }
 
+// mapKeys yields the keys of m in no particular order.
 func mapKeys[V any](m map[int]V) func(func(int) bool) {
 	return func(yield func(int) bool) {
 		for k := range m {
@@ -230,7 +233,8 @@
 	}
 }
 
-// run simulates a case once; unaware counts the pairs of a death and a running member that doesn't know it.
+// run simulates a case once; unaware counts the pairs of a killed member and a running one that doesn't see it as dead
+// at the end.
 func (c Case) run(p Protocol, seed uint64) (a *Arena, unaware int) {
 	a = New(c.Members, seed, Net{Latency: [2]time.Duration{time.Millisecond / 4, 2 * time.Millisecond}, Refuses: true}, p.Make)
 	rng := rand.New(rand.NewPCG(seed, 5))
--- a/internal/member/membersim/protocols.go
+++ b/internal/member/membersim/protocols.go
@@ -9,7 +9,8 @@
 	"lemonrail/internal/member"
 )
 
-// Membership returns the protocol of internal/member; change, if not nil, adjusts each member's settings.
+// Membership returns a factory of members that run the protocol of internal/member, spread over a number of zones;
+// change, if not nil, adjusts each member's settings.
 func Membership(zones int, change func(*member.Config)) NodeFactory {
 	return func(i, n, life int, now time.Duration, seed uint64) Node {
 		cfg := member.DefaultConfig()
@@ -29,6 +30,7 @@
 	}
 }
 
+// zoneName returns the zone of member i, a letter; empty if there are fewer than two zones.
 func zoneName(i, zones int) string {
 	if zones < 2 {
 		return ""
@@ -52,7 +54,8 @@
 	return out
 }
 
-// StatusChanges leaves out changes of the member's own standing.
+// StatusChanges returns the changes that this member has seen of others; Left counts as dead, and changes of its own
+// standing are left out.
 func (m *Member) StatusChanges() (out []StatusChange) {
 	for _, c := range m.Member.Changes() {
 		if c.Member == member.NoID {
@@ -88,17 +91,18 @@
 	}
 }
 
+// heartbeats is a member that runs the protocol of Heartbeats.
 type heartbeats struct {
-	self              int
+	self              int // number of this member
 	interval, timeout time.Duration
-	next              time.Duration
-	lastHeard         []time.Duration
-	dead              []bool
+	next              time.Duration   // when the next heartbeats are sent
+	lastHeard         []time.Duration // by member: when its last heartbeat came
+	dead              []bool          // by member: whether this one sees it as dead
 	out               []Packet
 	changes           []StatusChange
 }
 
-const heartbeatBytes = 9
+const heartbeatBytes = 9 // size of a heartbeat on the wire
 
 func (h *heartbeats) Wake() time.Duration { return h.next }
 
@@ -143,7 +147,7 @@
 
 // ---- SWIM ----
 
-// SWIM is the protocol of the paper with its suspicion mechanism and round-robin probing: period 1 s, 3 helpers, an
+// SWIM runs the protocol of the SWIM paper with its suspicion mechanism and round-robin probing: period 1 s, 3 helpers, an
 // ack timeout of a third of a period, suspicion for 3 log2 n periods, updates piggybacked on probes and acks.
 func SWIM() NodeFactory {
 	return func(i, n, _ int, now time.Duration, seed uint64) Node {
@@ -156,54 +160,60 @@
 }
 
 const (
-	swimPeriod      = time.Second
-	swimAckTimeout  = swimPeriod / 3
-	swimHelpers     = 3
-	swimMaxUpdates  = 6
-	swimHeaderBytes = 10
-	swimUpdateBytes = 7
+	swimPeriod      = time.Second    // time between two probes of a member
+	swimAckTimeout  = swimPeriod / 3 // time without an ack after which helpers are asked for an indirect probe
+	swimHelpers     = 3              // members asked for an indirect probe
+	swimMaxUpdates  = 6              // maximum updates in a message
+	swimHeaderBytes = 10             // size of a message without updates
+	swimUpdateBytes = 7              // size of an update
 )
 
+// States in which a member sees another one, in the order of Status.
 const (
 	swimAlive = iota
 	swimSuspect
 	swimDead
 )
 
+// swimUpdate states the state of a member in one of its incarnations (inc).
 type swimUpdate struct{ member, state, inc int }
 
+// swimPeer is what a member knows of another one.
 type swimPeer struct {
 	state, inc   int
 	suspectUntil time.Duration // end of the suspicion
 }
 
+// swimMsg is a datagram.
 type swimMsg struct {
 	kind, target, asker int // kind: 0 ping, 1 ack, 2 ping request; asker is the member that gets the ack
 	seq                 int
 	updates             []swimUpdate
 }
 
+// swim is a member that runs the protocol of SWIM.
 type swim struct {
-	self, n      int
+	self, n      int // number of this member, and of all members
 	rng          *rand.Rand
-	inc          int
+	inc          int // this member's own incarnation
 	peers        []swimPeer
-	next         time.Duration
-	suspicion    time.Duration
-	probeOrder   []int
-	target       int
-	acked        bool
-	seq          int
-	indirectSent bool
+	next         time.Duration // start of the next period
+	suspicion    time.Duration // how long a member is suspected before it counts as dead
+	probeOrder   []int         // members left to probe in this round, last one first
+	target       int           // member probed in this period; -1: none
+	acked        bool          // target has answered
+	seq          int           // number of the probe
+	indirectSent bool          // helpers were asked to probe target
 	probeStarted time.Duration
 	updates      []swimQueued
 	out          []Packet
 	changes      []StatusChange
 }
 
+// swimQueued is an update that is still spread.
 type swimQueued struct {
 	swimUpdate
-	remaining int
+	remaining int // messages that the update is still to be sent with
 }
 
 func (s *swim) Wake() time.Duration {
@@ -248,6 +258,7 @@
 	}
 }
 
+// nextTarget returns the member to probe next, in a random round-robin order of those not dead; -1: none.
 func (s *swim) nextTarget() int {
 	for range 2 {
 		for len(s.probeOrder) > 0 {
@@ -289,6 +300,8 @@
 	}
 }
 
+// apply takes over an update if it is newer than what this member knows; a statement that this member itself is suspect
+// or dead is refuted by a new incarnation.
 func (s *swim) apply(now time.Duration, w swimUpdate) {
 	if w.member == s.self {
 		if w.state != swimAlive && w.inc >= s.inc {
--- a/internal/member/membersim/simulation.go
+++ b/internal/member/membersim/simulation.go
@@ -25,65 +25,68 @@
 
 // StatusChange is a change of the state in which a member sees another one.
 type StatusChange struct {
-	Member int
+	Member int // number of the member that is seen, not of the one that sees it
 	Status Status
 }
 
 // Packet is a datagram in transit. Size is in bytes.
 type Packet struct {
-	To   int
+	To   int // number of the receiving member
 	Data any
 	Size int
 }
 
-// Node is one member that runs a protocol. Times are the simulated ones, from 0.
+// Node is one member that runs a failure detector. The simulation calls it and collects what it sends. Times are
+// simulated, from 0.
 type Node interface {
-	Wake() time.Duration // time of the next Tick
-	Tick(now time.Duration)
-	Receive(now time.Duration, from int, data any)
-	Refused(now time.Duration, to int) // the host of to reported that no process listens
-	Out() []Packet
-	StatusChanges() []StatusChange // since the last call
+	Wake() time.Duration                           // time of the next Tick
+	Tick(now time.Duration)                        // does all work that is due
+	Receive(now time.Duration, from int, data any) // takes a datagram from another member
+	Refused(now time.Duration, to int)             // takes the report of to's host that no process listens there
+	Out() []Packet                                 // returns the datagrams to send since the last call
+	StatusChanges() []StatusChange                 // returns the changes since the last call
 }
 
-// NodeFactory starts member i of n. life counts its starts, from 0.
+// NodeFactory starts a Node for member i of n. life counts the earlier starts of that member, from 0.
 type NodeFactory func(i, n, life int, now time.Duration, seed uint64) Node
 
-// Net is the behaviour of the network. The functions may be nil.
+// Net sets how the network treats datagrams. Loss, Cut and Delay may be nil: none is lost, cut or delayed.
 type Net struct {
-	Loss       func(from, to int) float64                       // share of datagrams lost
-	Cut        func(from, to int) bool                          // whether all datagrams are lost
-	Delay      func(from, to int, rng *rand.Rand) time.Duration // added to the latency
-	Latency    [2]time.Duration                                 // minimum and maximum transit time
+	Loss       func(from, to int) float64                       // share of datagrams lost from one member to another
+	Cut        func(from, to int) bool                          // whether all datagrams from one member to another are lost
+	Delay      func(from, to int, rng *rand.Rand) time.Duration // added to the transit time of a datagram
+	Latency    [2]time.Duration                                 // minimum and maximum transit time; drawn evenly between them
 	Duplicated float64                                          // share of datagrams delivered twice
-	Refuses    bool                                             // the host of a killed process refuses datagrams
+	Refuses    bool                                             // the host of a killed process answers datagrams with a refusal
 }
 
 const (
 	socketBuffer  = 256         // datagrams buffered for a stopped process; later ones are lost
-	refusalsBurst = 6           // maximum burst of refusals from one host to another
-	refusalsEvery = time.Second // then one refusal per this time
+	refusalsBurst = 6           // maximum number of refusals that a host sends to another one at once
+	refusalsEvery = time.Second // after a burst, one more refusal is allowed each time this has passed
 )
 
+// process is a member's process, running or not.
 type process struct {
 	node    Node
-	life    int // number of starts so far
-	up      bool
-	refuses bool          // its host refuses datagrams while it is down
+	life    int           // number of starts so far
+	up      bool          // running, perhaps stopped
+	refuses bool          // its host answers datagrams with a refusal while the process is not running
 	stopped bool          // suspended by Stop or Pause
 	backlog []delivery    // datagrams buffered while stopped
 	wakeAt  time.Duration // time of the queued wake-up; 0: none
 }
 
+// delivery is a received datagram.
 type delivery struct {
 	from int
 	data any
 }
 
-// Arena is one simulation run.
+// Arena is one simulation run: the members' processes, the network between them, and the score.
 type Arena struct {
-	Net Net
-	Now time.Duration
+	Net Net           // may be changed during the run
+	Now time.Duration // the simulated time
 
 	newNode        NodeFactory
 	rng            *rand.Rand
@@ -91,50 +94,52 @@
 	members        []*process
 	queue          events
 	sequence       uint64                  // number of events queued so far
-	runningCount   int                     // running members
-	refusalBuckets map[[2]int]*tokenBucket // limits refusals, by refusing host and receiver
+	runningCount   int                     // number of members whose processes run
+	refusalBuckets map[[2]int]*tokenBucket // limits refusals; key: the refusing member and the receiving one
 
 	Sent, Bytes    uint64                // datagrams sent by all members, and their bytes
-	downAt         map[int]time.Duration // when members that are not running were killed
-	knownDead      map[[2]int]bool       // pairs of observer and member: the observer sees the member as dead
-	noticed        map[[2]int]bool       // pairs of observer and ended member: the observer has suspected it or seen it as dead
+	downAt         map[int]time.Duration // by member that is not running: the time at which it was killed
+	knownDead      map[[2]int]bool       // key: observer and member; the observer sees the member as dead now
+	noticed        map[[2]int]bool       // key: observer and member that ended; the observer has suspected it or seen it as dead since
 	Score          Score
-	OnStatusChange func(by int, j StatusChange) // may be nil
+	OnStatusChange func(by int, j StatusChange) // called with each change that member by sees; may be nil
 }
 
+// tokenBucket limits the refusals from one host to another.
 type tokenBucket struct {
-	tokens float64
-	at     time.Duration
+	tokens float64       // refusals that may be sent at once
+	at     time.Duration // when tokens was last refilled
 }
 
-// Score compares reported states with the true ones.
+// Score compares the states that members reported with the true ones, over the whole run.
 type Score struct {
-	FalseDeaths     int     // times that a member saw a running one as dead
-	FalseSuspicions int     // times that a member suspected a running one
+	FalseDeaths     int     // number of times that a member saw a running one as dead
+	FalseSuspicions int     // number of times that a member suspected a running one
 	Changes         int     // status changes seen by all members
 	MemberSeconds   float64 // running time of all members together
-	// By the member that ended: the times from its end until each other member suspected it, and saw it as
-	// dead.
+	// Key: a member that ended. Values: for each other member that noticed, the time from that end until it suspected
+	// the ended member (Noticed) or saw it as dead (Known).
 	Noticed, Known map[int][]time.Duration
-	firstNotice    map[int][]time.Duration // the times until the earlier of the two
+	firstNotice    map[int][]time.Duration // the same, until it first suspected the ended member or saw it as dead, whichever came first
 }
 
 func newScore() Score {
 	return Score{Noticed: map[int][]time.Duration{}, Known: map[int][]time.Duration{}, firstNotice: map[int][]time.Duration{}}
 }
 
+// event is something that happens at a simulated time: a call of do, a delivery, a refusal or a wake-up.
 type event struct {
 	at       time.Duration
-	sequence uint64
-	do       func()
-	to       int // if do is nil: the receiver of a delivery or refusal, or the member to wake
-	from     int // sender; wakeUp; or the refusing member plus the number of members
-	life     int // of the member to wake; the event is ignored in its later lives
+	sequence uint64 // number of the event in the order of queueing
+	do       func() // nil: a delivery, a refusal or a wake-up of member to
+	to       int    // if do is nil: the member that receives the datagram or refusal, or that wakes up
+	from     int    // the sending member; wakeUp; or, for a refusal, the refusing member plus the number of members
+	life     int    // for a wake-up: the life of the member that it is for; ignored in later lives
 	data     any
 }
 
 // events is a heap by time, then by the order of queueing. It doesn't use container/heap, which allocates
-// for each event it pushes; that took as much time as all the rest.
+// for each event it pushes; that took as much time as the whole rest of the simulation.
 type events []event
 
 func (q events) less(i, j int) bool {
@@ -191,7 +196,7 @@
 // Size returns the number of members.
 func (a *Arena) Size() int { return len(a.members) }
 
-// Node returns the current life of member i; nil if it is not running.
+// Node returns the Node of member i's present life; nil if the member is not running.
 func (a *Arena) Node(i int) Node {
 	if m := a.members[i]; m.up {
 		return m.node
@@ -199,16 +204,17 @@
 	return nil
 }
 
+// push queues an event behind those of the same time.
 func (a *Arena) push(e event) {
 	a.sequence++
 	e.sequence = a.sequence
 	a.queue.push(e)
 }
 
-// At runs do at time t, or now if t has passed.
+// At calls do at the simulated time t, or now if t has passed.
 func (a *Arena) At(t time.Duration, do func()) { a.push(event{at: max(t, a.Now), do: do}) }
 
-// Start starts or restarts member i.
+// Start starts or restarts member i; it does nothing if the member is running.
 func (a *Arena) Start(i int) {
 	m := a.members[i]
 	if m.up {
@@ -222,14 +228,14 @@
 	a.flush(i)
 }
 
-// StartAll starts all members at random times within a span.
+// StartAll starts each member at a random time between now and now plus within.
 func (a *Arena) StartAll(within time.Duration) {
 	for i := range a.members {
 		a.At(a.Now+time.Duration(a.rng.Float64()*float64(within)), func() { a.Start(i) })
 	}
 }
 
-// Kill ends member i. With machine its host ends too and refuses nothing.
+// Kill ends the process of member i. With machine its host ends too and sends no refusals.
 func (a *Arena) Kill(i int, machine bool) {
 	m := a.members[i]
 	if !m.up {
@@ -240,7 +246,7 @@
 	a.downAt[i] = a.Now
 }
 
-// Stop suspends member i, as SIGSTOP does; Resume continues it.
+// Stop suspends the process of member i, as SIGSTOP does, until Resume; it buffers datagrams meanwhile.
 func (a *Arena) Stop(i int) {
 	if a.members[i].up {
 		a.members[i].stopped = true
@@ -264,7 +270,7 @@
 	a.flush(i)
 }
 
-// Pause stops member i for a time.
+// Pause stops member i and resumes it after d, unless it has been restarted in between.
 func (a *Arena) Pause(i int, d time.Duration) {
 	a.Stop(i)
 	life := a.members[i].life
@@ -275,7 +281,7 @@
 	})
 }
 
-// RunUntil runs the simulation until a time.
+// RunUntil handles all events up to the simulated time end.
 func (a *Arena) RunUntil(end time.Duration) {
 	for len(a.queue) > 0 && a.queue[0].at <= end {
 		e := a.queue.pop()
@@ -316,7 +322,9 @@
 	a.advance(end)
 }
 
-const wakeUp = -1
+const wakeUp = -1 // value of event.from that marks a wake-up
+
+// advance moves the simulated time forward and counts the running time of the members.
 
 func (a *Arena) advance(to time.Duration) {
 	a.Score.MemberSeconds += (to - a.Now).Seconds() * float64(a.runningCount)
@@ -340,6 +348,7 @@
 	}
 }
 
+// recordChange enters a change that member by saw into the score.
 func (a *Arena) recordChange(by int, j StatusChange) {
 	a.Score.Changes++
 	if a.OnStatusChange != nil {
@@ -367,6 +376,7 @@
 	}
 }
 
+// transit draws the transit time of a datagram.
 func (a *Arena) transit(from, to int) time.Duration {
 	d := a.Net.Latency[0] + time.Duration(a.rng.Float64()*float64(a.Net.Latency[1]-a.Net.Latency[0]))
 	if a.Net.Delay != nil {
@@ -375,10 +385,12 @@
 	return d
 }
 
+// drops decides whether the network loses a datagram.
 func (a *Arena) drops(from, to int) bool {
 	return a.Net.Cut != nil && a.Net.Cut(from, to) || a.Net.Loss != nil && a.rng.Float64() < a.Net.Loss(from, to)
 }
 
+// transmit queues the delivery of a datagram, or two if the network duplicates it, unless the network loses it.
 func (a *Arena) transmit(from int, p Packet) {
 	if a.drops(from, p.To) {
 		return
@@ -392,7 +404,8 @@
 	}
 }
 
-// refuse sends a refusal from the host of a member that is not running.
+// refuse sends a refusal to member to from the host of member at, whose process is not running, if that host refuses
+// at all and its limit allows one more.
 func (a *Arena) refuse(at, to int) {
 	m := a.members[at]
 	if !m.refuses || a.drops(at, to) {
@@ -412,6 +425,7 @@
 	a.push(event{at: a.Now + a.transit(at, to), to: to, from: at + len(a.members)})
 }
 
+// mixSeed derives the seed of one life of member i from the seed of the run.
 func mixSeed(seed, i, life uint64) uint64 {
 	return rand.New(rand.NewPCG(seed, i<<20|life)).Uint64()
 }
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -3,9 +3,10 @@
 // This file keeps the records of all members. A digest per bucket of members shows two agents whether they
 // hold the same records.
 
+// toggleDigest adds p's record to the digest of its bucket, or removes it if it is included: an XOR does both.
 func (m *Member) toggleDigest(p *peer) { m.digests[p.id%buckets] ^= p.rec.hash() }
 
-// removeFromDigest removes the record of p from the digest of its bucket and from number.
+// removeFromDigest removes the record of p, if one is known, from the digest of its bucket and from Member.number.
 func (m *Member) removeFromDigest(p *peer) {
 	if p.known {
 		m.toggleDigest(p)
@@ -33,8 +34,8 @@
 	m.queueUpdate(p)
 }
 
-// merge processes a received record and returns the peer if the record held here is newer. With fromSync
-// the first record of a peer is not gossiped on: this agent only lacked it, others have it.
+// merge processes a received record. It returns the peer if the record held here is newer, so that the caller can send
+// that one back. A peer's first record from a sync (fromSync) is not gossiped on: only this agent lacked it.
 func (m *Member) merge(r *record, fromSync bool) *peer {
 	if r.id == m.cfg.Self {
 		return m.mergeSelf(r)
@@ -82,8 +83,9 @@
 	return nil
 }
 
-// mergeSelf processes a record about this agent. If it states the end of this agent's life, or a later life
-// than its own (after the loss of the start counter), this agent starts a new life.
+// mergeSelf processes a record about this agent that another one holds. If it states the end of this agent's life, or a
+// later life than the present one (after the loss of the start counter), this agent starts a new life with a still
+// higher rank. It returns this agent if its own record is newer.
 func (m *Member) mergeSelf(r *record) *peer {
 	mine := &m.self.rec
 	if m.leaving {
@@ -114,8 +116,8 @@
 	return nil
 }
 
-// applyRecordState sets the state of p after its record has changed in rank or doubt; newLife is whether p
-// has a new life.
+// applyRecordState sets the state of p after a record of another life, kind or doubt has replaced its old one; newLife
+// is whether the record is of another life.
 func (m *Member) applyRecordState(p *peer, newLife bool) {
 	switch {
 	case p.rec.kind == kindLeft:
--- a/internal/member/packet.go
+++ b/internal/member/packet.go
@@ -14,7 +14,7 @@
 // MaxDatagram is the maximum size of a datagram between agents, in bytes.
 const MaxDatagram = 256
 
-const version = 1
+const version = 1 // of the wire format
 
 // Kinds of datagram. The numbers are part of the wire format.
 const (
@@ -27,20 +27,20 @@
 	kindIndirectAck // target answered the requested indirect probe
 	kindSync        // records that the receiver seems to lack; not gossiped on
 	kindLastHeard   // answers kindPingRequest: the age of the last direct contact with target
-	kindCount
+	kindCount       // number of kinds
 )
 
-const ageUnit = 10 * time.Millisecond
+const ageUnit = 10 * time.Millisecond // unit of packet.age
 
 const (
-	buckets        = 16 // groups of members, by ID; the records of a group share a digest
-	headerBytes    = 1 + 1 + 2 + 1 + 4 + 4
-	minRecordBytes = 1 + 4 + 4 + 2 // an end record
+	buckets        = 16                    // number of groups of members, by ID; the records of a group share a digest
+	headerBytes    = 1 + 1 + 2 + 1 + 4 + 4 // tag, version, fleet, kind, from, seq
+	minRecordBytes = 1 + 4 + 4 + 2         // size of the smallest record, an end record
 )
 
 var (
 	errForeign = errors.New("datagram of another fleet or protocol version")
-	errGarbled = errors.New("garbled")
+	errGarbled = errors.New("garbled") // truncated or malformed datagram
 )
 
 // packet is the content of a datagram. Integers are big-endian; numbers are lengths in bytes.
@@ -54,16 +54,17 @@
 //	  full: version 4, flags 1 (1 doubt, 2 address, 4 note), [IPv4 4, port 2], [note 1+n],
 //	        zone 1+n, name 1+n, entries 1, each id 4, mark 1, life tag 1
 type packet struct {
-	kind    byte
+	kind    byte // kindGossip to kindLastHeard
 	from    ID
-	seq     uint32
-	digests [buckets]uint16
+	seq     uint32          // number of the probe that the datagram belongs to; 0 if it belongs to none
+	digests [buckets]uint16 // the lower halves of the sender's digests
 	target  ID
-	hears   bool
-	age     uint16
+	hears   bool   // the sender (relay ack) or target (indirect ack) receives the datagrams of the agent that asked directly
+	age     uint16 // time since the last direct contact with target, in ageUnit
 	records []record
 }
 
+// size returns the number of bytes that append adds for r.
 func (r *record) size() int {
 	n := 11
 	if r.kind == kindFull {
@@ -78,6 +79,7 @@
 	return n
 }
 
+// append appends r to b in the wire format.
 func (r *record) append(b []byte) []byte {
 	b = append(b, r.kind)
 	b = binary.BigEndian.AppendUint32(b, uint32(r.id))
@@ -160,6 +162,7 @@
 	invalid bool
 }
 
+// bytes returns the next n bytes.
 func (r *reader) bytes(n int) []byte {
 	if r.invalid || len(r.b) < n {
 		r.invalid, r.b = true, nil
@@ -174,6 +177,7 @@
 func (r *reader) u16() uint16 { return binary.BigEndian.Uint16(r.bytes(2)) }
 func (r *reader) u32() uint32 { return binary.BigEndian.Uint32(r.bytes(4)) }
 
+// text returns a string with its length in a byte before it; one longer than maxLen is invalid.
 func (r *reader) text(maxLen int) string {
 	n := int(r.u8())
 	if n > maxLen {
--- a/internal/member/packet_test.go
+++ b/internal/member/packet_test.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// samples returns datagrams of all kinds but kindSync.
 func samples() []*packet {
 	full := record{id: 7, kind: kindFull, start: 12, incarnation: 3, version: 9, doubt: true, note: "\x01\x02", zone: "a", name: "n7",
 		addr: netip.MustParseAddrPort("127.0.0.9:7946"), list: []entry{{4, markUnreachable | markConfirmable, 8}, {5, markNoInbound, 1}}}
@@ -32,6 +33,7 @@
 	}
 }
 
+// newMember returns a member of fleet 3 with ID 0.
 func newMember(t testing.TB) *Member {
 	cfg := DefaultConfig()
 	cfg.Self, cfg.Fleet = 0, 3
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// slot holds the probe state of an agent: of one that this agent observes, or of one with a probe pending
-// or failed.
+// slot holds the probe state of an agent that this agent observes, or to which one of its probes is pending or has
+// failed.
 type slot struct {
 	p        *peer
-	subject  bool // observed; otherwise the slot is dropped after an answer
+	subject  bool // this agent observes it; otherwise the slot is dropped after an answer
 	probeNow bool // another observer lists the agent: probe at the next tick
 	sample   bool // the result counts in the self-check
 	mark     mark // how the agent is unreachable, as this agent's list says; 0: not listed
 
-	waiting  bool // for an answer to seq until due
-	seq      uint32
-	firstSeq uint32        // sequence number of the first failed probe
+	waiting  bool          // an answer to the probe seq is awaited until due
+	seq      uint32        // sequence number of the last probe
+	firstSeq uint32        // sequence number of the first failed probe since the last answer
 	sentAt   time.Duration // when the last probe was sent
 	due      time.Duration // timeout of the pending probe
 	nextAt   time.Duration // when a failing agent is probed again
@@ -25,10 +25,10 @@
 	failing         bool          // a probe has failed, and none was answered since
 	failSince       time.Duration // when the first failed probe was sent
 	failures        int           // consecutive failed probes
-	evidenceAt      time.Duration // last indirect contact since failSince; -1: none
+	evidenceAt      time.Duration // last contact of another agent with it, since failSince, that was reported here; -1: none
 	targetHearsSelf bool          // the indirect ack says that the agent receives this one's datagrams directly
-	refusals        int           // refusals by its host since the last datagram from it, at least refusalSpacing apart
-	refusedAt       time.Duration // last counted refusal
+	refusals        int           // refusals by its host since its last datagram, counted at most once per refusalSpacing
+	refusedAt       time.Duration // when the last counted refusal came
 }
 
 // reset discards all probe results.
@@ -36,7 +36,7 @@
 	*s = slot{p: s.p, subject: s.subject, evidenceAt: -1}
 }
 
-// slotFor returns the slot of p, a new one if needed; nil if there are too many.
+// slotFor returns the slot of p, a new one if needed; nil if 2*maxListEntries agents have slots already.
 func (m *Member) slotFor(p *peer) *slot {
 	if p.slot != nil {
 		return p.slot
@@ -50,7 +50,7 @@
 	return s
 }
 
-// dropSlot removes the probe state of an agent, if there is any.
+// dropSlot removes the probe state of the agent id, if there is any.
 func (m *Member) dropSlot(id ID) {
 	s := m.slots[id]
 	if s == nil {
@@ -130,14 +130,14 @@
 	return s
 }
 
-// outcome is the result of a sample probe.
+// outcome is the result of a sample probe, one whose result counts in the self-check.
 type outcome struct {
-	id ID
-	ok bool
-	at time.Duration
+	id ID            // of the probed agent
+	ok bool          // it answered
+	at time.Duration // when it answered or the probe failed
 }
 
-// recordOutcome adds the result of a probe to the sample, if it belongs there.
+// recordOutcome adds the result of a probe to Member.sample, if it was a sample probe (slot.sample).
 func (m *Member) recordOutcome(s *slot, ok bool) {
 	if s.sample {
 		s.sample = false
@@ -146,7 +146,8 @@
 	}
 }
 
-// recentOutcomes counts the latest results, one per agent and maxSample at most; ok of them were answered.
+// recentOutcomes counts the latest sample results within sampleTTL, one per agent and maxSample at most: all of them,
+// and in ok the answered ones.
 func (m *Member) recentOutcomes() (ok, all int) {
 	var seen [maxSample]ID
 	for i := 1; i <= min(m.sampleCount, len(m.sample)) && all < maxSample; i++ {
@@ -166,10 +167,11 @@
 	return ok, all
 }
 
-// mayProbeEarly reports whether the agent of s may be probed before its regular time.
+// mayProbeEarly reports whether the agent of s may be probed before its regular time: if no probe is pending and the
+// last one was sent two periods ago or longer.
 func (m *Member) mayProbeEarly(s *slot) bool { return !s.waiting && m.now-s.sentAt >= 2*m.cfg.Period }
 
-// leastRecentSubject returns the observed agent, of those not failing, whose last probe is the oldest.
+// leastRecentSubject returns the slot of the observed agent whose last probe is the oldest, without failing agents.
 func (m *Member) leastRecentSubject() (best *slot) {
 	for _, s := range m.slotList {
 		if s.subject && !s.waiting && !s.failing && (best == nil || s.sentAt < best.sentAt) {
@@ -179,8 +181,8 @@
 	return best
 }
 
-// nextInOrder returns the next agent in a random round-robin order of all whose life has not ended; nil if
-// none.
+// nextInOrder returns the next agent to probe in a random round-robin order of all other agents whose life has not
+// ended; nil if there is no such agent.
 func (m *Member) nextInOrder() *peer {
 	for range 2 {
 		for len(m.probeOrder) > 0 {
@@ -200,7 +202,7 @@
 	return nil
 }
 
-// sendPing sends a direct probe.
+// sendPing sends a direct probe, unless Config.Rate forbids it.
 func (m *Member) sendPing(s *slot) {
 	m.seq++
 	s.seq, s.sentAt, s.waiting = m.seq, m.now, true
@@ -248,7 +250,7 @@
 	m.updateMark(s)
 }
 
-// recordFailure counts one more consecutive failed probe and sets the time of the next one.
+// recordFailure counts one more consecutive failed probe of an agent and sets the time of the next probe.
 func (m *Member) recordFailure(s *slot) {
 	if !s.failing {
 		s.failing, s.failSince, s.firstSeq, s.evidenceAt, s.failures = true, s.sentAt, s.seq, -1, 0
@@ -263,7 +265,7 @@
 	}
 }
 
-// failingCount returns the number of agents that don't answer at present.
+// failingCount returns the number of agents that have failed a probe and not answered one since.
 func (m *Member) failingCount() (n int) {
 	for _, s := range m.slotList {
 		if s.failing {
@@ -273,8 +275,8 @@
 	return n
 }
 
-// alarmed reports whether enough agents don't answer that this agent has to check whether it is cut off
-// itself.
+// alarmed reports whether this agent has to check whether it is cut off itself: at least two agents (or the only other
+// one) have failed alarmFailures consecutive probes.
 func (m *Member) alarmed() bool {
 	n := 0
 	for _, s := range m.slotList {
@@ -328,7 +330,7 @@
 	}
 }
 
-// matchesProbe reports whether seq belongs to the pending probe or to the current series of failed ones.
+// matchesProbe reports whether seq is the number of the pending probe or of one in the current series of failed ones.
 func (s *slot) matchesProbe(seq uint32) bool {
 	if s.failing {
 		return int32(seq-s.firstSeq) >= 0 && int32(s.seq-seq) >= 0
@@ -358,15 +360,15 @@
 	m.updateMark(s)
 }
 
-// updateMark recomputes what this agent's list says of an agent that may not answer.
+// updateMark recomputes the mark of s: how this agent's list says that the agent is unreachable, 0 if it isn't listed.
 func (m *Member) updateMark(s *slot) {
 	now, period := m.now, m.cfg.Period
 	ttl := time.Duration(evidenceTTL) * period
 	if s.mark&(markNoInbound|markNoOutbound) != 0 && s.mark&markUnreachable == 0 {
 		ttl = listedEvidenceTTL * period
 	}
-	heard := s.p.heardAt >= s.failSince && now-s.p.heardAt < ttl
-	vouched := s.evidenceAt >= 0 && now-s.evidenceAt < ttl
+	heard := s.p.heardAt >= s.failSince && now-s.p.heardAt < ttl // its own datagrams come directly
+	vouched := s.evidenceAt >= 0 && now-s.evidenceAt < ttl       // another agent has had contact with it
 	next := s.mark
 	switch {
 	case !s.failing:
@@ -400,15 +402,15 @@
 	}
 }
 
-// relay is an indirect probe on behalf of another agent.
+// relay is an indirect probe under way that this agent sent to target on behalf of asker.
 type relay struct {
 	asker, target ID
-	seq           uint32
-	expiresAt     time.Duration
+	seq           uint32        // the asker's number of its failed probe
+	expiresAt     time.Duration // after this time an answer is not forwarded any more
 }
 
-// handlePingRequest sends an indirect probe for p, and reports the last direct contact with the target at
-// once.
+// handlePingRequest probes the target of pk on behalf of p. If this agent has heard from the target recently, it reports
+// that to p at once, since the target may be alive and unable to receive.
 func (m *Member) handlePingRequest(p *peer, pk *packet) {
 	target := m.peers[pk.target]
 	if target == nil || target == m.self || target == p {
@@ -425,7 +427,7 @@
 	m.send(target, &packet{kind: kindRelayPing, seq: pk.seq, target: p.id}, priorityProbe)
 }
 
-// forwardRelayAck tells the agent that asked for an indirect probe that the target has answered.
+// forwardRelayAck reports to the agent that asked for an indirect probe of p that p has answered.
 func (m *Member) forwardRelayAck(p *peer, pk *packet) {
 	at := slices.IndexFunc(m.relays, func(f relay) bool { return f.asker == pk.target && f.target == p.id && f.seq == pk.seq })
 	if at < 0 {
@@ -437,8 +439,8 @@
 	}
 }
 
-// recordEvidence records that another agent had contact at a time with an agent that fails here; hears is
-// whether the failing agent receives this one's datagrams directly.
+// recordEvidence records that another agent had contact, at the time at, with an agent (pk.target) that fails this
+// agent's probes; hears is whether that agent receives this one's datagrams directly.
 func (m *Member) recordEvidence(pk *packet, at time.Duration, hears bool) {
 	s := m.slots[pk.target]
 	if s == nil || !s.failing || !s.matchesProbe(pk.seq) || at < s.failSince || at <= s.evidenceAt {
@@ -448,7 +450,7 @@
 	m.updateMark(s)
 }
 
-// pickPeers returns up to n agents that probably live, without exclude, in random order.
+// pickPeers returns up to n agents that are probably alive, without exclude, in random order.
 func (m *Member) pickPeers(n int, exclude *peer) (picked []*peer) {
 	if n == 0 {
 		return nil
@@ -456,7 +458,7 @@
 	suitable := func(p *peer) bool {
 		return p != m.self && p != exclude && !p.ended() && !(p.slot != nil && p.slot.failing && p.slot.failures > 1) && (p.state == Alive || p.state == Unseen)
 	}
-	// Usually nearly all are suitable, and a few draws are enough.
+	// Usually nearly all agents are suitable, so that a few random draws find enough.
 	for range drawsPerPick * n {
 		if p := m.order[m.rng.IntN(len(m.order))]; suitable(p) && !slices.Contains(picked, p) {
 			if picked = append(picked, p); len(picked) == n {
--- a/internal/member/rings.go
+++ b/internal/member/rings.go
@@ -20,9 +20,9 @@
 // ringPosition returns an agent's position on a ring, which is the same at all agents.
 func ringPosition(ring int, id ID) uint64 { return mix(uint64(ring)<<32 | uint64(id)) }
 
-// assignObservers computes which agents this one observes: on each ring the nearest successor that is alive
-// and not in doubt, and the agents before it, which can't be relied on to observe. In a small fleet this is
-// every other agent. It also computes the observers of this agent.
+// assignObservers computes which agents this one observes (subjects): on each ring its nearest successor that is alive
+// and not in doubt, and also the agents passed on the way there, since those can't be relied on to observe their
+// successors. In a small fleet this is
 func (m *Member) assignObservers() {
 	m.ringsChanged = false
 	m.subjects = m.subjects[:0]
@@ -72,8 +72,8 @@
 	}
 }
 
-// successor returns the first agent after position at on ring r whose life has not ended; nil if there is
-// none before position from is reached.
+// successor returns the first agent after position at on ring r whose life has not ended, without this agent itself; nil
+// if position from comes first.
 func (m *Member) successor(r int, at, from uint64) *peer {
 	ring := m.rings[r]
 	i := m.ringIndex(r, at)
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// predecessor returns the last agent before position at on ring r whose life has not ended; nil if there is
-// none.
+// predecessor returns the last agent before position at on ring r whose life has not ended, without this agent itself;
+// nil if no such agent exists.
 func (m *Member) predecessor(r int, at uint64) *peer {
 	ring := m.rings[r]
 	i := m.ringIndex(r, at) + len(ring)
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// State is the state of a member in a view.
+// State is the state in which this agent sees a member.
 type State uint8
 
 const (
 	Unseen  State = iota // configured, and not heard of since this agent started
 	Alive                // running
-	Suspect              // enough observers cannot reach it directly or indirectly
+	Suspect              // enough observers list it as unreachable by direct and indirect probes
 	Dead                 // its life has ended: declared by its observers
 	Left                 // its life has ended: announced by itself
 )
@@ -27,12 +27,12 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// Standing says how much of the fleet an agent sees, in its own judgement.
+// Standing says how much of the fleet an agent sees, by its own judgement.
 type Standing uint8
 
 const (
-	Minority Standing = iota // sees half of the expected fleet or less, or is in doubt
-	Majority                 // sees more than half
+	Minority Standing = iota // sees half of the expected fleet or less, or doubts itself (may be cut off)
+	Majority                 // sees more than half of it and doesn't doubt itself
 	OwnZone                  // a minority whose reachable members are all of its own zone, in a fleet with several
 	Alone                    // no other agent answers it
 )
@@ -49,11 +49,11 @@
 // Change is a change of a member's state or of this agent's own standing.
 type Change struct {
 	At       time.Duration
-	Sequence uint64 // number of this agent's changes so far, this one included
-	Member   ID     // NoID: the change is of this agent's standing
-	From, To State
-	Proved   bool // Dead: its host reported that no process listens
-	Standing Standing
+	Sequence uint64   // number of changes that this agent had seen then, this one included
+	Member   ID       // NoID: the change is of this agent's standing
+	From, To State    // of the member
+	Proved   bool     // To is Dead, and the host of the member reported that no process listens
+	Standing Standing // this agent's standing after the change
 }
 
 // MemberInfo describes one member in a view.
@@ -61,11 +61,11 @@
 	ID          ID
 	Name, Zone  string
 	State       State
-	Proved      bool // Dead: its host reported that no process listens
+	Proved      bool // State is Dead, and its host reported that no process listens
 	Start       uint32
 	Incarnation uint16
 	Since       time.Duration // when it entered State
-	Accused     int           // observers that cannot reach it directly or indirectly
+	Accused     int           // number of observers that list it as unreachable by direct and indirect probes
 	Doubts      bool          // the member believes that it may be cut off itself
 	Note        string        // published by the member; see SetNote
 	// Members whose datagrams don't reach it directly, according to its list or theirs, sorted by ID.
@@ -77,10 +77,10 @@
 type View struct {
 	Self     ID
 	Number   uint64 // grows with each new life and each end; the same at all agents with the same records
-	Digest   uint64
-	Changes  uint64 // changes that this agent has seen since its start
+	Digest   uint64 // hash of all records
+	Changes  uint64 // number of changes that this agent has seen since its start
 	Standing Standing
-	Expected int          // size of the complete fleet
+	Expected int          // number of agents in the complete fleet
 	Alive    int          // members in state Alive, this agent included
 	Zones    int          // number of different zones of the members
 	Members  []MemberInfo // sorted by ID, this agent included
@@ -96,7 +96,7 @@
 		v.Digest = mix(v.Digest ^ uint64(d))
 	}
 	zones := map[string]bool{}
-	blocked := map[ID][]ID{} // by the agent that can't be reached
+	blocked := map[ID][]ID{} // key: an agent; value: the agents whose datagrams don't reach it directly
 	for _, p := range m.order {
 		if p.state == Alive {
 			v.Alive++
@@ -138,7 +138,7 @@
 	return v
 }
 
-// Name returns a member's name; "#" and its number if the name is not known yet.
+// Name returns the name of member id; "#" and its ID if the name is not known yet.
 func (m *Member) Name(id ID) string {
 	if p := m.peers[id]; p != nil && p.rec.name != "" {
 		return p.rec.name
@@ -146,7 +146,7 @@
 	return fmt.Sprintf("#%d", id)
 }
 
-// Changes returns the changes since the last call, the latest maxChanges at most.
+// Changes returns the changes since its last call, oldest first; only the latest maxChanges are kept.
 func (m *Member) Changes() []Change {
 	c := m.changes
 	m.changes = nil
@@ -178,11 +178,11 @@
 	m.recordChange(Change{Member: p.id, From: from, To: s, Proved: p.rec.kind == kindRefused})
 }
 
-// Count is the number of agents that users of a view have to allow for.
+// Count is the number of agents that users of a view have to assume to be serving.
 type Count struct {
 	Living   int  // agents to be counted as serving
-	Possible int  // agents that may be serving in the worst case; at least Living
-	Away     []ID // the expected agents that Living leaves out
+	Possible int  // agents that serve in the worst case, those behind a network cut included; at least Living
+	Away     []ID // the agents in Config.Peers, or this one, that Living leaves out
 }
 
 // Count returns how many agents have to be counted as serving. Agents that left, or whose host reported
@@ -300,7 +300,7 @@
 	}
 }
 
-// eligible returns the number of agents that trusts accepts, this one included.
+// eligible returns the number of agents whose lists count here (see trusts), this one included.
 func (m *Member) eligible() int {
 	n := 1 + m.counts.known
 	if !m.doubt {
@@ -314,8 +314,8 @@
 	return n
 }
 
-// trusts reports whether the list of p counts here. The list of an agent in doubt counts only for agents in
-// doubt.
+// trusts reports whether this agent takes the list of p into account. It doesn't if p doubts itself, unless this agent
+// doubts itself too.
 func (m *Member) trusts(p *peer) bool {
 	if p == m.self {
 		return true
@@ -328,7 +328,7 @@
 	return p.known && !p.ended() && (!p.rec.doubt || m.doubt)
 }
 
-// updateState updates the state of p; need is the number of observers that must agree.
+// updateState updates the state of p; need is the number of observers that must agree on a suspicion or a death.
 func (m *Member) updateState(p *peer, need int) {
 	if p.state == Unseen {
 		if p.known {
@@ -419,8 +419,8 @@
 	}
 }
 
-// setDoubt starts doubt at once, and ends it only after clearDoubtAfter without a reason: answers from
-// before a cut still count for a short time.
+// setDoubt sets whether this agent doubts itself: at once if doubt is true, but back only after clearDoubtAfter without
+// a reason, since answers from before a cut still count for a short time.
 func (m *Member) setDoubt(doubt bool) {
 	switch {
 	case doubt:
@@ -432,7 +432,7 @@
 	}
 }
 
-// standing computes this agent's standing. Only an agent without doubt can be in the majority.
+// standing computes this agent's standing. An agent that doubts itself is never in the majority.
 func (m *Member) standing() Standing {
 	if alive := m.counts.alive; !m.doubt && alive > 1 && 2*alive > m.cfg.Expected {
 		return Majority
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -9,35 +9,37 @@
 	"sync/atomic"
 )
 
-// Result is the outcome of a request.
+// Result is the outcome of a request as the metrics count it.
 type Result uint8
 
 const (
 	OK     Result = iota // served by a backend
-	Shed                 // refused before it was processed, so a retry is safe
-	Errors               // failed
+	Shed                 // refused before any backend processed it, so a retry is safe
+	Errors               // ended in any other way, such as without an answer from a backend or with one that broke off
 	resultCount
 )
 
+// resultNames are the values of the label result, by Result.
 var resultNames = [resultCount]string{"ok", "shed", "errors"}
 
-// Metrics holds the metrics of one process. All start at 0 with the process.
+// Metrics holds the metrics of one agent process. All start at 0 with the process.
 type Metrics struct {
-	classes   []string
-	responses [][resultCount]atomic.Int64 // by class and result
+	classes   []string                    // names of the classes of requests, by class index
+	responses [][resultCount]atomic.Int64 // number of requests that have ended, by class index and Result
 
 	Attempts    atomic.Int64 // attempts that were written completely to a backend
-	Active      atomic.Int64 // requests accepted and not finished
-	PoolSize    atomic.Int64 // backends on the list
-	PoolEjected atomic.Int64 // backends on the list that are avoided: excluded by operators or by the balancer
+	Active      atomic.Int64 // requests that were accepted and have not ended
+	PoolSize    atomic.Int64 // backends on the list from discovery or the servers file
+	PoolEjected atomic.Int64 // backends on that list that are avoided: excluded by operators or by the balancer
 }
 
-// New returns metrics for the classes of the given names.
+// New returns metrics, all 0, for requests of the classes of the given names.
 func New(classes []string) *Metrics {
 	return &Metrics{classes: classes, responses: make([][resultCount]atomic.Int64, len(classes))}
 }
 
-// CountResponse counts a request that ended with r. It ignores an unknown class or result.
+// CountResponse counts a request of the class with index class that ended with r. It ignores an unknown class
+// or result.
 func (f *Metrics) CountResponse(class int, r Result) {
 	if class >= 0 && class < len(f.responses) && r < resultCount {
 		f.responses[class][r].Add(1)
@@ -47,10 +49,11 @@
 // labelEscaper escapes a label value for the Prometheus text format.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// Gauge is a metric that another part of the agent keeps. It is written as svc_ followed by Name.
+// Gauge is a metric whose value another part of the agent keeps. Its name in the text is svc_ followed by
+// Name.
 type Gauge struct {
-	Name  string
-	Value func() int64
+	Name  string       // without the prefix svc_
+	Value func() int64 // returns the current value
 }
 
 // Text returns the metrics in the Prometheus text format, followed by the extra gauges.
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -38,15 +38,15 @@
 	"lemonrail/internal/load"
 )
 
-// Options define what is measured.
+// Options define what is measured and how long.
 type Options struct {
 	Agent       string                           // path of the agent's program
 	Proxy       []string                         // command line of the bare proxy, to which its addresses are appended; see ServeProxy
 	Nodes       int                              // number of nodes
 	AnswerBytes int                              // size of an answer's body
-	Clients     int                              // number of clients in the closed loop
+	Clients     int                              // number of clients, each with one request at a time, in the closed loop
 	Seconds     float64                          // duration of each loop
-	RatesPerS   []float64                        // fixed rates, in requests per second
+	RatesPerS   []float64                        // rates of the measurements of latency, in requests per second
 	Rounds      int                              // number of rounds
 	Dir         string                           // directory for the agent's configuration
 	ChangesPerS float64                          // changes per second of the list of nodes; 0 for none
@@ -62,22 +62,22 @@
 	RequestsPerS float64       `json:"per_s"`     // closed loop: served requests per second
 	CPUUs        float64       `json:"cpu_us"`    // closed loop: CPU time of the proxy per request, in microseconds; 0 without a proxy
 	Answered     int64         `json:"answered"`  // requests answered with 200 in all closed loops
-	NotServed    int64         `json:"other"`     // requests with any other outcome, in all loops
+	NotServed    int64         `json:"other"`     // requests with any other outcome than 200, in all loops
 	PeakMemoryMB float64       `json:"memory_mb"` // peak resident memory over the whole run
 	Rates        []RateLatency `json:"rates"`
 }
 
-// RateLatency is the latency at a fixed rate, from when a request was written to the end of its answer.
+// RateLatency is the latency at a fixed rate, in microseconds, from when a request was written to the end of its answer.
 type RateLatency struct {
-	PerS  float64 `json:"per_s"`
+	PerS  float64 `json:"per_s"` // requests per second
 	P50Us float64 `json:"p50_us"`
 	P99Us float64 `json:"p99_us"`
 }
 
 // Report holds the results of all variants.
 type Report struct {
-	Cores   int    `json:"cores"`
-	Go      string `json:"go"`
+	Cores   int    `json:"cores"` // number of processors of the machine
+	Go      string `json:"go"`    // version of Go
 	Clients int    `json:"clients"`
 	Nodes   int    `json:"nodes"`
 	Rounds  int    `json:"rounds"`
@@ -87,13 +87,13 @@
 // variant is one of the compared set-ups and its measurements so far.
 type variant struct {
 	name         string
-	addr         netip.AddrPort
-	pid          int // of the proxy; 0 without a proxy
+	addr         netip.AddrPort // address that clients send to
+	pid          int            // of the proxy; 0 without a proxy
 	row          Row
-	requestsPerS []float64
-	cpuUs        []float64
-	p50          [][]float64 // in microseconds, by rate and round
-	p99          [][]float64
+	requestsPerS []float64   // closed loop: requests per second, by round
+	cpuUs        []float64   // closed loop: processor time per request, by round
+	p50          [][]float64 // latency at fixed rates in microseconds, by rate and round
+	p99          [][]float64 // as p50
 }
 
 // Measure runs all rounds and returns the results.
@@ -202,6 +202,7 @@
 	return r, nil
 }
 
+// median returns the median of a list, 0 if it is empty.
 func median(list []float64) float64 {
 	if len(list) == 0 {
 		return 0
@@ -209,7 +210,7 @@
 	return slices.Sorted(slices.Values(list))[len(list)/2]
 }
 
-// requests returns a generator of equal requests, at even intervals if rate is above 0.
+// requests returns a function that yields equal requests. If rate is above 0, they are due at even intervals, rate per second.
 func requests(rate float64) func() (*load.Request, error) {
 	n := int64(0)
 	return func() (*load.Request, error) {
@@ -222,7 +223,7 @@
 	}
 }
 
-// measureClosedLoop runs the closed loop once.
+// measureClosedLoop runs the closed loop for o.Seconds and appends requests per second and processor time per request.
 func (w *variant) measureClosedLoop(ctx context.Context, o Options, seed uint64) error {
 	var served, notServed atomic.Int64
 	opt := load.PlayOptions{Targets: []netip.AddrPort{w.addr}, Seed: seed<<8 | 1, MaxDuration: time.Duration(o.Seconds * float64(time.Second)), Done: func(s *load.Sample) {
@@ -251,7 +252,7 @@
 	return ctx.Err()
 }
 
-// measureFixedRate measures the latency at one rate once.
+// measureFixedRate sends requests at rate i for o.Seconds and appends the latencies.
 func (w *variant) measureFixedRate(ctx context.Context, o Options, i int, rate float64, seed uint64) error {
 	var latencies []float64
 	opt := load.PlayOptions{Targets: []netip.AddrPort{w.addr}, Seed: seed<<8 | uint64(2+i), MaxDuration: time.Duration(o.Seconds * float64(time.Second)), MaxInFlight: 256, Done: func(s *load.Sample) {
@@ -272,7 +273,7 @@
 	return ctx.Err()
 }
 
-// startNodes starts nodes that answer every request at once.
+// startNodes starts n nodes that answer every request at once with a body of the given size.
 func startNodes(n, size int) (addrs []netip.AddrPort, closing func() error, err error) {
 	body := strings.Repeat("x", size)
 	var servers []*http.Server
@@ -298,12 +299,12 @@
 	return addrs, closing, nil
 }
 
-// hostEntry returns a node in discovery's format.
+// hostEntry returns the entry of node i in discovery's list, with the given weight (share).
 func hostEntry(i int, n netip.AddrPort, share float64) map[string]any {
 	return map[string]any{"host": fmt.Sprint("h", i), "dial": n.String(), "site": "a", "class": "k", "block": 0, "health": "ready", "share": share, "born_ms": 0}
 }
 
-// changeLine returns discovery's line for the nth change of the list: another share for one node.
+// changeLine returns the line that discovery sends for the nth change of the list, which changes the weight of one node.
 func changeLine(nodes []netip.AddrPort, n int) []byte {
 	i := n % len(nodes)
 	share := 1 + 0.01*float64((n/len(nodes)+1)%2)
@@ -470,12 +471,13 @@
 	}, set(&rest)
 }
 
+// stop kills the process and waits for its end.
 func (k *childProcess) stop() {
 	k.cmd.Process.Kill()
 	k.cmd.Wait()
 }
 
-// waitUntilUp waits until GET /up is answered with 200.
+// waitUntilUp waits until GET /up at an address is answered with 200.
 func waitUntilUp(ctx context.Context, addr netip.AddrPort) error {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -16,6 +16,7 @@
 	return balance.Backend{ID: id, Started: started}
 }
 
+// full returns a whole list of the given backends.
 func full(b ...balance.Backend) balance.List {
 	return balance.List{Kind: balance.ListFull, Backends: b}
 }
--- a/internal/replica/connections.go
+++ b/internal/replica/connections.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	protocolMagic  = "lemonrail replica 1"
+	protocolMagic  = "lemonrail replica 1" // name and version of the protocol
 	pingInterval   = 2 * time.Second
 	silenceTimeout = 3 * pingInterval // a connection that receives nothing for this long is closed and dialled again
 )
 
 // Frames between members hold voter messages. Their frame kinds follow that of the hello.
 const (
-	firstVoterKind = transport.KindHello + 1
-	kindCount      = firstVoterKind + transport.Kind(voter.KindJoin) + 1
+	firstVoterKind = transport.KindHello + 1                             // a voter.Kind k is sent as frame kind firstVoterKind + k
+	kindCount      = firstVoterKind + transport.Kind(voter.KindJoin) + 1 // number of frame kinds
 )
 
+// protocol returns the parameters of the connections to the other members, which are the only ones accepted.
 func (r *Replica) protocol() transport.Protocol {
 	admit := func(name string) bool { return name != r.options.Name && r.options.address(name) != "" }
 	return transport.Protocol{Magic: protocolMagic, Group: r.options.Group, Name: r.options.Name, KindCount: kindCount, PingInterval: pingInterval, SilenceTimeout: silenceTimeout, Admit: admit}
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -49,6 +49,7 @@
 	return ""
 }
 
+// partitions are the ways in which a leader loses its majority, each with the size of the group.
 var partitions = map[string]struct {
 	size int
 	cut  func(w *world, leader *process)
--- a/internal/replica/history_test.go
+++ b/internal/replica/history_test.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	simClients       = 3
-	maxClientWait    = 1500 * time.Millisecond // for one attempt; the actual limit is random
-	maxOperationTime = 5 * time.Second         // for all attempts of one operation
+	simClients       = 3                       // number of clients
+	maxClientWait    = 1500 * time.Millisecond // for one attempt; each attempt's limit is drawn below it
+	maxOperationTime = 5 * time.Second         // for all attempts of one operation; then the client gives up
 )
 
 // history runs clients against a world and records their operations: writes, swaps and reads of one register. A client
@@ -31,9 +31,10 @@
 	counts          struct{ done, refused, unknown, resent int } // operations by outcome, and attempts that were resent
 }
 
+// client does one operation after the other, with pauses.
 type client struct {
-	idleUntil time.Duration
-	operation *operation // nil: idle
+	idleUntil time.Duration // end of the pause, in simulated time
+	operation *operation    // nil: idle
 }
 
 // operation is what a client wants done, and its current attempt.
@@ -55,11 +56,13 @@
 	command
 }
 
+// output is what the client learned: a command's result, or the value that a read returned.
 type output struct {
 	known bool // false: the command may have been executed at any time after the call, or never
 	value string
 }
 
+// registerModel is the register's specification for the check of linearizability.
 var registerModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, in, out any) (bool, any) {
@@ -142,6 +145,7 @@
 	o.try = target.submit(newRequest(o.input.command.bytes(), o.input.read))
 }
 
+// handleOutcome records a success, or passes an error to handleFailure.
 func (h *history) handleOutcome(c *client, out outcome) {
 	o := c.operation
 	if out.err != nil {
@@ -171,6 +175,7 @@
 	}
 }
 
+// giveUp records that an operation was refused or that its outcome is unknown; reads are not recorded.
 func (h *history) giveUp(c *client) {
 	o := c.operation
 	switch {
@@ -185,11 +190,13 @@
 	h.finish(c)
 }
 
+// finish ends a client's operation and draws its next pause.
 func (h *history) finish(c *client) {
 	c.operation = nil
 	c.idleUntil = h.now + time.Duration(20+h.rng.IntN(200))*time.Millisecond
 }
 
+// record adds an operation to the history; returned is when it ended, in simulated time.
 func (h *history) record(o *operation, out output, returned int64) {
 	h.operations = append(h.operations, porcupine.Operation{ClientId: len(h.operations), Input: o.input, Call: int64(o.called), Output: out, Return: returned})
 }
@@ -254,10 +261,13 @@
 	return ""
 }
 
+// replay returns the command that runs one timetable again.
 func replay(seed uint64) string {
 	return fmt.Sprintf("go test ./internal/replica -run 'TestHistories$' -first %d -timetables 1", seed)
 }
 
+// In each timetable the histories are linearizable, no refused command is executed, and no command that was
+// reported as done is lost.
 func TestHistories(t *testing.T) {
 	done, refused, unknown, resent, untolerated := 0, 0, 0, 0, 0
 	for n := range uint64(*timetables) {
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -13,7 +13,7 @@
 // MaxSnapshotBytes is the maximum size of a state machine's snapshot in bytes. It is stored as base64 within JSON.
 const MaxSnapshotBytes = (voter.MaxSnapshotBytes - maxMembershipBytes) / 4 * 3
 
-const maxMembershipBytes = 16 << 10 // of the encoded membership in a snapshot
+const maxMembershipBytes = 16 << 10 // reserved for the encoded membership in a snapshot
 
 // host implements voter.Host for a replica.
 type host struct{ *Replica }
@@ -36,7 +36,7 @@
 
 // snapshotData is the content of a snapshot. The JSON keys are part of the stored format.
 type snapshotData struct {
-	Machine    []byte
+	Machine    []byte // StateMachine.Snapshot
 	Membership voter.Membership
 }
 
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -29,9 +29,9 @@
 )
 
 const (
-	defaultTick = 50 * time.Millisecond
-	maxMembers  = 7
-	inboxSize   = 1024
+	defaultTick = 50 * time.Millisecond // the raft tick if Options.Tick is 0
+	maxMembers  = 7                     // of a group
+	inboxSize   = 1024                  // functions that wait for the replica's goroutine
 )
 
 // StateMachine is the replicated state of a group. It is called on the replica's goroutine only.
@@ -59,9 +59,9 @@
 	FS        store.FS      // where the log and the votes are stored
 	Listener  net.Listener  // nil: New listens on the member's address
 	Tick      time.Duration // 0: 50 ms; members elect another leader after at least ten ticks without one
-	Machine   StateMachine
-	OnApplied func()       // optional: called on the replica's goroutine after entries or a snapshot were applied
-	Log       *slog.Logger // nil: nothing is logged
+	Machine   StateMachine  // the state to replicate
+	OnApplied func()        // optional: called on the replica's goroutine after entries or a snapshot were applied
+	Log       *slog.Logger  // nil: nothing is logged
 
 	Now  func() time.Duration // nil: the monotonic clock. If set, the replica is simulated: it opens no listener and can't Run
 	Rand *rand.Rand           // source of raft identities; nil: seeded at random
@@ -103,6 +103,7 @@
 	return ""
 }
 
+// names returns the names of all members, in the order of the options.
 func (o *Options) names() []string {
 	names := make([]string, 0, len(o.Members))
 	for _, member := range o.Members {
@@ -170,6 +171,7 @@
 	return nil
 }
 
+// now returns the time on the replica's clock.
 func (r *Replica) now() time.Duration {
 	if r.options.Now != nil {
 		return r.options.Now()
@@ -223,7 +225,8 @@
 	r.voter.Guard(func() { r.voter.Open(r.now()) })
 }
 
-// step does all work that is due. ticked reports that a tick has passed.
+// step drops overdue requests, advances raft, sends and applies what that yields, and answers requests.
+// ticked: a raft tick has passed.
 func (r *Replica) step(ticked bool) {
 	r.voter.Guard(func() {
 		now, applied := r.now(), r.voter.Applied()
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	maxWaiting              = 1024 // of requests that wait for a confirmation by the majority, and of confirmed reads
-	maxProposed             = 4096 // commands that were proposed and have no result yet
-	confirmElectionTimeouts = 2    // a confirmation must arrive within this many election timeouts
+	maxWaiting              = 1024 // bound of requests.waiting, and of requests.reads
+	maxProposed             = 4096 // bound of requests.proposed
+	confirmElectionTimeouts = 2    // a request is refused if its confirmation takes longer than this many election timeouts
 
 	// MaxCommandBytes is the maximum size of a command in bytes.
 	MaxCommandBytes = 1 << 20
@@ -43,31 +43,33 @@
 	return fmt.Sprintf("this member doesn't lead: %q does", e.Leader)
 }
 
-// stage is the progress of a request. It changes once, from waiting, by compare-and-swap: a request is either proposed by
-// the replica's goroutine or withdrawn by its caller, never both.
+// stage is the progress of a request. It changes once, by compare-and-swap: a waiting request is either
+// proposed by the replica's goroutine or withdrawn by its caller, never both.
 type stage = int32
 
 const (
-	stageWaiting stage = iota
-	stageProposed
-	stageWithdrawn // never proposed
+	stageWaiting   stage = iota // not proposed yet
+	stageProposed               // given to raft: it may be executed
+	stageWithdrawn              // never proposed
 )
 
 // request is a pending command or read.
 type request struct {
-	command  []byte
-	read     bool
-	deadline time.Duration // for the confirmation by the majority
-	index    uint64        // for a read: it is answered once this index is applied
+	command  []byte        // to be executed; nil for a read
+	read     bool          // true: Read, false: Propose
+	deadline time.Duration // on the replica's clock: the majority must have confirmed this leader by then
+	index    uint64        // for a read: it is answered once the log entry with this index is applied
 	stage    atomic.Int32
 	done     chan outcome // has room for one
 }
 
+// outcome is what Propose or Read returns for a request.
 type outcome struct {
 	result []byte
 	err    error
 }
 
+// newRequest returns a waiting request.
 func newRequest(command []byte, read bool) *request {
 	return &request{command: command, read: read, done: make(chan outcome, 1)}
 }
@@ -86,15 +88,16 @@
 	}
 }
 
-// requests are the pending requests of this member.
+// requests are the pending requests of this member. Each waits for a confirmation: a read index, by which a
+// majority shows that it still follows this leader. Requests that wait at the same time share one.
 type requests struct {
-	waiting       []*request // for the next confirmation
-	confirming    []*request // for the current confirmation
-	confirmID     uint64     // of the current confirmation; 0: there is none
-	lastConfirmID uint64
+	waiting       []*request          // for the confirmation after the current one
+	confirming    []*request          // for the current confirmation
+	confirmID     uint64              // number of the current confirmation; 0: none is under way
+	lastConfirmID uint64              // number of the last confirmation so far
 	reads         []*request          // confirmed reads whose index isn't applied yet
-	proposed      map[uint64]*request // by sequence number of the entry
-	lastSequence  uint64
+	proposed      map[uint64]*request // commands without a result, by sequence number of their log entry
+	lastSequence  uint64              // of the last entry that this process proposed
 }
 
 func newRequests() requests { return requests{proposed: map[uint64]*request{}} }
@@ -151,7 +154,8 @@
 	return outcome{err: fmt.Errorf("%w: %w", ErrOutcomeUnknown, reason)}
 }
 
-// submit queues a request for the next confirmation if this member leads and has room.
+// submit queues a request for the next confirmation. It refuses the request if this member doesn't lead or
+// too many requests wait.
 func (r *Replica) submit(q *request) {
 	switch {
 	case !r.voter.Leads():
@@ -164,6 +168,7 @@
 	}
 }
 
+// notLeader returns a NotLeaderError that names the leader, unless that is unknown.
 func (r *Replica) notLeader() error {
 	leader := r.voter.Leader()
 	if leader == r.options.Name {
@@ -295,13 +300,15 @@
 	r.requests = requests{proposed: map[uint64]*request{}, lastConfirmID: r.requests.lastConfirmID, lastSequence: r.requests.lastSequence}
 }
 
-// entryID identifies the process that proposed an entry, and the entry within that process.
+// entryID identifies a log entry by the process that proposed it (Replica.incarnation) and its number there.
 type entryID struct{ Incarnation, Sequence uint64 }
 
-const entryHeaderBytes = 16
+const entryHeaderBytes = 16 // the encoded entryID
 
+// errEntryHeader reports a log entry that is shorter than its entryID.
 var errEntryHeader = errors.New("an entry without its head")
 
+// encodeEntry returns a log entry's data: the ID, then the command.
 func encodeEntry(id entryID, command []byte) []byte {
 	raw := make([]byte, 0, entryHeaderBytes+len(command))
 	raw = binary.BigEndian.AppendUint64(raw, id.Incarnation)
@@ -309,6 +316,7 @@
 	return append(raw, command...)
 }
 
+// decodeEntry is the inverse of encodeEntry.
 func decodeEntry(raw []byte) (id entryID, command []byte, err error) {
 	if len(raw) < entryHeaderBytes {
 		return entryID{}, nil, errEntryHeader
--- a/internal/replica/sim_test.go
+++ b/internal/replica/sim_test.go
@@ -24,8 +24,8 @@
 // killed, links are cut in one or both directions, connections are reset, and a disk drops syncs. Frames pass through the
 // queues of detached connections; no goroutine runs.
 const (
-	simStep = 10 * time.Millisecond
-	simTick = 20 * time.Millisecond
+	simStep = 10 * time.Millisecond // simulated time per step
+	simTick = 20 * time.Millisecond // simulated time per raft tick
 )
 
 var (
@@ -55,10 +55,10 @@
 
 // command writes New to a register. With Swap it does so only if the value is Old.
 type command struct {
-	ID       string
+	ID       string // identifies the command; a retry has the same
 	Swap     bool
 	Old, New string
-	Padding  []byte `json:",omitempty"`
+	Padding  []byte `json:",omitempty"` // makes the command longer
 }
 
 func (c command) bytes() []byte {
@@ -107,7 +107,7 @@
 	seed         uint64
 	rng          *rand.Rand
 	injected     injectedFaults
-	now          time.Duration
+	now          time.Duration // simulated time
 	processes    []*process
 	cut          [][]bool // cut[from][to]: no frame is delivered in this direction
 	links        []*link
@@ -115,6 +115,7 @@
 	promisesLost bool   // a disk dropped syncs while a member that may know its promises was away or restarted: the loss may go unnoticed
 }
 
+// process is a member of the group with its clock and disk.
 type process struct {
 	world       *world
 	index       int
@@ -123,23 +124,24 @@
 	up          bool
 	paused      bool
 	disk        *store.FaultyDisk
-	replica     *Replica
+	replica     *Replica // nil: the process is down
 	machine     *register
 	incarnation int // number of starts
 }
 
 // link is a connection that one process has dialled to another.
 type link struct {
-	from, to    int
+	from, to    int             // indices of the processes: from has dialled to
 	dialled     *transport.Conn // end at from
 	accepted    *transport.Conn // end at to; nil: not accepted yet
 	incarnation int             // of process to when it accepted
-	delayed     []delayedFrame
+	delayed     []delayedFrame  // frames on their way, the oldest first
 }
 
+// delayedFrame is a frame on its way between the ends of a link.
 type delayedFrame struct {
-	at      time.Duration
-	forward bool
+	at      time.Duration // when it arrives
+	forward bool          // from the dialling process to the other one
 	bytes   []byte
 }
 
@@ -163,10 +165,12 @@
 	return func() { crand.Reader = was }
 }
 
+// clock returns the time on the process's clock.
 func (p *process) clock() time.Duration {
 	return time.Duration(p.rate*float64(p.world.now)) + time.Hour
 }
 
+// start starts the process with a new replica and state machine, on the disk as it is.
 func (p *process) start() {
 	w := p.world
 	var members []Member
@@ -366,6 +370,7 @@
 	}
 }
 
+// heal ends all faults except dropped syncs.
 func (w *world) heal() {
 	for i := range w.cut {
 		clear(w.cut[i])
@@ -418,6 +423,7 @@
 	return leader
 }
 
+// waitForLeader steps until a process leads and has applied an entry of its term.
 func (w *world) waitForLeader() *process {
 	w.t.Helper()
 	w.stepUntil("a leader", func() bool { return w.establishedLeader() != nil })
@@ -435,6 +441,7 @@
 	return q
 }
 
+// propose passes a command to a process, as Propose does.
 func (p *process) propose(c command) *request { return p.submit(newRequest(c.bytes(), false)) }
 
 // outcomeOf steps until a request is finished.
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -7,20 +7,20 @@
 	"lemonrail/internal/replica/voter"
 )
 
-// Status is the state of a member.
+// Status is the state of a group's member.
 type Status struct {
 	Group        string            `json:"group"`
 	Name         string            `json:"name"`
-	Identity     string            `json:"identity"`
-	Voting       bool              `json:"votes"`
-	Reason       string            `json:"why"` // why the member doesn't vote, or how it started
-	Leads        bool              `json:"leads"`
-	Leader       string            `json:"leader"` // name; empty: unknown
-	Term         uint64            `json:"term"`
-	Applied      uint64            `json:"applied"` // index of the last applied entry
-	Members      map[string]string `json:"members"` // raft identities by name
-	BytesWritten uint64            `json:"bytes_written"`
-	Syncs        uint64            `json:"syncs"`
+	Identity     string            `json:"identity"`      // identity of its store, in hexadecimal
+	Voting       bool              `json:"votes"`         // it takes part in elections and commits
+	Reason       string            `json:"why"`           // why the member doesn't vote, or how it started
+	Leads        bool              `json:"leads"`         // it believes that it is the leader
+	Leader       string            `json:"leader"`        // name of the leader; empty: unknown
+	Term         uint64            `json:"term"`          // current raft term
+	Applied      uint64            `json:"applied"`       // index of the last applied log entry
+	Members      map[string]string `json:"members"`       // raft identities by name
+	BytesWritten uint64            `json:"bytes_written"` // by the store since it was opened
+	Syncs        uint64            `json:"syncs"`         // of the store's files since it was opened
 }
 
 // Status returns the current state of this member.
--- a/internal/replica/tcp_test.go
+++ b/internal/replica/tcp_test.go
@@ -20,19 +20,21 @@
 // group is a group of members over loopback, each with a folder of its own.
 type group struct {
 	t       *testing.T
-	members []Member
-	folders []string
-	running []*runningMember
-	applied chan struct{} // notified after a member has applied entries or a snapshot
+	members []Member         // all members, started or not
+	folders []string         // of the members' stores
+	running []*runningMember // by index of the member; nil: stopped
+	applied chan struct{}    // notified after a member has applied entries or a snapshot
 }
 
+// runningMember is a started member with its state machine.
 type runningMember struct {
 	replica *Replica
 	machine *register
 	cancel  context.CancelFunc
-	ended   sync.WaitGroup
+	ended   sync.WaitGroup // done once Run has returned
 }
 
+// newGroup starts a group of the given size, which the test's cleanup stops.
 func newGroup(t *testing.T, size int) *group {
 	g := &group{t: t, running: make([]*runningMember, size), applied: make(chan struct{}, 1)}
 	listeners := make([]net.Listener, size)
@@ -55,6 +57,7 @@
 	return g
 }
 
+// start starts member i on its folder; l nil: it opens its own listener.
 func (g *group) start(i int, l net.Listener) {
 	g.t.Helper()
 	m := newRegister()
@@ -78,6 +81,7 @@
 	g.running[i] = run
 }
 
+// stop ends member i and waits for it.
 func (g *group) stop(i int) {
 	if run := g.running[i]; run != nil {
 		run.cancel()
@@ -129,6 +133,8 @@
 	}
 }
 
+// Commands, reads and redirects to the leader work; after the leader's end another member leads, and the old
+// one catches up.
 func TestGroupOverLoopback(t *testing.T) {
 	for _, size := range []int{1, 3, 4} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -202,6 +208,7 @@
 	}
 }
 
+// New refuses each invalid option.
 func TestInvalidOptions(t *testing.T) {
 	good := func() Options {
 		return Options{Group: "g", Name: "m0", Members: []Member{{"m0", "127.0.0.1:0"}}, FS: store.NewFaultyDisk(1), Machine: newRegister(), Now: func() time.Duration { return 0 }}
--- a/internal/replica/transport/conn.go
+++ b/internal/replica/transport/conn.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	maxQueuedFrames = 128 // per connection; further frames are lost, as they can be on the network
-	dialTimeout     = time.Second
-	writeTimeout    = 2 * time.Second
-	minRedialDelay  = 50 * time.Millisecond
-	maxRedialDelay  = time.Second
-	stableAfter     = time.Second // a connection that lasted longer resets the redial delay to its minimum
+	maxQueuedFrames = 128                   // per connection; further frames are lost, as they can be on the network
+	dialTimeout     = time.Second           // for the TCP connection
+	writeTimeout    = 2 * time.Second       // of one frame, and of the exchange of hellos
+	minRedialDelay  = 50 * time.Millisecond // mean delay before the first redial, doubled with each further one
+	maxRedialDelay  = time.Second           // bound of that delay
+	stableAfter     = time.Second           // a connection that lasted longer sets the redial delay back to minRedialDelay
 	readBufferBytes = 32 << 10
 )
 
@@ -45,9 +45,9 @@
 
 // hello is the first frame in each direction of a connection. The JSON keys are part of the protocol.
 type hello struct {
-	Magic string
-	Group string `json:"Fleet"`
-	Name  string
+	Magic string // name and version of the protocol
+	Group string `json:"Fleet"` // of processes that may connect to each other
+	Name  string // of the sender
 }
 
 // Handler processes a received frame. It is called on the connection's goroutine.
@@ -62,6 +62,7 @@
 	peer      string        // name of the remote end
 }
 
+// newConn returns a connection over a socket; run drives it.
 func newConn(socket net.Conn) *Conn {
 	return &Conn{socket: socket, queue: make(chan []byte, maxQueuedFrames), done: make(chan struct{})}
 }
@@ -199,15 +200,16 @@
 	}
 }
 
-// Dialer keeps a connection to one address open. It waits between attempts, with exponential backoff and jitter.
+// Dialer keeps a connection to one address open. Between attempts it waits, with exponential backoff and
+// jitter.
 type Dialer struct {
-	Address   string
+	Address   string // host and port to dial
 	Protocol  Protocol
-	Handle    Handler
+	Handle    Handler     // called with each received frame but pings
 	OnInvalid func(error) // called with the error of each invalid frame
 
-	mu   sync.Mutex
-	conn *Conn
+	mu   sync.Mutex // guards conn
+	conn *Conn      // the current connection; nil: none
 }
 
 // Run dials and redials until ctx ends. jitter returns random numbers in [0, 1).
@@ -241,14 +243,15 @@
 	return time.Since(started) > stableAfter
 }
 
-// Attach makes the dialer send over c; nil: there is no connection.
+// Attach makes the dialer send over c; nil: it has no connection to send over.
 func (d *Dialer) Attach(c *Conn) {
 	d.mu.Lock()
 	d.conn = c
 	d.mu.Unlock()
 }
 
-// Send queues a frame on the current connection. It returns false if there is none or the connection refuses the frame.
+// Send queues a frame on the current connection. It returns false if the dialer has no connection or the
+// connection refuses the frame.
 func (d *Dialer) Send(kind Kind, content []byte) bool {
 	d.mu.Lock()
 	c := d.conn
--- a/internal/replica/transport/frame.go
+++ b/internal/replica/transport/frame.go
@@ -23,19 +23,20 @@
 
 // Kinds that every protocol has.
 const (
-	KindHello Kind = 0
+	KindHello Kind = 0   // the first frame in each direction, see hello
 	KindPing  Kind = 255 // shows that an idle connection is alive; not passed to the handler
 )
 
 const (
-	maxContentBytes = 8 << 20 // of one frame; snapshots are the largest frames
-	headerBytes     = 4 + 4 + 1
-	readChunkBytes  = 64 << 10 // memory that is allocated at a time while content arrives
+	maxContentBytes = 8 << 20   // of one frame; snapshots are the largest frames
+	headerBytes     = 4 + 4 + 1 // length, checksum, kind
+	readChunkBytes  = 64 << 10  // memory that is allocated at a time while content arrives
 )
 
 // ErrInvalidFrame reports that the received bytes are not a valid frame of the protocol.
 var ErrInvalidFrame = errors.New("invalid frame")
 
+// castagnoli is the table for the CRC-32C of the frames.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // AppendFrame appends an encoded frame to b.
--- a/internal/replica/transport/server.go
+++ b/internal/replica/transport/server.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxConnections   = 512
+	maxConnections   = 512                   // open at a time; further ones are closed at once
 	acceptRetryDelay = 20 * time.Millisecond // after a failed accept, for example when no file descriptors are left
 )
 
@@ -17,10 +17,10 @@
 type Server struct {
 	Listener  net.Listener
 	Protocol  Protocol
-	Handle    Handler
+	Handle    Handler     // called with each received frame but pings
 	OnInvalid func(error) // called with the error of each invalid frame
 
-	mu              sync.Mutex
+	mu              sync.Mutex // guards openConnections
 	openConnections int
 }
 
@@ -53,6 +53,7 @@
 	}
 }
 
+// reserve counts a new connection; false: maxConnections are open.
 func (s *Server) reserve() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,6 +64,7 @@
 	return true
 }
 
+// release ends the count of a connection that reserve has counted.
 func (s *Server) release() {
 	s.mu.Lock()
 	s.openConnections--
--- a/internal/replica/transport/transport_test.go
+++ b/internal/replica/transport/transport_test.go
@@ -42,6 +42,7 @@
 	}
 }
 
+// Any bytes are refused, or begin with the encoding of the frame that they give.
 func FuzzFrame(f *testing.F) {
 	f.Add(AppendFrame(nil, 1, []byte("{}")))
 	f.Add([]byte{0, 0, 0, 1, 0, 0, 0, 0, 1, 2})
@@ -61,11 +62,12 @@
 	server           *Server
 	dialer           *Dialer
 	atServer, atDial chan string // "name of the sender, content" of each frame that arrived
-	invalid          chan error
+	invalid          chan error  // errors of OnInvalid, of both ends
 	cancel           context.CancelFunc
-	ended            sync.WaitGroup
+	ended            sync.WaitGroup // done once server and dialer have returned
 }
 
+// newPair starts a server that answers each frame with its content after "back ", and a dialer to it.
 func newPair(t *testing.T, served, dialled Protocol) *pair {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -95,6 +97,7 @@
 	return p
 }
 
+// protocol returns the parameters of an end with this name; both ends match.
 func protocol(name string) Protocol {
 	return Protocol{Magic: "test 1", Group: "g", Name: name, KindCount: 2, SilenceTimeout: time.Minute}
 }
@@ -106,6 +109,7 @@
 	}
 }
 
+// A frame reaches the server with the client's name, and its answer reaches the client with the server's.
 func TestFramesGoBothWays(t *testing.T) {
 	p := newPair(t, protocol("server"), protocol("client"))
 	p.send("hello")
@@ -117,6 +121,7 @@
 	}
 }
 
+// A hello of another group, protocol or name than expected ends the connection, and no frame is passed on.
 func TestMismatchedHelloIsRefused(t *testing.T) {
 	for name, tt := range map[string]struct {
 		alter func(p *Protocol)
@@ -201,6 +206,7 @@
 	}
 }
 
+// Send refuses frames beyond the queue's bound, frames that are too long, and any frame after Close.
 func TestQueueIsBounded(t *testing.T) {
 	c := Detached("peer")
 	sent := 0
--- a/internal/replica/voter/membership.go
+++ b/internal/replica/voter/membership.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	requestInterval   = 200 * time.Millisecond // between check-ins before this member votes, and between requests to join
-	minChangeInterval = 5 * time.Second        // between proposed changes of members
-	distrustedSuffix  = ".distrusted"          // of the names of quarantined files
-	neverReplace      = time.Duration(1<<63 - 1)
-	initialIndex      = 1 // index and term of the snapshot with which a group begins
+	requestInterval   = 200 * time.Millisecond   // between check-ins before this member votes, and between requests to join
+	minChangeInterval = 5 * time.Second          // between proposed changes of members
+	distrustedSuffix  = ".distrusted"            // of the names of quarantined files
+	neverReplace      = time.Duration(1<<63 - 1) // stands for a ReplaceAfter of 0: longer than any member can be dead
+	initialIndex      = 1                        // index and term of the snapshot with which a group begins
 )
 
 // newIdentity draws a random raft identity.
@@ -35,7 +35,8 @@
 	}
 }
 
-// Open opens the store and starts the check-in: the other members are asked what this one has promised them.
+// Open opens the store and prepares the check-in, in which this member asks the others what it promised them
+// under its stored identity.
 func (v *Voter) Open(now time.Duration) {
 	opened, empty, err := store.Open(v.options.FS, newIdentity(v.options.Rand))
 	if err != nil {
@@ -50,7 +51,10 @@
 	v.log.Info("store opened", "identity", IdentityText(opened.ID()), "new", empty, "term", state.Term, "entry", state.Index)
 }
 
-// checkInAndStart sends check-ins to the other members, and starts raft once their answers allow it.
+// checkInAndStart sends the check-in to the other members at every requestInterval, and acts by
+// duty.StartupCheck on their replies: it starts raft once they show that the store has lost no promise, or
+// that this member starts new or under a new identity; it quarantines a store that has lost a promise or
+// whose identity was replaced.
 func (v *Voter) checkInAndStart(now time.Duration) {
 	if now-v.lastRequest >= requestInterval || v.lastRequest == 0 {
 		v.lastRequest = now
@@ -125,7 +129,8 @@
 	return v.store.Save(&pb.HardState{Term: proto.Uint64(initialIndex), Vote: proto.Uint64(raft.None), Commit: proto.Uint64(initialIndex)}, nil, snapshot)
 }
 
-// checkInReply returns the answer to a member that checks in under an identity before it votes.
+// checkInReply returns the reply to a member that checks in: what it promised to this one under an identity,
+// and the membership as this member knows it.
 func (v *Voter) checkInReply(id uint64) duty.CheckInReply {
 	reply := duty.CheckInReply{Seat: v.options.Name, Sits: v.node != nil && len(v.membership.Members) > 0, Seats: v.membership.Members, Initial: v.membership.Initial, Promised: v.promises[id]}
 	if v.store != nil {
@@ -134,7 +139,8 @@
 	return reply
 }
 
-// requestJoin asks the other members to accept this one's identity while that isn't part of the agreed membership.
+// requestJoin asks the other members at every requestInterval to admit this one's identity, until the
+// committed membership contains it.
 func (v *Voter) requestJoin(now time.Duration) {
 	if _, agreed := v.membership.Members[v.store.ID()]; agreed || now-v.lastRequest < requestInterval {
 		return
@@ -156,7 +162,8 @@
 	return v.origins[id] // a member that is joining has no membership yet
 }
 
-// replacement describes a change of voters: identity In of member Name takes the place of identity Out.
+// replacement is the content of a log entry that changes the voters: identity In of member Name takes the
+// place of identity Out.
 type replacement struct {
 	Out, In uint64
 	Name    string
--- a/internal/replica/voter/messages.go
+++ b/internal/replica/voter/messages.go
@@ -23,7 +23,7 @@
 	KindJoin                     // identity: asks to become a voter
 )
 
-const maxOrigins = 64 // identities whose origin is remembered
+const maxOrigins = 64 // bound of Voter.origins
 
 // identity is the sender of a KindCheckIn or KindJoin message. The JSON keys are part of the protocol.
 type identity struct {
@@ -76,7 +76,8 @@
 	return nil
 }
 
-// broadcastIdentity sends this member's identity to all others, in the order of Options.Candidates.
+// broadcastIdentity sends this member's identity to all others as a message of the given kind, in the order
+// of Options.Candidates.
 func (v *Voter) broadcastIdentity(kind Kind) {
 	raw, err := json.Marshal(identity{v.options.Name, v.store.ID()})
 	if err != nil {
@@ -125,7 +126,8 @@
 	}
 }
 
-// acceptsSender reports whether a member may send messages under an identity.
+// acceptsSender reports whether a member may send raft messages under an identity: it is that member's as
+// committed or as asked for by KindJoin, or no membership is known yet.
 func (v *Voter) acceptsSender(from string, id uint64) bool {
 	if name := v.membership.Members[id]; name != "" {
 		return name == from
--- a/internal/replica/voter/node.go
+++ b/internal/replica/voter/node.go
@@ -9,18 +9,18 @@
 
 const (
 	maxMessageBytes       = 256 << 10 // of entries in one message; a message has at least one entry, whatever its size
-	maxInflightMessages   = 64
-	maxUncommittedBytes   = 4 << 20 // of proposed entries
-	minSnapshotSpacing    = 64      // applied entries between two snapshots
-	maxRecordBytes        = 4 << 20 // of one record of the store
-	snapshotOverheadBytes = 64 << 10
+	maxInflightMessages   = 64        // sent to one member and not acknowledged yet
+	maxUncommittedBytes   = 4 << 20   // of proposed entries; further proposals are dropped
+	minSnapshotSpacing    = 64        // minimum number of applied entries between two snapshots
+	maxRecordBytes        = 4 << 20   // of one record of the store
+	snapshotOverheadBytes = 64 << 10  // of a record: left for the snapshot's metadata
 )
 
 // MaxSnapshotBytes is the maximum size of a snapshot in bytes, since the store keeps it as one record. While a snapshot is
 // larger the log isn't compacted.
 const MaxSnapshotBytes = maxRecordBytes - snapshotOverheadBytes
 
-// startNode restores the stored snapshot and starts raft on the store.
+// startNode restores the stored snapshot and starts raft on the store: from here on this member votes.
 func (v *Voter) startNode() error {
 	snapshot, err := v.store.Snapshot()
 	if err != nil {
@@ -154,6 +154,8 @@
 	}
 }
 
+// compactionDue reports whether the store asks for a snapshot and enough entries were applied since the last
+// one.
 func (v *Voter) compactionDue() bool {
 	if !v.store.SnapshotDue() {
 		return false
--- a/internal/replica/voter/voter.go
+++ b/internal/replica/voter/voter.go
@@ -24,7 +24,7 @@
 // ElectionTicks is the minimum number of ticks without a leader after which members elect another.
 const ElectionTicks = 10
 
-const heartbeatTicks = 2
+const heartbeatTicks = 2 // ticks between a leader's heartbeats
 
 // Host is the owner of a voter. Its methods are called on the voter's goroutine, within calls of the Voter's methods.
 type Host interface {
@@ -44,16 +44,16 @@
 
 // Membership holds the names of the voters by identity.
 type Membership struct {
-	Members map[uint64]string
+	Members map[uint64]string // the current voters
 	Initial map[uint64]string // the voters with which the group began
 }
 
 // Options configure a Voter.
 type Options struct {
-	Name          string
+	Name          string   // name of this member
 	Candidates    []string // all members that may vote, in the same order at every member
 	InitialVoters int      // the group begins with this many of the Candidates, the first ones
-	FS            store.FS
+	FS            store.FS // where the log and the votes are stored
 	Log           *slog.Logger
 	Rand          *rand.Rand    // source of identities
 	ReplaceAfter  time.Duration // a spare member takes the place of one that was dead for this long; 0: never
@@ -69,24 +69,24 @@
 	log     *slog.Logger
 
 	fault       error              // why this member stopped voting; nil: it hasn't
-	store       *store.Store       // nil: not opened
+	store       *store.Store       // the log and the votes; nil: not opened
 	checkIn     *duty.StartupCheck // decides how this member starts, by the others' answers
-	decision    duty.Decision      // the latest one of checkIn
+	decision    duty.Decision      // the latest decision of checkIn
 	lastRequest time.Duration      // when the last check-in or join request was sent
 
 	node        *raft.RawNode // nil: this member doesn't vote
 	applied     uint64        // index of the last applied entry
 	appliedTerm uint64        // term of the last applied entry
-	leads       bool
-	leadTerm    uint64 // the latest term in which this member led
-	leader      uint64 // identity of the leader; raft.None: unknown
-
-	confState       *pb.ConfState           // raft's configuration
-	membership      Membership              // as committed
-	joining         map[string]uint64       // identities that asked to join, by member name
-	promises        map[uint64]duty.Promise // log position and votes that each identity has promised to this member
-	origins         map[uint64]string       // name of the member that sends under each identity
-	membersChanged  bool                    // since the last snapshot
+	leads       bool          // this member believes that it is the leader
+	leadTerm    uint64        // the latest term in which this member led
+	leader      uint64        // identity of the leader; raft.None: unknown
+
+	confState       *pb.ConfState           // raft's configuration of voters, as last applied
+	membership      Membership              // names of the voters, as committed
+	joining         map[string]uint64       // identities that asked to become voters, by member name
+	promises        map[uint64]duty.Promise // by identity: the log position and the votes that it has promised to this member
+	origins         map[uint64]string       // by identity: name of the member that sends raft messages under it
+	membersChanged  bool                    // a change of members was applied since the last snapshot
 	lastChange      time.Duration           // when a change of members was last proposed
 	snapshotTooLong bool                    // the last snapshot exceeded MaxSnapshotBytes
 }
@@ -107,8 +107,8 @@
 	f()
 }
 
-// Step does the work that is due: check-ins before this member votes, raft afterwards. ticked reports that a tick has
-// passed.
+// Step does the work that is due: check-ins before this member votes, raft and requests to join afterwards.
+// ticked: a raft tick has passed.
 func (v *Voter) Step(now time.Duration, ticked bool) {
 	if v.fault != nil {
 		return
@@ -173,7 +173,7 @@
 // Voting reports whether this member takes part in elections and commits.
 func (v *Voter) Voting() bool { return v.node != nil }
 
-// Decision returns how this member started, or why it is still waiting.
+// Decision returns how this member started, or why it still waits for replies to its check-in.
 func (v *Voter) Decision() duty.Decision { return v.decision }
 
 // Store returns the store; nil: it couldn't be opened.
--- a/internal/replica/voter/voter_test.go
+++ b/internal/replica/voter/voter_test.go
@@ -23,9 +23,10 @@
 	sent    []sentMessage
 	applied int
 	padding int   // bytes added to each snapshot
-	restore error // returned by Restore
+	restore error // error that Restore returns
 }
 
+// sentMessage is a call of Host.Send.
 type sentMessage struct {
 	to      string
 	kind    Kind
@@ -42,6 +43,7 @@
 	return nil
 }
 
+// testSnapshot is the content of a member's snapshots.
 type testSnapshot struct {
 	Membership Membership
 	Padding    []byte
@@ -62,6 +64,7 @@
 func (m *member) LeadershipChanged(bool)            {}
 func (m *member) ReadIndexConfirmed(raft.ReadState) {}
 
+// newMember returns a member of a group of all, with its store opened.
 func newMember(name string, fs store.FS, all ...string) *member {
 	m := &member{}
 	m.voter = New(Options{Name: name, Candidates: all, InitialVoters: len(all), FS: fs, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, uint64(name[0])))}, m)
@@ -69,6 +72,7 @@
 	return m
 }
 
+// step lets 10 ms and one raft tick pass.
 func (m *member) step() {
 	m.now += 10 * time.Millisecond
 	m.voter.Guard(func() { m.voter.Step(m.now, true) })
@@ -110,6 +114,7 @@
 	return &pb.Message{Type: &kind, From: proto.Uint64(b.voter.store.ID()), To: proto.Uint64(a.voter.store.ID()), Term: &term}
 }
 
+// receive passes a raft message from a member to m.
 func receive(t *testing.T, m *member, from string, message *pb.Message) {
 	t.Helper()
 	raw, err := proto.Marshal(message)
@@ -128,7 +133,7 @@
 func TestMisaddressedMessagesAreDropped(t *testing.T) {
 	a, b := pair(t)
 	term := a.voter.store.State().Term
-	const far = 1000
+	const far = 1000 // a term far above the current one
 	expectOldTerm := func(what string) {
 		t.Helper()
 		a.step()
@@ -247,6 +252,7 @@
 	}
 }
 
+// Any bytes are refused, or give a message of a known kind that a member can receive.
 func FuzzDecode(f *testing.F) {
 	f.Add(byte(KindRaft), []byte{8, 1, 16, 2})
 	f.Add(byte(KindCheckIn), []byte(`{"Seat":"a","ID":1}`))
--- a/internal/roster/file.go
+++ b/internal/roster/file.go
@@ -87,8 +87,8 @@
 	return l, nil
 }
 
-// NextList returns the list that follows before when the file has been read again. Backends that are new,
-// have another address or are back from draining count as started now: a file doesn't contain start times,
+// NextList returns the list that follows before, when the file has been read again as read. Backends that are
+// new, have another address or are back from draining count as started now: a file doesn't contain start times,
 // and a backend that has just started must not be overloaded. Backends that are gone are missing, which in a
 // whole list means gone.
 func NextList(before, read List, now time.Time) List {
@@ -115,7 +115,7 @@
 	log     *slog.Logger
 
 	mu   sync.Mutex // held while a list is delivered, so the loop must never wait for it
-	list List
+	list List       // read last, with start times and a version
 }
 
 // NewFile returns a File with a list that has been read before.
@@ -123,7 +123,7 @@
 	return &File{path: path, names: names, deliver: deliver, log: log, list: list}
 }
 
-// Deliver delivers the list.
+// Deliver delivers the whole list that was read last.
 func (f *File) Deliver() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/roster/listreader.go
+++ b/internal/roster/listreader.go
@@ -9,12 +9,13 @@
 	"time"
 )
 
+// blank holds the white space of JSON, which between lists is a heartbeat.
 const blank = " \t\r\n"
 
 // listReader reads the lists of a watch one after the other, in any JSON layout: a list may span several
 // lines, and a line may hold several lists. Blank lines between lists are heartbeats.
 type listReader struct {
-	source       io.Reader
+	source       io.Reader     // body of the watch's response
 	maxDuration  time.Duration // maximum time for reading one list, from its first byte on
 	onData       func()        // called whenever bytes have arrived
 	decoder      *json.Decoder
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -38,27 +38,27 @@
 
 	initialReopenInterval = 100 * time.Millisecond // upper bound of the random interval between two watch starts
 	maxReopenInterval     = 250 * time.Millisecond // the same after repeated failures
-	fetchTimeout          = 5 * time.Second
-	maxListBytes          = 8 << 20
+	fetchTimeout          = 5 * time.Second        // time for a Fetch, the whole list included
+	maxListBytes          = 8 << 20                // of one list
 )
 
 // List is a list of backends in the format of the discovery service.
 type List struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
+	Seq   int64  `json:"seq"`   // version, which grows with each change
+	Whole bool   `json:"whole"` // Hosts holds all backends; otherwise those that changed
 	Hosts []Host `json:"hosts"`
 }
 
 // Host is an entry of a List.
 type Host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMs float64 `json:"born_ms"`
+	Host   string  `json:"host"`    // the backend's id
+	Dial   string  `json:"dial"`    // its address, host and port
+	Site   string  `json:"site"`    // name of its zone
+	Class  string  `json:"class"`   // name of its kind
+	Block  int     `json:"block"`   // number of its cell
+	Health string  `json:"health"`  // ready, draining or gone
+	Share  float64 `json:"share"`   // its weight
+	BornMs float64 `json:"born_ms"` // when its process last started, ms of Unix time
 
 	decodeErr error // why the entry can't be decoded; only Host is set then
 }
@@ -109,23 +109,22 @@
 	http     *http.Client
 	ctx      context.Context // ends all calls
 
-	silenceTimeout time.Duration // a watch without a byte for this long is dead
-	openTimeout    time.Duration // a call that has no response for this long has failed
-	after          func(time.Duration) <-chan time.Time
+	silenceTimeout time.Duration                        // a watch without a byte for this long is dead
+	openTimeout    time.Duration                        // a call that has no response for this long has failed
+	after          func(time.Duration) <-chan time.Time // time.After, replaced by tests
 
 	mu            sync.Mutex         // held while a list is delivered, so the loop must never wait for it
 	url           string             // of the list
 	seq           int64              // version of the last list
-	moves         int                // number of times the service was replaced by another
+	moves         int                // number of times that SetService replaced the discovery service
 	needWholeList bool               // the service has delivered no list yet, or an outdated delta
 	cancelWatch   context.CancelFunc // ends the open watch; nil: there has been none
 	wake          chan struct{}      // ends the pause before the next watch
 
-	fellSilent   atomic.Bool // a watch fell silent, and no list has arrived since
-	lastCallHung atomic.Bool // the last call had no response in time, and the one before it did not hang
-
-	firstList chan struct{} // closed once the first list has been delivered, or the first call has failed
-	firstOnce sync.Once
+	fellSilent   atomic.Bool   // a watch fell silent, and no list has arrived since
+	lastCallHung atomic.Bool   // the last call had no response in time, and the one before it did not hang
+	firstList    chan struct{} // closed once the first list has been delivered, or the first call has failed
+	firstOnce    sync.Once     // closes firstList
 
 	cancelSubscription context.CancelFunc // ends the watch of Subscribe; nil: none; only the loop uses it
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -69,7 +69,8 @@
 	addrs map[string]string
 }
 
-// newClient returns a client of r that knows version 41; ask: lists are requested on demand.
+// newClient returns a client of the service r that knows version 41 of the list, and the lists that the client
+// delivers; ask: lists are requested on demand.
 func newClient(t *testing.T, r *service, ask bool) (*Client, <-chan delivery) {
 	t.Helper()
 	at := netip.MustParseAddrPort(r.srv.Listener.Addr().String())
--- a/internal/scale/bounds.go
+++ b/internal/scale/bounds.go
@@ -28,6 +28,7 @@
 // ErrMemory is the cancellation cause of a run that exceeded Bounds.MemoryBytes.
 var ErrMemory = errors.New("scale: memory limit exceeded")
 
+// memoryCheckInterval is the time between two checks of Bounds.MemoryBytes.
 const memoryCheckInterval = 200 * time.Millisecond
 
 // Apply returns a context that is cancelled when the run exceeds a bound, with a cause that names the bound. The caller
--- a/internal/scale/calls.go
+++ b/internal/scale/calls.go
@@ -6,14 +6,16 @@
 	"lemonrail/internal/scale/calltree"
 )
 
-// CallTrees simulates calls that fan out as trees over services, with failing leaves (package calltree).
+// CallTrees simulates calls that fan out as trees over services (package calltree), with leaf attempts that fail at random,
+// and measures how many more attempts the retries of all layers cause.
 type CallTrees struct {
 	Config        calltree.Config // configuration of the baseline, without a fault
 	FailureShares []float64       // shares of leaf attempts that fail, one run each
 	Logf          func(format string, args ...any)
 }
 
-// Run measures each share of failing attempts relative to a baseline without failures.
+// Run simulates a baseline without failures and one run for each failure share. It returns series of attempts relative to
+// the baseline, served roots, retries and violated invariants, with the percentage of failing leaf attempts as X.
 func (o CallTrees) Run(ctx context.Context) ([]*Series, error) {
 	baseline, err := o.simulate(0)
 	if err != nil {
@@ -44,7 +46,7 @@
 	return calltree.Run(c)
 }
 
-// addSeries appends the measurements of one run to the series.
+// addSeries appends the measurements of run r to the series at x, the percentage of leaf attempts that fail.
 func (o CallTrees) addSeries(set *seriesSet, x float64, baseline, r calltree.Result) {
 	more := calltree.Compare(baseline, r)
 	set.add("attempts over those without failures, all layers", "times", x, more.All)
@@ -54,7 +56,8 @@
 	set.add("calls for which rules were broken", "", x, float64(violations(r.Checks)))
 }
 
-// violations returns the number of violations of the simulation's invariants.
+// violations returns the number of violations of the simulation's invariants: calls that don't end exactly once, unsafe
+// calls executed twice, calls left open, and attempts without an outcome.
 func violations(c calltree.Checks) int {
 	return max(c.Started-c.Ended, c.Ended-c.Started) + c.EndedTwice + c.UnsafeTwice + c.Open + c.NoOutcome
 }
--- a/internal/scale/calltree/bench_test.go
+++ b/internal/scale/calltree/bench_test.go
@@ -110,12 +110,13 @@
 	return ""
 }
 
-// finishRequest ends an attempt as served.
+// finishRequest passes the outcome of a request's attempt, served, to a balancer.
 func finishRequest(lb *balance.Balancer, now time.Duration, id, backend string) {
 	lb.Step(now, []balance.Event{balance.Outcome{Request: id, Backend: backend, Latency: 4 * time.Millisecond, Done: true, Load: balance.NoLoad()}})
 }
 
-// warmUp serves two calls per backend, up to a maximum, and returns the time after the last one.
+// warmUp serves two calls per backend, at most a fixed number, so that the balancer knows the backends. It returns the time
+// after the last one.
 func warmUp(lb *balance.Balancer, now time.Duration, backends int) time.Duration {
 	const maxCalls = 2000
 	for i := range min(2*backends, maxCalls) {
@@ -157,7 +158,7 @@
 	}
 }
 
-// BenchmarkTimer measures a step without a decision, which is the fixed cost of each step.
+// BenchmarkTimer measures a step that decides nothing (a TimerFired event), which is the fixed cost of each step.
 func BenchmarkTimer(b *testing.B) {
 	for _, backends := range []int{10, 100, 450, 2000, 10000} {
 		b.Run(fmt.Sprintf("backends=%d", backends), func(b *testing.B) {
--- a/internal/scale/calltree/calltree_test.go
+++ b/internal/scale/calltree/calltree_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// small returns a scaled-down configuration that runs in a fraction of a second.
+// small returns a configuration like the default one but scaled down, which runs in a fraction of a second.
 func small(seed uint64) Config {
 	c := DefaultConfig()
 	c.Seed, c.Services, c.Backends, c.Depth, c.Gateways, c.Rate = seed, 18, 60, 9, 3, 2500
@@ -18,7 +18,7 @@
 	return c
 }
 
-// scenario is a fault with its failure probability.
+// scenario is a fault and the failure probability for it (Config.FailShare).
 type scenario struct {
 	fault Fault
 	share float64
@@ -45,7 +45,7 @@
 	return r
 }
 
-// replay returns the command that reruns a failing test.
+// replay returns the command that runs the test again.
 func replay(t *testing.T) string {
 	return fmt.Sprintf("replay: go test ./internal/scale/calltree -run '^%s$' -count 1", t.Name())
 }
@@ -99,7 +99,8 @@
 	}
 }
 
-// A token bucket holds 100 tokens, a retry costs at least five, and a served attempt adds one.
+// Retries in the whole run stay within what token buckets allow: each holds 100 tokens at first, a retry takes at least five,
+// and a served attempt adds one.
 func TestRetriesStayWithinTheBuckets(t *testing.T) {
 	for _, s := range scenarios {
 		t.Run(s.String(), func(t *testing.T) {
--- a/internal/scale/calltree/count.go
+++ b/internal/scale/calltree/count.go
@@ -11,14 +11,14 @@
 type statistics struct {
 	config      Config
 	result      Result
-	timeLeft    [][]int // by layer: histogram of the time left when calls start, in milliseconds
-	timeLeftSum []time.Duration
-	holdTime    []time.Duration
-	backoffTime []time.Duration
-	open        int // attempts without an outcome
+	timeLeft    [][]int         // by layer: calls by the time left until their deadline when they start, in milliseconds
+	timeLeftSum []time.Duration // by layer: sum of those times
+	holdTime    []time.Duration // by layer: sum of the times that calls waited for their first attempt
+	backoffTime []time.Duration // by layer: sum of the times that calls waited for retries
+	open        int             // attempts without an outcome
 }
 
-// newStatistics returns empty statistics.
+// newStatistics returns statistics without counts, for a run of configuration c.
 func newStatistics(c Config, shape Shape) statistics {
 	n := statistics{config: c, result: Result{Config: c, Shape: shape}, timeLeft: make([][]int, c.Depth),
 		timeLeftSum: make([]time.Duration, c.Depth), holdTime: make([]time.Duration, c.Depth),
@@ -32,7 +32,7 @@
 	return n
 }
 
-// callBegan counts a call that has been passed to an agent.
+// callBegan counts a call that has been passed to its agent, and the time left until its deadline.
 func (n *statistics) callBegan(c *call) {
 	n.result.Checks.Started++
 	if !c.try.root.measured {
@@ -48,7 +48,8 @@
 	n.timeLeftSum[layer] += left
 }
 
-// sent counts an attempt and the time that the call waited for it.
+// sent counts an attempt. waited is the time that the call waited for it: before the first one for a free slot, before
+// others for the backoff.
 func (n *statistics) sent(a *attempt, waited time.Duration) {
 	n.open++
 	if a.number > 0 {
@@ -101,7 +102,7 @@
 	}
 }
 
-// worked counts the core time of an execution.
+// worked counts the core time of an execution that ends now.
 func (n *statistics) worked(run *execution, now time.Duration) {
 	if from := epoch + n.config.Warm; now >= from && now < from+n.config.Measure {
 		run.server.worked += run.work
@@ -126,14 +127,14 @@
 	}
 }
 
-// tryEnded counts the core time of a try that was not served.
+// tryEnded counts the core time that a client's try has used so far as unserved, unless the try was served.
 func (n *statistics) tryEnded(t *try) {
 	if t.root.measured && !t.served {
 		n.result.Work.Unserved += t.worked.Seconds()
 	}
 }
 
-// callEnded counts the ending of a call.
+// callEnded counts how a call ended, and whether it was served within the aim of its layer.
 func (n *statistics) callEnded(c *call, now time.Duration) {
 	n.result.Checks.Ended++
 	if !c.try.root.measured {
@@ -154,7 +155,7 @@
 	return c.reason.String()
 }
 
-// rootEnded counts the ending of a root.
+// rootEnded counts how a root ended, by its tree's depth and the second of its arrival. took is the time since its arrival.
 func (n *statistics) rootEnded(r *root, how ending, took time.Duration) {
 	if !r.measured {
 		return
@@ -177,7 +178,7 @@
 	d.roots = append(d.roots, r)
 }
 
-// add counts one ending.
+// add counts one call that ended in the given way after the time took.
 func (e *Ending) add(how ending, took, aim time.Duration) {
 	e.Calls++
 	switch {
@@ -202,7 +203,7 @@
 	}
 }
 
-// finish computes means and distributions.
+// finish computes the means and distributions from the sums of the run.
 func (n *statistics) finish(servers [][]*server) {
 	n.result.Checks.NoOutcome = n.open
 	n.result.Shape.CallersMean = float64(n.result.Balancers) / float64(n.config.Services)
@@ -219,7 +220,7 @@
 	n.utilization(servers)
 }
 
-// finish sums the attempts of all roots of one depth. It runs after the last event, so that late attempts are included.
+// finish sums the counts of all roots with the same depth. It runs after the last event, so that late attempts are included.
 func (d *DepthClass) finish() {
 	for _, r := range d.roots {
 		d.Attempts += r.attempts
@@ -231,7 +232,7 @@
 	d.LatencyMs /= float64(max(d.Ending.Served, 1))
 }
 
-// utilization computes the mean and highest utilization of backends' cores.
+// utilization computes the mean and the highest utilization of the backends' cores in the measured period.
 func (n *statistics) utilization(servers [][]*server) {
 	perBackend := float64(n.config.Cores) * n.config.Measure.Seconds()
 	sum, backends := 0.0, 0
@@ -246,7 +247,7 @@
 	n.result.Shape.UtilizationMean = sum / float64(max(backends, 1))
 }
 
-// summarize summarizes a histogram with one-millisecond buckets.
+// summarize summarizes a histogram with one-millisecond buckets. sum is the sum of the values, in milliseconds.
 func summarize(counts []int, sum float64) Spread {
 	total := 0
 	for _, count := range counts {
--- a/internal/scale/calltree/layout.go
+++ b/internal/scale/calltree/layout.go
@@ -47,14 +47,14 @@
 	return l
 }
 
-// drawEntry draws the service of the first layer that a root calls, with a bias towards lower indexes.
+// drawEntry draws the service of the first layer that a root calls; services with lower indexes are drawn more often.
 func (l *layout) drawEntry(r *rand.Rand) int {
 	entries := l.layers[0]
 	u := r.Float64()
 	return entries[int(u*u*float64(len(entries)))]
 }
 
-// drawChild draws the service that a child call of service s goes to.
+// drawChild draws which of the services that service s calls gets a child call.
 func (l *layout) drawChild(s int, r *rand.Rand) int {
 	children := l.services[s].children
 	if len(children) == 1 || r.Float64() < firstChildShare {
@@ -99,7 +99,7 @@
 	}
 }
 
-// plan creates the layout and measures the shape of the trees on a sample with its own random source.
+// plan creates the layout, and estimates the shape of the trees and the load of each service from sampled trees.
 func plan(c *Config) (*layout, Shape) {
 	l := newLayout(c)
 	f := treeGenerator{config: c, layout: l, shape: newSource(c.Seed, sourceSample), leafFaults: newSource(c.Seed, sourceSample+1)}
@@ -133,7 +133,7 @@
 	return l, shape
 }
 
-// addLoad adds the calls of the tree below n to the load of their services.
+// addLoad increments the load of the service of each call in the tree below n, n included.
 func addLoad(n *node, load []int) {
 	load[n.service]++
 	for _, child := range n.children {
@@ -141,16 +141,16 @@
 	}
 }
 
-// The random sources of a run, by purpose.
+// The random sources of a run, each for one purpose, so that a change of one setting doesn't change the other choices.
 const (
-	sourceShape = iota + 1
-	sourceArrivals
-	sourceWork
-	sourceFaults
-	sourceLeafFaults
-	sourceGateways
-	sourceBalancers
-	sourceSample = 100
+	sourceShape      = iota + 1 // trees
+	sourceArrivals              // times between the arrivals of roots
+	sourceWork                  // core times
+	sourceFaults                // failures of attempts
+	sourceLeafFaults            // leaves that always fail
+	sourceGateways              // choice of gateways
+	sourceBalancers             // seeds of balancers
+	sourceSample     = 100      // the sample of trees that plan takes
 )
 
 // newSource returns the random source of a run for one purpose.
--- a/internal/scale/calltree/queue.go
+++ b/internal/scale/calltree/queue.go
@@ -27,11 +27,11 @@
 	call    *call
 	run     *execution
 	root    *root
-	token   int64
-	data    []byte
+	token   int64  // token of a balancer's timer (eventTimer)
+	data    []byte // content of a balancer's message (eventPeerMessage)
 }
 
-// entry is an element of the heap; it refers to an event by slot.
+// entry is an element of the heap: when an event happens, and the slot in which the event is stored.
 type entry struct {
 	at    time.Duration
 	order uint64 // scheduling order, breaks ties between events at the same time
@@ -41,9 +41,9 @@
 // queue is a binary heap of entries, earliest first. Events are stored separately, so that the heap moves small values.
 type queue struct {
 	entries []entry
-	events  []event
-	free    []int  // unused slots of events
-	order   uint64 // order of the next entry
+	events  []event // scheduled events, by slot
+	free    []int   // unused slots of events
+	order   uint64  // order of the next entry
 }
 
 // less orders entries by time, then by scheduling order.
--- a/internal/scale/calltree/run.go
+++ b/internal/scale/calltree/run.go
@@ -23,8 +23,8 @@
 
 // simulation is the state of a run.
 type simulation struct {
-	config Config
-	now    time.Duration
+	config Config        // configuration of the run
+	now    time.Duration // simulated time
 	queue  queue
 	trees  treeGenerator
 	layout *layout
@@ -59,7 +59,7 @@
 	return s.statistics.result, nil
 }
 
-// newSimulation creates the services, backends and balancers.
+// newSimulation creates a simulation with the services, backends and balancers of a configuration, at the start of its clock.
 func newSimulation(c Config) (*simulation, error) {
 	layout, shape := plan(&c)
 	s := &simulation{config: c, now: epoch, layout: layout,
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// connect gives callers an agent for each service that they call.
+// connect gives each of the callers an agent for each of the services.
 func (s *simulation) connect(callers []*server, services []int) {
 	for _, caller := range callers {
 		for _, service := range services {
@@ -112,7 +112,8 @@
 	}
 }
 
-// startBalancer creates an agent's balancer and gives it the list of backends.
+// startBalancer creates an agent's balancer and gives it the list of its service's backends. callers is the number of agents
+// that call the service.
 func (s *simulation) startBalancer(a *agent, callers int, seed uint64) error {
 	var err error
 	if a.balancer, err = balance.New(s.settings(a, callers), seed); err != nil {
@@ -135,7 +136,8 @@
 	return nil
 }
 
-// settings returns the balancer settings of an agent. The aim is proportional to the number of layers that remain.
+// settings returns the balancer settings of an agent. The aim is proportional to the number of layers from its service's
+// layer down.
 func (s *simulation) settings(a *agent, callers int) balance.Settings {
 	remaining := s.config.Depth - s.layout.services[a.service].layer
 	aim := s.config.Aim * time.Duration(remaining) / time.Duration(s.config.Depth)
@@ -166,7 +168,7 @@
 // faultsActive reports whether the faults have started.
 func (s *simulation) faultsActive() bool { return s.now >= epoch+s.config.Warm }
 
-// faultActiveAt reports whether an active fault affects the service of backend t.
+// faultActiveAt reports whether a fault that affects one whole service is active and affects the service of backend t.
 func (s *simulation) faultActiveAt(t *server) bool {
 	return s.config.hasServiceFault() && t.service == s.config.FaultService && s.faultsActive()
 }
--- a/internal/scale/coldstart/backend.go
+++ b/internal/scale/coldstart/backend.go
@@ -10,32 +10,32 @@
 type backend struct {
 	fleet        *fleet
 	id           string
-	zone         int
-	kind         int
+	zone         int     // index of its zone
+	kind         int     // index of its kind of machine, as in balance.Backend
 	size         float64 // capacity relative to a normal backend
-	cold         bool    // starts during this run
+	cold         bool    // starts at coldStart
 	down         bool
-	started      time.Duration // time of the start; 0: before the run
-	process      int           // incremented at each crash, to ignore completions of earlier processes
-	busy         int
-	queue        []*attempt
+	started      time.Duration            // time of the start; 0: before the run
+	process      int                      // incremented at each crash, to ignore completions of earlier processes
+	busy         int                      // number of busy cores
+	queue        []*attempt               // attempts that wait for a core, the first one first
 	keys         map[string]time.Duration // time at which each key was last served
 	arrivals     []Arrival                // attempts since the start, if it starts during this run
-	receivedWork time.Duration            // work that arrived since coldStart
+	receivedWork time.Duration            // work of all attempts that arrived since coldStart
 }
 
 // attempt is one attempt of a request, from the balance.Send to its outcome.
 type attempt struct {
 	agent    *agent
 	request  *request
-	number   int
+	number   int // 0: the first attempt of the request
 	backend  *backend
-	sent     time.Duration
-	notified bool
-	ended    bool
+	sent     time.Duration // time at which the balancer sent it
+	notified bool          // whether the agent had been notified of the cold start when it sent the attempt
+	ended    bool          // its outcome has been passed to the agent
 }
 
-// A request with a key that its backend served within keyMemory needs warmKeyWork of the normal work.
+// A backend that served a key within the last keyMemory needs only the share warmKeyWork of the normal work for a request with it.
 const (
 	keyMemory   = 5 * time.Second
 	warmKeyWork = 0.4
--- a/internal/scale/coldstart/budget.go
+++ b/internal/scale/coldstart/budget.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Arrival is one attempt that reached a backend after the backend's cold start.
+// Arrival is one attempt that reached a backend after the backend's cold start, accepted or not.
 type Arrival struct {
 	Age      time.Duration // time since the backend's start
 	Work     time.Duration // core time on a warm backend
 	Notified bool          // the sending agent had been notified of the start
 }
 
-// Bound returns the number of requests in a window that all agents together may send a cold backend:
-// N + 2 sqrt(N) + 2, where N is the number that the settings allow. The users accept the margin above N as chance.
+// Bound returns the limit on the requests that all agents together may send a cold backend in a fall window:
+// N + 2 sqrt(N) + 2, where N (allowed) is the number that the settings allow. Requests up to the margin above N count as
+// chance, as agreed with the users.
 func Bound(allowed float64) float64 { return allowed + 2*math.Sqrt(allowed) + 2 }
 
 // assumedCapacity returns the share of its full capacity that the settings assume for a backend of the given age.
@@ -27,21 +28,23 @@
 	return fallMultiple * perSecond * assumedCapacity(age) * fallWindow.Seconds()
 }
 
-// Peak describes the highest load of a cold backend in any window, in requests of mean work.
+// Peak describes the highest loads of a cold backend in its fall windows. Load is in requests of mean work, relative to N,
+// the number that the settings allow within one fall window (see allowed), or to Bound(N). N grows with the backend's age.
 type Peak struct {
-	ShareOfN          float64 // requests relative to N at the window's beginning
-	ShareOfBound      float64 // relative to N + 2 sqrt(N) + 2, N as at the window's beginning: the strictest interpretation
-	ShareOfFinalBound float64 // the same, N as at the last arrival: the backend's capacity "at that moment"
-	Violated          bool    // a window had ShareOfFinalBound over 1 and over two thirds of its requests from notified agents
+	ShareOfN          float64 // highest load relative to N at the age at the window's first request
+	ShareOfBound      float64 // highest load relative to Bound(N), N at the age at the window's first request: the strictest interpretation
+	ShareOfFinalBound float64 // highest load relative to Bound(N), N at the age at the window's last request
+	Violated          bool    // in some window the load exceeded Bound(N), N at its last request, and over two thirds came from notified agents
 }
 
+// merge takes each field's maximum of p and o; Violated is set if it is set in either.
 func (p *Peak) merge(o Peak) {
 	p.ShareOfN, p.ShareOfBound = max(p.ShareOfN, o.ShareOfN), max(p.ShareOfBound, o.ShareOfBound)
 	p.ShareOfFinalBound, p.Violated = max(p.ShareOfFinalBound, o.ShareOfFinalBound), p.Violated || o.Violated
 }
 
-// peakLoad returns the peak over all windows that end with an arrival. Arrivals must be in order of time; weigh returns
-// the weight of one arrival in requests of mean work.
+// peakLoad returns the peak over all fall windows that end with one of a backend's arrivals during its ramp. Arrivals must
+// be in order of time. perSecond is as in allowed; weigh returns the load that an arrival counts as, in requests of mean work.
 func peakLoad(arrivals []Arrival, perSecond float64, weigh func(Arrival) float64) (p Peak) {
 	first, sum, told := 0, 0.0, 0.0
 	for _, a := range arrivals {
--- a/internal/scale/coldstart/budget_test.go
+++ b/internal/scale/coldstart/budget_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The sliding-window computation gives the same peak as a direct evaluation of every window.
+// peakLoad's sliding window gives the same peak as adding up each window separately.
 func TestHeaviestWindow(t *testing.T) {
 	one := func(Arrival) float64 { return 1 }
 	for seed := range uint64(50) {
@@ -41,7 +41,8 @@
 	}
 }
 
-// A steady stream just under the allowed rate stays within N, and one of twice the allowed rate exceeds the bound.
+// Peaks of steady streams of requests to a cold backend: just under the allowed rate they stay within N, the number that the
+// settings allow; at twice the allowed rate they exceed Bound(N).
 func TestSteadyStreams(t *testing.T) {
 	const perSecond = 40.0
 	stream := func(times float64) (arrivals []Arrival) {
--- a/internal/scale/coldstart/cases.go
+++ b/internal/scale/coldstart/cases.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Cases returns the cases in which the agents' settings are right. No cold backend may be overloaded in any of them.
+// Cases returns the cases in which the agents know the fleet size and the cold-start settings. In none of them may the agents
+// together overload a cold backend.
 func Cases(agents, warm int) []Case {
 	usual := Case{Agents: agents, Warm: warm, Cold: 1, Load: .6, Burst: 1.5, Skew: .6, NotifyWithin: 500 * time.Millisecond, Zones: 2}
 	var cases []Case
@@ -39,7 +40,8 @@
 	return cases
 }
 
-// LeaversCase returns a case in which clients leave at any time while requests are held, retried and refused.
+// LeaversCase returns a case in which half of the clients leave at a random time before their deadline, while requests are
+// held, retried and refused.
 func LeaversCase(agents, warm int) Case {
 	return Case{Name: "clients leave", Agents: agents, Warm: warm, Cold: 1, Load: .8, Burst: 2.5, Skew: .6, Zones: 2,
 		NotifyWithin: 500 * time.Millisecond, ErrorShare: .2, SlowConnShare: .1, LeaverShare: .5}
@@ -68,15 +70,15 @@
 	return append(cases, LoneAgentsCase(agents, warm))
 }
 
-// LoneAgentsCase returns the case in which the agents' budget of attempts at cold backends can't hold: no backend is warm, so
-// that the budget depends on the number of agents only, and each agent assumes that it is the only one.
+// LoneAgentsCase returns the case in which the agents can't keep to the bound for cold backends: no backend is warm, so that
+// each agent's budget of attempts at them depends on the fleet size only, and each agent assumes that it is alone.
 func LoneAgentsCase(agents, warm int) Case {
 	return Case{Name: "all cold, overloaded, each believes to be alone", Agents: agents, Cold: warm, Load: 2, Skew: .6, ShortQueues: true,
 		NotifyWithin: 500 * time.Millisecond, Zones: 2, BelievedAgents: 1}
 }
 
-// FaultyCases returns cases with faults that the measurement must detect: agents that ignore cold starts, and agents
-// that also assume a fleet of one.
+// FaultyCases returns cases in which agents overload a cold backend, to test that the measurement detects it: in one the agents
+// ignore cold starts, in the other they also assume that they are alone.
 func FaultyCases(agents, warm int) []Case {
 	unaware := Case{Name: "no cold start known", Agents: agents, Warm: warm, Cold: 1, Load: .6, Burst: 2.5, Skew: .6, Zones: 2,
 		ShortQueues: true, NoColdStart: true}
--- a/internal/scale/coldstart/coldstart.go
+++ b/internal/scale/coldstart/coldstart.go
@@ -6,12 +6,13 @@
 
 import "fmt"
 
-// Result holds the measurements of one run. Peaks are maxima over all cold backends of the run.
+// Result holds the measurements of one run. Peaks are maxima over all cold backends of the run. A window is a span of length
+// fallWindow.
 type Result struct {
 	Seed     uint64
 	Count    Peak    // every request counted as one of mean work
 	Work     Peak    // every request counted by its own work
-	ColdLoad float64 // work that cold backends received during the ramp, relative to their capacity by the settings
+	ColdLoad float64 // work that cold backends received during the ramp, relative to the capacity that the settings assume for them then
 	WarmLoad float64 // work that the warm backends received in that time, relative to their capacity
 	Served   float64 // share of all requests that were served
 
@@ -19,7 +20,7 @@
 	SentAfterLeave int // attempts that began after their client had left
 }
 
-// Run simulates a case with one seed.
+// Run simulates a case with random choices drawn from the seed, and returns its measurements.
 func Run(c Case, seed uint64) (Result, error) {
 	f := newFleet(c, seed)
 	f.run()
@@ -47,15 +48,15 @@
 type Summary struct {
 	Case                       Case
 	Runs                       int
-	OverN                      int     // runs with a window of more than N requests (see allowed), N as at the window's beginning
-	OverBound                  int     // runs with a window of more than Bound(N) requests, N as at the window's beginning
-	Violated                   int     // runs with Peak.Violated: a window of more than Bound(N) requests, N as at its end, mostly from notified agents
-	OverBoundByWork            int     // runs with a window whose requests, counted by their work, exceed Bound(N)
-	MaxShareOfN                float64 // most requests of any run's heaviest window, relative to N, the number that the settings allow (see allowed)
-	MaxShareOfBound            float64 // the same, relative to Bound(N) = N + 2 sqrt(N) + 2
-	MaxShareOfBoundByWork      float64 // the same as MaxShareOfBound, with requests counted by their work
+	OverN                      int     // runs in which some window had more than N requests (see allowed), N at its first request
+	OverBound                  int     // runs in which some window had more than Bound(N) requests, N at its first request
+	Violated                   int     // runs with Peak.Violated: some window had more than Bound(N) requests, N at its last request, mostly from notified agents
+	OverBoundByWork            int     // runs in which the requests of some window, counted by their work, exceeded Bound(N), N at its first request
+	MaxShareOfN                float64 // maximum over the runs of Result.Count.ShareOfN: a window's requests relative to N
+	MaxShareOfBound            float64 // maximum over the runs of Result.Count.ShareOfBound: a window's requests relative to Bound(N) = N + 2 sqrt(N) + 2
+	MaxShareOfBoundByWork      float64 // maximum over the runs of Result.Work.ShareOfBound: the same, with requests counted by their work
 	WorstSeed                  uint64  // seed of the run with MaxShareOfBound
-	ColdLoad, WarmLoad, Served float64 // means over the runs
+	ColdLoad, WarmLoad, Served float64 // means over the runs of the fields of Result
 	LeftWaiting                int     // sum of Result.LeftWaiting
 	SentAfterLeave             int     // sum of Result.SentAfterLeave
 }
--- a/internal/scale/coldstart/coldstart_test.go
+++ b/internal/scale/coldstart/coldstart_test.go
@@ -55,7 +55,7 @@
 	return fmt.Sprintf("go test ./internal/scale/coldstart -v -run '^%s$' -first %d -seeds 1 -large", strings.ReplaceAll(t.Name(), "/", "$/^"), seed)
 }
 
-// No fleet with right settings overloads a cold backend.
+// A cold backend isn't overloaded in any of the cases in which the agents know the fleet size and the cold-start settings.
 func TestRampHoldsForTheFleet(t *testing.T) {
 	for _, f := range sizes() {
 		for _, c := range coldstart.Cases(f.agents, f.warm) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// The measurement detects faults that overload backends.
+// The measurement reports overload for agents that ignore cold starts, so that its other results mean something.
 func TestFaultyCasesAreDetected(t *testing.T) {
 	for _, f := range []size{{30, 6}, {300, 12}} {
 		faults := coldstart.FaultyCases(f.agents, f.warm)
@@ -101,7 +101,7 @@
 	}
 }
 
-// No attempt starts for a client that has left, neither after a hold nor after a backoff nor as a retry.
+// The balancer starts no attempt for a client that has left, whether its request was held, waited for a retry or was in flight.
 func TestNoAttemptsForClientsThatLeft(t *testing.T) {
 	for _, f := range sizes()[:3] {
 		t.Run(f.String(), func(t *testing.T) {
--- a/internal/scale/coldstart/fleet.go
+++ b/internal/scale/coldstart/fleet.go
@@ -17,39 +17,40 @@
 	now               time.Duration
 	rng               *rand.Rand
 	queue             eventQueue
-	seq               int // number of events scheduled so far
-	seed              uint64
+	seq               int    // number of events scheduled so far; orders events at the same time
+	seed              uint64 // seed of the run, from which the balancers' seeds are derived too
 	agents            []*agent
-	cumulativeTraffic []float64 // cumulative traffic weights of the agents
+	cumulativeTraffic []float64 // running sum of the agents' shares of the traffic, by agent
 	backends          []*backend
-	initialShare      float64 // real share of its capacity that a cold backend starts with, at least coldShare
-	byID              map[string]*backend
+	initialShare      float64             // real share of its capacity that a cold backend starts with, at least coldShare
+	byID              map[string]*backend // backends by ID
 
-	requests, served, refused, failed int
-	leftWaiting                       int // clients that left while their request had no attempt in flight
-	sentAfterLeave                    int // attempts that started after their client had left
-	err                               error
+	requests, served, refused, failed int   // numbers of clients' requests, all and by how they ended
+	leftWaiting                       int   // clients that left while their request had no attempt in flight
+	sentAfterLeave                    int   // attempts that started after their client had left
+	err                               error // first contradiction found, such as a request answered twice; ends the run
 }
 
 // agent is one agent process with its balancer and open requests.
 type agent struct {
-	number int
+	number int // index in fleet.agents
 	*balance.Balancer
-	open     map[string]*request
-	notified bool // notified of the start of the cold backends
-	ended    bool // replaced or dead: it ignores all events
+	open     map[string]*request // requests that have not ended, by ID
+	notified bool                // notified of the start of the cold backends
+	ended    bool                // replaced or dead: it ignores all events
 }
 
+// request is one client's request to one agent.
 type request struct {
 	id        string
-	class     int
-	key       string
-	deadline  time.Duration
-	work      time.Duration
-	attempts  int
-	inFlight  int // attempts in flight
-	done      bool
-	abandoned bool // the client has left, and the balancer has been notified
+	class     int           // index in Case.classes
+	key       string        // key of the request (Case.Keys); empty: none
+	deadline  time.Duration // time at which the client stops waiting
+	work      time.Duration // core time on a warm backend
+	attempts  int           // number of attempts so far
+	inFlight  int           // attempts in flight
+	done      bool          // answered by a backend, refused or failed
+	abandoned bool          // the client has left, and the balancer has been notified
 }
 
 // scheduled is an event of the simulation. Events at the same time run in the order in which they were scheduled.
@@ -59,6 +60,7 @@
 	do  func()
 }
 
+// eventQueue is a heap (container/heap), the earliest event first.
 type eventQueue []scheduled
 
 func (q eventQueue) Len() int { return len(q) }
@@ -102,6 +104,7 @@
 	return f
 }
 
+// addBackends creates the warm backends and then the cold ones, which are down until coldStart unless they ran before.
 func (f *fleet) addBackends() {
 	sizes := []float64{1.8, .7, .8}
 	for i := range f.Warm + f.Cold {
@@ -183,7 +186,7 @@
 	})
 }
 
-// list returns the list of discovery, with or without the cold backends and their start times.
+// list returns discovery's list: without the cold backends unless withCold is set, and with their start times if startTold is set.
 func (f *fleet) list(withCold, startTold bool) (list []balance.Backend) {
 	for _, b := range f.backends {
 		if b.cold && !withCold {
@@ -198,6 +201,7 @@
 	return list
 }
 
+// newAgent creates an agent. On an error it sets f.err and returns nil.
 func (f *fleet) newAgent(number int, seed uint64) *agent {
 	b, err := balance.New(f.settings(number), seed*1_000_003+uint64(number))
 	if err != nil {
@@ -234,7 +238,7 @@
 	f.scheduleAt(f.now+time.Duration(f.rng.ExpFloat64()/perSecond*float64(time.Second)), f.handleArrival)
 }
 
-// capacity returns the total capacity of the warm backends in cores, or of all backends if none is warm.
+// capacity returns the total capacity of the warm backends in cores of work, or of all backends if none is warm.
 func (f *fleet) capacity() (sum float64) {
 	for _, b := range f.backends {
 		if !b.cold || f.Warm == 0 {
@@ -244,7 +248,7 @@
 	return sum
 }
 
-// offeredLoad returns the current offered load, relative to capacity.
+// offeredLoad returns the current rate of offered work, relative to capacity.
 func (f *fleet) offeredLoad() float64 {
 	from := coldStart
 	if f.LateBurst {
@@ -289,6 +293,7 @@
 	f.step(a, event)
 }
 
+// drawClass draws the class of a request by the classes' shares of all requests.
 func (f *fleet) drawClass() int {
 	x := f.rng.Float64()
 	for i, k := range f.classes() {
@@ -299,7 +304,7 @@
 	return 0
 }
 
-// abandon abandons a request because its client has left, and notifies the balancer.
+// abandon records that a request's client has left before the answer, and notifies the balancer.
 func (f *fleet) abandon(a *agent, r *request) {
 	if a.ended || a.open[r.id] == nil {
 		return
@@ -330,6 +335,7 @@
 	}
 }
 
+// tellPeers delivers a balancer's message to the peers that it is for.
 func (f *fleet) tellPeers(from *agent, m balance.TellPeer) {
 	for _, to := range f.agents {
 		if to != from && (m.To == balance.EveryPeer || m.To == to.number) {
@@ -338,7 +344,7 @@
 	}
 }
 
-// endUnserved ends a request that was refused or failed, and increments the counter.
+// endUnserved ends a request that its agent refused or failed, and increments count, which is f.refused or f.failed.
 func (f *fleet) endUnserved(a *agent, id string, count *int) {
 	r := a.open[id]
 	if r == nil || r.done {
@@ -350,7 +356,7 @@
 	delete(a.open, id)
 }
 
-// send starts an attempt, with a network delay and, for some, a slow connection.
+// send starts an attempt. It arrives after a network delay, or fails if its connection takes too long or its backend is down.
 func (f *fleet) send(a *agent, s balance.Send) {
 	r, b := a.open[s.Request], f.byID[s.Backend]
 	if r == nil || b == nil {
--- a/internal/scale/configurationfleet.go
+++ b/internal/scale/configurationfleet.go
@@ -53,7 +53,7 @@
 	return d.Canonical()
 }
 
-// marksOf returns the fleet and region marks in an effective document.
+// marksOf returns the marks of the fleet's and the region's document in an effective document (all levels merged).
 func marksOf(d *configuration.Document) (all []revisionMark) {
 	if d.Limits != nil && d.Limits.MaxRetryAfterMs != nil {
 		all = append(all, revisionMark{configuration.LevelFleet, int(*d.Limits.MaxRetryAfterMs)})
@@ -71,12 +71,12 @@
 	agents   []*hollowAgent
 	seed     uint64
 
-	traffic traffic
-	lossy   atomic.Bool // a share lostShare of new connections fails
+	traffic traffic     // traffic of the agents' connections, as seen by the agents
+	lossy   atomic.Bool // if set, a share lostShare of new connections fails
 
 	mu      sync.Mutex
-	waiting map[revisionMark]*arrivals // arrivals of each expected mark at the agents
-	open    map[*fleetConn]bool        // open connections
+	waiting map[revisionMark]*arrivals // by expected mark: when each agent applied it
+	open    map[*fleetConn]bool        // the agents' open connections
 	random  *rand.Rand
 }
 
@@ -134,6 +134,7 @@
 	return nil
 }
 
+// startAll starts the watchers of all agents.
 func (f *configurationFleet) startAll(ctx context.Context) error {
 	for _, a := range f.agents {
 		if err := f.start(ctx, a); err != nil {
--- a/internal/scale/decisions.go
+++ b/internal/scale/decisions.go
@@ -9,19 +9,20 @@
 	"lemonrail/balance"
 )
 
-// Decisions measures the cost of a call and of a list change in package balance alone, for lists of several lengths.
+// Decisions measures package balance alone, for lists of several lengths: a Balancer's memory, and its processor time for
+// a call and for a list change.
 type Decisions struct {
-	ListLengths []int
-	Calls       int // number of calls at each length
+	ListLengths []int // numbers of backends in the list
+	Calls       int   // number of calls at each length
 	Seed        uint64
 	Logf        func(format string, args ...any)
 }
 
 const (
-	callInterval   = 6 * time.Millisecond // 169 calls per second
-	callDuration   = 5 * time.Millisecond
-	warmAfter      = time.Minute // time after which no backend of the list is cold
-	callsPerChange = 16          // number of calls per list change
+	callInterval   = 6 * time.Millisecond // simulated time between the starts of two calls: 169 calls per second
+	callDuration   = 5 * time.Millisecond // simulated time from a call's attempt until its answer
+	warmAfter      = time.Minute          // time after which no backend of the list is cold
+	callsPerChange = 16                   // calls that are measured for each list change that is measured
 )
 
 // decisionSettings returns the settings of a fleet of one agent. Its concurrency limit is never reached, so that the
@@ -32,7 +33,8 @@
 		ConnectTimeout: 150 * time.Millisecond, DrainGrace: 500 * time.Millisecond, ColdShare: 0.32, RampTime: 7800 * time.Millisecond}
 }
 
-// Run measures all list lengths.
+// Run creates a Balancer for each list length and returns its memory and its processor time for a call and for a list
+// change, with the list length as X.
 func (o Decisions) Run(ctx context.Context) ([]*Series, error) {
 	set := newSeriesSet(Simulated, "listed backends", "the decision module alone, 169 calls a second of its time")
 	for _, listed := range o.ListLengths {
@@ -44,15 +46,16 @@
 	return set.fit()
 }
 
-// decisionDriver drives a Balancer in simulated time.
+// decisionDriver drives a Balancer in simulated time, one call after another.
 type decisionDriver struct {
 	b       *balance.Balancer
 	now     time.Duration
-	sends   int
-	refused int
+	sends   int // number of attempts that the Balancer has sent
+	refused int // number of calls that it has refused or failed
 }
 
-// measureLength measures one list length.
+// measureLength measures a Balancer with a list of the given length and appends the results to set. It fails unless every
+// call is sent.
 func (o Decisions) measureLength(ctx context.Context, set *seriesSet, listed int) error {
 	before := heapBytes()
 	b, err := balance.New(decisionSettings(), o.Seed)
@@ -96,7 +99,7 @@
 	return balance.Backend{ID: listEntry(n).Host, Zone: n % len(siteNames), Cell: n / 10, Weight: 1}
 }
 
-// list passes a full list to the balancer.
+// list passes a full list of the given length to the balancer.
 func (d *decisionDriver) list(length int) {
 	l := balance.List{Kind: balance.ListFull, Version: 1}
 	for n := range length {
@@ -105,7 +108,7 @@
 	d.b.Step(d.now, []balance.Event{l})
 }
 
-// change passes a delta that changes the weight of one backend.
+// change passes a delta that changes the weight of backend n modulo length to the balancer.
 func (d *decisionDriver) change(n, length int) {
 	changed := listedBackend(n % length)
 	changed.Weight = 1 + float64(n%2)
@@ -113,7 +116,7 @@
 	d.b.Step(d.now, []balance.Event{balance.List{Kind: balance.ListDelta, Version: int64(2 + n), Backends: []balance.Backend{changed}}})
 }
 
-// call simulates one call that is served by its first attempt.
+// call simulates the nth call, which is answered successfully by its first attempt after callDuration.
 func (d *decisionDriver) call(n int) {
 	d.now += callInterval - callDuration
 	id := sprintf("r%d", n)
--- a/internal/scale/hollowconfiguration.go
+++ b/internal/scale/hollowconfiguration.go
@@ -17,7 +17,7 @@
 // in each of two regions.
 type HollowConfiguration struct {
 	Program    string        // path of lemoncontrol
-	FleetSizes []int         // fleet sizes
+	FleetSizes []int         // numbers of agents
 	RestTime   time.Duration // duration of the measurement without changes
 	Changes    int           // number of changes that are measured sequentially
 	Burst      int           // number of changes made at intervals of burstInterval
@@ -28,11 +28,11 @@
 }
 
 const (
-	burstInterval = 100 * time.Millisecond
-	shippedTickMs = 50 // raft tick, as in deploy/control.toml
+	burstInterval = 100 * time.Millisecond // interval between the changes of the burst
+	shippedTickMs = 50                     // raft tick, as in deploy/control.toml
 )
 
-// configurationRun is the run of one fleet size.
+// configurationRun is the measurement of one fleet size.
 type configurationRun struct {
 	HollowConfiguration
 	set       *seriesSet
@@ -43,7 +43,8 @@
 	x         float64                        // fleet size, as X of the series
 }
 
-// Run measures all fleet sizes.
+// Run measures, for each fleet size, the time until a change of the configuration is in force at all agents, the traffic
+// and the processor time, and with o.Faults the same under faults. The fleet size is the series' X.
 func (o HollowConfiguration) Run(ctx context.Context) ([]*Series, error) {
 	set := newSeriesSet(Hollow, "agents", fmt.Sprintf("%d control processes in 2 regions, %d services", controlMachines, fleetServices))
 	for _, agents := range o.FleetSizes {
@@ -55,7 +56,7 @@
 	return set.fit()
 }
 
-// measureSize measures one fleet size with control processes of its own.
+// measureSize starts control processes and the given number of agents, measures them and appends the results to set.
 func (o HollowConfiguration) measureSize(ctx context.Context, set *seriesSet, agents int) error {
 	dir, err := os.MkdirTemp(o.Dir, "control-")
 	if err != nil {
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// put changes the document of a scope to one with the mark.
+// put replaces the document of a scope with one that contains the mark.
 func (r *configurationRun) put(ctx context.Context, scope configuration.Scope, m revisionMark) (configuration.Accepted, error) {
 	accepted, err := r.operators.Put(ctx, configuration.Change{
 		ID: client.NewChangeID(), Scope: scope, Base: r.bases[scope], Document: m.document(), Author: "scale", Reason: "measurement"})
@@ -100,7 +101,7 @@
 	return accepted, err
 }
 
-// nextMark returns the mark for the next fleet document, and its arrivals at all agents.
+// nextMark returns the mark for the next document of the fleet, and arrivals that wait until all agents apply it.
 func (r *configurationRun) nextMark() (revisionMark, *arrivals) {
 	r.value++
 	m := revisionMark{configuration.LevelFleet, r.value}
@@ -136,7 +137,7 @@
 // fleetUsage is the resource usage of this process, which runs the agents, and of the control machines.
 type fleetUsage struct {
 	resourceUsage
-	busiest  time.Duration   // highest processor time of one machine
+	busiest  time.Duration   // highest processor time that one machine used in the span
 	machines []cluster.Usage // totals per machine since its start
 }
 
@@ -184,7 +185,7 @@
 	return nil
 }
 
-// waitEverywhere waits until the control machines report that a revision is in force everywhere, and adds the time that
+// waitEverywhere waits until the control machines report that all agents have a revision in force, and adds the time that
 // has passed since the given start to the series with the given name.
 func (r *configurationRun) waitEverywhere(ctx context.Context, name string, scope configuration.Scope, revision uint64, since time.Time) error {
 	status, err := r.operators.Wait(ctx, scope, revision)
@@ -198,6 +199,7 @@
 	return nil
 }
 
+// measureRest measures traffic, processor time, memory and descriptors over r.RestTime without changes.
 func (r *configurationRun) measureRest(ctx context.Context) error {
 	usage, err := r.measureDuring(func() error { return pause(ctx, r.RestTime) })
 	if err != nil {
@@ -244,7 +246,8 @@
 	return nil
 }
 
-// makeChange makes one change of the fleet document and waits until it is in force everywhere.
+// makeChange makes one change of the fleet document and waits until it is in force everywhere. It returns the time from
+// before the call until each agent applied it, and until the control machines reported that all have.
 func (r *configurationRun) makeChange(ctx context.Context) (took []time.Duration, everywhere time.Duration, err error) {
 	m, arrived := r.nextMark()
 	if _, err := r.put(ctx, configuration.Fleet, m); err != nil {
--- a/internal/scale/hollowconfigurationfaults.go
+++ b/internal/scale/hollowconfigurationfaults.go
@@ -25,7 +25,8 @@
 	return r.waitSettled(ctx, "nine in ten restart, a change", arrived)
 }
 
-// loseConnections makes a change while 30 % of the open connections are cut and 30 % of new ones fail.
+// loseConnections makes a change while a share lostShare of the open connections has been cut and the same share of new
+// ones fails.
 func (r *configurationRun) loseConnections(ctx context.Context) error {
 	r.fleet.setLossy(true)
 	defer r.fleet.setLossy(false)
@@ -36,7 +37,8 @@
 	return r.waitSettled(ctx, "30 % of connections lost, a change", arrived)
 }
 
-// killLeader kills the leader of the fleet's raft group and immediately makes a change.
+// killLeader kills the leader of the fleet's raft group and immediately makes a change. It measures the time until the
+// change is accepted and until it is in force, and restarts the machine.
 func (r *configurationRun) killLeader(ctx context.Context) error {
 	leader, err := r.fleet.rig.WaitLeader(ctx, configuration.FleetGroup)
 	if err != nil {
--- a/internal/scale/hollowduties.go
+++ b/internal/scale/hollowduties.go
@@ -18,9 +18,10 @@
 	"lemonrail/internal/duty/store"
 )
 
-// HollowDuties runs the duty clients of many agents in one process against three voters with stores on disk.
+// HollowDuties runs the duty clients of many agents, without the agents' other parts, in one process with the three voters
+// that grant the duty and keep their stores on disk.
 type HollowDuties struct {
-	FleetSizes []int         // fleet sizes
+	FleetSizes []int         // numbers of agents
 	RestTime   time.Duration // duration of the measurement without releases
 	Releases   int           // number of sequential releases of the duty by its holder
 	Dir        string        // parent directory of the voters' stores
@@ -34,21 +35,22 @@
 	dutyLeaseMs = 3000 // lease of the duty, in milliseconds
 )
 
-// dutyFleet is the run of one fleet size.
+// dutyFleet is the clients of one fleet size, and what they have learned about the duty.
 type dutyFleet struct {
 	agents  int
 	clients []*quorum.Client
-	traffic traffic
+	traffic traffic // traffic of the voters' connections, as seen by the voters
 
 	mu      sync.Mutex
 	epoch   duty.Epoch               // latest epoch that any agent has been notified of
 	holder  string                   // holder in that epoch
 	changed chan struct{}            // closed and replaced at each later epoch
-	arrived map[duty.Epoch]*arrivals // arrivals of the holder of each epoch at the agents
-	latest  map[int]duty.Epoch       // latest epoch that each agent has been notified of
+	arrived map[duty.Epoch]*arrivals // by epoch: when each agent was notified of its holder
+	latest  map[int]duty.Epoch       // by agent: latest epoch that it has been notified of
 }
 
-// Run measures all fleet sizes.
+// Run measures, for each fleet size, the time until all agents know the duty's holder, first and after each release, and
+// the traffic and processor time at rest. The fleet size is the series' X.
 func (o HollowDuties) Run(ctx context.Context) ([]*Series, error) {
 	set := newSeriesSet(Hollow, "agents", "3 voters, one duty with a lease of 3 s")
 	for _, agents := range o.FleetSizes {
@@ -60,7 +62,7 @@
 	return set.fit()
 }
 
-// measureSize measures one fleet size with voters of its own.
+// measureSize starts voters and the given number of clients, measures them and appends the results to set.
 func (o HollowDuties) measureSize(ctx context.Context, set *seriesSet, agents int) error {
 	inner, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -93,7 +95,8 @@
 	return o.measure(ctx, set, f)
 }
 
-// measure measures the first grant of the duty, the costs at rest and the releases.
+// measure measures the time until all agents know the duty's first holder, the traffic and processor time at rest, and
+// the releases.
 func (o HollowDuties) measure(ctx context.Context, set *seriesSet, f *dutyFleet) error {
 	x := float64(f.agents)
 	epoch, _, err := f.waitHolder(ctx, 0)
@@ -124,7 +127,7 @@
 	return o.measureReleases(ctx, set, f, epoch)
 }
 
-// measureReleases measures the time from a release of the duty until all agents know its next holder.
+// measureReleases lets the duty's holder release it o.Releases times, and measures the time until all agents know the next holder.
 func (o HollowDuties) measureReleases(ctx context.Context, set *seriesSet, f *dutyFleet, epoch duty.Epoch) error {
 	var all []time.Duration
 	for range o.Releases {
--- a/internal/scale/hollowlists.go
+++ b/internal/scale/hollowlists.go
@@ -12,9 +12,10 @@
 	"lemonrail/internal/wire"
 )
 
-// HollowLists runs the list watches of many agents in one process against a simulated discovery service.
+// HollowLists runs the discovery clients of many agents, without the agents' other parts, in one process against a
+// simulated discovery service that serves one list of backends.
 type HollowLists struct {
-	FleetSizes  []int         // fleet sizes
+	FleetSizes  []int         // numbers of agents
 	ListLength  int           // number of backends in the list
 	RestTime    time.Duration // duration of the measurement without changes
 	Changes     int           // number of changes that are measured sequentially
@@ -23,15 +24,16 @@
 	Logf        func(format string, args ...any)
 }
 
-// listFleet is the run of one fleet size.
+// listFleet is the discovery service and the clients of one fleet size.
 type listFleet struct {
 	server  *listServer
 	agents  int
 	mu      sync.Mutex
-	waiting map[int64]*arrivals // arrivals of each expected version at the agents
+	waiting map[int64]*arrivals // by list version: when each agent received it
 }
 
-// Run measures all fleet sizes.
+// Run measures, for each fleet size, the time until all agents have the list and then each change of it, and the bytes,
+// processor time and memory for each agent. The fleet size is the series' X.
 func (o HollowLists) Run(ctx context.Context) ([]*Series, error) {
 	fixed := sprintf("%d listed backends", o.ListLength)
 	set := newSeriesSet(Hollow, "agents", fixed)
@@ -44,7 +46,7 @@
 	return set.fit()
 }
 
-// measureSize measures one fleet size with a discovery service of its own.
+// measureSize starts a discovery service and the given number of clients, measures them and appends the results to set.
 func (o HollowLists) measureSize(ctx context.Context, set *seriesSet, agents int) (err error) {
 	server, err := newListServer(o.ListLength, 0)
 	if err != nil {
--- a/internal/scale/hollowmembers.go
+++ b/internal/scale/hollowmembers.go
@@ -15,9 +15,10 @@
 	"lemonrail/internal/member/link"
 )
 
-// HollowMembers runs the membership protocol of many agents in one process, each with its own UDP socket.
+// HollowMembers runs the membership protocol of many agents, without the agents' other parts, in one process, each with its
+// own UDP socket.
 type HollowMembers struct {
-	FleetSizes []int         // fleet sizes
+	FleetSizes []int         // numbers of agents
 	RestTime   time.Duration // duration of the measurement after all agents know each other
 	Leaves     int           // number of agents that leave sequentially
 	Seed       uint64
@@ -36,18 +37,19 @@
 	living atomic.Int64 // number of members that the agent considers living
 }
 
-// memberFleet is the run of one fleet size.
+// memberFleet is the memberships of one fleet size.
 type memberFleet struct {
 	nodes       []*memberNode
 	running     sync.WaitGroup
 	bytes, sent atomic.Int64 // payload bytes and number of datagrams sent by all agents
 
 	mu      sync.Mutex
-	living  int // number of living members that the agents of arrived are to count
-	arrived *arrivals
+	living  int       // number of living members that an agent has to count to be recorded in arrived
+	arrived *arrivals // when each agent first counted that number; nil: no one is waiting
 }
 
-// Run measures all fleet sizes.
+// Run measures, for each fleet size, the time until all agents know each other and then each leave, and the traffic,
+// processor time and memory for each agent. The fleet size is the series' X.
 func (o HollowMembers) Run(ctx context.Context) ([]*Series, error) {
 	set := newSeriesSet(Hollow, "agents", "membership as shipped: 250 ms between probes")
 	for _, agents := range o.FleetSizes {
@@ -59,7 +61,7 @@
 	return set.fit()
 }
 
-// measureSize measures one fleet size.
+// measureSize starts the given number of memberships, measures them and appends the results to set.
 func (o HollowMembers) measureSize(ctx context.Context, set *seriesSet, agents int) (err error) {
 	heapBefore := heapBytes()
 	f := &memberFleet{}
@@ -157,7 +159,8 @@
 	n.conn.WriteToUDPAddrPort(data, to) // send errors are ignored: the protocol tolerates lost datagrams
 }
 
-// recordCount records how many members an agent considers living.
+// recordCount stores how many members an agent considers living, and records the agent in f.arrived if that is the number
+// waited for.
 func (f *memberFleet) recordCount(n *memberNode, c member.Count) {
 	n.living.Store(int64(c.Living))
 	f.mu.Lock()
@@ -175,7 +178,7 @@
 	return f.arrived
 }
 
-const reportInterval = 100 * time.Millisecond
+const reportInterval = 100 * time.Millisecond // interval at which waitAllAlive checks the counts
 
 // waitAllAlive waits until every agent considers all members alive.
 func (f *memberFleet) waitAllAlive(ctx context.Context) error {
--- a/internal/scale/layers_test.go
+++ b/internal/scale/layers_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const testTimeout = 2 * time.Minute // generous: on an idle machine the runs take seconds
+const testTimeout = 2 * time.Minute // on an idle machine the runs take seconds
 
 // boundedContext returns a context that ends after testTimeout.
 func boundedContext(t *testing.T) context.Context {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// wantLinear checks that a series grows linearly by perUnit, with a relative tolerance.
+// wantLinear checks that a series has a slope of perUnit. within is the tolerance relative to that.
 func wantLinear(t *testing.T, s *Series, perUnit, within float64) {
 	t.Helper()
 	if s.Slope.PerUnit < perUnit*(1-within) || s.Slope.PerUnit > perUnit*(1+within) || s.Slope.Worst > within {
@@ -46,7 +46,7 @@
 	}
 }
 
-// wantFlat checks that a series doesn't change with the size, with a relative tolerance.
+// wantFlat checks that a series' values are about the same at all sizes. within is the tolerance relative to them.
 func wantFlat(t *testing.T, s *Series, within float64) {
 	t.Helper()
 	for _, p := range s.Points {
@@ -57,7 +57,7 @@
 	}
 }
 
-// wantAll checks that all points of a series have a value.
+// wantAll checks that every point of a series has the value want.
 func wantAll(t *testing.T, s *Series, want float64) {
 	t.Helper()
 	for _, p := range s.Points {
@@ -103,8 +103,8 @@
 	wantAll(t, seriesNamed(t, all, "whole list at the rate, received (1 yes, 0 never)"), 1)
 }
 
-// A client gives up a watch whose list isn't complete within the time that a watch may be silent. It gives up a list
-// that always takes longer on each watch, so that the agent never receives it.
+// A client gives up a watch whose list isn't complete within the time that a watch may be silent, and starts again. A list
+// that takes longer than that at the rate never reaches the agent.
 func TestWholeListAtLowRateIsNeverReceived(t *testing.T) {
 	t.Parallel()
 	all, err := WholeList{ListLengths: []int{200}, Rate: 8000, Timeout: 9 * time.Second, Logf: t.Logf}.Run(boundedContext(t))
--- a/internal/scale/measurement.go
+++ b/internal/scale/measurement.go
@@ -30,8 +30,8 @@
 
 // Measurement is one measured value at one size.
 type Measurement struct {
-	X    float64 `json:"x"`
-	Y    float64 `json:"y"`
+	X    float64 `json:"x"`    // size, as counted by Series.Per
+	Y    float64 `json:"y"`    // measured value
 	Unit string  `json:"unit"` // of Y
 }
 
@@ -54,11 +54,11 @@
 
 // Slope is a line through measurements, and the range in which they were taken.
 type Slope struct {
-	PerUnit float64 `json:"per_unit"` // growth of Y for each unit of X
-	AtZero  float64 `json:"at_zero"`  // Y where the line meets X = 0
-	From    float64 `json:"from"`     // the smallest X measured
-	To      float64 `json:"to"`       // the largest X measured
-	Points  int     `json:"points"`
+	PerUnit float64 `json:"per_unit"`       // growth of Y for each unit of X
+	AtZero  float64 `json:"at_zero"`        // Y where the line meets X = 0
+	From    float64 `json:"from"`           // smallest X measured
+	To      float64 `json:"to"`             // largest X measured
+	Points  int     `json:"points"`         // number of measurements
 	Worst   float64 `json:"worst_residual"` // largest distance of a point from the line, as a share of the largest |Y|
 }
 
--- a/internal/scale/plot.go
+++ b/internal/scale/plot.go
@@ -8,14 +8,14 @@
 	"lemonrail/internal/chart"
 )
 
-// Dimensions of a plot in SVG user units.
+// Size of a plot and its margins, in SVG user units (pixels unless the page is scaled).
 const (
 	plotWidth, plotHeight = 860.0, 260.0
-	plotLeft, plotRight   = 80.0, 24.0
-	plotTop, plotBottom   = 30.0, 34.0
+	plotLeft, plotRight   = 80.0, 24.0 // left and right margin
+	plotTop, plotBottom   = 30.0, 34.0 // top and bottom margin
 )
 
-// plot renders the points and the slope of a series as SVG.
+// plot renders the points of a series as circles and its slope as a dashed line, in SVG.
 func plot(s *Series) template.HTML {
 	var mostX, mostY float64
 	for _, p := range s.Points {
