--- a/internal/scale/processes.go
+++ b/internal/scale/processes.go
@@ -25,7 +25,7 @@
 	Logf          func(format string, args ...any)
 }
 
-// processUsage is the mean resource usage of the agents of a fleet.
+// processUsage is the mean resource usage of one agent of a fleet, over all agents.
 type processUsage struct {
 	share       float64 // processor time, as a share of a core
 	residentKB  float64
@@ -35,7 +35,8 @@
 	datagrams   float64 // to peers, per second
 }
 
-// Run measures growing lists with a fixed fleet size, then growing fleets with the longest list.
+// Run measures the agents' processor time, memory and traffic: first for growing lists of backends with a fixed fleet size,
+// then for growing fleets with the longest list. X is the list length, then the fleet size.
 func (o ProcessFleets) Run(ctx context.Context) ([]*Series, error) {
 	longest := 0
 	for _, n := range o.ListLengths {
@@ -62,11 +63,12 @@
 }
 
 const (
-	startTimeout     = 60 * time.Second
-	agreementTimeout = 60 * time.Second
+	startTimeout     = 60 * time.Second // maximum time until all agents are ready
+	agreementTimeout = 60 * time.Second // maximum time from then until all agents agree on the members
 )
 
-// measureFleet starts one fleet and measures it when all agents agree on the members.
+// measureFleet starts a fleet of the given size, waits until all agents agree on the members, measures it and appends the
+// results at x.
 func (o ProcessFleets) measureFleet(ctx context.Context, set *seriesSet, x float64, agents, listed int) (err error) {
 	if agents > cluster.MaxAgents || agents > MaxProcesses {
 		return fmt.Errorf("scale: %d agents exceed the maximum of %d", agents, min(cluster.MaxAgents, MaxProcesses))
@@ -102,7 +104,7 @@
 	return o.measureCosts(ctx, set, x, c, server)
 }
 
-// measureCosts measures a fleet without and with list changes, and adds the costs per change.
+// measureCosts measures a fleet at rest and then with list changes, and appends both costs and the difference per change.
 func (o ProcessFleets) measureCosts(ctx context.Context, set *seriesSet, x float64, c *cluster.Cluster, server *listServer) error {
 	rest, err := o.measureDuring(ctx, c, server, func() error { return nil })
 	if err != nil {
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// measureDuring measures a fleet for o.RestTime while do is called every o.ChangePause.
+// measureDuring returns the fleet's usage over o.RestTime, in which do is called every o.ChangePause.
 func (o ProcessFleets) measureDuring(ctx context.Context, c *cluster.Cluster, server *listServer, do func() error) (processUsage, error) {
 	before, sentBefore, err := sample(c, server)
 	if err != nil {
@@ -153,8 +155,8 @@
 		datagrams: (after.datagrams - before.datagrams) / seconds}, err
 }
 
-// sample returns the mean of the agents' counters since their starts, with the processor seconds in the field share,
-// and the bytes that discovery has sent.
+// sample returns the means over the agents of their counters since the start of their processes, and the bytes that
+// discovery has sent to all of them. The field share holds the processor time in seconds.
 func sample(c *cluster.Cluster, server *listServer) (sum processUsage, sent int64, err error) {
 	sent = server.traffic.sent.Load()
 	for _, a := range c.Agents {
--- a/internal/scale/seriesset.go
+++ b/internal/scale/seriesset.go
@@ -12,9 +12,9 @@
 
 // seriesSet collects the series of one experiment, in the order of their first measurement.
 type seriesSet struct {
-	layer  Layer
-	per    string
-	fixed  string
+	layer  Layer  // for all series: how they are measured
+	per    string // for all series: what X counts
+	fixed  string // for all series: what is the same at all sizes
 	order  []*Series
 	byName map[string]*Series
 }
@@ -56,28 +56,30 @@
 	return s.order, nil
 }
 
-// usageSpan is a running measurement of the resource usage of this process.
+// usageSpan is a running measurement of this process's processor time and of the bytes of counted connections.
 type usageSpan struct {
-	started  time.Time
-	cpu      time.Duration
-	cpuErr   error
-	traffic  *traffic
-	sent     int64
-	received int64
+	started  time.Time     // start of the measurement
+	cpu      time.Duration // processor time that the process had used at the start
+	cpuErr   error         // error of reading cpu, returned by end
+	traffic  *traffic      // counter of the connections
+	sent     int64         // value of traffic.sent at the start
+	received int64         // value of traffic.received at the start
 }
 
 // resourceUsage is what this process used over a usageSpan.
 type resourceUsage struct {
 	elapsed, cpu   time.Duration
-	sent, received int64 // bytes, from the point of view of the side that counts traffic
+	sent, received int64 // bytes sent and received by the side whose connections are counted in traffic
 }
 
+// startUsageSpan starts a measurement of this process and of the connections counted in t.
 func startUsageSpan(t *traffic) *usageSpan {
 	s := &usageSpan{started: time.Now(), traffic: t, sent: t.sent.Load(), received: t.received.Load()}
 	s.cpu, s.cpuErr = processorTime()
 	return s
 }
 
+// end returns what was used since the start of the measurement.
 func (s *usageSpan) end() (resourceUsage, error) {
 	cpu, err := processorTime()
 	return resourceUsage{elapsed: time.Since(s.started), cpu: cpu - s.cpu, sent: s.traffic.sent.Load() - s.sent, received: s.traffic.received.Load() - s.received},
--- a/internal/scale/simulated.go
+++ b/internal/scale/simulated.go
@@ -9,26 +9,29 @@
 	"lemonrail/internal/member/membersim"
 )
 
-// SimulatedMembers runs the membership protocol in simulated time.
+// SimulatedMembers simulates the membership protocol (internal/member) and measures false deaths and traffic for several
+// fleet sizes.
 type SimulatedMembers struct {
-	FleetSizes    []int         // fleet sizes
-	LossTime      time.Duration // simulated time of the runs without loss and with 30 % loss
-	PartitionTime time.Duration // simulated time of a partition of the two regions
+	FleetSizes    []int         // numbers of members
+	LossTime      time.Duration // simulated time of the cases without a fault and with packet loss
+	PartitionTime time.Duration // simulated time of the case in which the two regions can't reach each other
 	Seed          uint64
 	Logf          func(format string, args ...any)
 }
 
-const lossShare = 0.3
+const lossShare = 0.3 // share of datagrams lost in the case with packet loss
 
-// regionCount is the number of regions. Members are assigned to regions, and to the zones, in turn.
+// regionCount is the number of regions. Member i is in region i modulo regionCount; zones are assigned in the same way.
 const regionCount = 2
 
-// cutRegions cuts all links between members of different regions.
+// cutRegions is a membersim.Case.Cut: datagrams between members of different regions are lost. The number of members
+// doesn't matter.
 func cutRegions(int) func(from, to int) bool {
 	return func(from, to int) bool { return from%regionCount != to%regionCount }
 }
 
-// Run measures all fleet sizes.
+// Run simulates membership for each fleet size in three cases (no fault, packet loss, a partition of the regions) and
+// returns series of traffic, processor time and false deaths, with the fleet size as X.
 func (o SimulatedMembers) Run(ctx context.Context) ([]*Series, error) {
 	set := newSeriesSet(Simulated, "members", "membership as shipped, 8 zones")
 	ours := membersim.Protocol{Name: "this", Make: membersim.Membership(len(siteNames), nil)}
@@ -50,7 +53,7 @@
 	return set.fit()
 }
 
-// row appends the results of one case to the series.
+// row appends the false deaths, changes of views, traffic and processor time of one case to the series named after the case.
 func (o SimulatedMembers) row(set *seriesSet, name string, r *membersim.Row) {
 	x := float64(r.Members)
 	set.add(name+", false deaths", "", x, float64(r.FalseDeaths))
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -31,7 +31,7 @@
 // heapGrowthKB returns the growth of heapBytes since before, in kilobytes.
 func heapGrowthKB(before uint64) float64 { return (float64(heapBytes()) - float64(before)) / 1024 }
 
-// traffic counts bytes over connections, without the headers of TCP and IP.
+// traffic counts the accepted connections and the bytes received and sent on connections, without TCP and IP headers.
 type traffic struct {
 	accepted, received, sent atomic.Int64
 }
--- a/internal/scale/wholelist.go
+++ b/internal/scale/wholelist.go
@@ -12,15 +12,17 @@
 	"lemonrail/internal/wire"
 )
 
-// WholeList measures the size of a full list, and whether and when a client receives it at a limited rate.
+// WholeList measures, for a discovery service that sends at a limited rate, the size of a full list of backends, and
+// whether and when a client receives it.
 type WholeList struct {
-	ListLengths []int         // list lengths
+	ListLengths []int         // numbers of backends in the list
 	Rate        float64       // bytes per second from discovery to the client
 	Timeout     time.Duration // time after which the list counts as never received
 	Logf        func(format string, args ...any)
 }
 
-// Run measures all list lengths.
+// Run starts a discovery service and one client for each list length and returns the list's size, the time until the
+// client has it or o.Timeout has passed, and the number of its connections, with the list length as X.
 func (o WholeList) Run(ctx context.Context) ([]*Series, error) {
 	set := newSeriesSet(Hollow, "listed backends", sprintf("one client, discovery at %g bytes a second", o.Rate))
 	for _, listed := range o.ListLengths {
@@ -32,7 +34,7 @@
 	return set.fit()
 }
 
-// measureLength measures one list length.
+// measureLength measures one list length and appends the results to set.
 func (o WholeList) measureLength(ctx context.Context, set *seriesSet, listed int) (err error) {
 	server, err := newListServer(listed, o.Rate)
 	if err != nil {
@@ -60,8 +62,8 @@
 	return nil
 }
 
-// receive runs one client until it has received the list or o.Timeout has passed. It also returns the number of
-// connections that the client opened.
+// receive runs one client until it has received the list (got) or o.Timeout has passed. It returns the time that has
+// passed and the number of connections (calls) that the client opened.
 func (o WholeList) receive(ctx context.Context, server *listServer) (took time.Duration, got bool, calls int64, err error) {
 	service, err := netip.ParseAddrPort(server.addr)
 	if err != nil {
--- a/internal/site/controller.go
+++ b/internal/site/controller.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// ControllerConfig sets how states become orders. DefaultControllerConfig sets all fields but Watch.Sites,
-// Classes and Figures.Problem.
+// ControllerConfig sets how a Controller turns the states of sites into orders. DefaultControllerConfig sets all fields
+// but Watch.Sites, Classes and Figures.Problem.
 type ControllerConfig struct {
 	Watch   Config
 	Ramp    Ramp
@@ -19,16 +19,17 @@
 
 	MaxAdvice time.Duration // longest advice that a refused client may get
 
-	TrialInterval    time.Duration // approximate time between two trials of a lost site at first ...
-	MaxTrialInterval time.Duration // ... and at most, after it has been doubled repeatedly
-	DoubtedShare     float64       // weight of a doubted site's backends in picks; 1: as any other
-	MinShare         float64       // lower bound of the weight of a well site, in case the plan sends nothing there
+	TrialInterval    time.Duration // approximate time between two trials (requests sent to a lost or cut site to see if it serves) at first ...
+	MaxTrialInterval time.Duration // ... and at most, after it has doubled with each trial
+	DoubtedShare     float64       // weight of a doubted site's backends when a backend is picked; 1: as any other
+	MinShare         float64       // lower bound of the weight of a well site's backends, in case the plan sends nothing there
 }
 
-// Figures are the input of the plans. All agents use the same.
+// Figures are the known or assumed demand and prices that plans are computed from. All agents use the same, so that
+// they compute the same plans.
 type Figures struct {
-	Problem  *Problem // of the sites in Watch's order; nil: no figures are known
-	Headroom float64  // this and the fields below are used without Problem: see UniformProblem
+	Problem  *Problem // configured capacity, demand and prices, sites in the order of Watch.Sites; nil: not configured
+	Headroom float64  // Headroom to Cross and Method are used if Problem is nil: see UniformProblem
 	Load     float64  // work demanded at each site, as a share of its capacity
 	Cross    float64  // price of work sent from one site to another, in worth
 	Method   PlanMethod
@@ -40,7 +41,7 @@
 		MaxAdvice: time.Second, TrialInterval: time.Second, MaxTrialInterval: 4 * time.Second, DoubtedShare: 0.1, MinShare: 0.02}
 }
 
-// Check returns an error that names the first invalid setting.
+// Check returns an error that names the first invalid setting by its key in the settings file.
 func (c *ControllerConfig) Check() error {
 	if err := c.Watch.Check(); err != nil {
 		return err
@@ -68,15 +69,15 @@
 	return nil
 }
 
-// Basis is what an order is based on.
+// Basis is what the shares of an order are based on.
 type Basis uint8
 
 const (
 	Ordinary  Basis = iota // all sites are well: there is no order
-	Leaning                // a site is doubted
+	Leaning                // a site is doubted and none is lost or returning: the doubted one gets less load
 	Planned                // a plan for exactly the present remaining shares
-	StandIn                // the last plan in use, without the sites of which nothing remains
-	Unplanned              // there was no plan: lost sites get no load, nothing else changes
+	StandIn                // a plan for other remaining shares, since the right one is not computed yet; sites without capacity are left out
+	Unplanned              // there is no plan: each site gets load by its remaining share; or no site would be left: all get their usual load
 )
 
 var basisNames = [...]string{"ordinary", "leaning", "planned", "stand-in", "unplanned"}
@@ -90,24 +91,24 @@
 
 // Order holds the instructions for the decision module (package balance). The zero value means that all sites are well.
 type Order struct {
-	Number         uint64 // of orders so far
+	Number         uint64 // number of orders that this agent's Controller has made, this one included
 	Basis          Basis
-	Remain         []float64 // remaining share of each site's capacity, as plans use it
-	Share          []float64 // weight of each site's backends in picks, see balance.Sites; nil: all have the same
-	Admit          []float64 // share of each class that is admitted; nil: all
-	Trial          []bool    // sites that a request is to try now; nil: none
-	RepeatableOnly []bool    // sites that have just begun to return: they get only requests that can safely be repeated
-	Cold           []int     // sites whose backends count as just started from now on; once per return
+	Remain         []float64 // by site: share of its capacity that plans may use
+	Share          []float64 // by site: weight of its backends when a backend is picked, see balance.Sites; nil: all have the same
+	Admit          []float64 // by class: share of its requests that is admitted; nil: all
+	Trial          []bool    // by site: a lost or cut site that one request is to try now; nil: none
+	RepeatableOnly []bool    // by site: it has just begun to return and gets only requests that can safely be repeated; nil: none
+	Cold           []int     // indices of sites that have begun to return with this order: their backends count as just started
 }
 
-// controlledSite is what a Controller keeps of a site besides the state in its Watch.
+// controlledSite is what a Controller stores for a site besides the state in its Watch.
 type controlledSite struct {
 	nextTrial     time.Duration // when the next trial is due
 	trialInterval time.Duration // time until the next trial, before jitter; 0: the site is neither lost nor cut
-	lastState     State
-	served        int // trials served when trialDue last looked
-	started       int // backends started since the loss, at that time
-	maxUp         int // greatest number of backends that were up at the same time
+	lastState     State         // as of the last Tick
+	served        int           // trials served, as of the last time that the interval started over
+	started       int           // backends started since the loss, as of the same time
+	maxUp         int           // greatest number of backends that were ever up at the same time
 }
 
 // Controller turns the states of a Watch into orders, with the plans of a PlanCache. It is not safe for
@@ -120,21 +121,22 @@
 	now           time.Duration
 	sites         []controlledSite
 	capacity      []float64  // listed capacity, by site
-	plans         *PlanCache // nil: no figures yet
+	plans         *PlanCache // nil: neither figures nor a backend list are known yet
 	order         Order
-	orders        uint64 // number of orders so far
-	changes       []Change
+	orders        uint64   // number of orders so far
+	changes       []Change // changes of state that Changes has not returned yet
 	returns       *returnSchedule
 	rampOverrides []rampOverride // by site; nil: none yet
 }
 
-// rampOverride is the share that a returning site may have until a time, in place of this agent's own ramp.
+// rampOverride is a share of its usual load that a returning site may have until a time, in place of what this agent's
+// own ramp allows.
 type rampOverride struct {
 	share float64
 	until time.Duration
 }
 
-// NewController returns a Controller for an agent in site own; -1: the agent is in none of the sites.
+// NewController returns a Controller for an agent in site own, an index into cfg.Watch.Sites; -1: in none of them.
 func NewController(cfg ControllerConfig, own int, seed uint64, now time.Duration) (*Controller, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, fmt.Errorf("sites: %w", err)
@@ -161,8 +163,8 @@
 // Watch returns the Watch to which the caller reports evidence.
 func (s *Controller) Watch() *Watch { return s.watch }
 
-// SetList updates the counts of the backend list. capacity is the sum of the backends' weights, by site; plans
-// are based on it if the settings have no figures.
+// SetList replaces the counts of the backend list, given by site. capacity is the sum of the weights of a site's
+// backends that are up; plans are based on it if Figures.Problem is not set.
 func (s *Controller) SetList(now time.Duration, listed []ListCounts, capacity []float64) {
 	s.now = max(now, s.now)
 	s.watch.SetList(now, listed)
@@ -208,21 +210,21 @@
 	return s.plans.Next()
 }
 
-// AddPlan stores the plan for a problem from NextProblem. A plan for figures that have changed since is ignored.
+// AddPlan stores the plan for a problem from NextProblem. It ignores a plan for capacities that have changed since.
 func (s *Controller) AddPlan(p Problem, plan *Plan, err error) {
 	if s.plans != nil && slices.Equal(p.Capacity, s.plans.base.Capacity) {
 		s.plans.Add(p.Remain, plan, err)
 	}
 }
 
-// Changes returns the changes of state since its last call, at most the latest maxChanges.
+// Changes returns the changes of state since its last call, oldest first; only the latest maxChanges are kept.
 func (s *Controller) Changes() []Change {
 	c := s.changes
 	s.changes = nil
 	return c
 }
 
-// Tick updates the states, and returns the order in force and whether it differs from the previous one.
+// Tick updates the states, and returns the present order and whether it is a new one.
 func (s *Controller) Tick(now time.Duration) (Order, bool) {
 	s.now = max(now, s.now)
 	for i := range s.sites {
@@ -264,12 +266,13 @@
 	return next, true
 }
 
+// sameOrder reports whether a and b agree in all but their numbers, trials and newly returning sites.
 func sameOrder(a, b *Order) bool {
 	return a.Basis == b.Basis && slices.Equal(a.Remain, b.Remain) && slices.Equal(a.Share, b.Share) && slices.Equal(a.Admit, b.Admit) && slices.Equal(a.RepeatableOnly, b.RepeatableOnly)
 }
 
-// OverrideRamp makes a returning site follow the share that one agent sets for all, until a time. After it the
-// site follows this agent's own ramp again.
+// OverrideRamp makes a returning site follow a share of its usual load that one agent sets for all agents, until a
+// time. After it the site follows this agent's own ramp again.
 func (s *Controller) OverrideRamp(site int, share float64, until time.Duration) {
 	if s.rampOverrides == nil {
 		s.rampOverrides = make([]rampOverride, len(s.sites))
@@ -279,7 +282,8 @@
 	}
 }
 
-// RampShares returns the share of its load that each site may have by this agent's own ramps.
+// RampShares returns, by site, the share of its usual load that it may have by this agent's own ramps: 0 if it is lost
+// or cut, 1 if it is well or doubted.
 func (s *Controller) RampShares() []float64 {
 	all := make([]float64, len(s.sites))
 	for i := range all {
@@ -294,7 +298,8 @@
 	return all
 }
 
-// rampShare returns the share of its load that a returning site may have now, in steps of 1/remainSteps.
+// rampShare returns the share of its usual load that returning site i may have now, by an override if there is one,
+// rounded down to a step of 1/remainSteps but at least one step.
 func (s *Controller) rampShare(i int) float64 {
 	share := s.cfg.Ramp.Share(s.now-s.watch.sites[i].since, s.watch.recentLosses(i))
 	if s.rampOverrides != nil && s.now < s.rampOverrides[i].until {
@@ -306,10 +311,11 @@
 	return max(math.Floor(share*remainSteps), 1) / remainSteps
 }
 
-// remainingShare returns the share of a site's capacity that plans may use.
+// remainingShare returns the share of site i's capacity that plans may use: by its state, and by how many of its
+// backends are up.
 func (s *Controller) remainingShare(i int) float64 {
 	left := 1.0
-	// In halves, so that a release that restarts a few backends at a time doesn't count as a loss.
+	// Rounded to halves, so that a release that restarts a few backends at a time doesn't count as a loss of capacity.
 	if x := &s.sites[i]; x.maxUp > 0 {
 		left = math.Round(2*float64(s.watch.sites[i].listed.Up)/float64(x.maxUp)) / 2
 		if s.watch.sites[i].listed.Up > 0 {
@@ -327,7 +333,7 @@
 	return left
 }
 
-// fillShares sets the basis, the shares and the admission of an order from its remaining shares.
+// fillShares sets Basis, Share, Admit and RepeatableOnly of an order from Remain.
 func (s *Controller) fillShares(o *Order) {
 	n := len(s.sites)
 	if slices.Max(o.Remain) == 0 { // no site would serve: act as if all were well
@@ -367,7 +373,7 @@
 		o.Basis = StandIn
 	}
 	to, admit := s.planRow(plan)
-	top := 0.0
+	top := 0.0 // greatest weight of a backend
 	for i := range n {
 		if up := s.watch.sites[i].listed.Up; up > 0 {
 			o.Share[i] = to[i] / float64(up)
@@ -398,11 +404,11 @@
 	}
 }
 
-// repeatableOnlyBelow is the share of its load below which a returning site gets only requests that can be
+// repeatableOnlyBelow is the share of its capacity below which a returning site gets only requests that can safely be
 // repeated.
 const repeatableOnlyBelow = 0.5
 
-// otherSiteWell reports whether another well site can take the requests that site i doesn't get.
+// otherSiteWell reports whether a well site other than i has capacity left for the requests that i is not to get.
 func (s *Controller) otherSiteWell(i int, o *Order) bool {
 	for k := range s.sites {
 		if k != i && s.watch.State(k) == Well && o.Remain[k] > 0 {
@@ -412,8 +418,8 @@
 	return false
 }
 
-// planRow returns the part of a plan for this agent: the row of its site, or the mean of all rows if it is in
-// no site.
+// planRow returns the part of a plan for this agent: where the load of its site's clients goes and which share of each
+// class is admitted there; the mean over all sites if the agent is in none.
 func (s *Controller) planRow(p *Plan) (to, admit []float64) {
 	if s.ownSite >= 0 {
 		return p.To[s.ownSite], p.Admit[s.ownSite]
@@ -430,9 +436,9 @@
 	return to, admit
 }
 
-// trialDue reports whether a request is to try a lost or cut site now, and sets the time of the next trial. The
-// interval doubles with each trial and starts over when backends have started, a trial was served or other
-// members reach the site. It has jitter, so that the agents don't try at the same time.
+// trialDue reports whether a request is to try lost or cut site i now, and sets the time of the next trial. The
+// interval doubles with each trial and starts over when backends of the site have started, when it has served a trial,
+// or when other members reach it. It has jitter, so that the agents don't try at the same time.
 func (s *Controller) trialDue(i int) bool {
 	x, site := &s.sites[i], &s.watch.sites[i]
 	if site.state != Lost && site.state != Cut || site.manual {
@@ -457,8 +463,8 @@
 	return true
 }
 
-// Note returns what this agent reports of the sites to the other members: a reachability in two bits per site,
-// lowest bits first, four sites a byte. A site without a recent answer or failure
+// Note returns what this agent reports to the other members: its reachability value for each site, in two bits, lowest
+// bits first, four sites a byte. A site from which no answer came within noteMemory and that isn't lost, cut or failing
 // is reported as reachUnknown.
 func (s *Controller) Note() []byte {
 	note := make([]byte, (len(s.sites)+3)/4)
@@ -476,11 +482,13 @@
 	return note
 }
 
-// noteMemory is the multiple of Config.DoubtWindow for which Note counts an answer. It keeps notes from changing
+// noteMemory is the multiple of Config.DoubtWindow for which Note counts an answer as a sign that the site is
+// reachable. It keeps notes from changing
 // often, since each change is sent to all members.
 const noteMemory = 3
 
-// ReportsNewLoss reports whether a note declares a site unreachable that the note before didn't.
+// ReportsNewLoss reports whether a note (see Controller.Note) says that a site is unreachable of which the note before
+// it didn't say so.
 func ReportsNewLoss(before, note []byte) bool {
 	for i := range note {
 		for bit := 0; bit < 8; bit += 2 {
@@ -496,14 +504,15 @@
 	return false
 }
 
-// Member is what another member of the fleet reports.
+// Member is another member of the fleet and what it reports.
 type Member struct {
-	Site  int // the member's site; -1: none
+	Site  int // index of the site that the member is in; -1: none of the known ones
 	Alive bool
-	Note  []byte
+	Note  []byte // as that member's Controller.Note returned it
 }
 
-// SetMembers updates what the members of the fleet report.
+// SetMembers replaces what the other members of the fleet report; majority is whether this agent sees more than half of
+// the fleet.
 func (s *Controller) SetMembers(now time.Duration, majority bool, all []Member) {
 	n := len(s.sites)
 	f := Fleet{Known: true, Majority: majority, Alive: make([]int, n), Expected: make([]int, n), Reaching: make([]int, n), Reporting: make([]int, n)}
@@ -537,10 +546,10 @@
 type Report struct {
 	Order       Order
 	Evidence    []Evidence
-	Remain      []float64       // remaining share of each site
-	FullIn      []time.Duration // time until a returning site gets all of its load; 0: it does, or unknown
-	Plans       int
-	PlansFailed int
+	Remain      []float64       // by site: share of its capacity that plans may use
+	FullIn      []time.Duration // by site: time until it gets all of its load by this agent's ramp; 0 if it isn't returning
+	Plans       int             // plans in the cache
+	PlansFailed int             // plans that could not be computed
 }
 
 // Report returns the present state.
@@ -560,6 +569,6 @@
 	return r
 }
 
-// Planned reports whether Share follows a plan; the price of crossing between sites is then already taken into
-// account.
+// Planned reports whether Share follows a plan. A plan takes the price of crossing between sites into account, so the
+// decision module must not do so again.
 func (o *Order) Planned() bool { return o.Basis == Planned || o.Basis == StandIn }
--- a/internal/site/controller_test.go
+++ b/internal/site/controller_test.go
@@ -12,18 +12,19 @@
 
 var twoClasses = []Class{{"read", 1}, {"sub", 3}}
 
-// controllerSim simulates an agent with three sites of four backends. It makes forty attempts a second at each
-// site, except at sites that its order excludes, which get only the trials of the order.
+// controllerSim simulates an agent with three sites of four backends. It makes forty attempts a second at each site,
+// except at sites to which its order gives no weight: these get only the trials that the order asks for.
 type controllerSim struct {
 	t          *testing.T
 	s          *Controller
 	now        time.Duration
 	outcomes   map[int]Kind // by site; absent: OK
-	order      Order        // the order in force
+	order      Order        // the latest order
 	orders     []Order      // the changed orders, oldest first
-	trialsSent map[int]int  // trials sent, by site
+	trialsSent map[int]int  // number of trials sent, by site
 }
 
+// newControllerSim returns a simulation of an agent in site own whose plans are computed, after 2 s with all sites well.
 func newControllerSim(t *testing.T, own int, change func(*ControllerConfig)) *controllerSim {
 	t.Helper()
 	cfg := DefaultControllerConfig([]string{"a", "b", "c"}, 0.3, 4*time.Second)
@@ -52,6 +53,7 @@
 	return x
 }
 
+// list sets the number of backends in the list, all of them up, by site.
 func (x *controllerSim) list(up ...int) {
 	listed, capacity := make([]ListCounts, len(up)), make([]float64, len(up))
 	for i, n := range up {
@@ -60,6 +62,7 @@
 	x.s.SetList(x.now, listed, capacity)
 }
 
+// solvePlans computes all plans that the Controller asks for.
 func (x *controllerSim) solvePlans() {
 	for range 64 {
 		p, ok := x.s.NextProblem()
@@ -72,6 +75,7 @@
 	x.t.Fatal("more than 64 plans to compute")
 }
 
+// play simulates the agent for d.
 func (x *controllerSim) play(d time.Duration) {
 	for end := x.now + d; x.now < end; x.now += step {
 		for i := range 3 {
@@ -95,6 +99,7 @@
 	}
 }
 
+// When a site is lost, its load goes to the other sites and the classes are admitted as planned.
 func TestLostSitesLoadFollowsPlan(t *testing.T) {
 	x := newControllerSim(t, 1, nil)
 	x.outcomes[1] = Refused
@@ -103,7 +108,7 @@
 	if o.Basis != Planned || o.Share[1] != 0 || o.Share[0] == 0 || o.Share[2] == 0 {
 		t.Fatalf("agent of the lost site: %+v", o)
 	}
-	// 240 are demanded and the capacity is 180: all subs (72) and 108 of the 168 reads are served.
+	// Clients demand 240 requests a second, and the sites left can serve 180: all subs (72) and 108 of the 168 reads.
 	if len(o.Admit) != 2 || o.Admit[1] != 1 || o.Admit[0] > 0.9 {
 		t.Errorf("admitted %v", o.Admit)
 	}
@@ -171,6 +176,7 @@
 	}
 }
 
+// Trials of a lost site are rare; once they are served, the site returns, and its backends count as cold once.
 func TestTrialsAreRareAndRestoreSite(t *testing.T) {
 	x := newControllerSim(t, 0, nil)
 	x.outcomes[1] = Silent
@@ -240,7 +246,7 @@
 	}
 }
 
-// One agent sets the ramp for all; when it stops doing so, each agent follows its own ramp.
+// One agent sets the ramp of a returning site for all agents; when it stops doing so, each agent follows its own ramp.
 func TestRampOverride(t *testing.T) {
 	x := newControllerSim(t, 0, nil)
 	x.outcomes[1] = Reset
@@ -306,7 +312,7 @@
 			t.Error("a site that other agents kept warm is treated as cold")
 		}
 	}
-	// Reports of all other members make it a loss sooner.
+	// If all other members report that they don't reach it either, it is lost sooner than by this agent's evidence alone.
 	reportFromOthers(unreachable)
 	x.outcomes[1] = Silent
 	began := x.now
@@ -322,7 +328,8 @@
 	if x.now-began >= alone.now-begun {
 		t.Errorf("loss after %v with the reports of others, %v without", x.now-began, alone.now-begun)
 	}
-	// With unanimous reports one failure of this agent is enough; without any failure the site stays well.
+	// If all other members report that they don't reach the site, one failure of this agent makes it lost; without any
+	// failure the site stays well.
 	y := newControllerSim(t, 0, nil)
 	var all []Member
 	for site := range 3 {
@@ -398,7 +405,7 @@
 			t.Errorf("site lost: advice by second %v, want it spread evenly", spread)
 		}
 	}
-	// During the return the advice follows the ramp: more clients come later, some at once.
+	// While the site returns, more clients are advised to come in the later half of the ramp, but some at once.
 	x = newControllerSim(t, 0, func(c *ControllerConfig) { c.MaxAdvice = 4 * time.Second })
 	x.outcomes[1] = Refused
 	x.play(3 * time.Second)
--- a/internal/site/driver/driver.go
+++ b/internal/site/driver/driver.go
@@ -26,7 +26,7 @@
 const (
 	tickInterval = 100 * time.Millisecond
 	viewInterval = 500 * time.Millisecond // between two reads of the membership
-	noteInterval = 400 * time.Millisecond // between two notes to the members, unless a note reports a new loss
+	noteInterval = 400 * time.Millisecond // minimum time between two notes to the members, unless a note reports a new loss
 )
 
 // Members is the part of a membership that a Driver uses. Its methods must not block.
@@ -37,13 +37,13 @@
 
 // Options are the settings and the environment of a Driver.
 type Options struct {
-	Controller site.ControllerConfig
-	OwnSite    int // this agent's site; -1: none
+	Controller site.ControllerConfig // its Watch.Sites are the platform's zones, in the same order
+	OwnSite    int                   // this agent's site; -1: none
 	Seed       uint64
 	Members    Members // nil: there is no membership
 	Log        *slog.Logger
-	// ExcludeZone excludes a zone manually or includes it again, in all processes of the agent, and waits until that
-	// is done.
+	// ExcludeZone takes a zone out of use on behalf of an operator (out true) or back into use, in all processes of the
+	// agent, and waits until that is done.
 	ExcludeZone func(ctx context.Context, zone int, out bool) error
 }
 
@@ -52,18 +52,18 @@
 	options       Options
 	loop          *core.Loop
 	controller    *site.Controller
-	listed        map[string]balance.Backend
-	lateAttempts  [][]site.LateAttempt // by site
-	endedAttempts []uint64             // number of attempts that ended, by site
-	excluded      []int                // zones that operators exclude, as of the last tick
-	solving       bool                 // a plan is being computed
-	sentNote      []byte               // the latest note that was published to the members
+	listed        map[string]balance.Backend // the listed backends, by ID
+	lateAttempts  [][]site.LateAttempt       // by site
+	endedAttempts []uint64                   // number of attempts that ended, by site
+	excluded      []int                      // zones that operators have taken out of use, as of the last tick
+	solving       bool                       // a plan is being computed
+	sentNote      []byte                     // the latest note (site.Controller.Note) that was published to the members
 	noteSentAt    time.Duration
-	viewedAt      time.Duration
-	changes       []StateChange // the latest, at most maxChanges
+	viewedAt      time.Duration // when the membership was last read
+	changes       []StateChange // the latest changes of state, at most maxChanges
 
 	lostSites, doubtedSites, cutSites atomic.Int64
-	rampShares                        atomic.Pointer[map[string]float64]
+	rampShares                        atomic.Pointer[map[string]float64] // by name of the site, see RampShares
 	plansSolved, plansFailed          atomic.Int64
 }
 
@@ -76,9 +76,10 @@
 	Cause string    `json:"cause,omitempty"`
 }
 
-const maxChanges = 256
+const maxChanges = 256 // maximum number of state changes kept for the report
 
-// New returns a Driver and makes it the loop's watcher. The loop must not run yet.
+// New returns a Driver and makes it the observer of the loop's requests, attempts and lists (core.Loop.Observer). The
+// loop must not run yet.
 func New(o Options, l *core.Loop) (*Driver, error) {
 	s, err := site.NewController(o.Controller, o.OwnSite, o.Seed, l.Now())
 	if err != nil {
@@ -90,10 +91,10 @@
 	return d, nil
 }
 
-// Arrived counts a request.
+// Arrived counts a request; repeat: the client says that it has sent the request before.
 func (d *Driver) Arrived(_ int, repeat bool) { d.controller.Arrived(d.loop.Now(), repeat) }
 
-// Listed applies a backend list as the decision module gets it.
+// Listed applies a backend list, whole or a change to the last one, and passes its counts on to the Controller.
 func (d *Driver) Listed(list balance.List) {
 	if list.Kind == balance.ListFailed {
 		return
@@ -204,7 +205,7 @@
 	d.syncMembers(now)
 }
 
-// applyOrder passes an order on to the decision module.
+// applyOrder passes an order on to the decision module (package balance).
 func (d *Driver) applyOrder(o *site.Order) {
 	for _, zone := range o.Cold { // before the order, so that the order already applies to cold backends
 		d.loop.MarkZoneRestarted(zone)
@@ -216,7 +217,8 @@
 	d.loop.Event(sites)
 }
 
-// syncExclusions passes zones that operators excluded or included since the last call on to the Watch.
+// syncExclusions passes changes in which zones operators have taken out of use on to the Watch, which holds these sites
+// for lost.
 func (d *Driver) syncExclusions(now time.Duration) {
 	out := d.loop.ExcludedZones()
 	for i := range d.lateAttempts {
@@ -235,7 +237,7 @@
 	d.options.Log.Info("site state changed", "site", h.Site, "was", h.From, "is", h.To, "cause", h.Cause)
 }
 
-// updateGauges sets the numbers of lost, doubted and cut sites.
+// updateGauges sets the metrics that count lost, doubted and cut sites.
 func (d *Driver) updateGauges(w *site.Watch) {
 	var n [3]int64
 	for i := range d.lateAttempts {
@@ -278,7 +280,7 @@
 	}()
 }
 
-// solve computes a plan. A panic of the solver becomes an error, since the last plan stays in use then.
+// solve computes a plan. A panic of the solver becomes an error, so that the agent goes on with the plans that it has.
 func solve(job *site.Problem) (plan *site.Plan, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -288,7 +290,8 @@
 	return job.Plan()
 }
 
-// syncMembers reads the reports of the fleet's members and sends them this agent's note.
+// syncMembers reads the reports of the fleet's members at most every viewInterval, and publishes this agent's note to
+// them when it has changed.
 func (d *Driver) syncMembers(now time.Duration) {
 	if d.options.Members == nil {
 		return
@@ -319,8 +322,8 @@
 	d.controller.SetMembers(d.loop.Now(), v.Majority(), all)
 }
 
-// RampShares returns the share of its load that each site may have, as this agent sees it, by name; nil before the
-// first tick. It is safe for concurrent use.
+// RampShares returns, by name of the site, the share of its usual load that it may have by this agent's own ramps; nil
+// before the first tick. It is safe for concurrent use.
 func (d *Driver) RampShares() map[string]float64 {
 	if r := d.rampShares.Load(); r != nil {
 		return *r
@@ -328,8 +331,8 @@
 	return nil
 }
 
-// OverrideRamps makes returning sites follow shares that one agent sets for all, for a span of time. It is safe for
-// concurrent use.
+// OverrideRamps makes returning sites, given by name, follow shares of their usual load that one agent sets for all
+// agents, for a span of time from now. It is safe for concurrent use.
 func (d *Driver) OverrideRamps(ramps map[string]float64, span time.Duration) {
 	go d.loop.Post(func() { // Post may block
 		until := d.loop.Now() + span
--- a/internal/site/driver/routes.go
+++ b/internal/site/driver/routes.go
@@ -26,7 +26,7 @@
 	Changes []StateChange   `json:"happened,omitempty"`
 }
 
-// AdmittedShare is the share of a class that is admitted.
+// AdmittedShare is the share of a class's requests that is admitted.
 type AdmittedShare struct {
 	Class string  `json:"class"`
 	Share float64 `json:"share"`
@@ -40,19 +40,19 @@
 	Cause         string         `json:"cause,omitempty"`
 	Manual        bool           `json:"by_hand,omitempty"` // an operator holds the site for lost
 	Remain        float64        `json:"remain"`            // share of its capacity that plans may use
-	Share         float64        `json:"share"`             // weight of its backends in picks
+	Share         float64        `json:"share"`             // weight of its backends when a backend is picked
 	FullInSeconds float64        `json:"full_in_s"`         // time until a returning site may have all of its load
-	Losses        int            `json:"losses"`            // recent losses, which slow down its return
-	Backends      int            `json:"backends"`          // listed backends
+	Losses        int            `json:"losses"`            // times that it was lost within the last 5 minutes, which slow down its return
+	Backends      int            `json:"backends"`          // backends of the site in the backend list
 	Attempts      uint64         `json:"attempts"`          // attempts of this process that ended, since its start
 	Tried         int            `json:"tried"`             // distinct backends tried recently
 	Failing       int            `json:"failing"`           // backends, of those tried, that served nothing since their last failure
 	FailShare     float64        `json:"fail_share"`        // share of the attempts that failed
-	Elsewhere     float64        `json:"elsewhere_share"`   // share of the attempts at the other sites that failed
+	Elsewhere     float64        `json:"elsewhere_share"`   // the same share at all other sites that are neither lost nor cut
 	FailuresInRow int            `json:"row"`               // consecutive failures since the last answer
-	Kinds         map[string]int `json:"kinds,omitempty"`   // recent attempts by outcome
-	Reaching      int            `json:"reach,omitempty"`   // members elsewhere that reach the site ...
-	Reporting     int            `json:"asked,omitempty"`   // ... of those that report on it
+	Kinds         map[string]int `json:"kinds,omitempty"`   // number of recent attempts, by name of their outcome (site.Kind)
+	Reaching      int            `json:"reach,omitempty"`   // members in other sites that report that they reach the site ...
+	Reporting     int            `json:"asked,omitempty"`   // ... of this many that report on it
 }
 
 // Report returns the present state of the sites.
@@ -61,7 +61,7 @@
 	return r, err
 }
 
-// runOnLoop runs do on the loop and waits until it is done.
+// runOnLoop runs do on the loop's goroutine and waits until it is done.
 func (d *Driver) runOnLoop(ctx context.Context, do func()) error {
 	done := make(chan struct{})
 	go d.loop.Post(func() { do(); close(done) }) // Post blocks while the loop is behind
@@ -75,6 +75,7 @@
 	}
 }
 
+// report builds the report; it must run on the loop.
 func (d *Driver) report() *Report {
 	now, s := time.Now(), d.controller.Report()
 	r := &Report{At: now, Order: s.Order.Number, Basis: s.Order.Basis.String(), Plans: s.Plans, Failed: s.PlansFailed, Changes: slices.Clone(d.changes)}
@@ -102,7 +103,7 @@
 	return r
 }
 
-// Routes returns the calls of the control listener.
+// Routes returns the routes of the control listener: one reads the report, two take a site out of use and back.
 func (d *Driver) Routes() []control.Route {
 	return []control.Route{
 		control.TextRoute("GET /api/sites", "application/json", func(ctx context.Context) ([]byte, error) {
@@ -117,7 +118,8 @@
 	}
 }
 
-// setLostHandler handles a call by which an operator takes a whole site out, or includes it again.
+// setLostHandler handles an operator's call that takes a whole site out of use (lost) or back into use. It refuses to
+// take out the last site in use.
 func (d *Driver) setLostHandler(lost bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		name := r.PathValue("name")
--- a/internal/site/evidence.go
+++ b/internal/site/evidence.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RecordOutcome counts how an attempt at a backend of a site ended and how long it took. Unknown sites are
-// ignored.
+// RecordOutcome counts an attempt at a backend of a site that has ended: how it ended and how long it took. Unknown
+// sites are ignored.
 func (w *Watch) RecordOutcome(now time.Duration, site int, backend string, k Kind, latency time.Duration) {
 	w.now = max(w.now, now)
 	if site < 0 || site >= len(w.sites) || k >= numKinds {
@@ -43,23 +43,24 @@
 }
 
 const (
-	latencyWeight = 0.05 // weight of a served attempt in the running mean of latency
-	maxLate       = 128  // late attempts kept per site
+	latencyWeight = 0.05 // weight of a newly served attempt in the running mean of latency
+	maxLate       = 128  // maximum number of late attempts kept per site
 )
 
-// LateAttempt is an attempt that has been without an answer for long (see IsLate).
+// LateAttempt is an attempt that has been without an answer for so long that it counts as Silent (see IsLate).
 type LateAttempt struct {
 	Backend string
 	Sent    time.Duration
 }
 
-// IsLate reports whether an attempt without an answer, sent at the given time, counts as Silent.
+// IsLate reports whether an attempt that was sent at the given time and is still without an answer counts as Silent: it
+// has waited for longer than Config.LateFactor mean latencies and than Config.MinLate.
 func (w *Watch) IsLate(now, sent time.Duration) bool {
 	return now-sent > max(w.cfg.MinLate, time.Duration(w.cfg.LateFactor*w.meanLatency))
 }
 
-// SetLate replaces the late attempts of a site by those that are late now. Without them a silent site would
-// only be noticed once the attempts of the first clients time out.
+// SetLate replaces the late attempts of a site by those that are late now, at most maxLate of them. Without them a
+// silent site would only be noticed once the first clients' attempts time out.
 func (w *Watch) SetLate(now time.Duration, site int, late []LateAttempt) {
 	w.now = max(w.now, now)
 	if site >= 0 && site < len(w.sites) {
@@ -67,7 +68,7 @@
 	}
 }
 
-// prune removes backends that were not tried within twice the doubt window.
+// prune removes from s the backends that were not tried within twice the doubt window, to make room for others.
 func (w *Watch) prune(s *siteState) {
 	for id, t := range s.backends {
 		if w.now-max(t.served, t.failed) > 2*w.cfg.DoubtWindow {
@@ -78,9 +79,9 @@
 
 // windowSummary sums up the attempts of one site within Config.DoubtWindow.
 type windowSummary struct {
-	counts         [numKinds]int
-	tried, failing int // backends that were tried; of these, backends that served nothing since their last failure
-	failuresInRow  int // consecutive failures since the last answer, late attempts included
+	counts         [numKinds]int // attempts by outcome, late attempts included as Silent
+	tried, failing int           // backends that were tried; number of those that served nothing since their last failure
+	failuresInRow  int           // consecutive failures since the last answer, late attempts included
 }
 
 // summarize computes the summary of a site's last doubt window.
@@ -119,6 +120,7 @@
 	return v
 }
 
+// total returns the number of attempts of any outcome.
 func (v *windowSummary) total() (n int) {
 	for _, c := range v.counts {
 		n += c
@@ -126,7 +128,8 @@
 	return n
 }
 
-// failShare returns the share of attempts that got no answer from a live process; error responses are answers.
+// failShare returns the share of attempts that got no answer from a live process; error responses are answers. It is 0
+// without attempts.
 func (v *windowSummary) failShare() float64 {
 	if n := v.total(); n > 0 {
 		return float64(v.counts[Reset]+v.counts[Refused]+v.counts[Silent]) / float64(n)
@@ -134,7 +137,7 @@
 	return 0
 }
 
-// failShareElsewhere returns the failing share of all other sites that are neither lost nor cut.
+// failShareElsewhere returns the failShare of all other sites together that are neither lost nor cut.
 func (w *Watch) failShareElsewhere(site int) float64 {
 	var all windowSummary
 	for i := range w.sites {
@@ -148,7 +151,7 @@
 	return all.failShare()
 }
 
-// recentLosses returns how many losses of a site still slow down its return.
+// recentLosses returns how often a site became lost within lossMemory; each of these losses after the first slows down its return.
 func (w *Watch) recentLosses(site int) (n int) {
 	for _, at := range w.sites[site].lossTimes {
 		if w.now-at < lossMemory {
@@ -159,6 +162,6 @@
 }
 
 const (
-	maxLosses  = 8               // loss times kept per site
-	lossMemory = 5 * time.Minute // time for which a loss slows down the returns after it
+	maxLosses  = 8               // number of latest losses kept per site
+	lossMemory = 5 * time.Minute // time for which a loss slows down the site's later returns
 )
--- a/internal/site/file.go
+++ b/internal/site/file.go
@@ -8,8 +8,8 @@
 	"lemonrail/internal/strict"
 )
 
-// File is the description of a fleet of sites in TOML: the figures that plans are computed from, and the
-// settings of the agent. deploy/sites.toml is an example with the defaults.
+// File is the description of a fleet of sites in TOML: the figures that plans are computed from, and the settings for
+// agents. deploy/sites.toml is an example that holds the defaults.
 type File struct {
 	Headroom float64    `toml:"headroom"` // share of the remaining capacity that plans leave free
 	Cross    float64    `toml:"cross"`    // price of work that crosses between sites without a price of their own, in worth
@@ -30,13 +30,15 @@
 		LateLeastMs float64 `toml:"late_least_ms"`
 		Reached     float64 `toml:"reached"`
 	} `toml:"watch"`
+	// How a lost site returns.
 	Return struct {
-		ColdShare      float64 `toml:"cold_share"` // 0: the platform's share for a single cold backend
-		RampMs         float64 `toml:"ramp_ms"`    // 0: the platform's ramp time for a single cold backend
-		Slower         float64 `toml:"slower"`     // Ramp.Slowdown
-		TrialMs        float64 `toml:"trial_ms"`
-		TrialLongestMs float64 `toml:"trial_longest_ms"`
+		ColdShare      float64 `toml:"cold_share"`       // share of its load at the start of its return; 0: the platform's for a single cold backend
+		RampMs         float64 `toml:"ramp_ms"`          // time until it has all of its load; 0: the platform's ramp time for a single cold backend
+		Slower         float64 `toml:"slower"`           // Ramp.Slowdown
+		TrialMs        float64 `toml:"trial_ms"`         // ControllerConfig.TrialInterval
+		TrialLongestMs float64 `toml:"trial_longest_ms"` // ControllerConfig.MaxTrialInterval
 	} `toml:"return"`
+	// How backends are picked while not all sites are well.
 	Picks struct {
 		Lean  float64 `toml:"lean"`  // ControllerConfig.DoubtedShare
 		Floor float64 `toml:"floor"` // ControllerConfig.MinShare
@@ -53,16 +55,17 @@
 	Demand []struct {
 		Site  string  `toml:"site"` // the site that the clients are at
 		Class string  `toml:"class"`
-		PerS  float64 `toml:"per_s"`
+		PerS  float64 `toml:"per_s"` // requests of the mean cost a second
 	} `toml:"demand"`
 	Prices []struct {
 		From  string  `toml:"from"`
 		To    string  `toml:"to"`
-		Price float64 `toml:"price"`
+		Price float64 `toml:"price"` // of one request sent from the site From to the site To, in worth
 	} `toml:"price"`
 }
 
-// ParseFile decodes and checks the text of a file; file is its name in errors.
+// ParseFile decodes and checks the text of a file, and returns it with the problem that it describes; file is its name
+// in errors.
 func ParseFile(file string, raw []byte) (*File, Problem, error) {
 	f := DefaultFile()
 	if err := strict.Decode(file, raw, f); err != nil {
@@ -175,10 +178,10 @@
 	c.DoubtedShare, c.MinShare = f.Picks.Lean, f.Picks.Floor
 }
 
-// ControllerConfig returns the configuration for an agent whose platform has the given sites and classes, and
-// lets a cold backend warm up from coldShare within ramp. If the file has figures, they must be for exactly
-// these sites, and for classes among these; a class that the file doesn't name has no demand and is always
-// admitted.
+// ControllerConfig returns the configuration for an agent whose platform has the given sites and classes, and whose
+// cold backends warm up from coldShare within ramp; p is the problem that ParseFile returned with f. If the file has
+// figures of sites, they must be for exactly these sites, and for classes among these; a class that the file doesn't
+// name has no demand and is always admitted.
 func (f *File) ControllerConfig(p Problem, sites []string, classes []Class, coldShare float64, ramp time.Duration) (ControllerConfig, error) {
 	c := DefaultControllerConfig(sites, coldShare, ramp)
 	c.Classes = classes
@@ -240,6 +243,7 @@
 	return q, q.Check()
 }
 
+// invalidValue returns an error for a key of the n-th table of a kind, with the line of that table in the file.
 func invalidValue(file string, raw []byte, table string, n int, key string, v any) error {
 	return fmt.Errorf("%s: line %d: %s.%s: invalid value %v", file, strict.TableLine(raw, table, n), table, key, v)
 }
--- a/internal/site/file_deploy_test.go
+++ b/internal/site/file_deploy_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The file in deploy holds the defaults.
+// deploy/sites.toml holds the default settings, and its commented-out example of sites, classes and demand is valid.
 func TestShippedFile(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/sites.toml")
 	if err != nil {
--- a/internal/site/plan.go
+++ b/internal/site/plan.go
@@ -11,14 +11,14 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// Problem describes the load and the capacity of all sites. Work is measured in requests of mean work a second.
+// Problem describes the load and the capacity of all sites. Work is measured in requests of the mean cost a second.
 // All agents use the same figures, so that they compute the same plan without coordination.
 type Problem struct {
-	Capacity []float64   // of each site when it is well
+	Capacity []float64   // work that each site can do when all of it is well
 	Remain   []float64   // share of the capacity that is left, by site; 1: all of it
 	Classes  []Class     // of requests
-	Demand   [][]float64 // by the site that the clients are at, and by class
-	Cross    [][]float64 // price of work sent from one site to another, in worth; 0 within a site
+	Demand   [][]float64 // work that clients ask for, by the site that they are at and by class
+	Cross    [][]float64 // price, in worth, of one request sent from the first site to the second; 0 within a site
 	Headroom float64     // share of the remaining capacity that a plan leaves free, as a margin for errors in all these figures
 	Method   PlanMethod  // how Plan computes the plan; empty: MaxWorth
 }
@@ -26,17 +26,17 @@
 // Class is a class of requests in a plan.
 type Class struct {
 	Name  string
-	Worth float64 // of one served request, greater than 0
+	Worth float64 // of one served request, greater than 0; plans maximize the sum over the served ones
 }
 
 // Plan says where the load of each site's clients goes, and how much of each class is admitted.
 type Plan struct {
 	To    [][]float64 // share of a site's admitted load that goes to each site; a row sums to 1, or 0 if nothing is admitted
-	Admit [][]float64 // share of each class that is admitted, by site
-	Worth float64     // of the work served in a second, less the price of crossing
+	Admit [][]float64 // share of each class's requests that is admitted, by the site that the clients are at and by class
+	Worth float64     // worth of the work served in a second, less the price of crossing; NaN: not computed
 }
 
-// Bounds of a problem.
+// Upper bounds of the number of sites and classes in a problem.
 const (
 	maxPlanSites   = 64
 	maxPlanClasses = 16
@@ -45,7 +45,7 @@
 // ErrPlan is returned, wrapped, for an invalid problem and for a problem that the solver fails on.
 var ErrPlan = errors.New("sites: plan")
 
-// Check returns an error that names the first invalid figure.
+// Check returns an error that names the first invalid field.
 func (p *Problem) Check() error {
 	n := len(p.Capacity)
 	invalid := func(what string, v any) error { return fmt.Errorf("%w: %s: %v is invalid", ErrPlan, what, v) }
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// usableCapacity returns the work that each site may get in a plan: its remaining capacity less the headroom.
+// usableCapacity returns, by site, the work that a plan may send there: the remaining capacity less the headroom.
 func (p *Problem) usableCapacity() []float64 {
 	usable := make([]float64, len(p.Capacity))
 	for i := range usable {
@@ -100,7 +100,7 @@
 	return usable
 }
 
-// flows holds the work of a plan by origin site, target site and class.
+// flows holds the work that a plan sends, by the site that the clients are at, the site that serves it, and class.
 type flows [][][]float64
 
 // noFlows returns flows without any work.
@@ -115,7 +115,8 @@
 	return s
 }
 
-// planOf returns the plan that sends the given work.
+// planOf returns the plan that sends exactly the given work, refuses the rest of the demand, and admits all of a class
+// for which there is no demand.
 func (p *Problem) planOf(s flows) *Plan {
 	out := &Plan{}
 	for o := range s {
@@ -200,8 +201,8 @@
 	return p.planOf(s), nil
 }
 
-// maxSolveSize bounds sites * sites * classes of a linear program: 10 sites and 10 classes take a tenth of a
-// second.
+// maxSolveSize bounds sites * sites * classes of a linear program, so that it takes little time: 10 sites and 10
+// classes take a tenth of a second.
 const maxSolveSize = 1200
 
 // PlanMethod is how plans are computed.
@@ -210,7 +211,7 @@
 const (
 	MaxWorth     PlanMethod = "best"         // the plan of the greatest worth
 	NearestFirst PlanMethod = "nearest"      // to the cheapest site with free capacity first
-	Proportional PlanMethod = "proportional" // in proportion to remaining capacity: as without a plan, for comparison
+	Proportional PlanMethod = "proportional" // to all sites in proportion to usable capacity: what happens without a plan, for comparison
 )
 
 // Plan computes a plan by the method of the problem. MaxWorth falls back to NearestFirst where the linear
@@ -228,8 +229,8 @@
 	return p.Solve()
 }
 
-// SolveNearest sends load to its own site first, then to the next cheapest with free capacity; classes of the
-// greatest worth first.
+// SolveNearest sends the load of each site's clients to the site with the lowest price of crossing (usually their own)
+// first, then to the next cheapest with free capacity; classes of the greatest worth first.
 func (p *Problem) SolveNearest() (*Plan, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -292,7 +293,7 @@
 	return order
 }
 
-// sitesByPrice returns the indices of all sites, cheapest for the load of site o first.
+// sitesByPrice returns the indices of all sites, those to which load of site o crosses at the lowest price first.
 func (p *Problem) sitesByPrice(o int) []int {
 	order := make([]int, len(p.Capacity))
 	for i := range order {
@@ -302,7 +303,7 @@
 	return order
 }
 
-// Load returns the work that each site gets in a plan, from the clients of all sites together.
+// Load returns, by site, the work that a plan sends there from the clients of all sites together.
 func (p *Problem) Load(plan *Plan) []float64 {
 	load := make([]float64, len(p.Capacity))
 	for o := range plan.To {
--- a/internal/site/plan_test.go
+++ b/internal/site/plan_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// threeSites returns a problem with three sites of the same size, clients at each, and two classes. Crossing
-// costs a tenth of the lesser class's worth.
+// threeSites returns a problem with three sites of capacity 100, each with clients that demand load, and two classes.
+// Crossing costs a tenth of the lesser class's worth.
 func threeSites(load float64) Problem {
 	p := Problem{Capacity: []float64{100, 100, 100}, Remain: []float64{1, 1, 1}, Classes: []Class{{"sub", 3}, {"read", 1}}}
 	for o := range 3 {
@@ -22,6 +22,7 @@
 	return p
 }
 
+// almostEqual compares with a relative tolerance, as the solver's results are rounded.
 func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-6*max(1, math.Abs(a), math.Abs(b)) }
 
 func TestNoCrossingWhileAllSitesAreWell(t *testing.T) {
@@ -106,8 +107,8 @@
 	}
 }
 
-// Over any figures: no site gets more than its remaining capacity, and no simple method serves more worth than
-// Solve.
+// Over any figures: no site gets more than its remaining capacity, and the plans of the other methods serve no more
+// worth than that of Solve.
 func TestSolveBeatsSimpleMethods(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, k := rapid.IntRange(1, 5).Draw(t, "sites"), rapid.IntRange(1, 4).Draw(t, "classes")
@@ -161,8 +162,8 @@
 	}
 }
 
-// A plan that is missing is requested before those computed in advance. Until it is there, the last plan
-// without the lost sites stands in for it.
+// Next returns a plan's problem that Find lacked before those to be solved in advance. Until that plan is there, Find
+// returns the last plan in use, without the load of lost sites.
 func TestPlanCacheRequestsMissingPlans(t *testing.T) {
 	b, err := NewPlanCache(threeSites(90))
 	if err != nil {
@@ -226,9 +227,9 @@
 	}
 }
 
-// While agents differ in which sites they hold for lost, the loads of all agents together keep each site within
-// its full capacity less the headroom, whatever share of the agents holds which view: each plan keeps each site
-// within its capacity, and the loads of the agents add up in proportion to their shares.
+// While agents disagree on which sites are lost, the loads of all agents together still keep each site within its full
+// capacity less the headroom, whatever share of the agents holds which view: each plan keeps each site within its
+// capacity, and the agents' loads add up in proportion to their shares.
 func TestDivergingViewsStayWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "sites")
--- a/internal/site/plancache.go
+++ b/internal/site/plancache.go
@@ -10,21 +10,22 @@
 // each site, and plans that were asked for since. It computes none itself: Next returns the problem to solve
 // and Add stores its plan, so that the owner of the cache never waits for a solver.
 type PlanCache struct {
-	base    Problem // the problem with nothing lost
-	plans   map[string]*Plan
-	pending [][]float64 // remaining shares, by site, whose plans are to be computed in advance
-	wanted  []float64   // remaining shares that Find had no plan for
-	last    *Plan       // the plan that Find last had
-	Failed  int         // number of plans that could not be computed
+	base    Problem          // the problem with nothing lost
+	plans   map[string]*Plan // by cacheKey of the remaining shares that the plan is for
+	pending [][]float64      // problems to solve in advance, each given by its remaining share of each site
+	wanted  []float64        // the latest remaining shares for which Find had no plan; nil: none is missing
+	last    *Plan            // the plan that Find last found; nil: none yet
+	Failed  int              // number of plans that could not be computed
 }
 
 const (
-	maxSitesForPairs = 8   // with more sites only single losses are planned in advance
+	maxSitesForPairs = 8   // with more sites no plans for the loss of two sites are computed in advance
 	maxPlans         = 512 // capacity of the cache; it is cleared when full
-	remainSteps      = 8   // number of steps in which plans distinguish the remaining share of a site
+	remainSteps      = 8   // a site's remaining share counts in steps of 1/remainSteps; shares within a step have the same plan
 )
 
-// NewPlanCache returns an empty cache for the plans of a problem. It ignores p.Remain.
+// NewPlanCache returns a cache without plans for the sites, classes and demand of p. It replaces p.Remain, since the
+// cache itself goes through the remaining shares: of all sites whole, and of each loss that it plans for in advance.
 func NewPlanCache(p Problem) (*PlanCache, error) {
 	p.Remain = slices.Repeat([]float64{1}, len(p.Capacity))
 	if err := p.Check(); err != nil {
@@ -45,7 +46,8 @@
 	return c, nil
 }
 
-// PrecomputePlans returns a cache with all plans that are computed in advance.
+// PrecomputePlans returns a cache with all plans that are computed in advance. Unlike NewPlanCache it solves them
+// itself, so it takes as long as that.
 func PrecomputePlans(p Problem) (*PlanCache, error) {
 	c, err := NewPlanCache(p)
 	if err != nil {
@@ -70,7 +72,8 @@
 	c.pending = append(c.pending, remain)
 }
 
-// cacheKey returns the cache key of the remaining shares: one digit a site, in steps.
+// cacheKey returns the cache key of the remaining shares: for each site one character that stands for its number of
+// whole steps of 1/remainSteps.
 func cacheKey(remain []float64) string {
 	k := make([]byte, len(remain))
 	for i, r := range remain {
@@ -79,7 +82,7 @@
 	return string(k)
 }
 
-// roundDown rounds each share down to a whole step: a plan must not use more capacity than there is.
+// roundDown rounds each share down to a multiple of 1/remainSteps: a plan must not use more capacity than there is.
 func roundDown(remain []float64) []float64 {
 	out := make([]float64, len(remain))
 	for i, r := range remain {
@@ -88,7 +91,8 @@
 	return out
 }
 
-// Next returns the problem to solve next: one that Find lacked a plan for, else one of those to solve in advance.
+// Next returns the problem to solve next: the latest one that Find lacked a plan for, else one of those to solve in
+// advance; false if there is nothing to solve.
 func (c *PlanCache) Next() (Problem, bool) {
 	p := c.base
 	if c.wanted != nil {
@@ -104,7 +108,7 @@
 	return p, false
 }
 
-// Add stores the plan for the given remaining shares, or counts a failure.
+// Add stores the plan for the given remaining shares. If there is no plan or an error, it counts a failure instead.
 func (c *PlanCache) Add(remain []float64, plan *Plan, err error) {
 	k := cacheKey(remain)
 	if c.wanted != nil && cacheKey(c.wanted) == k {
@@ -124,9 +128,9 @@
 // Size returns the number of plans in the cache.
 func (c *PlanCache) Size() int { return len(c.plans) }
 
-// Find returns the plan for the remaining shares, by site. If there is none (yet), Find returns the last plan
-// in use with the load of sites without any remaining capacity spread over the others, and known is false; nil
-// if there was no plan.
+// Find returns the plan for the remaining shares, given by site, and true. If the cache lacks it, Next will request it,
+// and Find returns false with a substitute: the plan that it last found (else the one with nothing lost), with the load
+// of sites without any remaining capacity spread over the others; nil if there is no such plan either.
 func (c *PlanCache) Find(remain []float64) (plan *Plan, known bool) {
 	if len(remain) != len(c.base.Capacity) {
 		return c.last, false
@@ -150,7 +154,7 @@
 // proportion to their remaining capacity.
 func (p *Plan) withoutLostSites(remain, capacity []float64) *Plan {
 	out := &Plan{Admit: p.Admit, Worth: math.NaN()}
-	spare := 0.0
+	spare := 0.0 // remaining capacity of all sites together
 	for t, r := range remain {
 		spare += r * capacity[t]
 	}
@@ -173,8 +177,8 @@
 	return out
 }
 
-// UniformProblem returns a problem for agents without figures: capacity as listed, the same load at each site
-// (a share of its capacity, in equal parts of all classes), and one price for crossing between any two sites.
+// UniformProblem returns a problem for a fleet whose demand and prices are not configured: capacity as listed, at each
+// site a demand of load times its capacity, in equal parts of all classes, and one price for crossing between any two sites.
 func UniformProblem(capacity []float64, classes []Class, load, cross, headroom float64) (Problem, error) {
 	n := len(capacity)
 	p := Problem{Capacity: slices.Clone(capacity), Remain: slices.Repeat([]float64{1}, n), Classes: classes, Headroom: headroom}
--- a/internal/site/returns.go
+++ b/internal/site/returns.go
@@ -7,19 +7,19 @@
 	"lemonrail/internal/storm"
 )
 
-// returnSchedule spreads the return of refused clients over a site's ramp. It is a storm.Calendar whose
-// capacity is the part of the request rate that the ramps open. Each agent books its own clients only; the shares of
-// all agents add up.
+// returnSchedule decides when clients that are refused while a site is lost should come back, so that they follow the
+// site's ramp. It is a storm.Calendar whose capacity is the part of the request rate that the ramps of returning sites
+// open. Each agent books its own clients only, against its own request rate, so that all agents' bookings fit together.
 type returnSchedule struct {
 	controller  *Controller
 	calendar    *storm.Calendar
-	requestRate float64       // running mean of first requests (no repeats) a second
-	arrivedAt   time.Duration // when the last first request arrived
+	requestRate float64       // running mean of first requests (not repeats) a second at this agent
+	arrivedAt   time.Duration // when the last of them arrived
 }
 
 const (
-	rateWindow  = 2 * time.Second // time constant of requestRate
-	adviceSlots = 8               // few slots: an agent with few requests a second has capacity for a whole request in each
+	rateWindow  = 2 * time.Second // time constant of the running mean requestRate
+	adviceSlots = 8               // slots of the calendar: few, so that an agent with few requests a second has capacity for a whole request in each
 )
 
 func newReturnSchedule(s *Controller, seed uint64) (*returnSchedule, error) {
@@ -43,8 +43,8 @@
 	r.arrivedAt = s.now
 }
 
-// ReturnAfter returns after how long a client should come back that is refused now because a site is lost. It is
-// booked with the worth of its class relative to the greatest worth of all classes.
+// ReturnAfter returns after how long a client that is refused now because a site is lost should come back. The client
+// is booked with the worth of its class as a share of the greatest worth of all classes, as Calendar.Book requires.
 func (s *Controller) ReturnAfter(now time.Duration, class int) time.Duration {
 	s.now = max(now, s.now)
 	top := 0.0
@@ -58,9 +58,9 @@
 	return s.returns.calendar.Book(s.now, 0, worth)
 }
 
-// capacity returns how many clients may return within a span of time: the part of this agent's request rate
-// that the ramps of the returning sites will have opened by the start of the span. Without a returning site it
-// is 0, and the calendar spreads refused clients evenly.
+// capacity returns how many clients may return from one time to another: the part of this agent's request rate that
+// the ramps of the returning sites open between now and from. Without a returning site it is 0, and the calendar
+// then spreads refused clients evenly.
 func (r *returnSchedule) capacity(from, to time.Duration) float64 {
 	opened := 0.0
 	for i := range r.controller.sites {
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -30,16 +30,16 @@
 	"time"
 )
 
-// Kind is how an attempt ended, as far as the state of a site depends on it.
+// Kind is the outcome of an attempt (one request sent to one backend), as far as the state of a site depends on it.
 type Kind uint8
 
 const (
-	OK      Kind = iota // served, or refused by a live process that is full
-	Errored             // a live process returned an error
-	Reset               // the connection broke
-	Refused             // the connection was refused: the machine is alive, the process is not
-	Silent              // the connection didn't come up, or no answer came in time
-	numKinds
+	OK       Kind = iota // served, or refused by a live process that is full
+	Errored              // a live process returned an error
+	Reset                // the connection broke
+	Refused              // the connection was refused: the machine is alive, the process is not
+	Silent               // the connection didn't come up, or no answer came in time
+	numKinds             // number of outcomes, not an outcome itself
 )
 
 var kindNames = [numKinds]string{"ok", "errored", "reset", "refused", "silent"}
@@ -55,12 +55,12 @@
 type State uint8
 
 const (
-	Well      State = iota
-	Doubted         // its attempts fail: it gets less load until it is clear whether it is lost
-	Lost            // it gets no load but trials
-	Returning       // it was lost, and its load comes back on a ramp
-	Cut             // the site is alive, but this agent doesn't reach it
-	numStates
+	Well      State = iota // its attempts succeed: it gets its usual load
+	Doubted                // its attempts fail: it gets less load until it is clear whether it is lost
+	Lost                   // it gets no load but trials
+	Returning              // it was lost, and its load comes back on a ramp
+	Cut                    // the site is alive, but this agent doesn't reach it
+	numStates              // number of states, not a state itself
 )
 
 var stateNames = [numStates]string{"well", "doubted", "lost", "returning", "cut"}
@@ -72,15 +72,15 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// Cause is why failing attempts don't make a site lost.
+// Cause is the reason why the failing attempts at a site are not taken for a loss of that site.
 type Cause uint8
 
 const (
-	NoCause        Cause = iota
-	CauseAllSites        // all sites fail alike: the fault is with this agent or with a release
-	CauseThisAgent       // other members reach the site, or this agent is in a minority that sees few of the site's members
-	CauseRelease         // only some of the site's backends fail
-	CauseStaleList       // all sites fail, and the backend list hasn't been updated for long
+	NoCause        Cause = iota // there is no such reason: if attempts fail, the site itself is at fault
+	CauseAllSites               // all sites fail alike: the fault is with this agent or with a release
+	CauseThisAgent              // other members reach the site, or this agent is in a minority that sees few of the site's members
+	CauseRelease                // only some of the site's backends fail
+	CauseStaleList              // all sites fail, and the backend list hasn't been updated for long
 )
 
 var causeNames = [...]string{"", "everyone", "mine", "release", "stale"}
@@ -94,19 +94,19 @@
 
 // Config sets the times and thresholds of a Watch. DefaultConfig fits agents that send a few attempts a second.
 type Config struct {
-	Sites        []string
+	Sites        []string      // names of the sites; a site is identified by its index here everywhere else
 	Slot         time.Duration // duration of one slot of counters
 	DoubtWindow  time.Duration // span of attempts that raises a doubt, 1 to maxSlots slots
 	LoseAfter    time.Duration // a doubted site is lost after failing for this long
 	ClearAfter   time.Duration // a doubted site is well after serving for this long
-	MinFailing   int           // backends of a site that must fail for a doubt or a loss; all of them if it has fewer
+	MinFailing   int           // backends of a site that must fail before it is doubted or lost; all of them if it has fewer
 	FailShare    float64       // share of a site's attempts that must fail to doubt it
-	LostShare    float64       // share of a site's attempts that must fail to hold it for lost
-	Contrast     float64       // required difference between a site's failing share and that of the other sites
-	StaleAfter   time.Duration // age of the backend list that explains failures in all sites
+	LostShare    float64       // share of a doubted site's attempts that must fail during LoseAfter for it to become lost
+	Contrast     float64       // minimum by which a site's share of failed attempts must exceed that of the other sites, for the site to be at fault
+	StaleAfter   time.Duration // time since the last update of the backend list after which the list is held to be the cause if all sites fail
 	LateFactor   float64       // multiple of the mean latency after which an unanswered attempt counts as Silent ...
 	MinLate      time.Duration // ... but not before this time
-	ReachedShare float64       // share of the reporting members elsewhere that must reach a site for it to count as alive
+	ReachedShare float64       // a site counts as alive if more than this share of the reporting members in other sites reach it
 	MaxSites     int           // upper bound of len(Sites)
 }
 
@@ -117,7 +117,7 @@
 		MinLate: 100 * time.Millisecond, ReachedShare: 0.25, MaxSites: 64}
 }
 
-// Check returns an error that names the first invalid setting.
+// Check returns an error that names the first invalid setting by its key in the settings file.
 func (c *Config) Check() error {
 	switch {
 	case len(c.Sites) == 0:
@@ -154,14 +154,14 @@
 	maxTried = 256 // backends tracked per site
 )
 
-// Fleet is what the members of the fleet report, where there is a membership.
+// Fleet is what the members of the fleet (the agents in the membership, package member) report.
 type Fleet struct {
-	Known    bool  // the other fields are set
+	Known    bool  // there is a membership and the other fields are set
 	Majority bool  // this agent sees more than half of the fleet
-	Alive    []int // live members of each site, as this agent sees them
-	Expected []int // members of each site when all are alive
-	// By site: how many members of other sites report that they reach it, and how many report on it at all;
-	// nil: the members send no reports.
+	Alive    []int // by site: live members there, as this agent sees them
+	Expected []int // by site: members there when all are alive
+	// By site: number of members in other sites that report that they reach this site, and number of members
+	// in other sites that report on it at all. Both are nil if members send no reports.
 	Reaching, Reporting []int
 }
 
@@ -169,7 +169,7 @@
 type ListCounts struct {
 	Backends int // listed backends
 	Up       int // of these, backends that are up and not draining
-	Started  int // of the backends that are up, those started since the site was lost
+	Started  int // of the backends that are up, those that started after the site became lost; 0 unless it is lost
 }
 
 // Evidence is what the state of a site is based on, for operators.
@@ -178,25 +178,25 @@
 	State         State
 	Since         time.Duration // the time at which the site entered State
 	Tried         int           // distinct backends that were tried within Config.DoubtWindow
-	Failing       int           // of these, backends that served nothing since their last failure
+	Failing       int           // number of the tried backends that served nothing since their last failure
 	Counts        [numKinds]int // attempts within Config.DoubtWindow, by Kind
-	FailuresInRow int           // consecutive failures since the last answer, late attempts included
-	FailShare     float64       // share of the attempts that failed
-	Elsewhere     float64       // share of the attempts at the other sites that failed
-	Cause         Cause
-	Manual        bool // an operator holds the site for lost
-	Losses        int  // losses within lossMemory
-	Listed        int  // listed backends
-	Reaching      int  // members elsewhere that reach the site ...
-	Reporting     int  // ... of those that report on it
+	FailuresInRow int           // consecutive failed attempts since the last answer; attempts that are late now count as failed
+	FailShare     float64       // share of the attempts within Config.DoubtWindow that failed; an error response is no failure
+	Elsewhere     float64       // the same share for the attempts at all other sites that are neither lost nor cut
+	Cause         Cause         // why the failures aren't taken for a loss of the site
+	Manual        bool          // an operator holds the site for lost
+	Losses        int           // times that the site became lost within the last 5 minutes (lossMemory)
+	Listed        int           // backends of the site in the backend list
+	Reaching      int           // members in other sites that report that they reach the site ...
+	Reporting     int           // ... of this many that report on it
 }
 
 // Change is a transition of a site from one state to another.
 type Change struct {
-	Site     int
+	Site     int // index in Config.Sites
 	From, To State
 	At       time.Duration
-	Cause    Cause
+	Cause    Cause // the site's cause when it changed
 }
 
 // slot counts the attempts that ended within one Config.Slot.
@@ -205,42 +205,42 @@
 	counts [numKinds]int
 }
 
-// backendTimes holds when attempts at a backend last ended.
+// backendTimes holds when an attempt at a backend was last answered and when one last failed.
 type backendTimes struct {
-	served, failed time.Duration // the last answer and the last failure; -1: none
+	served, failed time.Duration // end of the last answered (an error response included) and of the last failed attempt; -1: none
 }
 
-// siteState is what a Watch keeps of one site.
+// siteState holds what a Watch stores for one site.
 type siteState struct {
 	state             State
 	since             time.Duration // when the site entered state
-	failingSince      time.Duration // since when nearly all attempts fail, in state Doubted; -1: they don't
-	servingSince      time.Duration // since when most attempts don't fail any more, in state Doubted; -1: they do
+	failingSince      time.Duration // start of the time in which nearly all attempts fail, in state Doubted; -1: not the case now
+	servingSince      time.Duration // start of the time in which most attempts no longer fail, in state Doubted; -1: not the case now
 	slots             [maxSlots]slot
-	backends          map[string]*backendTimes
+	backends          map[string]*backendTimes // by backend ID
 	listed            ListCounts
-	cause             Cause
+	cause             Cause           // as of the last Tick
 	manual            bool            // an operator holds the site for lost
 	lossTimes         []time.Duration // times of the last losses, at most maxLosses
-	served            int             // attempts served since the last change of state
-	failedSinceServed int             // attempts that failed since the last one that was served or the last change of state
-	failuresInRow     int             // consecutive failures since the last answer
+	served            int             // attempts that ended OK since the last change of state
+	failedSinceServed int             // attempts that failed since the last one that ended OK or the last change of state
+	failuresInRow     int             // consecutive failed attempts since the last answer, late attempts not included
 	answeredAt        time.Duration   // time of the last answer, an error response included; -1: never
-	wasLost           bool            // the site was Lost before it became Cut, which holds for other agents too
-	late              []LateAttempt   // attempts that are late now
-	recent            windowSummary   // summary made by the last Tick
+	wasLost           bool            // the site was Lost before it became Cut: its load then returns on a ramp, not at once
+	late              []LateAttempt   // attempts that are without an answer now and count as Silent (IsLate)
+	recent            windowSummary   // summary of the attempts within Config.DoubtWindow, made by the last Tick
 }
 
 // Watch tracks the state of each site of one agent.
 type Watch struct {
 	cfg         Config
-	now         time.Duration
-	ownSite     int
-	sites       []siteState
+	now         time.Duration // latest time that a caller passed in
+	ownSite     int           // index of this agent's site; -1: none
+	sites       []siteState   // in the order of Config.Sites
 	fleet       Fleet
 	meanLatency float64       // running mean of the latency of served attempts, in ns
 	listedAt    time.Duration // when the backend list was last updated
-	changes     []Change
+	changes     []Change      // changes of state that Changes has not returned yet
 }
 
 // New returns a Watch for an agent in site own, an index into Config.Sites; -1: the agent is in none of them.
@@ -262,7 +262,7 @@
 	return w, nil
 }
 
-// SetList updates the counts of the backend list, by site.
+// SetList replaces the counts of the backend list, given by site. Sites beyond the end of listed have no backends.
 func (w *Watch) SetList(now time.Duration, listed []ListCounts) {
 	w.now, w.listedAt = max(w.now, now), max(w.now, now)
 	for i := range w.sites {
@@ -271,18 +271,19 @@
 		if s.listed = (ListCounts{}); i < len(listed) {
 			s.listed = listed[i]
 		}
-		if s.listed.Started > was { // failures from before the restart say nothing about the started backends
+		if s.listed.Started > was { // new backends have started: failures from before say nothing about them
 			s.failedSinceServed = 0
 		}
 	}
 }
 
-// SetFleet updates what the members of the fleet report.
+// SetFleet replaces what the members of the fleet report.
 func (w *Watch) SetFleet(now time.Duration, f Fleet) {
 	w.now, w.fleet = max(w.now, now), f
 }
 
-// SetManual holds a site for lost, whatever the evidence, until it is called again with lost false.
+// SetManual holds a site for lost on behalf of an operator, whatever the evidence, until it is called again with lost
+// false. The site then returns on its ramp if it was lost, and is well if it was cut or doubted.
 func (w *Watch) SetManual(now time.Duration, site int, lost bool) error {
 	w.now = max(w.now, now)
 	if site < 0 || site >= len(w.sites) {
@@ -301,7 +302,7 @@
 	return nil
 }
 
-// RampDone makes a returning site well. The caller calls it at the end of the site's ramp.
+// RampDone makes a returning site well. The caller calls it when the site's ramp allows it all of its load.
 func (w *Watch) RampDone(now time.Duration, site int) {
 	w.now = max(w.now, now)
 	if site >= 0 && site < len(w.sites) && w.sites[site].state == Returning {
@@ -309,7 +310,7 @@
 	}
 }
 
-// Changes returns the changes of state since its last call, at most maxChanges.
+// Changes returns the changes of state since its last call, oldest first. Only the first maxChanges are kept.
 func (w *Watch) Changes() []Change {
 	c := w.changes
 	w.changes = nil
@@ -319,6 +320,7 @@
 // maxChanges is the greatest number of changes kept for Changes.
 const maxChanges = 1024
 
+// setState moves a site to another state, records the change, and restarts the counts that begin with a state.
 func (w *Watch) setState(site int, to State) {
 	s := &w.sites[site]
 	if s.state == to {
@@ -348,10 +350,10 @@
 // IsLastInUse reports whether all other sites are lost or cut.
 func (w *Watch) IsLastInUse(site int) bool { return !w.otherSiteInUse(site) }
 
-// NumSites returns the number of sites.
+// NumSites returns the number of configured sites.
 func (w *Watch) NumSites() int { return len(w.sites) }
 
-// Evidence returns what the present state of a site is based on.
+// Evidence returns what the state of a site is based on, as of the last Tick.
 func (w *Watch) Evidence(site int) Evidence {
 	s := &w.sites[site]
 	seen := &s.recent
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-const step = 50 * time.Millisecond
+const step = 50 * time.Millisecond // time between two rounds of attempts in the simulations
 
 // watchSim makes forty attempts a second at each of several sites of four backends.
 type watchSim struct {
 	t        *testing.T
 	w        *Watch
 	now      time.Duration
-	outcomes map[int]func(backend int) Kind // by site; absent: OK
-	changes  []string                       // changes of state in order, as "site state"
-	list     []ListCounts
+	outcomes map[int]func(backend int) Kind // by site: the outcome of an attempt at each backend; absent: OK
+	changes  []string                       // changes of state in order, each as the index of the site and its new state
+	list     []ListCounts                   // by site
 }
 
+// newWatchSim returns a simulation of an agent in site own, after 2 s with all sites well.
 func newWatchSim(t *testing.T, sites, own int) *watchSim {
 	t.Helper()
 	var names []string
@@ -40,6 +41,7 @@
 	return x
 }
 
+// play simulates the agent for d.
 func (x *watchSim) play(d time.Duration) {
 	for end := x.now + d; x.now < end; x.now += step {
 		for i := range x.w.NumSites() {
@@ -62,9 +64,10 @@
 	}
 }
 
+// always returns outcomes that are k at all backends.
 func always(k Kind) func(int) Kind { return func(int) Kind { return k } }
 
-// some returns an outcome of k for the first n backends and OK for the others.
+// some returns outcomes that are k at the first n backends of a site and OK at the others.
 func some(n int, k Kind) func(int) Kind {
 	return func(b int) Kind {
 		if b < n {
@@ -166,7 +169,8 @@
 	}
 }
 
-// Over every sequence of evidence up to a depth, a site always recovers, and it isn't lost twice within 0.6 s.
+// Over every sequence of five of the listed kinds of evidence, a site is well again in the end, and it isn't lost twice
+// within 0.6 s.
 func TestEverySequenceOfEvidenceRecovers(t *testing.T) {
 	reached := Fleet{Known: true, Majority: true, Alive: []int{3, 3}, Expected: []int{3, 3}, Reaching: []int{3, 3}, Reporting: []int{3, 3}}
 	unreached := Fleet{Known: true, Majority: true, Alive: []int{3, 3}, Expected: []int{3, 3}, Reaching: []int{3, 0}, Reporting: []int{3, 3}}
--- a/internal/site/transitions.go
+++ b/internal/site/transitions.go
@@ -6,12 +6,13 @@
 	trialsToReturn       = 3  // attempts that a lost site must serve to return; 1 if other members reach it
 	trialsToCut          = 2  // failed attempts after which a lost site that other members reach is cut
 	doubtRowFactor       = 2  // multiple of Config.MinFailing: consecutive failures that raise a doubt
-	lostRowFactor        = 4  // multiple of Config.MinFailing: consecutive failures that may mean a loss
-	confirmedLossDivisor = 3  // Config.LoseAfter is divided by this if the fleet's members report the loss too
-	rowMemory            = 10 // multiple of Config.DoubtWindow after which consecutive failures no longer count
+	lostRowFactor        = 4  // multiple of Config.MinFailing: consecutive failures that count as nearly all attempts failing
+	confirmedLossDivisor = 3  // Config.LoseAfter is divided by this if no reporting member in another site reaches the site
+	rowMemory            = 10 // multiple of Config.DoubtWindow without any attempt after which consecutive failures no longer count
 )
 
-// Tick updates the states of all sites.
+// Tick summarizes the recent attempts at each site and moves sites to their next states. The caller calls it several
+// times a second.
 func (w *Watch) Tick(now time.Duration) {
 	w.now = max(w.now, now)
 	for i := range w.sites {
@@ -24,13 +25,14 @@
 
 // failureLevel is how badly the recent attempts at a site fail.
 type failureLevel struct {
-	mostFail      bool // most attempts fail, at several backends
-	nearlyAllFail bool // nearly all attempts fail, at several backends
+	mostFail      bool // at least Config.FailShare of the attempts fail, at Config.MinFailing backends or more
+	nearlyAllFail bool // at least Config.LostShare of the attempts fail, at Config.MinFailing backends or more
 }
 
 // failureLevel derives the failure level of a site from its latest summary and its backend list.
 func (w *Watch) failureLevel(s *siteState) (f failureLevel) {
 	v := &s.recent
+	// Enough backends fail: MinFailing, or all listed ones if the site has fewer.
 	enough := v.failing >= w.cfg.MinFailing || v.failing > 0 && v.failing >= s.listed.Backends && s.listed.Backends > 0
 	// The site was removed from the backend list while nearly all of its attempts fail.
 	delisted := s.listed.Backends == 0 && s.state != Lost && v.tried > 0 && v.failShare() >= w.cfg.LostShare
@@ -62,7 +64,7 @@
 	return reachUnknown
 }
 
-// updateState moves a site to its next state, if its evidence calls for a change.
+// updateState moves site i to its next state, if its evidence calls for a change.
 func (w *Watch) updateState(i int) {
 	s := &w.sites[i]
 	if len(s.late) == 0 && s.failuresInRow > 0 && w.now-s.since > rowMemory*w.cfg.DoubtWindow && s.recent.total() == 0 {
@@ -81,6 +83,7 @@
 	case Well:
 		// An agent that seldom tries a site meets few failures there; unanimous reports of the other members
 		// make up for it.
+		// At least MinFailing members report, none of them reaches the site, and this agent's last attempt failed.
 		reportedLost := w.reachedByOthers(i) == unreachable && w.fleet.Reporting[i] >= w.cfg.MinFailing && s.failuresInRow > 0 && w.otherSiteInUse(i)
 		if f.mostFail && siteAtFault || reportedLost {
 			w.setState(i, Doubted)
@@ -92,8 +95,8 @@
 		} else if s.failingSince < 0 {
 			s.failingSince = w.now
 		}
-		// Without an answer since the doubt began nothing shows that the site has recovered; after rowMemory doubt
-		// windows it is cleared even so, if it doesn't fail.
+		// The doubt isn't cleared before the site has answered since the doubt began. If it has been doubted for longer
+		// than rowMemory doubt windows, it may be cleared without an answer, provided that most attempts don't fail.
 		answered := s.answeredAt >= s.since || w.now-s.since > rowMemory*w.cfg.DoubtWindow
 		if f.mostFail && siteAtFault || !answered {
 			s.servingSince = -1
@@ -131,7 +134,7 @@
 		if s.manual {
 			return
 		}
-		restarted := s.listed.Up > 0 && 2*s.listed.Started >= s.listed.Up
+		restarted := s.listed.Up > 0 && 2*s.listed.Started >= s.listed.Up // at least half of its backends that are up started after the loss
 		switch {
 		case s.served >= trialsToReturn || s.served > 0 && w.reachedByOthers(i) == reachable || restarted && s.failedSinceServed == 0:
 			w.setState(i, Returning)
@@ -145,13 +148,14 @@
 	}
 }
 
-// isolatedFrom reports whether this agent is in a minority and sees at most half of the site's members.
+// isolatedFrom reports whether this agent is in a minority of the fleet and sees at most half of the members of site i
+// alive; then its failing attempts say more about itself than about the site.
 func (w *Watch) isolatedFrom(i int) bool {
 	f := &w.fleet
 	return f.Known && i != w.ownSite && !f.Majority && i < len(f.Alive) && i < len(f.Expected) && 2*f.Alive[i] <= f.Expected[i]
 }
 
-// failureCause returns why the failures of a site don't mean its loss, or NoCause if they do.
+// failureCause returns why the failures of site i don't mean its loss, or NoCause if they do.
 func (w *Watch) failureCause(i int) Cause {
 	v := &w.sites[i].recent
 	if !w.otherSiteInUse(i) {
@@ -172,7 +176,7 @@
 	return NoCause
 }
 
-// otherSiteInUse reports whether another site is neither lost nor cut.
+// otherSiteInUse reports whether any site but i is neither lost nor cut.
 func (w *Watch) otherSiteInUse(i int) bool {
 	for k := range w.sites {
 		if s := &w.sites[k]; k != i && s.state != Lost && s.state != Cut {
@@ -182,7 +186,7 @@
 	return false
 }
 
-// otherSiteAnswers reports whether another well site has answered within half a doubt window and has fewer than
+// otherSiteAnswers reports whether any well site but i has answered within half a doubt window and has fewer than
 // Config.MinFailing consecutive failures.
 func (w *Watch) otherSiteAnswers(i int) bool {
 	for k := range w.sites {
--- a/internal/standin/diameter.go
+++ b/internal/standin/diameter.go
@@ -11,20 +11,20 @@
 // DiameterNode is a scripted Diameter server: it answers the base protocol itself and passes all other
 // messages to its handler.
 type DiameterNode struct {
-	Identity string
+	Identity string // Origin-Host of its answers
 	ln       net.Listener
-	handle   func(c *DiameterConn, m *diameter.Message)
+	handle   func(c *DiameterConn, m *diameter.Message) // called for each message outside of the base protocol, in the connection's goroutine
 	mu       sync.Mutex
-	conns    map[*DiameterConn]bool
+	conns    map[*DiameterConn]bool // open connections
 	wait     sync.WaitGroup
 }
 
 // DiameterConn is a connection of a DiameterNode, or of a client made by DialDiameter.
 type DiameterConn struct {
 	net.Conn
-	identity         string
+	identity         string // Origin-Host of what it sends
 	mu               sync.Mutex
-	Received         chan *diameter.Message // client only: all messages but base protocol requests
+	Received         chan *diameter.Message // client only: all messages but base protocol requests, which the connection answers itself
 	DisconnectCauses chan uint32            // client only: Disconnect-Cause of each DPR received
 	IgnoreDPR        bool                   // do not answer DPRs; set it before one can arrive
 }
@@ -68,7 +68,7 @@
 // Addr returns the address that the node listens on.
 func (n *DiameterNode) Addr() string { return n.ln.Addr().String() }
 
-// ForEachConn calls do for each open connection, holding the node's lock.
+// ForEachConn calls do for each open connection. do must not open or close connections of the node, whose lock is held.
 func (n *DiameterNode) ForEachConn(do func(c *DiameterConn)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,7 +84,7 @@
 	n.wait.Wait()
 }
 
-// read answers base protocol requests and passes all other messages to rest.
+// read reads messages until the connection ends. It answers base protocol requests and passes all other messages to rest.
 func (c *DiameterConn) read(rest func(m *diameter.Message)) {
 	limits := diameter.DefaultLimits()
 	messages := diameter.NewReader(c.Conn, limits)
@@ -127,7 +127,7 @@
 	c.Send(a)
 }
 
-// Send writes a message. After an error the connection is closed, which its reader notices.
+// Send writes a message. On an error it closes the connection, so that the connection's reader ends.
 func (c *DiameterConn) Send(m *diameter.Message) {
 	raw, err := m.Append(nil)
 	if err != nil {
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// host is one node as discovery lists it.
+// host is one node as discovery lists it, in the JSON of PROTOCOL.
 type host struct {
 	Host   string  `json:"host"`
-	Dial   string  `json:"dial"` // address to connect to
-	Site   string  `json:"site"`
-	Class  string  `json:"class"` // name of the machine's kind (KindSpec)
-	Block  int     `json:"block"`
-	Health string  `json:"health"` // "ready", "draining" or "gone"
-	Share  float64 `json:"share"`
+	Dial   string  `json:"dial"`    // address that the agent connects to
+	Site   string  `json:"site"`    // data centre (zone)
+	Class  string  `json:"class"`   // name of the machine's kind (KindSpec.Name)
+	Block  int     `json:"block"`   // number of the node's cell
+	Health string  `json:"health"`  // "ready", "draining" or "gone"
+	Share  float64 `json:"share"`   // weight of the node; always 1
 	BornMs float64 `json:"born_ms"` // start of the process as Unix time in milliseconds; 0: long ago
 }
 
 // listing is a message of discovery: the full list, or the entries that changed.
 type listing struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
+	Seq   int64  `json:"seq"`   // version of the list after the message
+	Whole bool   `json:"whole"` // Hosts is the full list
 	Hosts []host `json:"hosts"`
 }
 
@@ -96,7 +96,7 @@
 	return r.addr, nil
 }
 
-// apply makes a change visible to this agent.
+// apply changes, adds or removes (Health "gone") one node in this agent's list, and notifies its watches.
 func (r *agentDiscovery) apply(e host) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,11 +116,13 @@
 	r.notify()
 }
 
+// notify wakes the watches that wait for a change. The caller holds mu.
 func (r *agentDiscovery) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
+// setDown makes discovery answer this agent with 503 and ends its watches, or makes it available again.
 func (r *agentDiscovery) setDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -151,7 +153,8 @@
 	return out
 }
 
-// reportToObserver reports the states that the agent has now received to the observer.
+// reportToObserver reports to the observer the node states in a list that is being sent to the agent. In a full list a node
+// that is missing counts as gone.
 func (r *agentDiscovery) reportToObserver(l listing) {
 	now := time.Now()
 	listed := map[string]bool{}
@@ -199,7 +202,7 @@
 	r.follow(w, req, seq)
 }
 
-// follow streams changes and heartbeats to a watch.
+// follow writes the changes after version seq, and heartbeats, until the watch ends.
 func (r *agentDiscovery) follow(w http.ResponseWriter, req *http.Request, seq int64) {
 	flush := http.NewResponseController(w)
 	beat := time.NewTicker(ms(r.site.scenario.Discovery.HeartbeatMs))
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -18,6 +18,7 @@
 	"lemonrail/internal/ledger"
 )
 
+// Limits of PROTOCOL on a request, in bytes.
 const (
 	maxHeaderBytes = 16 << 10
 	maxBodyBytes   = 64 << 10
@@ -28,27 +29,27 @@
 type machine struct {
 	site  *Site
 	kind  *KindSpec
-	zone  string
-	block int
-	index int // index in Site.machines
+	zone  string // name of its data centre
+	block int    // number of its cell
+	index int    // index in Site.machines
 
 	mu         sync.Mutex
-	id         string
-	up         bool
+	id         string          // id of the current process; a replacement has another
+	up         bool            // whether a process is running
 	processCtx context.Context // ends with the process
 	endProcess context.CancelFunc
-	started    time.Time // start of a process that starts cold; zero: long ago, so the process is warm
-	draining   time.Time // from when on new work is rejected; zero: not draining
-	silent     bool
-	faults     map[string]float64  // size by name of the fault
-	conns      map[net.Conn]string // agent by connection
+	started    time.Time           // start of a process that starts cold; zero: long ago, so the process is warm
+	draining   time.Time           // from when on new work is rejected; zero: not draining
+	silent     bool                // it reads requests but sends nothing, to any agent
+	faults     map[string]float64  // sizes of the active faults of the other kinds, by kind (see Faults)
+	conns      map[net.Conn]string // open connections, and the agent that each belongs to
 	cutAgents  map[string]int      // number of active cut faults by agent; the node sends nothing to these agents
 	working    []*job              // jobs being worked on, sharing the cores
 	queue      []*job              // jobs waiting for a slot
-	rate       float64             // work per second that each working job receives
+	rate       float64             // seconds of work (on a core of speed 1) that each working job receives per second
 	progressAt time.Time           // time up to which the working jobs' progress is counted
 	generation uint64              // number of the latest timer that schedule has set; finishJobs ignores earlier ones
-	attempts   uint64              // attempts so far, as input to draw
+	attempts   uint64              // number of attempts received so far; numbers the attempts for draw
 	durations  []time.Duration     // durations of the latest jobs, for load reports
 	endedAt    []time.Time         // ends of the same jobs
 	report     string              // latest load report, sent until it is refreshed
@@ -60,15 +61,15 @@
 	accepting   sync.WaitGroup
 }
 
-// job is work on a machine.
+// job is the work of one attempt at a machine, being worked on or in the queue.
 type job struct {
-	remaining float64 // s on a core of speed 1
-	begun     time.Time
-	done      func()
+	remaining float64   // remaining work, in seconds on a core of speed 1
+	begun     time.Time // time at which it left the queue
+	done      func()    // called once the work is done
 }
 
-// draw returns a number from 0 to 1 for the nth attempt at this node, from the scenario's seed. what numbers
-// the decisions about one attempt.
+// draw returns a pseudo-random number from 0 to 1 that depends on the scenario's seed, the node, the attempt (n, from 0) and the
+// decision (what) only, so that timing doesn't change the faults.
 func (m *machine) draw(n uint64, what uint64) float64 {
 	x := m.site.scenario.Seed*0x9e3779b97f4a7c15 + uint64(m.index)*0xbf58476d1ce4e5b9 + n*0x94d049bb133111eb + what*0xd6e8feb86659fd93
 	x ^= x >> 30
@@ -91,7 +92,7 @@
 	return mean * math.Exp(normal*math.Sqrt(sigma2)-sigma2/2)
 }
 
-// listen opens one address per agent, or the same addresses again after the listeners were closed.
+// listen opens one listener per agent. It reuses the addresses of earlier listeners, which are closed.
 func (m *machine) listen() error {
 	for i := range m.site.scenario.Agents {
 		if i == len(m.addrs) {
@@ -131,6 +132,7 @@
 	return -1, "", os.NewSyscallError("bind", err)
 }
 
+// accept serves an agent's connections until the listener is closed. Connections beyond the maximum of the machine's kind are reset.
 func (m *machine) accept(ln net.Listener, agent string) {
 	var open sync.WaitGroup
 	defer open.Wait()
@@ -192,7 +194,7 @@
 	m.accepting.Wait()
 }
 
-// start starts the process cold, under the given id. A zero now starts it warm.
+// start starts a process under the given id, cold as of now. A zero now starts it warm.
 func (m *machine) start(id string, now time.Time) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -205,7 +207,7 @@
 	return m.listen()
 }
 
-// speed returns the work that one core does per second, where a core of speed 1 does 1.
+// speed returns the seconds of work that one core does per second; a core of speed 1 does 1. Less if the machine is slow or cold.
 func (m *machine) speed(now time.Time) float64 {
 	speed := m.kind.Speed
 	if f := m.faults["slow"]; f > 1 {
@@ -220,7 +222,7 @@
 	return speed
 }
 
-// submit queues or starts work on the machine. It reports false if the queue is full.
+// submit starts the work, or queues it if no slot is free; done is called when the work is done. It reports false if the queue is full.
 func (m *machine) submit(work float64, done func()) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -250,8 +252,8 @@
 	m.progressAt = now
 }
 
-// schedule divides the cores among the working jobs and sets a timer for the end of the next job. A cold
-// machine gets faster meanwhile, so that the timer is set to at most 20 ms.
+// schedule divides the cores among the working jobs and sets a timer for the end of the job that ends next. While the speed may
+// change, since the machine is cold or has a fault, the timer is set to at most 20 ms.
 func (m *machine) schedule(now time.Time) {
 	m.generation++
 	if len(m.working) == 0 {
@@ -270,7 +272,8 @@
 	m.site.timers.after(wait, func() { m.finishJobs(turn, life) })
 }
 
-// finishJobs ends the jobs whose work is done and starts waiting ones.
+// finishJobs ends the jobs whose work is done and starts queued ones. turn and life are the generation and the process that the
+// timer was set for.
 func (m *machine) finishJobs(turn uint64, life context.Context) {
 	m.mu.Lock()
 	if turn != m.generation || life.Err() != nil { // superseded by a later schedule, or the process has died
@@ -303,7 +306,7 @@
 	}
 }
 
-// recordDuration keeps the durations of the latest jobs, for load reports.
+// recordDuration keeps the durations and ends of the latest 64 jobs, for load reports.
 func (m *machine) recordDuration(d time.Duration) {
 	const maxDurations = 64
 	m.durations = append(m.durations, d)
@@ -314,8 +317,8 @@
 	}
 }
 
-// loadReport returns the load report header for an answer. The report is refreshed after the scenario's
-// refresh_ms.
+// loadReport returns the load report header for the answer to attempt n, or "" if the scenario has no reports. The report is
+// computed again when it is older than the scenario's refresh_ms.
 func (m *machine) loadReport(n uint64) string {
 	fields := m.site.scenario.Report.Fields
 	if len(fields) == 0 {
@@ -344,7 +347,7 @@
 	return m.report
 }
 
-// serve answers the requests of one connection.
+// serve answers the requests of one connection of an agent, one after another, until the connection ends.
 func (m *machine) serve(nc net.Conn, agent string) {
 	r := bufio.NewReaderSize(nc, maxHeaderBytes)
 	idle := ms(m.site.scenario.Allow.IdleCloseMs)
@@ -404,7 +407,8 @@
 	}
 }
 
-// exchange answers one request. It reports whether the connection stays open.
+// exchange handles one request: attempt n of the machine, of which the first byte arrived at began. first is set for the first
+// request on its connection. It reports whether the connection stays open.
 func (m *machine) exchange(nc net.Conn, req *http.Request, agent string, n uint64, began time.Time, first bool) bool {
 	now := time.Now()
 	id := req.Header.Get("X-Correlation-Id")
@@ -500,8 +504,8 @@
 	return answer(nc, 200, report, text) == nil
 }
 
-// watchClient closes gone when the client closes the connection while it waits for an answer. The returned
-// function ends the watch and reports whether the connection is still open.
+// watchClient closes gone when the client closes the connection, or sends more, while it waits for an answer. The returned
+// function ends the watch and reports whether the connection is still usable.
 func (m *machine) watchClient(nc net.Conn, gone chan struct{}) (stop func() bool) {
 	var done sync.WaitGroup
 	left := false
@@ -522,8 +526,8 @@
 	}
 }
 
-// applyEffect lets a request take effect, unless it repeats a key that its group has seen within the window.
-// It reports whether the request took effect.
+// applyEffect records that a request takes effect, unless it repeats an idempotency key that its group has seen within the
+// class's window. It reports whether the request takes effect.
 func (m *machine) applyEffect(c *ClassSpec, req *http.Request, id string) bool {
 	key := req.Header.Get("Idempotency-Key")
 	if c.Effect != "keyed" || key == "" {
@@ -539,6 +543,7 @@
 	return m.site.rememberKey(c.Name+" "+group+" "+key, ms(c.WindowMs))
 }
 
+// answer writes an HTTP answer. headers are complete header lines, each with its line break.
 func answer(nc net.Conn, status int, headers, body string) error {
 	nc.SetWriteDeadline(time.Now().Add(2 * time.Second))
 	_, err := fmt.Fprintf(nc, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), headers, len(body), body)
--- a/internal/standin/scenario.go
+++ b/internal/standin/scenario.go
@@ -29,37 +29,37 @@
 	Seed    uint64   `toml:"seed"`
 	Seconds float64  `toml:"seconds"` // intended duration of a run
 	Sites   []string `toml:"sites"`   // data centres
-	Agents  int      `toml:"agents"`  // the nth agent is in site n modulo the number of sites
+	Agents  int      `toml:"agents"`  // number of agents; agent n is in site n modulo the number of sites
 
 	Limits struct {
-		MemoryMB int `toml:"memory_mb"`
-		Sockets  int `toml:"sockets"`
+		MemoryMB int `toml:"memory_mb"` // memory that an agent may use
+		Sockets  int `toml:"sockets"`   // descriptors that an agent may use
 	} `toml:"limits"`
 	Rules struct {
-		DrainGraceMs  float64 `toml:"drain_grace_ms"`
-		AnswerGraceMs float64 `toml:"answer_grace_ms"`
-		ColdShare     float64 `toml:"cold_share"`
-		RampMs        float64 `toml:"ramp_ms"`
-		FallMultiple  float64 `toml:"fall_multiple"`
-		FallMs        float64 `toml:"fall_ms"`
-		SlackMs       float64 `toml:"slack_ms"` // tolerance on the observer's time limits; increase it on a slow machine
+		DrainGraceMs  float64 `toml:"drain_grace_ms"`  // time for which an agent may still send to a node that it knows to be draining
+		AnswerGraceMs float64 `toml:"answer_grace_ms"` // time after a request's deadline in which an answer still counts
+		ColdShare     float64 `toml:"cold_share"`      // share of its capacity with which a process starts
+		RampMs        float64 `toml:"ramp_ms"`         // time until a started process has its full capacity
+		FallMultiple  float64 `toml:"fall_multiple"`   // a cold node fails if it gets more than this multiple of its capacity ...
+		FallMs        float64 `toml:"fall_ms"`         // ... within this time
+		SlackMs       float64 `toml:"slack_ms"`        // tolerance on the observer's time limits; increase it on a slow machine
 	} `toml:"rules"`
 	Allow struct {
-		Attempts        int     `toml:"attempts"`
-		RetryAfter      bool    `toml:"retry_after"`
+		Attempts        int     `toml:"attempts"`    // maximum number of attempts per request
+		RetryAfter      bool    `toml:"retry_after"` // an agent may send Retry-After with a refusal
 		MaxRetryAfterMs float64 `toml:"max_retry_after_ms"`
-		ConnectMs       float64 `toml:"connect_ms"`
-		IdleCloseMs     float64 `toml:"idle_close_ms"`
-		SecondCopies    bool    `toml:"second_copies"`
-		Peers           bool    `toml:"peers"`
+		ConnectMs       float64 `toml:"connect_ms"`    // time limit for connecting to a node
+		IdleCloseMs     float64 `toml:"idle_close_ms"` // idle time after which a node closes a connection
+		SecondCopies    bool    `toml:"second_copies"` // an agent may send a second copy of a request before the first is answered
+		Peers           bool    `toml:"peers"`         // agents may send messages to each other
 	} `toml:"allow"`
 	Discovery struct {
-		DelayMs     [2]float64 `toml:"delay_ms"` // minimum and maximum delay of a change, drawn per agent
-		HeartbeatMs float64    `toml:"heartbeat_ms"`
+		DelayMs     [2]float64 `toml:"delay_ms"`     // minimum and maximum delay of a change, drawn per agent
+		HeartbeatMs float64    `toml:"heartbeat_ms"` // interval of the heartbeats of a watch
 	} `toml:"discovery"`
 	Report struct {
-		Fields    []string `toml:"fields"` // of latency_ms, qps, queue, inflight, util
-		RefreshMs float64  `toml:"refresh_ms"`
+		Fields    []string `toml:"fields"`     // fields of nodes' load reports, of latency_ms, qps, queue, inflight, util; empty: no reports
+		RefreshMs float64  `toml:"refresh_ms"` // age from which a load report is computed again
 	} `toml:"report"`
 	Classes []ClassSpec `toml:"class"`
 	Kinds   []KindSpec  `toml:"kind"`
@@ -70,11 +70,11 @@
 // ClassSpec describes a class of requests.
 type ClassSpec struct {
 	Name       string  `toml:"name"`
-	Effect     string  `toml:"effect"`    // safe, keyed, unsafe
-	Group      string  `toml:"group"`     // which nodes drop repeats of a keyed request: all, zone, cell
-	WindowMs   float64 `toml:"window_ms"` // time for which nodes remember a key
-	AimMs      float64 `toml:"aim_ms"`
-	DeadlineMs float64 `toml:"deadline_ms"`
+	Effect     string  `toml:"effect"`      // kind of effect: safe, keyed, unsafe
+	Group      string  `toml:"group"`       // which nodes drop repeats of a keyed request: all, zone, cell
+	WindowMs   float64 `toml:"window_ms"`   // time for which nodes remember a key
+	AimMs      float64 `toml:"aim_ms"`      // time within which an answer earns Worth, later ones LateWorth
+	DeadlineMs float64 `toml:"deadline_ms"` // time that the client waits for the answer
 	Worth      float64 `toml:"worth"`
 	LateWorth  float64 `toml:"late_worth"`
 	WorkMs     float64 `toml:"work_ms"` // mean, on a core of speed 1
@@ -95,18 +95,18 @@
 // NodeSpec describes one node, or several equal ones.
 type NodeSpec struct {
 	Name  string `toml:"name"`
-	Site  string `toml:"site"`
-	Kind  string `toml:"kind"`
-	Block int    `toml:"block"`
+	Site  string `toml:"site"`  // data centre, one of Scenario.Sites
+	Kind  string `toml:"kind"`  // name of a KindSpec
+	Block int    `toml:"block"` // number of the node's cell
 	Count int    `toml:"count"` // 0: 1; several are named NAME-1, NAME-2 ...
 }
 
 // FaultSpec describes a fault.
 type FaultSpec struct {
-	What   string   `toml:"what"`
-	AtS    float64  `toml:"at_s"`
+	What   string   `toml:"what"`   // key of Faults
+	AtS    float64  `toml:"at_s"`   // time of its beginning, since Begin
 	ForS   float64  `toml:"for_s"`  // duration; 0: to the end of the run
-	Nodes  []string `toml:"nodes"`  // empty: all
+	Nodes  []string `toml:"nodes"`  // nodes that it applies to, by name or by the name of several (NodeSpec); empty: all
 	Agents []string `toml:"agents"` // cut only: agents cut off, by name or as site:NAME; empty: all
 	Size   float64  `toml:"size"`   // meaning depends on What; see Faults
 
@@ -157,6 +157,7 @@
 	return &s, nil
 }
 
+// setDefault sets *v to def if it is 0.
 func setDefault(v *float64, def float64) {
 	if *v == 0 {
 		*v = def
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -20,9 +20,9 @@
 // Observer is notified of the events at a site. *ledger.Ledger implements it.
 type Observer interface {
 	AttemptStarted(ledger.Attempt) (ended func(ledger.Outcome))
-	WorkSent(node, agent string, at time.Time, amount float64) (falls bool)
+	WorkSent(node, agent string, at time.Time, amount float64) (falls bool) // amount in seconds of work
 	StateReported(agent, node, state string, started, at time.Time)
-	NodeStarted(node string, at time.Time, rate float64)
+	NodeStarted(node string, at time.Time, rate float64) // rate: seconds of work per second when warm
 }
 
 // LogEntry is an entry of a site's log: a fault that began or ended, or its consequence.
@@ -47,12 +47,12 @@
 	mu           sync.Mutex
 	listed       map[string]bool // every node id that was ever listed
 	rng          *rand.Rand
-	staleness    float64              // additional delay of changes in s, by discovery_stale
+	staleness    float64              // additional delay of changes of the list in seconds, by the fault discovery_stale
 	keyTimes     map[string]time.Time // time of the last use of each key
 	keyOrder     []string             // keys in the order of their first use, the oldest first
 	log          []LogEntry
 	err          error
-	moved        chan string // agents whose discovery address has changed
+	moved        chan string // names of agents whose discovery address has changed
 	replacements int         // number of nodes restarted under new ids so far; part of those ids
 }
 
@@ -146,6 +146,7 @@
 	return list
 }
 
+// class returns the class with a name, or nil.
 func (s *Site) class(name string) *ClassSpec {
 	for i := range s.scenario.Classes {
 		if s.scenario.Classes[i].Name == name {
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// rememberKey remembers a key for a time. It reports false if the key was used within that time already.
+// rememberKey records the use of an idempotency key. It reports false if the key was used less than window ago already.
 func (s *Site) rememberKey(key string, window time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,6 +184,7 @@
 	return slices.Clone(s.log)
 }
 
+// logEvent appends an entry to the site's log, up to maxLogEntries.
 func (s *Site) logEvent(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,7 +197,7 @@
 // configuration and a SIGHUP.
 func (s *Site) DiscoveryMoved() <-chan string { return s.moved }
 
-// FreeSlots returns the number of free slots of all serving nodes: requests that would be worked on at once.
+// FreeSlots returns the number of further requests that the serving nodes together would start to work on at once.
 func (s *Site) FreeSlots() (free int) {
 	for _, m := range s.machines {
 		m.mu.Lock()
@@ -218,7 +220,7 @@
 	return host{Host: m.id, Dial: m.addrs[agent], Site: m.zone, Class: m.kind.Name, Block: m.block, Health: health, Share: 1, BornMs: born}
 }
 
-// announce makes a change of a machine visible to all agents, each after its own delay.
+// announce sends a machine's changed entry, with the given health, to all agents' discovery, each after its own random delay.
 func (s *Site) announce(m *machine, health string) {
 	s.mu.Lock()
 	lo, hi := s.scenario.Discovery.DelayMs[0], s.scenario.Discovery.DelayMs[1]
@@ -236,7 +238,7 @@
 	}
 }
 
-// nodeFailed ends a cold node that was sent too much work. The node stays down.
+// nodeFailed ends the process of a cold node that was sent too much work, and lists the node as gone. It isn't started again.
 func (s *Site) nodeFailed(m *machine) {
 	m.mu.Lock()
 	id := m.id
@@ -257,7 +259,7 @@
 	}
 }
 
-// targets returns the machines that a fault applies to.
+// targets returns the machines that a fault applies to, by their current ids.
 func (s *Site) targets(f *FaultSpec) (list []*machine) {
 	for _, m := range s.machines {
 		m.mu.Lock()
@@ -297,7 +299,7 @@
 	}, nil
 }
 
-// whenOver runs end when the fault is over, if it has an end.
+// whenOver arranges that end is called when the fault ends: by the function from BeginFault or after ForS. It may have no end.
 func (s *Site) whenOver(f *FaultSpec, end func()) {
 	if f.manualEnd != nil {
 		f.manualEnd.mu.Lock()
@@ -310,6 +312,7 @@
 	}
 }
 
+// applyFault begins a fault of discovery or of machines.
 func (s *Site) applyFault(f *FaultSpec) {
 	s.logEvent("%s %v (size %v)", f.What, f.Nodes, f.Size)
 	s.whenOver(f, func() { s.logEvent("%s ends", f.What) })
@@ -424,7 +427,7 @@
 		s.mu.Unlock()
 		s.timers.after(sec(f.Size), func() { s.goTask(func() { s.restart(m, id) }) })
 	default:
-		// The working jobs continue at the new speed.
+		// Count the working jobs' progress up to now at the old speed; they continue at the new one.
 		change := func(g func()) {
 			set(func() {
 				now := time.Now()
@@ -466,7 +469,7 @@
 	}, "", " ")
 }
 
-// settings returns an agent's settings under the names of the wire format.
+// settings returns an agent's settings in the JSON names that agents read (package wire).
 func (s *Site) settings(agent int) map[string]any {
 	sc := s.scenario
 	effects := map[string]string{"safe": "repeatable", "keyed": "by_key", "unsafe": "once"}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -57,7 +57,7 @@
 block = 1
 `
 
-// recorder is an observer that keeps the events that it is notified of.
+// recorder is an Observer that keeps the events that it is notified of.
 type recorder struct {
 	mu       sync.Mutex
 	attempts []ledger.Attempt
@@ -254,7 +254,7 @@
 	}
 }
 
-// Beyond its queue and its connections a node rejects requests and marks them as unprocessed.
+// A node rejects requests beyond its queue and marks them as unprocessed, and resets connections beyond its maximum.
 func TestFullNodeRejects(t *testing.T) {
 	s, n := open(t, "")
 	_, l := s.known(t, 0)
@@ -301,8 +301,8 @@
 	}
 }
 
-// A process that dies refuses connections at its address and starts again there, cold, under the same id or
-// another.
+// A process that dies refuses connections at its address. Afterwards a cold process starts at the same address, under the same
+// id (restart) or another one (replace).
 func TestRestartAndReplace(t *testing.T) {
 	for _, what := range []string{"restart", "replace"} {
 		s, n := open(t, "")
@@ -418,7 +418,8 @@
 	}
 }
 
-// The same seed draws the same decisions and work; another seed draws others.
+// The random choices for the nth attempt (faults, work) depend on the scenario's seed only: the same seed gives the same ones,
+// another seed others.
 func TestSeed(t *testing.T) {
 	draw := func(seed uint64) (out []float64) {
 		m := &machine{site: &Site{scenario: &Scenario{Seed: seed}}, index: 2}
--- a/internal/storm/calendar.go
+++ b/internal/storm/calendar.go
@@ -19,23 +19,23 @@
 // Config sets the time slots of a Calendar and how their capacity is divided.
 type Config struct {
 	Slot    time.Duration // width of a slot
-	Slots   int           // number of open slots: Slot times Slots is the longest advice
-	Tenants int           // number of tenants that share the capacity, at least 1
-	Reserve float64       // share of each slot that is reserved for requests of full worth
+	Slots   int           // number of slots that can be booked: Slot times Slots is the longest time until a client is to come back
+	Tenants int           // number of tenants (groups of clients that share the capacity evenly), at least 1
+	Reserve float64       // share of each slot that only requests of full worth may use; the less a request's worth, the more of it is left free
 }
 
-// DefaultConfig returns the settings for advice of at most longest: 32 slots of at least 1 ms each.
+// DefaultConfig returns the settings for a calendar that sends clients away for at most longest: 32 slots of at least 1 ms each.
 func DefaultConfig(longest time.Duration, tenants int) Config {
 	const slots = 32
 	return Config{Slot: max(longest/slots, time.Millisecond), Slots: slots, Tenants: max(1, tenants), Reserve: 0.25}
 }
 
 const (
-	maxSlots       = 1024
-	maxTenants     = 1024
-	learnRate      = 0.25 // weight of a passed slot in the learned return share
+	maxSlots       = 1024 // upper bound of Config.Slots
+	maxTenants     = 1024 // upper bound of Config.Tenants
+	learnRate      = 0.25 // weight of the slot that has just passed in the learned return share (Calendar.ReturnShare)
 	minReturnShare = 0.1  // lower bound of the return share: at 0 a calendar would book without end
-	minBooked      = 8    // a passed slot with fewer bookings doesn't change the learned return share
+	minBooked      = 8    // a passed slot with fewer bookings is too small a sample to learn the return share from
 )
 
 func (c Config) check() error {
@@ -52,22 +52,22 @@
 	return nil
 }
 
-// slot counts the bookings and the returns of one time slot.
+// slot counts the bookings and the returns of one time slot of a Calendar.
 type slot struct {
 	booked   int   // clients that were advised to come back in this slot
 	returned int   // clients that came back in this slot
-	byTenant []int // bookings by tenant
+	byTenant []int // number of bookings of each tenant; they add up to booked
 }
 
-// Calendar books the times at which refused clients are to come back.
+// Calendar books the times at which refused clients are to come back, so that no more return than can be served.
 type Calendar struct {
 	cfg         Config
 	rng         *rand.Rand
-	capacity    func(from, to time.Duration) float64 // clients that may return within a span of time
-	slots       []slot                               // a ring; the slot of number n is slots[n%Slots]
-	first       int64                                // number of the oldest open slot, the one that contains the present
+	capacity    func(from, to time.Duration) float64 // number of returning clients that can be served within a span of time
+	slots       []slot                               // a ring; the slot that begins at the time n*Config.Slot is slots[n%Slots]
+	first       int64                                // number n of the oldest slot that has not passed: the one that contains the present
 	started     bool                                 // advance has set first
-	returnShare float64                              // learned share of the booked clients that come back
+	returnShare float64                              // learned share of the booked clients that do come back
 }
 
 // New returns an empty Calendar. capacity returns how many returning clients this agent alone can serve within
@@ -84,9 +84,10 @@
 	return c, nil
 }
 
+// slotAt returns the slot that begins at the time n*Config.Slot.
 func (c *Calendar) slotAt(n int64) *slot { return &c.slots[n%int64(c.cfg.Slots)] }
 
-// advance closes the slots that have passed and opens as many new ones.
+// advance closes the slots that have passed, learns the return share from them, and opens as many new ones.
 func (c *Calendar) advance(now time.Duration) {
 	n := int64(now / c.cfg.Slot)
 	if !c.started {
@@ -104,13 +105,13 @@
 	c.first = n
 }
 
-// expectedReturns returns how many of the clients booked in a slot are expected to come back.
+// expectedReturns returns how many of the clients booked in a slot are expected to come back, by the return share.
 func (c *Calendar) expectedReturns(s *slot) float64 { return float64(s.booked) * c.returnShare }
 
-// Book returns after how long a client that is refused now is to come back. A request of full worth may use all
-// of a slot; one of less worth leaves the reserve free, in proportion. While other tenants have bookings in a
-// slot, a tenant gets no more than an even part of it. If all slots are full, one is drawn at random in
-// proportion to its capacity, so that the excess spreads over the whole span of the calendar.
+// Book returns after how long a client that is refused now is to come back: it books the client in the first slot with
+// room. A request of full worth (1) may use all of a slot; one of less worth leaves the reserve free, in proportion.
+// While other tenants have bookings in a slot, a tenant gets no more than an even part of it. If all slots are full,
+// one is drawn at random in proportion to its capacity, so that the excess spreads over the whole span of the calendar.
 func (c *Calendar) Book(now time.Duration, tenant int, worth float64) time.Duration {
 	c.advance(now)
 	tenant = min(max(tenant, 0), c.cfg.Tenants-1)
@@ -132,7 +133,8 @@
 	return c.bookSlot(pick, tenant, now)
 }
 
-// withinFairShare reports whether a tenant may book once more in a slot.
+// withinFairShare reports whether a tenant may book once more in a slot whose usable capacity is given: it may if no
+// other tenant has bookings there, else up to an even part of that capacity or one client, whichever is more.
 func (c *Calendar) withinFairShare(s *slot, tenant int, usable float64) bool {
 	others := 0
 	for t, n := range s.byTenant {
@@ -158,8 +160,8 @@
 	c.slotAt(c.first).returned++
 }
 
-// HasBookings reports whether a slot that hasn't passed holds bookings. While it does, booked clients have
-// precedence.
+// HasBookings reports whether clients are booked in the present slot or a later one. As long as there are any, the
+// caller lets booked clients go before others.
 func (c *Calendar) HasBookings(now time.Duration) bool {
 	c.advance(now)
 	for i := range c.slots {
--- a/internal/storm/calendar_test.go
+++ b/internal/storm/calendar_test.go
@@ -12,11 +12,12 @@
 
 const ms = time.Millisecond
 
-// constantCapacity returns a capacity of perS returns a second at all times.
+// constantCapacity returns a capacity, as New takes it, of perS returning clients a second at all times.
 func constantCapacity(perS float64) func(from, to time.Duration) float64 {
 	return func(from, to time.Duration) float64 { return perS * (to - from).Seconds() }
 }
 
+// newCalendar returns a calendar with seed 1.
 func newCalendar(t testing.TB, cfg Config, capacity func(from, to time.Duration) float64) *Calendar {
 	t.Helper()
 	c, err := New(cfg, 1, capacity)
@@ -28,8 +29,8 @@
 
 func TestBookStaysWithinCapacity(t *testing.T) {
 	cfg := Config{Slot: 100 * ms, Slots: 11, Tenants: 1}
-	c := newCalendar(t, cfg, constantCapacity(100)) // 10 a slot
-	in := map[time.Duration]int{}
+	c := newCalendar(t, cfg, constantCapacity(100)) // 10 clients in each of the 10 future slots
+	in := map[time.Duration]int{}                   // number of bookings by slot number
 	for range 100 {
 		in[c.Book(0, 0, 1)/cfg.Slot]++
 	}
@@ -44,14 +45,14 @@
 	}
 }
 
-// When capacity grows while backends warm up, later slots get more bookings.
+// When the capacity grows over time, as it does while backends warm up, later slots get more bookings.
 func TestBookFollowsRampingCapacity(t *testing.T) {
-	ramp := func(from, to time.Duration) float64 {
+	ramp := func(from, to time.Duration) float64 { // 200 clients a second for each second since 0
 		return 100 * (from + to).Seconds() / 2 * (to - from).Seconds() * 2
 	}
 	cfg := Config{Slot: 100 * ms, Slots: 11, Tenants: 1}
 	c := newCalendar(t, cfg, ramp)
-	in := make([]int, cfg.Slots)
+	in := make([]int, cfg.Slots) // number of bookings by slot number
 	for range 60 {
 		in[c.Book(0, 0, 1)/cfg.Slot]++
 	}
@@ -62,6 +63,7 @@
 	}
 }
 
+// Requests of no worth fill only the part of the first slot that isn't reserved, so that one of full worth still fits.
 func TestLowWorthLeavesReserveFree(t *testing.T) {
 	cfg := Config{Slot: 100 * ms, Slots: 3, Tenants: 1, Reserve: 0.5}
 	c := newCalendar(t, cfg, constantCapacity(100))
@@ -77,7 +79,7 @@
 func TestTenantsShareSlotsFairly(t *testing.T) {
 	cfg := Config{Slot: 100 * ms, Slots: 11, Tenants: 2}
 	c := newCalendar(t, cfg, constantCapacity(100))
-	in := [2][]int{make([]int, cfg.Slots), make([]int, cfg.Slots)}
+	in := [2][]int{make([]int, cfg.Slots), make([]int, cfg.Slots)} // number of bookings by tenant and slot number
 	for i := range 80 {
 		tenant := 0
 		if i%8 == 7 {
@@ -90,13 +92,14 @@
 	}
 }
 
-// When booked clients give up, the calendar books more clients into a slot.
+// When only half of the booked clients come back, the calendar learns that share, by which it books more clients into
+// a slot.
 func TestLearnsReturnShare(t *testing.T) {
 	cfg := Config{Slot: 100 * ms, Slots: 11, Tenants: 1}
 	c := newCalendar(t, cfg, constantCapacity(200))
 	for n := range 40 {
 		now := time.Duration(n) * cfg.Slot
-		due := c.slotAt(int64(n)).booked
+		due := c.slotAt(int64(n)).booked // clients booked in the slot that begins now
 		for range due / 2 {
 			c.RecordReturn(now)
 		}
@@ -109,6 +112,7 @@
 	}
 }
 
+// Bookings count until their slots have passed; an hour later there are none.
 func TestBookingsExpire(t *testing.T) {
 	cfg := DefaultConfig(time.Second, 1)
 	c := newCalendar(t, cfg, constantCapacity(100))
@@ -118,8 +122,9 @@
 	}
 }
 
-// Over any sequence of events: advice lies in the future and within the calendar, the counts by tenant add up
-// to the bookings of each slot, the return share stays within its bounds, and the number of slots doesn't grow.
+// Over any sequence of events: the advised time lies in the future and within the span of the calendar, the counts by
+// tenant add up to the bookings of each slot, the return share stays within its bounds, and the number of slots doesn't
+// grow.
 func TestCalendarInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{Slot: 50 * ms, Slots: rapid.IntRange(2, 20).Draw(t, "slots"), Tenants: rapid.IntRange(1, 3).Draw(t, "tenants"), Reserve: 0.25}
@@ -165,18 +170,19 @@
 	}
 }
 
-// simulateStorm sends clients at once, all of which are refused and come back as advised until they are served.
-// It returns the greatest ratio of arrivals to capacity over all steps of 0.1 s after the first, and the time
-// by which 95 % of the clients had been served (-1: never).
+// simulateStorm lets all clients send a request at the time 0. Those that are refused for lack of capacity come back
+// after the time that advice returns, until they are served; recordReturn is called for each that is served. It returns
+// the greatest ratio of arrivals to capacity over all steps of 0.1 s after the first, and the time by which 95 % of the
+// clients had been served (-1: not within 60 s).
 func simulateStorm(clients int, capacity func(from, to time.Duration) float64, advice func(now time.Duration) time.Duration, recordReturn func(now time.Duration)) (peak float64, done time.Duration) {
 	const step = 100 * ms
-	due := map[int]int{0: clients}
-	served := 0
+	due := map[int]int{0: clients} // number of clients that come in a step, by number of the step
+	served := 0                    // clients served so far
 	for n := 0; n < 600; n++ {
 		now := time.Duration(n) * step
 		arrived := due[n]
 		delete(due, n)
-		can := capacity(now, now+step)
+		can := capacity(now, now+step) // clients that can be served in this step
 		if n > 0 && can > 0 {
 			peak = max(peak, float64(arrived)/can)
 		}
@@ -195,8 +201,9 @@
 	return peak, -1
 }
 
-// 5,000 clients come back at once to a site that warms up. With a calendar the arrivals stay close to the
-// capacity; with jittered advice they come in waves of many times the capacity.
+// 5,000 clients come back at once to a site that warms up. Advised by a calendar, they don't arrive in higher peaks and
+// aren't served later than with jittered advice; if they may be sent away for 10 s, a step's arrivals stay within twice
+// the capacity.
 func TestCalendarPeaksBelowJitter(t *testing.T) {
 	ramp := func(from, to time.Duration) float64 { // 30 % of 600 a second at first, all of it after 8 s
 		return 600 * min(0.3+0.7*from.Seconds()/8, 1) * (to - from).Seconds()
--- a/internal/storm/detector.go
+++ b/internal/storm/detector.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// Signals are the counts of one span (DetectorConfig.Span).
+// Signals counts what the agent saw within one span of time (DetectorConfig.Span).
 type Signals struct {
 	Arrivals       int // requests that came in
-	Repeats        int // of these, repeats by clients, as far as the decision module recognizes them
-	NewConnections int // connections that clients opened
+	Repeats        int // number of these requests that a client had sent before, as far as the decision module (package balance) recognizes them
+	NewConnections int // connections that clients opened to this agent
 	Refused        int // requests that were refused
 	Failed         int // requests that failed, and attempts for which there was no backend
 }
 
-// Detector distinguishes a storm of returning clients from a burst of new work and grades the storm from 0 (calm) to 1.
+// Detector distinguishes a storm, in which clients return after an outage, from a burst of new work. It grades the
+// storm from 0 (calm) to 1.
 //
 //	calm ──excess arrivals, signs of a return──▶ storm ──signs gone──▶ easing (halved each span) ──▶ calm
 //
@@ -24,36 +25,37 @@
 // spans only, so that a lasting storm doesn't become the baseline.
 type Detector struct {
 	cfg         DetectorConfig
-	baseline    baseline
-	calmSpans   int     // number of calm spans that the baseline was learned from
-	outageShare float64 // greatest recent share of requests that were refused or failed; decays over OutageMemory
-	grade       float64
+	baseline    baseline // what is usual in calm spans
+	calmSpans   int      // number of calm spans that the baseline was learned from
+	outageShare float64  // greatest recent share of requests that were refused or failed; decays to 0 over OutageMemory
+	grade       float64  // the present grade: 0 calm, 1 the strongest storm
 }
 
-// baseline holds running means over calm spans: arrivals in a span, and repeats and new connections per arrival.
+// baseline holds running means over calm spans: requests that came in during a span, and for each such request the
+// number of repeats and of connections opened.
 type baseline struct{ arrivals, repeats, opened float64 }
 
 // DetectorConfig sets the times and thresholds of a Detector.
 type DetectorConfig struct {
 	Span         time.Duration // duration that one Signals covers
-	OutageMemory time.Duration // time in which an outage of all requests is forgotten
+	OutageMemory time.Duration // time after which an outage in which all requests failed no longer makes new connections a sign of a storm
 	LearningRate float64       // weight of a calm span in the baseline
 	MinArrivals  int           // arrivals in a span below which the detector concludes nothing
 }
 
-// DefaultDetector returns settings with which a storm is detected within two spans, 0.4 s.
+// DefaultDetector returns settings with which a storm is detected within two spans, 0.4 s in all.
 func DefaultDetector() DetectorConfig {
 	return DetectorConfig{Span: 200 * time.Millisecond, OutageMemory: 20 * time.Second, LearningRate: 0.02, MinArrivals: 5}
 }
 
 const (
-	fullGradeExcess = 1.0  // arrivals above the baseline, as a share of it, that allow the full grade
-	noiseMargin     = 0.1  // deviation from a baseline share that is ignored
+	fullGradeExcess = 1.0  // arrivals above the baseline, as a share of it, from which the grade may reach 1
+	noiseMargin     = 0.1  // deviation of a share from its usual value that is taken for noise and ignored
 	minGrade        = 0.05 // grades below this count as 0
-	minCalmSpans    = 10   // calm spans before the baseline is used
+	minCalmSpans    = 10   // number of calm spans after which the baseline is used
 )
 
-// NewDetector returns a Detector without a baseline.
+// NewDetector returns a Detector that has learned no baseline yet: until it has, repeats alone set the grade.
 func NewDetector(cfg DetectorConfig) (*Detector, error) {
 	switch {
 	case cfg.Span <= 0:
@@ -68,7 +70,7 @@
 	return &Detector{cfg: cfg}, nil
 }
 
-// excessOver returns by how much share exceeds the usual one and the noise margin, within 0 and 1.
+// excessOver returns by how much a share exceeds its usual value plus the noise margin, within 0 and 1.
 func excessOver(share, usual float64) float64 { return min(max(0, share-usual-noiseMargin), 1) }
 
 // Step takes the signals of one span and returns the new grade; 0 is calm.
@@ -107,8 +109,8 @@
 	return d.grade
 }
 
-// setGrade raises the grade at once and lowers it by half per span, so that the grade is still above 0 when the
-// second wave of a storm comes, and is 0 within about two seconds of the storm's end.
+// setGrade raises the grade to target at once but lowers it by at most half per span, so that the grade is still above 0
+// when the second wave of a storm comes, and is 0 within about two seconds of the storm's end.
 func (d *Detector) setGrade(target float64) {
 	if d.grade = max(target, d.grade/2); d.grade < minGrade {
 		d.grade = 0
--- a/internal/storm/detector_test.go
+++ b/internal/storm/detector_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// newDetector returns a detector with the default settings.
 func newDetector(t testing.TB) *Detector {
 	t.Helper()
 	d, err := NewDetector(DefaultDetector())
@@ -18,12 +19,13 @@
 	return d
 }
 
-// traffic sends generated signals to a detector, in spans of 0.2 s.
+// traffic generates the signals of simulated clients for a detector, in spans of 0.2 s.
 type traffic struct {
 	d   *Detector
 	rng *rand.Rand
 }
 
+// calm sends spans of ordinary traffic and returns the greatest grade among them.
 func (tr *traffic) calm(spans int) (most float64) {
 	for range spans {
 		most = max(most, tr.d.Step(Signals{Arrivals: 50 + tr.rng.IntN(20), Repeats: tr.rng.IntN(3), NewConnections: tr.rng.IntN(6), Failed: tr.rng.IntN(2)}))
@@ -45,6 +47,8 @@
 	return Signals{Arrivals: n, Repeats: n * 6 / 10, NewConnections: n * 8 / 10, Refused: n / 2}
 }
 
+// A storm after an outage is graded in its first span, even if one of its signs is missing, and is over two seconds
+// after its end.
 func TestStormIsDetectedInFirstSpan(t *testing.T) {
 	for name, marks := range map[string]func(Signals) Signals{
 		"all marks":     func(s Signals) Signals { return s },
@@ -73,7 +77,7 @@
 	}
 }
 
-// Bursts of new work, also on new connections, are not graded as storms, nor is steadily growing traffic.
+// Bursts of new work, even on new connections, are not graded as storms, nor is steadily growing traffic.
 func TestBurstIsNotGradedAsStorm(t *testing.T) {
 	for seed := range uint64(50) {
 		tr := &traffic{newDetector(t), rand.New(rand.NewPCG(seed, 1))}
@@ -94,7 +98,7 @@
 	}
 }
 
-// A detector that starts in the middle of a storm has no baseline and detects the storm by its repeats.
+// A detector that starts in the middle of a storm has no baseline yet and detects the storm by its repeats alone.
 func TestDetectorStartedDuringStorm(t *testing.T) {
 	tr := &traffic{newDetector(t), rand.New(rand.NewPCG(1, 2))}
 	if got := tr.d.Step(tr.storm()); got < 0.25 {
@@ -108,6 +112,7 @@
 	}
 }
 
+// For any signals the grade is within 0 and 1, and is 0 after ten spans without traffic.
 func TestGradeInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, err := NewDetector(DefaultDetector())
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -12,7 +12,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode decodes raw into a value; file is its name in errors.
+// Decode decodes the TOML text raw into the value that into points to. file is the file's name in errors.
 func Decode(file string, raw []byte, into any) error {
 	dec := toml.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// DecodeFile reads and decodes a file.
+// DecodeFile decodes the TOML file at path into the value that into points to.
 func DecodeFile(path string, into any) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -45,7 +45,8 @@
 	return Decode(path, raw, into)
 }
 
-// TableLine returns the line number of the nth table [[name]], with n counted from 0; 0 if there is none.
+// TableLine returns the line number, from 1, of the nth [[name]] header in a TOML text, with n counted from 0; 0: there is no such
+// header.
 func TableLine(raw []byte, name string, n int) int {
 	for i, line := range strings.Split(string(raw), "\n") {
 		if head, _, _ := strings.Cut(strings.TrimSpace(line), "#"); strings.TrimSpace(head) == "[["+name+"]]" {
@@ -58,7 +59,7 @@
 	return 0
 }
 
-// KeyLine returns the line number on which a top-level key is set, before any table; 0 if it isn't set.
+// KeyLine returns the line number, from 1, on which a key outside of all tables is set in a TOML text; 0 if it isn't set.
 func KeyLine(raw []byte, key string) int {
 	for i, line := range strings.Split(string(raw), "\n") {
 		line = strings.TrimSpace(line)
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	maxLockAttempts   = 30 // of the state's lock: its holder only writes one small file
+	maxLockAttempts   = 30 // attempts to get the lock on the state, since its holder only writes one small file
 	lockRetryInterval = 10 * time.Millisecond
 )
 
@@ -23,10 +23,10 @@
 // state. Its methods are safe for concurrent use.
 type Claim struct {
 	pathPrefix string   // the path that the names of all files begin with
-	aliveFile  *os.File // NAME.N.alive, locked for as long as the process lives
+	aliveFile  *os.File // file NAME.N.alive, locked for as long as the process lives
 
 	mu         sync.Mutex
-	generation int
+	generation int   // number of the process among all that the agent has had, from 1
 	lastState  State // the state that this process read or wrote last
 }
 
@@ -65,6 +65,7 @@
 	return c, s, readErr
 }
 
+// alivePath returns the path of the file that the process of a generation keeps locked.
 func (c *Claim) alivePath(gen int) string { return fmt.Sprintf("%s.%d.alive", c.pathPrefix, gen) }
 
 // Generation returns the generation of this process.
@@ -74,6 +75,8 @@
 // state unchanged.
 func (c *Claim) Change(f func(*State) error) (State, error) { return c.change(f, nil) }
 
+// change is Change; an error in reading the state is stored in readErr, unless that is nil, and the state
+// that this process knew last takes its place.
 func (c *Claim) change(f func(*State) error, readErr *error) (State, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,6 +129,7 @@
 	return os.Rename(tempName, name)
 }
 
+// read returns the state in the state file; without a file, the empty state.
 func (c *Claim) read() (State, error) {
 	raw, err := os.ReadFile(c.pathPrefix + ".state")
 	if errors.Is(err, fs.ErrNotExist) {
@@ -155,7 +159,7 @@
 	return v
 }
 
-// MarkReady records in the shared state that this process has begun to serve.
+// MarkReady records in the shared state that the process of this claim has begun to serve.
 func (c *Claim) MarkReady() error {
 	_, err := c.Change(func(s *State) error {
 		s.Ready = max(s.Ready, c.generation)
@@ -164,7 +168,8 @@
 	return err
 }
 
-// view determines the state of the other processes from their files. The caller holds c.mu.
+// view determines from the files and their locks which other processes are alive, and their load. The caller
+// holds c.mu.
 func (c *Claim) view() View {
 	v := View{Generation: c.generation, LatestReady: c.lastState.Ready}
 	names, _ := filepath.Glob(escapeGlob(c.pathPrefix) + ".*.alive")
--- a/internal/takeover/state.go
+++ b/internal/takeover/state.go
@@ -23,18 +23,18 @@
 )
 
 const (
-	maxRestoreAge = 10 * time.Minute // longer than any backend takes to warm up
-	maxStateBytes = 1 << 20
+	maxRestoreAge = 10 * time.Minute // how long a restored backend is remembered; longer than any backend takes to warm up
+	maxStateBytes = 1 << 20          // longest state file that is accepted
 )
 
 // State is the state that the processes of one agent share.
 type State struct {
 	Version       int64            `json:"version"`         // increases with every change
-	Generation    int              `json:"generation"`      // of the process that started last; the first is 1
+	Generation    int              `json:"generation"`      // generation of the process that started last; the first process has 1
 	Ready         int              `json:"ready"`           // the latest generation that has begun to serve; 0: none
-	Excluded      []string         `json:"out"`             // backends that operators excluded, sorted
-	RestoredAt    map[string]int64 `json:"back,omitempty"`  // when operators restored a backend, by its id: Unix time in nanoseconds
-	ExcludedZones []int            `json:"zones,omitempty"` // zones that operators excluded as a whole, sorted
+	Excluded      []string         `json:"out"`             // ids of the backends that operators excluded, sorted
+	RestoredAt    map[string]int64 `json:"back,omitempty"`  // when operators restored a backend, Unix time in nanoseconds, by the backend's id
+	ExcludedZones []int            `json:"zones,omitempty"` // indexes of the zones that operators excluded as a whole, sorted
 }
 
 // stateHeader begins a state file; the checksum follows it. Its number changes with the format.
@@ -99,7 +99,8 @@
 	return nil
 }
 
-// Include records that operators restored a backend, at the time now. A backend that is not excluded is ignored.
+// Include records that operators restored an excluded backend at the time now. A backend that isn't excluded
+// is ignored.
 func (s *State) Include(id string, now time.Time) {
 	at := slices.Index(s.Excluded, id)
 	if at < 0 {
@@ -123,7 +124,8 @@
 	s.RestoredAt[id] = now.UnixNano()
 }
 
-// SetZoneExcluded records whether operators exclude a zone as a whole: out is false where they restore it.
+// SetZoneExcluded records that operators exclude a zone as a whole, or, if out is false, that they restore
+// it.
 func (s *State) SetZoneExcluded(zone int, out bool) {
 	at, found := slices.BinarySearch(s.ExcludedZones, zone)
 	switch {
@@ -152,14 +154,14 @@
 	Mute      bool // an earlier process still sends the agent's messages to peers, so this one sends none
 }
 
-// Plan returns the plan that follows from the view.
+// Plan returns how the process is to act, given what it knows of the others.
 func (v View) Plan() Plan {
 	return Plan{Alone: !v.Earlier && !v.Later, Successor: v.Later && v.LatestReady > v.Generation,
 		Mute: v.Earlier}
 }
 
-// Share returns the share of the agent's budget that this process may use, from 0 to 1; inFlight is the number of its
-// requests in flight. The shares of two processes that see the same numbers add up to 1.
+// Share returns the share of the agent's budget that this process may use, from 0 to 1; inFlight is the
+// number of its requests in flight. The shares of two processes that see the same numbers add up to 1.
 func (v View) Share(inFlight int) float64 {
 	switch {
 	case v.Later:
@@ -170,7 +172,8 @@
 	return 1
 }
 
-// successorShare returns the successor's share of the agent's budget: 0 until it is ready, then at least half, since
+// successorShare returns the successor's share of the agent's budget: 0 until it is ready, then in proportion
+// to the requests in flight before it (at earlier processes) and after (its own), but at least half, since
 // the traffic is about to move to it.
 func successorShare(ready bool, before, after int) float64 {
 	if !ready {
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// For any numbers of requests in flight the shares of two processes add up to 1, and a process that is alone has
-// the whole budget.
+// For any numbers of requests in flight, the shares of the budget of two processes add up to 1, and a process
+// that is alone has the whole budget.
 func TestPartsSumToOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		counts := rapid.IntRange(0, 1000)
@@ -59,8 +59,8 @@
 	})
 }
 
-// For any number of connections that the earlier process holds within its limit, the limits keep both processes
-// together within the total, and each process always has a minimum.
+// For any number of connections that the earlier process holds within its limit, both processes together stay
+// within the total, and each may always hold a minimum of connections.
 func TestRoomOfTwoProcesses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.IntRange(4, 2000).Draw(t, "all")
@@ -80,7 +80,8 @@
 	})
 }
 
-// The file of an older build, which writes only its requests in flight, is read with 0 connections.
+// The alive file of a process of an older build, which has only the number of requests in flight, is read
+// with 0 connections.
 func TestReadLoadOfOlderBuild(t *testing.T) {
 	for text, want := range map[string][2]int{"": {}, "       12\n": {12, 0}, "       12        34\n": {12, 34}, "x": {}, "       -1        -2\n": {}} {
 		path := filepath.Join(t.TempDir(), "alive")
@@ -145,7 +146,7 @@
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s, err := Parse(raw)
-		if err != nil { // random input never has a valid checksum, so it gets one
+		if err != nil { // random input never has the checksum that a state file needs, so it is given one
 			raw = fmt.Appendf(nil, "%s%08x\n%s", stateHeader, crc32.ChecksumIEEE(raw), raw)
 			if s, err = Parse(raw); err != nil {
 				return
@@ -162,7 +163,8 @@
 	})
 }
 
-// Each of two processes of one agent knows whether the other is alive and serves, and both see the same state.
+// Each of two processes of one agent sees whether the other is alive and serves, and both see the same shared
+// state.
 func TestTakeover(t *testing.T) {
 	dir := t.TempDir()
 	first, s, err := Acquire(dir, "n/0")
@@ -204,7 +206,7 @@
 	if a, b := first.View().Share(0), second.View().Share(9); a != 0 || b != 1 {
 		t.Errorf("shares %v and %v", a, b)
 	}
-	second.aliveFile.Close() // as when the process is killed
+	second.aliveFile.Close() // as when the process is killed: its lock is released, its file stays
 	check(first, Plan{Alone: true})
 	third, _, err := Acquire(dir, "n/0")
 	if err != nil || third.Generation() != 3 {
@@ -219,8 +221,8 @@
 	check(otherAgent, Plan{Alone: true})
 }
 
-// A state file that can't be read doesn't keep a process from starting, and a new process doesn't take the
-// generation of one that is alive, although the file with the number is lost.
+// A state file that can't be read doesn't keep a process from starting. And a new process never takes the
+// generation of a process that is alive, even if the state file with the last generation is lost.
 func TestBrokenState(t *testing.T) {
 	dir := t.TempDir()
 	first, _, err := Acquire(dir, "n")
@@ -239,7 +241,7 @@
 		t.Fatal("no error together with the claim")
 	}
 	defer second.Close()
-	// A change by operators succeeds although the file was broken in the meantime.
+	// Excluding a backend succeeds although the state file was broken after the process had read it.
 	if err := os.WriteFile(first.pathPrefix+".state", []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -257,7 +259,7 @@
 	}
 }
 
-// Concurrent changes of several processes are all kept.
+// If several processes change the state at the same time, no change is lost.
 func TestConcurrentChanges(t *testing.T) {
 	dir := t.TempDir()
 	var wg sync.WaitGroup
--- a/internal/trial/day.go
+++ b/internal/trial/day.go
@@ -29,9 +29,9 @@
 		Clients    int     `toml:"clients"`     // number of clients in a closed loop; 0: open loop
 		OfCapacity float64 `toml:"of_capacity"` // open loop: rate as a share of the site's capacity without faults
 		PerSecond  float64 `toml:"per_second"`  // open loop: requests per second
-		Seconds    float64 `toml:"seconds"`
-		Requests   int64   `toml:"requests"` // maximum number of requests; 0: bounded by Seconds only
-		Share      float64 `toml:"share"`    // share of requests of the first class; the others are of the second; 0: 0.57
+		Seconds    float64 `toml:"seconds"`     // duration of the load
+		Requests   int64   `toml:"requests"`    // maximum number of requests; 0: bounded by Seconds only
+		Share      float64 `toml:"share"`       // share of requests of the first class; the others are of the second; 0: 0.57
 	} `toml:"load"`
 	Site standin.Scenario `toml:"site"`
 }
@@ -133,14 +133,14 @@
 	}
 }
 
-// Counts counts the requests of a class, a window or a whole day by their result.
+// Counts counts the requests of a class, a window or a whole day by how they ended for the client.
 type Counts struct {
 	Requests    int64 `json:"requests"`
 	InTime      int64 `json:"in_time"`      // served within the aim
 	Late        int64 `json:"late"`         // served after the aim
 	Refused     int64 `json:"refused"`      // refused by the agent
 	RefusedFree int64 `json:"refused_free"` // refused while a node had a free slot
-	Failed      int64 `json:"failed"`       // other answers
+	Failed      int64 `json:"failed"`       // other answers, such as 500
 	Lost        int64 `json:"lost"`         // no complete answer, or none in time
 }
 
@@ -154,6 +154,7 @@
 	p.Lost += o.Lost
 }
 
+// ratio returns n divided by of, or 0 if of is 0.
 func ratio(n, of int64) float64 {
 	if of == 0 {
 		return 0
@@ -165,18 +166,18 @@
 type Outcome struct {
 	Day       string             `json:"day"`
 	Seed      uint64             `json:"seed"`
-	Agents    int                `json:"agents"`
-	Nodes     int                `json:"nodes"`
-	RatePerS  float64            `json:"rate_per_s"`
+	Agents    int                `json:"agents"`     // number of agents
+	Nodes     int                `json:"nodes"`      // number of nodes
+	RatePerS  float64            `json:"rate_per_s"` // requests per second over the day
 	Counts                       // all requests
-	Worth     float64            `json:"worth"` // share of the requests' full worth that was earned, by class and lateness
-	Classes   map[string]*Counts `json:"classes"`
-	WindowS   float64            `json:"window_s"`
-	Windows   []*Counts          `json:"windows"` // by the time at which requests were due
-	Latency   load.Quantiles     `json:"latency"` // of all served requests
+	Worth     float64            `json:"worth"`    // share of the requests' full worth that was earned, by class and lateness
+	Classes   map[string]*Counts `json:"classes"`  // by name of the class
+	WindowS   float64            `json:"window_s"` // length of a window in seconds
+	Windows   []*Counts          `json:"windows"`  // by the time at which requests were due
+	Latency   load.Quantiles     `json:"latency"`  // of all served requests
 	RulesHeld bool               `json:"rules_held"`
-	Verdict   string             `json:"verdict"`
-	Site      []string           `json:"site,omitempty"`
+	Verdict   string             `json:"verdict"`        // the observer's verdict as text
+	Site      []string           `json:"site,omitempty"` // log of the site's faults and their consequences
 }
 
 // RefusedWithFreeSlot returns the share of all requests that were refused while a node had a free slot.
@@ -206,7 +207,7 @@
 		out.Nodes += n.Count
 	}
 	var site atomic.Pointer[standin.Site]
-	// Count free slots as soon as the client has its refusal, before anything else is done with the request.
+	// Count free slots in the client's goroutine as soon as it has its refusal: later the nodes' load may have changed.
 	free := &freeSlotsAtRefusal{site: &site, free: map[string]bool{}}
 	var begun time.Time
 	earned, requested := 0.0, 0.0
@@ -272,8 +273,8 @@
 	return out, err
 }
 
-// freeSlotsAtRefusal records for each refused request whether a node had a free slot. An entry is removed when
-// the request is reported.
+// freeSlotsAtRefusal records for each refused request (by id) whether a node had a free slot when the client got the refusal. An
+// entry is removed when the request is counted in the outcome.
 type freeSlotsAtRefusal struct {
 	site *atomic.Pointer[standin.Site]
 	mu   sync.Mutex
--- a/internal/trial/day_test.go
+++ b/internal/trial/day_test.go
@@ -63,7 +63,7 @@
 	return d
 }
 
-// A closed loop with more clients than the agent's initial limit gets no refusal on a site with room.
+// A closed loop with more clients than the agent's initial limit on attempts in flight gets no refusal while nodes have free slots.
 func TestIdleDayRefusesNothing(t *testing.T) {
 	o, err := PlayDay(context.Background(), shortDay(t, "idle"), DayOptions{Dir: t.TempDir()})
 	if err != nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// Nodes that reset kept connections cause no lost request and no broken rule.
+// If nodes reset kept connections at the next request, no request is lost and no rule of the ledger is broken.
 func TestStaleDayKeepsTheRules(t *testing.T) {
 	d := shortDay(t, "stale")
 	d.Site.Faults[0].AtS, d.Site.Faults[0].Size = 0, 1
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	readyTimeout = 10 * time.Second // for an agent to answer GET /up with 200
-	stopTimeout  = 15 * time.Second // for an agent to end
+	readyTimeout = 10 * time.Second // maximum time until an agent answers GET /up with 200
+	stopTimeout  = 15 * time.Second // maximum time until an agent has ended
 )
 
 // Options configures a trial.
@@ -44,12 +44,12 @@
 	OnRefused func(id string)               // called when a client receives a refusal, in the client's goroutine; nil: no call
 }
 
-// Agents is a set of running agents of a site.
+// Agents is the running agents of a site.
 type Agents struct {
-	Targets []netip.AddrPort
+	Targets []netip.AddrPort // the agents' addresses for clients
 
-	stops   []func() error
-	reloads map[string]func() error
+	stops   []func() error          // functions that end one agent each
+	reloads map[string]func() error // functions that write an agent's new configuration and make the agent read it, by the agent's name
 }
 
 // Start starts the site's agents and waits until each is ready. After an error no agent is left running.
@@ -96,6 +96,7 @@
 	return l.w.Write(p)
 }
 
+// writeConfig writes the current configuration of agent i to path.
 func writeConfig(site *standin.Site, i int, path, listen string) error {
 	raw, err := site.Config(i, listen)
 	if err != nil {
@@ -204,7 +205,7 @@
 	return errors.Join(errs...)
 }
 
-// waitReady waits until an agent answers GET /up with 200.
+// waitReady waits until an agent answers GET /up with 200, for at most readyTimeout.
 func waitReady(addr netip.AddrPort) error {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	var last error
@@ -235,7 +236,7 @@
 	w.Ledger.RequestSent(s.ID, s.Request.Class, w.AgentNames[s.Target], s.Sent, s.Request.TimeLeft)
 }
 
-// Ended reports the answer that a client received.
+// Ended reports the answer that a client received, if it received one.
 func (w *LedgerObserver) Ended(s *load.Sample) {
 	if s.Outcome == load.Refused && w.OnRefused != nil {
 		w.OnRefused(s.ID)
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// The four rules hold under all faults at once, whatever happens to single requests.
+// With all of the simulated site's faults at once the ledger finds no rule broken, even where requests fail.
 func TestRulesHoldUnderFaults(t *testing.T) {
 	plan, g := generatedPlan(t, "steady", 80, 8)
 	r, v := run(t, Options{Next: plan.Next, Scenario: scenario(t, `
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,7 +7,8 @@
 	"lemonrail/balance"
 )
 
-// facts mirrors the settings object, with the field names of the wire.
+// facts mirrors the settings object of an OpenInstance message, with the field names of the wire. Fields that
+// end in Ms are in milliseconds.
 type facts struct {
 	Balancers int
 	Me        int
@@ -72,12 +73,14 @@
 		"inline": balance.ReportsInline, "on_probe": balance.ReportsOnProbe}
 )
 
-// Names holds the names of what the settings list and package balance knows by index: element i is the name of index i.
+// Names holds the names of what the settings list and package balance knows by index only: element i of a
+// slice is the name of index i.
 type Names struct {
 	Classes, Tenants, Zones, Kinds []string
 }
 
-// ParseSettings decodes the settings object and the names in it. Unknown keys are ignored.
+// ParseSettings decodes the settings object of an OpenInstance message and the names in it. Unknown keys are
+// ignored.
 func ParseSettings(raw []byte) (balance.Settings, Names, error) {
 	var f facts
 	if err := json.Unmarshal(raw, &f); err != nil {
@@ -94,6 +97,7 @@
 	return s, names, err
 }
 
+// settings converts the object to the settings of package balance.
 func (f *facts) settings() (balance.Settings, error) {
 	s := balance.Settings{
 		Balancers:      f.Balancers,
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -17,31 +17,33 @@
 	"lemonrail/balance"
 )
 
-// Open says that an instance starts, without any state.
+// Open is the event that creates an instance (a simulated agent with a Balancer of its own) without any
+// state.
 type Open struct {
 	Seed     uint64
 	Settings balance.Settings
 }
 
-// Event is one event of a batch and the instance that it belongs to. Exactly one of Open, Retire and Event is set.
+// Event is one event of a batch and the instance that it is for. Exactly one of Open, Retire and Event is
+// set.
 type Event struct {
-	Line   int // line number in the stream, from 1
-	Agent  int
-	Open   *Open
-	Retire bool
-	Event  balance.Event
+	Line   int           // line number in the stream, from 1
+	Agent  int           // number of the agent, which is the instance that the event is for
+	Open   *Open         // the instance is created, or replaced by one without state
+	Retire bool          // the instance is killed
+	Event  balance.Event // passed to the instance's Balancer
 }
 
-// Batch holds the events of one instant, of any number of instances.
+// Batch holds the events of any number of instances at one time.
 type Batch struct {
-	Now    time.Duration
+	Now    time.Duration // time of the events on the bench's clock
 	Events []Event
 }
 
 // Reader reads batches of events from JSON lines.
 type Reader struct {
 	in    *bufio.Reader
-	line  int
+	line  int                       // number of the line read last, from 1
 	lists map[int][]balance.Backend // lists that the stream has defined, by their Sheet number
 }
 
@@ -50,47 +52,49 @@
 	return &Reader{in: bufio.NewReaderSize(r, 1<<16), lists: map[int][]balance.Backend{}}
 }
 
-// entry is one backend of a list on the wire.
+// entry is one backend in a DefineList message.
 type entry struct {
-	Backend      string
-	Availability string
-	Rating       float64
-	Block        int
-	LaunchedMs   float64
-	Sku          int
-	Dc           int
+	Backend      string  // id of the backend, such as 10.0.0.1:80
+	Availability string  // state on the wire: on, fading or off
+	Rating       float64 // weight of the backend; Weights in the settings says what it means
+	Block        int     // index of the backend's cell (balance.Backend.Cell)
+	LaunchedMs   float64 // when the backend started, in milliseconds on the bench's clock
+	Sku          int     // index of the backend's hardware kind, balance.Backend.Kind
+	Dc           int     // index of the backend's zone
 }
 
-// message holds the fields of all messages. A field is a pointer where it is required in some message.
+// message is one JSON line from the bench; Kind decides which of the other fields it has. A field is a
+// pointer where some kind of message requires it.
 type message struct {
-	Kind       string `json:"msg"`
-	ClockMs    *float64
-	Agent      *int
-	RandomSeed *uint64
-	Facts      json.RawMessage
-	Sheet      *int
-	Index      int64
-	Items      *[]entry
-	How        *string
-	Job        *string
-	TierClass  *int
-	Project    int
-	Item       string
-	GraceMs    *float64
-	WorkHintMs float64
-	StateBits  int
-	Outcome    *string
-	WaitTimeMs *float64
-	Backend    *string
-	SendNo     *int
-	Ended      bool
-	Usage      *usage
-	Cookie     *int64
-	From       *int
-	Text       *string `json:"Msg"`
+	Kind       string          `json:"msg"`
+	ClockMs    *float64        // Frame: time of the batch, in milliseconds on the bench's clock
+	Agent      *int            // number of the agent that the message is for
+	RandomSeed *uint64         // OpenInstance: seed of the Balancer's random numbers
+	Facts      json.RawMessage // OpenInstance: the settings object, see ParseSettings
+	Sheet      *int            // DefineList: number given to the list; View: number of the list that is sent
+	Index      int64           // View: version of the list
+	Items      *[]entry        // DefineList: the backends
+	How        *string         // View: kind of the list on the wire: diff, snapshot, disk or error
+	Job        *string         // id of the request
+	TierClass  *int            // Submit: index of the request's class
+	Project    int             // Submit: index of the request's tenant
+	Item       string          // Submit: key of the data that the request reads or writes
+	GraceMs    *float64        // Submit: time that the client still waits, in milliseconds
+	WorkHintMs float64         // Submit: expected work of the request in milliseconds, if bitHintValid is set
+	StateBits  int             // Submit: bitHintValid, bitRepeat and bitWrite
+	Outcome    *string         // Ended, ProbeDone: result of the attempt or probe on the wire, such as pass or fault
+	WaitTimeMs *float64        // Ended, ProbeDone, Streaming: time since the attempt or probe was sent, in milliseconds
+	Backend    *string         // Ended, ProbeDone: id of the backend that was used
+	SendNo     *int            // Ended, Streaming: number of the attempt within its request
+	Ended      bool            // Ended: the request has its final answer (balance.Outcome.Done)
+	Usage      *usage          // Ended, ProbeDone: the backend's load report; nil: none
+	Cookie     *int64          // Reminder: token of the timer that has fired
+	From       *int            // Peer: number of the agent that sent the message
+	Text       *string         `json:"Msg"` // Peer: the message in hex
 }
 
-// usage is a load report on the wire. Unknown values are skipped.
+// usage is a load report of a backend on the wire, with the meaning of the fields in balance.Load. A field
+// that is absent is nil; further fields are ignored.
 type usage struct {
 	Outstanding  *float64
 	Backlog      *float64
@@ -125,7 +129,8 @@
 	"on": balance.Up, "fading": balance.Draining, "off": balance.Gone,
 }
 
-// Next reads one batch. It returns io.EOF where the input ends between two batches.
+// Next reads one batch, from its Frame line to its End line. It returns io.EOF where the input ends between
+// two batches.
 func (r *Reader) Next() (*Batch, error) {
 	var b *Batch
 	for {
@@ -175,6 +180,8 @@
 	return true
 }
 
+// addEvent adds the event of a message to a batch. A DefineList message makes no event: its list is stored
+// for later View messages.
 func (r *Reader) addEvent(b *Batch, m *message) error {
 	if m.Kind == "DefineList" {
 		return r.defineList(m)
@@ -261,6 +268,7 @@
 	return nil
 }
 
+// defineList stores the list of a DefineList message under its number.
 func (r *Reader) defineList(m *message) error {
 	if m.Sheet == nil || m.Items == nil {
 		return errors.New("missing Sheet or Items")
@@ -281,6 +289,7 @@
 	return nil
 }
 
+// view returns the list event of a View message, with the list that was stored under its number.
 func (r *Reader) view(m *message) (balance.Event, error) {
 	if m.How == nil {
 		return nil, errors.New("missing How")
@@ -303,7 +312,7 @@
 	return balance.List{Kind: kind, Version: m.Index, Backends: list}, nil
 }
 
-// ParseLoad decodes a load report. Values that the report lacks are negative.
+// ParseLoad decodes the JSON load report of a backend. Values that the report lacks are negative.
 func ParseLoad(raw []byte) (balance.Load, error) {
 	var u usage
 	if err := json.Unmarshal(raw, &u); err != nil {
@@ -314,6 +323,7 @@
 
 const maxLoadValue = 1e6 // larger than any real load value: above ten minutes in ms, a million requests
 
+// toLoad converts a load report, which may be nil, to the form of package balance.
 func toLoad(u *usage) balance.Load {
 	l := balance.NoLoad()
 	if u == nil {
@@ -355,17 +365,17 @@
 	return time.Duration(math.Round(min(max(ms*1e6, -maxNanoseconds), maxNanoseconds)))
 }
 
-// Writer writes replies, each one whole: a reply is buffered until End, so nothing of it is written if an error occurs
-// before.
+// Writer writes the replies to batches, each one whole: a reply is buffered until End, so nothing of it is
+// written if an error occurs before.
 type Writer struct {
 	out   io.Writer
-	reply []byte // the buffered lines
+	reply []byte // the lines of the current reply
 }
 
 // NewWriter returns a Writer on w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: w} }
 
-// Actions adds the actions of one instance to the reply.
+// Actions adds the actions of one instance, as JSON lines with its number agent, to the reply.
 func (w *Writer) Actions(agent int, actions []balance.Action) error {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -407,13 +417,13 @@
 	return nil
 }
 
-// Broken adds to the reply that the decision code of an instance has failed.
+// Broken adds to the reply that the decision code of an instance has panicked, with the panic's text.
 func (w *Writer) Broken(agent int, text string) {
 	w.begin("Broken", agent).str("Msg", text)
 	w.reply = append(w.reply, "}\n"...)
 }
 
-// End completes the reply and writes it out.
+// End completes the reply with an end line, writes it to the output and empties the buffer.
 func (w *Writer) End() error {
 	w.reply = append(w.reply, "{\"msg\":\"Eor\"}\n"...)
 	_, err := w.out.Write(w.reply)
@@ -421,6 +431,8 @@
 	return err
 }
 
+// begin begins a line: a JSON object with the members msg and Agent. The caller adds the other members and
+// the closing brace.
 func (w *Writer) begin(msg string, agent int) *Writer {
 	w.reply = append(w.reply, `{"msg":"`...)
 	w.reply = append(w.reply, msg...)
@@ -428,18 +440,21 @@
 	return w.num("Agent", int64(agent))
 }
 
+// key appends a comma and the name of the next member.
 func (w *Writer) key(name string) {
 	w.reply = append(w.reply, `,"`...)
 	w.reply = append(w.reply, name...)
 	w.reply = append(w.reply, `":`...)
 }
 
+// raw appends a member whose value v is already JSON.
 func (w *Writer) raw(name, v string) *Writer {
 	w.key(name)
 	w.reply = append(w.reply, v...)
 	return w
 }
 
+// peer appends a member with the number of an agent, or null for balance.EveryPeer.
 func (w *Writer) peer(name string, to int) *Writer {
 	if to == balance.EveryPeer {
 		return w.raw(name, "null")
@@ -447,18 +462,21 @@
 	return w.num(name, int64(to))
 }
 
+// num appends a member with an integer value.
 func (w *Writer) num(name string, v int64) *Writer {
 	w.key(name)
 	w.reply = strconv.AppendInt(w.reply, v, 10)
 	return w
 }
 
+// ms appends a member with a duration in milliseconds.
 func (w *Writer) ms(name string, d time.Duration) *Writer {
 	w.key(name)
 	w.reply = strconv.AppendFloat(w.reply, float64(d)/1e6, 'f', -1, 64)
 	return w
 }
 
+// str appends a member with a string value.
 func (w *Writer) str(name, v string) *Writer {
 	w.key(name)
 	for i := range len(v) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -15,6 +15,7 @@
 
 const ms = time.Millisecond
 
+// frame returns a batch at 1500.25 ms with the given lines.
 func frame(lines ...string) string {
 	return "{\"msg\":\"Frame\",\"ClockMs\":1500.25}\n" + strings.Join(lines, "\n") + "\n{\"msg\":\"End\"}\n"
 }
