--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -6,11 +6,11 @@
 // on repeats (mayAttempt) allows the attempt and that r has time left.
 func (b *Balancer) send(r *request, t *backend) {
 	if t.State != Up || !b.mayAttempt(r, t) || b.now >= r.deadline {
-		b.finish(r, NoTime)
+		b.refuseOrFail(r, NoTime)
 		return
 	}
 	a := &attempt{backend: t, sentAt: b.now,
-		expected: max(b.expectedLatency(r)*b.recordKey(t, r), 1), open: true}
+		expectedLatency: max(b.expectedLatency(r)*b.recordKey(t, r), 1), open: true}
 	r.attempts = append(r.attempts, a)
 	r.openAttempts++
 	if r.mayHaveRun++; r.anchor == nil {
@@ -20,7 +20,7 @@
 	b.inFlight++
 	a.concurrency = float64(b.inFlight-b.stuck) / b.limitShare / max(b.capacity, 1)
 	if t.cold {
-		t.coldWork -= a.expected
+		t.coldWork -= a.expectedLatency
 		t.coldRequests--
 	}
 	send := Send{Request: r.id, Backend: t.ID}
@@ -36,9 +36,9 @@
 	b.actions = append(b.actions, send)
 }
 
-// finish gives a request its final answer; it alone does. The answer is a refusal if no attempt may have
+// refuseOrFail gives a request its final answer; it alone does. The answer is a refusal if no attempt may have
 // run, so that any client may try again, and a failure otherwise.
-func (b *Balancer) finish(r *request, reason Reason) {
+func (b *Balancer) refuseOrFail(r *request, reason Reason) {
 	if r.ended {
 		return
 	}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -51,7 +51,7 @@
 
 	meanDemand         float64       // running mean of attempts in flight plus requests held
 	demandUpdatedAt    time.Duration // when meanDemand was last updated
-	peerDemands        []demand      // by the number of the agent: the demand that it reported last
+	peerDemands        []peerDemand  // by the number of the agent: the demand that it reported last
 	limitShare         float64       // this process's share of the limit of all agents
 	demandSinceSent    float64       // integral over time of the demand since the last message to peers
 	demandSentAt       time.Duration // when the last message to peers was sent
@@ -83,7 +83,7 @@
 		perBackend: initialPerBackend, staleShare: 1, meanWorkLeft: 1,
 		byID: map[string]*backend{}, kindSlowness: map[int]*slowness{}, requests: map[string]*request{},
 		timers: map[int64]*request{}, limitShare: 1 / float64(s.Balancers), maxBalancers: s.Balancers,
-		peerDemands: make([]demand, s.Balancers), sendIntervalFactor: 1}
+		peerDemands: make([]peerDemand, s.Balancers), sendIntervalFactor: 1}
 	b.settings.MaxAttempts = max(1, s.MaxAttempts)
 	b.settings.ColdShare = cmp.Or(s.ColdShare, 1)
 	for i, c := range s.Classes {
@@ -177,7 +177,7 @@
 	}
 	b.requests[e.ID] = r
 	if t := b.byID[r.onlyBackend]; r.onlyBackend != "" && (t == nil || t.State != Up) {
-		b.finish(r, NoBackend)
+		b.refuseOrFail(r, NoBackend)
 		return
 	}
 	b.hold(r)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -121,8 +121,8 @@
 	return r.step(balance.Request{ID: id, Class: class, TimeLeft: 2000 * ms})
 }
 
-// outcome ends the latest attempt of a request with the result res, latency after it was sent.
-func (r *rig) outcome(id string, res balance.Result, latency time.Duration) []balance.Action {
+// endAttempt ends the latest attempt of a request with the result res, latency after it was sent.
+func (r *rig) endAttempt(id string, res balance.Result, latency time.Duration) []balance.Action {
 	r.t.Helper()
 	n := len(r.sent[id]) - 1
 	if n < 0 {
@@ -140,7 +140,7 @@
 		id := fmt.Sprintf("serve-%d", len(r.sent))
 		r.request(id, class)
 		r.now += latency
-		r.outcome(id, balance.OK, latency)
+		r.endAttempt(id, balance.OK, latency)
 		counts[r.sent[id][0]]++
 	}
 	return counts
@@ -290,7 +290,7 @@
 			r := newRig(t, settings(), 7, backends(6))
 			r.request("q", tt.class)
 			r.now += 10 * ms
-			acts := r.outcome("q", tt.result, 10*ms)
+			acts := r.endAttempt("q", tt.result, 10*ms)
 			acts = append(acts, r.advance(200*ms)...)
 			got := final("q", acts)
 			if len(r.sent["q"]) == 2 {
@@ -314,7 +314,7 @@
 			r := newRig(t, settings(), seed, backends(6))
 			r.request("q", class)
 			r.now += 5 * ms
-			r.outcome("q", balance.Errored, 5*ms)
+			r.endAttempt("q", balance.Errored, 5*ms)
 			r.advance(200 * ms)
 			if s := r.sent["q"]; len(s) != 2 || zone[s[0]] != zone[s[1]] {
 				t.Errorf("seed %d class %d: attempts %v leave the group", seed, class, s)
@@ -325,7 +325,7 @@
 		r := newRig(t, settings(), 1, backends(6))
 		r.request("q", keyedAll)
 		r.now += 300 * ms
-		acts := r.outcome("q", balance.Errored, 300*ms)
+		acts := r.endAttempt("q", balance.Errored, 300*ms)
 		if final("q", acts) != "fail" {
 			t.Errorf("after the window: %v, want it to fail", acts)
 		}
@@ -334,7 +334,7 @@
 		r := newRig(t, settings(), 1, backends(6))
 		r.request("q", keyedZone)
 		r.now += 400 * ms
-		r.outcome("q", balance.ConnectFailed, 400*ms)
+		r.endAttempt("q", balance.ConnectFailed, 400*ms)
 		r.advance(200 * ms)
 		if len(r.sent["q"]) != 2 {
 			t.Errorf("attempts %v: one that never ran should not bind the request", r.sent["q"])
@@ -353,7 +353,7 @@
 			break
 		}
 		r.now += ms
-		all = append(all, r.outcome("q", balance.Errored, ms)...)
+		all = append(all, r.endAttempt("q", balance.Errored, ms)...)
 		all = append(all, r.advance(150*ms)...)
 	}
 	if len(r.sent["q"]) != 3 || final("q", all) != "fail" {
@@ -376,12 +376,12 @@
 				t.Fatalf("first attempt of %s did not go out", id)
 			}
 			r.now += ms
-			r.outcome(id, res, ms)
+			r.endAttempt(id, res, ms)
 			r.advance(100 * ms)
 			if len(r.sent[id]) == 2 {
 				retried++
 				r.now += ms
-				r.outcome(id, balance.Errored, ms)
+				r.endAttempt(id, balance.Errored, ms)
 			}
 			r.advance(30 * time.Second) // lets ejections pass
 		}
@@ -426,7 +426,7 @@
 		r := newRig(t, s, seed, backends(8))
 		r.request("q", safe)
 		for n := range 6 {
-			r.outcome("q", balance.Full, 0)
+			r.endAttempt("q", balance.Full, 0)
 			failed := r.now
 			for len(r.sent["q"]) == n+1 && len(r.due) > 0 {
 				r.advance(ms / 4)
@@ -454,7 +454,7 @@
 	r := newRig(t, settings(), 1, backends(4))
 	r.request("q", safe)
 	r.now += 2000 * ms
-	if acts := r.outcome("q", balance.TimedOut, 2000*ms); final("q", acts) != "fail" {
+	if acts := r.endAttempt("q", balance.TimedOut, 2000*ms); final("q", acts) != "fail" {
 		t.Errorf("at the deadline: %v, want the final answer at once", acts)
 	}
 }
@@ -539,7 +539,7 @@
 				}
 			}
 			r.now += lat
-			r.outcome(id, balance.OK, lat)
+			r.endAttempt(id, balance.OK, lat)
 		}
 		if late > 40 {
 			t.Errorf("a backend four times slower still got %d of 300", late)
@@ -560,7 +560,7 @@
 			bad++
 		}
 		r.now += lat
-		r.outcome(id, res, lat)
+		r.endAttempt(id, res, lat)
 	}
 	if bad > 6 {
 		t.Errorf("the failing backend got %d of 300", bad)
@@ -610,9 +610,9 @@
 			r.now += 20 * ms
 			if fails(b, answers[b]) {
 				failed[b] = r.now
-				r.outcome(id, res, 20*ms)
+				r.endAttempt(id, res, 20*ms)
 			} else {
-				r.outcome(id, balance.OK, 20*ms)
+				r.endAttempt(id, balance.OK, 20*ms)
 			}
 		}
 		return used
@@ -642,10 +642,10 @@
 		r.request(id, 0)
 		r.now += 20 * ms
 		if r.sent[id][0] == "a" {
-			r.outcome(id, balance.Errored, 20*ms)
+			r.endAttempt(id, balance.Errored, 20*ms)
 			break
 		}
-		r.outcome(id, balance.OK, 20*ms)
+		r.endAttempt(id, balance.OK, 20*ms)
 	}
 	r.advance(5 * time.Second)
 	if counts := r.serve(200, 0, 30*ms); counts["a"] == 0 {
@@ -665,7 +665,7 @@
 			t.Fatalf("request %d was not sent", i)
 		}
 		r.now += ms
-		r.outcome(id, balance.Errored, ms)
+		r.endAttempt(id, balance.Errored, ms)
 	}
 }
 
@@ -693,7 +693,7 @@
 			r.request("q", safe)
 			other := map[string]string{"a": "b", "b": "a"}[r.sent["q"][0]]
 			r.now += ms
-			r.outcome("q", balance.Errored, ms)
+			r.endAttempt("q", balance.Errored, ms)
 			r.step(balance.List{Kind: balance.ListDelta,
 				Backends: []balance.Backend{{ID: other, State: balance.Draining}}})
 			r.advance(time.Second)
@@ -746,7 +746,7 @@
 	counts := map[string]float64{}
 	answer := func(id string, latency time.Duration) {
 		counts[r.sent[id][0]]++
-		for _, a := range r.outcome(id, balance.OK, latency) {
+		for _, a := range r.endAttempt(id, balance.OK, latency) {
 			if a, ok := a.(balance.Send); ok {
 				out = append(out, a.Request)
 			}
@@ -800,7 +800,7 @@
 	send := func(id string, work time.Duration) {
 		r.step(balance.Request{ID: id, Class: safe, TimeLeft: 2000 * ms, Work: work})
 		r.now += 20 * ms
-		r.outcome(id, balance.OK, 20*ms)
+		r.endAttempt(id, balance.OK, 20*ms)
 	}
 	for i := range 100 {
 		send(fmt.Sprint("w", i), 20*ms)
@@ -833,10 +833,10 @@
 		r.request(id, safe)
 		r.now += 20 * ms
 		if r.sent[id][0] == "a" {
-			r.outcome(id, balance.ConnectFailed, 20*ms)
+			r.endAttempt(id, balance.ConnectFailed, 20*ms)
 			break
 		}
-		r.outcome(id, balance.OK, 20*ms)
+		r.endAttempt(id, balance.OK, 20*ms)
 	}
 	r.advance(2 * time.Second)
 	seen := 0
@@ -844,7 +844,7 @@
 		id := fmt.Sprint("r", i)
 		r.request(id, safe)
 		r.now += 20 * ms
-		r.outcome(id, balance.OK, 20*ms)
+		r.endAttempt(id, balance.OK, 20*ms)
 		if r.sent[id][0] == "a" {
 			seen++
 		}
@@ -920,7 +920,7 @@
 		id := fmt.Sprint("s", i)
 		r.request(id, safe)
 		r.now += 350 * ms
-		r.outcome(id, balance.OK, 350*ms)
+		r.endAttempt(id, balance.OK, 350*ms)
 	}
 	out := 0
 	var all []balance.Action
@@ -993,9 +993,9 @@
 		r.now += ms
 		if b := r.sent[id][0]; b < "g" { // a to f
 			dead[b] = true
-			r.outcome(id, balance.ConnectFailed, ms)
+			r.endAttempt(id, balance.ConnectFailed, ms)
 		} else {
-			r.outcome(id, balance.OK, ms)
+			r.endAttempt(id, balance.OK, ms)
 		}
 	}
 	r.advance(50 * ms)
@@ -1032,11 +1032,11 @@
 	r.now += 20 * ms
 	for i := range 18 {
 		if id := fmt.Sprint("h", i); len(r.sent[id]) == 1 && r.sent[id][0] != "a" {
-			r.outcome(id, balance.OK, 20*ms)
+			r.endAttempt(id, balance.OK, 20*ms)
 		}
 	}
 	r.now += 100 * ms
-	r.outcome(hung[0], balance.TimedOut, 120*ms)
+	r.endAttempt(hung[0], balance.TimedOut, 120*ms)
 	n := 0
 	for i := range 40 {
 		id := fmt.Sprint("q", i)
@@ -1076,11 +1076,11 @@
 				}
 				answered = true
 			}
-			r.outcome(id, balance.OK, 20*ms)
+			r.endAttempt(id, balance.OK, 20*ms)
 		}
 		r.now += 60 * ms
 		for _, id := range hang {
-			r.outcome(id, balance.TimedOut, 80*ms)
+			r.endAttempt(id, balance.TimedOut, 80*ms)
 		}
 		r.now += 20 * ms
 	}
@@ -1137,7 +1137,7 @@
 		if len(queue) > 75 {
 			if len(r.sent[queue[0]]) > 0 {
 				// latencies come in runs, so that twenty slow answers can follow each other
-				r.outcome(queue[0], balance.OK, seq[(i/25)%10]*ms)
+				r.endAttempt(queue[0], balance.OK, seq[(i/25)%10]*ms)
 			}
 			queue = queue[1:]
 		}
@@ -1186,7 +1186,7 @@
 			sends(r.request(fmt.Sprint("q", i), safe))
 		}
 		for i := range 4 * len(out) { // four rounds of fast answers
-			sends(r.outcome(out[0], balance.OK, 20*ms))
+			sends(r.endAttempt(out[0], balance.OK, 20*ms))
 			out = out[1:]
 			sends(r.request(fmt.Sprint("more", i), safe))
 		}
@@ -1260,7 +1260,7 @@
 	r := newRig(t, settings(), 1, backends(2))
 	r.request("done", safe)
 	r.now += 10 * ms
-	r.outcome("done", balance.OK, 10*ms)
+	r.endAttempt("done", balance.OK, 10*ms)
 	r.request("open", unsafe)
 	stray := []balance.Event{
 		balance.Outcome{Request: "never", Result: balance.Errored},
@@ -1282,10 +1282,10 @@
 		}
 	}
 	r.now += 10 * ms
-	if acts := r.outcome("open", balance.Errored, 10*ms); final("open", acts) != "fail" {
+	if acts := r.endAttempt("open", balance.Errored, 10*ms); final("open", acts) != "fail" {
 		t.Errorf("the open request: %v, want its one failure", acts)
 	}
-	if acts := r.outcome("open", balance.Errored, 10*ms); len(acts) != 0 {
+	if acts := r.endAttempt("open", balance.Errored, 10*ms); len(acts) != 0 {
 		t.Errorf("a repeated outcome: %v, want no action", acts)
 	}
 }
@@ -1296,7 +1296,7 @@
 	r.request("q", safe)
 	r.step(balance.Abandoned{Request: "q"})
 	r.now += 10 * ms
-	acts := r.outcome("q", balance.Errored, 10*ms)
+	acts := r.endAttempt("q", balance.Errored, 10*ms)
 	acts = append(acts, r.advance(3*time.Second)...)
 	if len(acts) != 0 {
 		t.Errorf("after the client left: %v", acts)
@@ -1325,7 +1325,7 @@
 			log = append(log, fmt.Sprint(r.request(id, i%5)))
 			r.now += 3 * ms
 			if i%3 != 0 && len(r.sent[id]) > 0 {
-				log = append(log, fmt.Sprint(r.outcome(id, balance.Result(i%6), 3*ms)))
+				log = append(log, fmt.Sprint(r.endAttempt(id, balance.Result(i%6), 3*ms)))
 			}
 			log = append(log, fmt.Sprint(r.advance(2*ms)))
 		}
@@ -1350,7 +1350,7 @@
 	r.step(balance.List{Backends: []balance.Backend{{ID: "a", State: balance.Draining}}})
 	r.request("held", unsafe)
 	for i := range 3 {
-		r.outcome(fmt.Sprint("q", i), balance.OK, ms) // the mean falls
+		r.endAttempt(fmt.Sprint("q", i), balance.OK, ms) // the mean falls
 	}
 	if got := final("held", r.advance(2000*ms)); got != "refuse" {
 		t.Errorf("the held request ended %q within its deadline, want refuse", got)
@@ -1382,7 +1382,7 @@
 				}
 			}
 			r.now += latency
-			r.outcome(id, balance.OK, latency)
+			r.endAttempt(id, balance.OK, latency)
 		}
 	}
 	if slow > 45 { // of 300: in each of 20 runs, the last 15 requests
@@ -1450,7 +1450,7 @@
 				r.advance(tt.latency)
 				if len(r.sent[id]) > 0 {
 					sent++
-					r.outcome(id, balance.OK, tt.latency)
+					r.endAttempt(id, balance.OK, tt.latency)
 				}
 				r.advance(250*ms - tt.latency)
 			}
@@ -1478,7 +1478,7 @@
 			}
 			r.advance(400 * ms)
 			if len(r.sent[id]) > 0 {
-				r.outcome(id, res, 400*ms)
+				r.endAttempt(id, res, 400*ms)
 			}
 		}
 	}
@@ -1583,9 +1583,9 @@
 			r.advance(80 * ms)
 			if len(r.sent[id]) > 0 && i%2 == 0 {
 				r.advance(320 * ms)
-				r.outcome(id, balance.TimedOut, 400*ms)
+				r.endAttempt(id, balance.TimedOut, 400*ms)
 			} else if len(r.sent[id]) > 0 {
-				r.outcome(id, balance.OK, 80*ms)
+				r.endAttempt(id, balance.OK, 80*ms)
 			}
 		}
 	}
@@ -1670,7 +1670,7 @@
 		r.advance(50 * ms)
 		if len(r.sent[id]) > 0 {
 			sent++
-			r.outcome(id, balance.OK, 50*ms)
+			r.endAttempt(id, balance.OK, 50*ms)
 		}
 	}
 	if sent < 5 || sent > 40 {
@@ -1710,14 +1710,14 @@
 		r.serve(20, unsafe, 100*ms)
 		r.request("q", unsafe)
 		r.advance(400 * ms)
-		r.outcome("q", res, 400*ms)
+		r.endAttempt("q", res, 400*ms)
 		for i := 0; i < 400; i++ { // counts the attempts for which there is still room
 			id := fmt.Sprint("fill", i)
 			if r.request(id, unsafe); len(r.sent[id]) == 0 {
 				break
 			}
 			next[res]++
-			r.outcome(id, balance.OK, 100*ms)
+			r.endAttempt(id, balance.OK, 100*ms)
 		}
 	}
 	if next[balance.TimedOut] >= next[balance.OK] {
@@ -1740,10 +1740,10 @@
 				continue
 			}
 			if r.sent[id][0] == "a" {
-				r.outcome(id, balance.Errored, 10*ms)
+				r.endAttempt(id, balance.Errored, 10*ms)
 				break
 			}
-			r.outcome(id, balance.OK, 10*ms)
+			r.endAttempt(id, balance.OK, 10*ms)
 		}
 		from := r.now
 		for i := 0; i < 20000; i++ {
@@ -1753,7 +1753,7 @@
 			if len(r.sent[id]) > 0 && r.sent[id][0] == "a" {
 				return r.now - from
 			} else if len(r.sent[id]) > 0 {
-				r.outcome(id, balance.OK, 10*ms)
+				r.endAttempt(id, balance.OK, 10*ms)
 			}
 		}
 		return time.Hour
@@ -1836,10 +1836,10 @@
 			r.request(served, unsafe)
 			r.now += 50 * ms
 			if len(r.sent[served]) > 0 {
-				r.outcome(served, balance.OK, 50*ms)
+				r.endAttempt(served, balance.OK, 50*ms)
 			}
 			if i >= 8 && len(r.sent[fmt.Sprint("lost", i-8)]) > 0 {
-				r.outcome(fmt.Sprint("lost", i-8), balance.TimedOut, 400*ms)
+				r.endAttempt(fmt.Sprint("lost", i-8), balance.TimedOut, 400*ms)
 			}
 		}
 		for i := range 60 {
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -23,7 +23,7 @@
 	runtime.ReadMemStats(&before)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		playOne(lb, &now, i)
+		playRequest(lb, &now, i)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -31,8 +31,8 @@
 	runtime.KeepAlive(lb)
 }
 
-// playOne plays request i to its end and moves now to that time.
-func playOne(lb *balance.Balancer, now *time.Duration, i int) {
+// playRequest plays request i to its end and moves now to that time.
+func playRequest(lb *balance.Balancer, now *time.Duration, i int) {
 	id := fmt.Sprint("q", i)
 	events := []balance.Event{balance.Request{ID: id, Class: safe, TimeLeft: time.Second}}
 	for n := 0; len(events) > 0; {
@@ -66,7 +66,7 @@
 	lb.Step(now, []balance.Event{balance.List{Kind: balance.ListFull, Backends: backends(14)}})
 	heap := func(from, to int) uint64 {
 		for i := from; i < to; i++ {
-			playOne(lb, &now, i)
+			playRequest(lb, &now, i)
 		}
 		runtime.GC()
 		var m runtime.MemStats
@@ -80,7 +80,7 @@
 		t.Errorf("the heap grew from %d to %d bytes over 55,000 requests", early, late)
 	}
 	i := 100000
-	if n := testing.AllocsPerRun(2000, func() { playOne(lb, &now, i); i++ }); n > 25 {
+	if n := testing.AllocsPerRun(2000, func() { playRequest(lb, &now, i); i++ }); n > 25 {
 		t.Errorf("%.1f allocations a request", n)
 	}
 }
@@ -100,7 +100,7 @@
 			}
 			now += time.Second
 			lb.Step(now, []balance.Event{balance.List{Kind: balance.ListFull, Backends: list}})
-			playOne(lb, &now, i)
+			playRequest(lb, &now, i)
 		}
 		runtime.GC()
 		var m runtime.MemStats
--- a/balance/dropped_attempt_test.go
+++ b/balance/dropped_attempt_test.go
@@ -127,7 +127,7 @@
 		if class == unsafe {
 			res = balance.Full
 		}
-		r.outcome("q", res, time.Millisecond)
+		r.endAttempt("q", res, time.Millisecond)
 		var again balance.Send
 		for _, a := range r.advance(250 * ms) {
 			if x, ok := a.(balance.Send); ok {
--- a/balance/explain.go
+++ b/balance/explain.go
@@ -82,11 +82,11 @@
 	RetryTokens float64       // tokens in the retry bucket
 	Available   int           // backends in use that may take one more attempt now, by strikes and maxPerBackend
 
-	Backends []BackendNote // with NoteState only
+	Backends []BackendSnapshot // with NoteState only
 }
 
-// BackendNote is the part of a note of kind NoteState that describes one backend, which is up by the list.
-type BackendNote struct {
+// BackendSnapshot is the part of a note of kind NoteState that describes one backend, which is up by the list.
+type BackendSnapshot struct {
 	ID         string        // of the backend
 	InFlight   int           // this agent's attempts there
 	Down       bool          // its process looks gone
@@ -105,14 +105,14 @@
 
 // emitNote completes n with the current state and passes it on.
 func (b *Balancer) emitNote(n Note) {
-	n.At, n.PerBackend, n.Limit, n.InFlight, n.Stuck, n.Held = b.now, b.perBackend, b.limitPart(), b.inFlight, b.stuck, len(b.held)
+	n.At, n.PerBackend, n.Limit, n.InFlight, n.Stuck, n.Held = b.now, b.perBackend, b.limitWithoutMinimum(), b.inFlight, b.stuck, len(b.held)
 	n.LimitShare = b.limitShare
 	n.Up, n.Capacity, n.MeanDelay, n.BaseDelay, n.TargetDelay = b.up, b.capacity, b.meanDelay, b.baseDelay, b.targetDelay()
 	n.MeanLatency, n.SavedTime, n.ErrorShare, n.RetryTokens = time.Duration(b.meanLatency()), time.Duration(b.savedTime), b.usualErrorShare(nil), b.retryTokens
 	n.Overdue = b.stuck
 	for _, t := range b.backends {
 		if n.Kind == NoteState && t.State == Up {
-			n.Backends = append(n.Backends, BackendNote{ID: t.ID, InFlight: len(t.inFlight), Down: t.down, EjectedFor: max(0, t.ejectedUntil-b.now),
+			n.Backends = append(n.Backends, BackendSnapshot{ID: t.ID, InFlight: len(t.inFlight), Down: t.down, EjectedFor: max(0, t.ejectedUntil-b.now),
 				Strikes: t.strikes, Warmth: b.warmth(t), SlowRatio: t.slowRatio})
 		}
 		if t.State == Up && !t.down && b.now >= t.ejectedUntil {
--- a/balance/fleet_cases_test.go
+++ b/balance/fleet_cases_test.go
@@ -147,11 +147,11 @@
 // Peer messages that come late, twice, truncated, corrupt or from unknown agents must not make refusals much
 // more likely than no messages at all.
 func TestBadPeerMessagesDoLittleHarm(t *testing.T) {
-	type hear = func(d *simulation, from, to int, data []byte)
+	type peerDelivery = func(d *simulation, from, to int, data []byte)
 	later := func(d *simulation, wait time.Duration, to int, e balance.PeerMessage) {
 		d.at(d.now+wait, func() { d.step(to, e) })
 	}
-	play := func(carry hear) (refused float64) {
+	play := func(carry peerDelivery) (refused float64) {
 		d := newSimulation(t, 9, 80, 40)
 		d.deliver = carry
 		d.arriveSkewed(0.6*d.capacity(), 3*time.Second)
@@ -162,7 +162,7 @@
 		return float64(d.refused) / float64(d.total())
 	}
 	without := play(func(*simulation, int, int, []byte) {})
-	for name, carry := range map[string]hear{
+	for name, carry := range map[string]peerDelivery{
 		"whole": func(d *simulation, from, to int, data []byte) {
 			later(d, 10*time.Millisecond, to, balance.PeerMessage{From: from, Data: data})
 		},
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -63,7 +63,7 @@
 type discoverySim struct {
 	*simulation
 	callsPerSecond float64               // calls that the service handles in a second
-	patience       time.Duration         // time without an answer after which a call fails
+	callTimeout    time.Duration         // time without an answer after which a call fails
 	maxWaiting     int                   // calls that may wait; the service rejects further ones
 	freeAt         time.Duration         // when the service will have handled all calls
 	calls          []time.Duration       // when each call was made
@@ -91,8 +91,8 @@
 		return
 	}
 	a.freeAt = max(a.freeAt, a.now) + each
-	if a.freeAt-a.now > a.patience {
-		a.at(a.now+a.patience, func() { a.step(agent, balance.List{Kind: balance.ListFailed}) })
+	if a.freeAt-a.now > a.callTimeout {
+		a.at(a.now+a.callTimeout, func() { a.step(agent, balance.List{Kind: balance.ListFailed}) })
 		return
 	}
 	a.at(a.freeAt, func() {
@@ -108,7 +108,7 @@
 // soon.
 func TestManyAgentsSpreadSubscribes(t *testing.T) {
 	for seed := range uint64(20) {
-		a := &discoverySim{simulation: newSimulation(t, seed, 0, 0), callsPerSecond: 15, patience: 2 * time.Second, maxWaiting: 60, listedAt: map[int]time.Duration{}}
+		a := &discoverySim{simulation: newSimulation(t, seed, 0, 0), callsPerSecond: 15, callTimeout: 2 * time.Second, maxWaiting: 60, listedAt: map[int]time.Duration{}}
 		const fleet, started = 80, 56
 		for i := range started {
 			s := settings()
--- a/balance/health.go
+++ b/balance/health.go
@@ -19,7 +19,7 @@
 		t.down, t.connectFailed = false, false
 		t.rejection(r.class).streak = 0
 		if !t.cold {
-			b.servedWork = b.decayServedWork() + a.expected
+			b.servedWork = b.decayServedWork() + a.expectedLatency
 			b.servedCount++
 		}
 		if b.capacity == 0 {
@@ -31,7 +31,7 @@
 		b.recordErrors(t, 0)
 		t.servedAt = b.now
 		t.answered = true
-		b.learnSpeed(t, latency/a.expected)
+		b.learnSpeed(t, latency/a.expectedLatency)
 		c.meanLatency = updateMean(c.meanLatency, max(latency, 1))
 		b.adjustLimit(a, float64(e.Latency)/float64(r.terms.Aim))
 	case Full:
@@ -52,7 +52,7 @@
 			// The backend still works on the attempt, so that it uses a quiet agent's room for longer. This
 			// limits overload that shows first in time-outs. May harm if answers are lost instead.
 			b.savedTime -= maxSavedLatencies * b.meanLatency()
-			b.learnSpeed(t, latency/a.expected) // a lower bound of the latency
+			b.learnSpeed(t, latency/a.expectedLatency) // a lower bound of the latency
 		}
 	case Errored, Reset, ConnectFailed:
 		rare := b.usualErrorShare(t) < commonErrorShare
--- a/balance/hold.go
+++ b/balance/hold.go
@@ -78,14 +78,14 @@
 			} else if atLimit {
 				reason = TooLate
 			}
-			b.finish(r, reason)
+			b.refuseOrFail(r, reason)
 		} else if r.timerToken == 0 {
 			b.setRequestTimer(r, giveUpAt)
 		}
 	}
 	// Without attempts in flight that use room, no outcome will come to make a step once saved time gives
 	// room, so a timer has to.
-	if wait := b.savedTime / -b.limitPart(); len(b.held) > 0 && b.inFlight == b.stuck &&
+	if wait := b.savedTime / -b.limitWithoutMinimum(); len(b.held) > 0 && b.inFlight == b.stuck &&
 		wait > 0 && b.roomTimer == 0 {
 		b.roomTimer = b.setTimer(time.Duration(wait) + 1)
 	}
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -24,12 +24,14 @@
 }
 
 // slowness returns t's latency as a multiple of the mean, by its own answers or else by those of its kind.
-func (b *Balancer) slowness(t *backend) float64 { return cmp.Or(t.slowRatio, b.kindOf(t).slowRatio) }
+func (b *Balancer) slowness(t *backend) float64 {
+	return cmp.Or(t.slowRatio, b.slownessOfKind(t).slowRatio)
+}
 
-// kindOf returns the slowness of t's kind, which stands in for a backend without answers. Only a quiet agent
+// slownessOfKind returns the slowness of t's kind, which stands in for a backend without answers. Only a quiet agent
 // learns it, since it meets few backends twice. A busy agent soon knows each backend, and there the answers
 // of a dead zone would count against the other backends of the kind.
-func (b *Balancer) kindOf(t *backend) *slowness {
+func (b *Balancer) slownessOfKind(t *backend) *slowness {
 	if b.kindSlowness[t.Kind] == nil {
 		b.kindSlowness[t.Kind] = &slowness{slowRatio: 1}
 		if t.Weight > 0 && b.meanWeight > 0 { // gives picks by the inverse cube in proportion to the weight
@@ -45,8 +47,8 @@
 // learnSpeed adds a latency, as a multiple of the expected one, to the slowness of t and of its kind. The
 // first samples weigh more, since a quiet agent sees few answers of each backend.
 func (b *Balancer) learnSpeed(t *backend, sample float64) {
-	t.slowRatio = cmp.Or(t.slowRatio, b.kindOf(t).slowRatio)
-	for _, s := range []*slowness{&t.slowness, b.kindOf(t)} {
+	t.slowRatio = cmp.Or(t.slowRatio, b.slownessOfKind(t).slowRatio)
+	for _, s := range []*slowness{&t.slowness, b.slownessOfKind(t)} {
 		s.samples++
 		s.slowRatio += max(meanStep, 1/(s.samples+priorSamples)) * (min(sample, maxSlowSample) - s.slowRatio)
 	}
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -9,7 +9,7 @@
 // of a large fleet's limit is small and no whole number, so the agent keeps to it as a mean over time and may
 // save up attempt time (savedTime).
 func (b *Balancer) hasRoom() bool {
-	inUse, limit := float64(b.inFlight-b.stuck), b.limitPart()
+	inUse, limit := float64(b.inFlight-b.stuck), b.limitWithoutMinimum()
 	if !b.quiet() && inUse < limit {
 		return true
 	}
@@ -20,7 +20,7 @@
 // attempt time used.
 func (b *Balancer) updateSavedTime() {
 	maxSaved := maxSavedLatencies * b.meanLatency() * b.quietness()
-	gain := (b.limitPart() - float64(b.inFlight-b.stuck)) * float64(b.now-b.savedAt)
+	gain := (b.limitWithoutMinimum() - float64(b.inFlight-b.stuck)) * float64(b.now-b.savedAt)
 	b.savedTime = max(-maxSaved, min(maxSaved, b.savedTime+gain))
 	b.savedAt = b.now
 }
@@ -75,10 +75,12 @@
 
 // limit returns the number of attempts that this process may have in flight, at least 1. It follows the list
 // as the fleet grows and shrinks, and a cold backend counts by its warmth.
-func (b *Balancer) limit() float64 { return max(1, b.limitPart()) }
+func (b *Balancer) limit() float64 { return max(1, b.limitWithoutMinimum()) }
 
-// limitPart returns the limit without the minimum of one attempt.
-func (b *Balancer) limitPart() float64 { return max(b.perBackend*b.capacity*b.limitShare, 1e-6) }
+// limitWithoutMinimum returns the limit without the minimum of one attempt.
+func (b *Balancer) limitWithoutMinimum() float64 {
+	return max(b.perBackend*b.capacity*b.limitShare, 1e-6)
+}
 
 // quietness returns how far agents outnumber backends, from 0 for a single agent to 1 if agents are quiet.
 func (b *Balancer) quietness() float64 {
@@ -113,7 +115,7 @@
 		// reports understate the load.
 		if b.settings.Reports == ReportsInline {
 			for _, a := range t.inFlight {
-				if float64(b.now-a.sentAt) > overdueLatencies*a.expected {
+				if float64(b.now-a.sentAt) > overdueLatencies*a.expectedLatency {
 					b.stuck++
 				}
 			}
--- a/balance/limit_share.go
+++ b/balance/limit_share.go
@@ -20,8 +20,8 @@
 	demandLen               = 5    // bytes of a message
 )
 
-// demand is a peer's demand, in attempts, and when its message came.
-type demand struct {
+// peerDemand is a peer's demand, in attempts, and when its message came.
+type peerDemand struct {
 	attempts   float64
 	receivedAt time.Duration
 }
@@ -60,7 +60,7 @@
 		e.From < 0 || e.From >= len(b.peerDemands) || e.From == b.settings.Self {
 		return
 	}
-	b.peerDemands[e.From] = demand{float64(binary.BigEndian.Uint32(e.Data[1:])) / 256, b.now}
+	b.peerDemands[e.From] = peerDemand{float64(binary.BigEndian.Uint32(e.Data[1:])) / 256, b.now}
 }
 
 // onFleet updates the number of agents. The limit, the waits before a Subscribe and the ejection times follow
@@ -70,7 +70,7 @@
 	b.settings.Balancers, b.maxBalancers = max(1, e.Alive), max(1, e.Alive, e.MaxAlive)
 	for _, i := range e.Departed {
 		if i >= 0 && i < len(b.peerDemands) {
-			b.peerDemands[i] = demand{}
+			b.peerDemands[i] = peerDemand{}
 		}
 	}
 	b.updateLimitShare()
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -123,7 +123,7 @@
 	for _, a := range d.agents[agent].Step(d.now, []balance.Event{e}) {
 		switch a := a.(type) {
 		case balance.Send:
-			d.send(agent, a)
+			d.playAttempt(agent, a)
 		case balance.SetTimer:
 			d.at(d.now+a.After, func() { d.step(agent, balance.TimerFired{Token: a.Token}) })
 		case balance.TellPeer:
@@ -168,8 +168,8 @@
 	d.step(agent, balance.Request{ID: id, TimeLeft: simTimeLeft})
 }
 
-// send plays an attempt at its node and passes its outcome to the agent.
-func (d *simulation) send(agent int, a balance.Send) {
+// playAttempt plays an attempt at its node and passes its outcome to the agent.
+func (d *simulation) playAttempt(agent int, a balance.Send) {
 	r, n := d.open[a.Request], d.nodes[a.Backend]
 	if r == nil {
 		panic("send for a request that has ended")
--- a/balance/reconfigure_test.go
+++ b/balance/reconfigure_test.go
@@ -212,7 +212,7 @@
 			r.request("new", safe)
 			for range 4 {
 				for _, id := range []string{"old", "new"} {
-					r.outcome(id, balance.Errored, 5*ms)
+					r.endAttempt(id, balance.Errored, 5*ms)
 				}
 				r.advance(200 * ms)
 			}
@@ -290,8 +290,8 @@
 	r := newRig(t, s, 1, backends(6))
 	r.step(balance.Request{ID: "old", Class: safe, TimeLeft: 2000 * ms}, balance.Reconfigure{Settings: n},
 		balance.Request{ID: "new", Class: safe, TimeLeft: 2000 * ms})
-	r.outcome("old", balance.Errored, 5*ms)
-	r.outcome("new", balance.Errored, 5*ms)
+	r.endAttempt("old", balance.Errored, 5*ms)
+	r.endAttempt("new", balance.Errored, 5*ms)
 	r.advance(500 * ms)
 	if len(r.sent["old"]) != 2 || len(r.sent["new"]) != 1 {
 		t.Errorf("sent %v", r.sent)
@@ -303,7 +303,7 @@
 	r := newRig(t, settings(), 1, backends(6))
 	r.serve(200, safe, 40*ms)
 	r.request("bad", safe)
-	r.outcome("bad", balance.Errored, 5*ms)
+	r.endAttempt("bad", balance.Errored, 5*ms)
 	r.advance(100 * ms)
 	var notes []balance.Note
 	r.b.Explain(func(n balance.Note) { notes = append(notes, n) })
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -33,7 +33,7 @@
 		reason = NoTime
 	}
 	if reason != NoReason {
-		b.finish(r, reason)
+		b.refuseOrFail(r, reason)
 		return
 	}
 	b.retryTokens -= cost
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -14,7 +14,7 @@
 // auditor checks the four rules (one final answer to each request in time, repeats only where allowed, drains
 // kept, no cold backend overloaded) from events and actions alone: it records them and models no backend.
 type auditor struct {
-	s        balance.Settings
+	settings balance.Settings
 	now      time.Duration
 	requests map[string]*auditedRequest // by ID, all that arrived
 	backends map[string]*auditedBackend // by ID, all that were listed
@@ -46,26 +46,26 @@
 type auditedSend struct {
 	backend    string
 	at         time.Duration
-	out        bool // it has no outcome yet
+	open       bool // it has no outcome yet
 	mayHaveRun bool // set once it has ended
 }
 
 // auditedBackend is what the auditor knows about a backend.
 type auditedBackend struct {
 	balance.Backend
-	removedAt time.Duration   // when the list said that it drains or is gone; 0: it is up
-	started   time.Duration   // when it started, by the list; 0: it is warm
-	sends     []time.Duration // when attempts were sent to it since its latest start by the list
+	unavailableSince time.Duration   // when the list said that it drains or is gone; 0: it is up
+	started          time.Duration   // when it started, by the list; 0: it is warm
+	sends            []time.Duration // when attempts were sent to it since its latest start by the list
 }
 
 func newAuditor(s balance.Settings) *auditor {
-	return &auditor{s: s, requests: map[string]*auditedRequest{}, backends: map[string]*auditedBackend{},
+	return &auditor{settings: s, requests: map[string]*auditedRequest{}, backends: map[string]*auditedBackend{},
 		loosestCold: coldLimits{share: s.ColdShare, multiple: s.FallMultiple, ramp: s.RampTime}}
 }
 
 // reconfigured records new settings, which apply to requests that come from now on.
 func (a *auditor) reconfigured(s balance.Settings) {
-	a.s = s
+	a.settings = s
 	a.loosestCold = coldLimits{share: max(a.loosestCold.share, s.ColdShare), multiple: max(a.loosestCold.multiple, s.FallMultiple),
 		ramp: min(a.loosestCold.ramp, s.RampTime)}
 }
@@ -79,18 +79,18 @@
 func (a *auditor) event(e balance.Event) {
 	switch e := e.(type) {
 	case balance.Request:
-		if e.Class >= 0 && e.Class < len(a.s.Classes) && a.requests[e.ID] == nil {
-			a.requests[e.ID] = &auditedRequest{class: a.s.Classes[e.Class], deadline: a.now + e.TimeLeft,
-				maxAttempts: max(1, a.s.MaxAttempts), secondCopies: a.s.SecondCopies}
+		if e.Class >= 0 && e.Class < len(a.settings.Classes) && a.requests[e.ID] == nil {
+			a.requests[e.ID] = &auditedRequest{class: a.settings.Classes[e.Class], deadline: a.now + e.TimeLeft,
+				maxAttempts: max(1, a.settings.MaxAttempts), secondCopies: a.settings.SecondCopies}
 		}
 	case balance.Reconfigure:
 		a.reconfigured(e.Settings)
 	case balance.Outcome:
 		r := a.requests[e.Request]
-		if r == nil || e.Attempt < 0 || e.Attempt >= len(r.sends) || !r.sends[e.Attempt].out {
+		if r == nil || e.Attempt < 0 || e.Attempt >= len(r.sends) || !r.sends[e.Attempt].open {
 			return
 		}
-		r.sends[e.Attempt].out = false
+		r.sends[e.Attempt].open = false
 		r.sends[e.Attempt].mayHaveRun = !e.Result.NeverRan()
 		r.ended = r.ended || e.Done
 	case balance.StreamStarted:
@@ -117,16 +117,16 @@
 				b.started, b.sends = n.Started, nil
 			}
 			if n.State == balance.Up {
-				b.removedAt = 0
-			} else if b.Backend.State == balance.Up || b.removedAt == 0 {
-				b.removedAt = a.now
+				b.unavailableSince = 0
+			} else if b.Backend.State == balance.Up || b.unavailableSince == 0 {
+				b.unavailableSince = a.now
 			}
 			b.Backend = n
 		}
 		if e.Kind != balance.ListDelta {
 			for id, b := range a.backends {
-				if !listed[id] && b.removedAt == 0 {
-					b.removedAt = a.now
+				if !listed[id] && b.unavailableSince == 0 {
+					b.unavailableSince = a.now
 					b.State = balance.Gone
 				}
 			}
@@ -147,7 +147,7 @@
 		for _, s := range r.sends {
 			free := r.class.Effect == balance.Safe ||
 				r.class.Effect == balance.Keyed && r.class.Group == balance.GroupAll
-			if (s.mayHaveRun || s.out) && !free {
+			if (s.mayHaveRun || s.open) && !free {
 				a.fault("%s refused though an attempt may have run", act.Request)
 			}
 		}
@@ -158,7 +158,7 @@
 			a.fault("a timer in the past: %v", act.After)
 		}
 	case balance.TellPeer:
-		if !a.s.Peers || len(act.Data) > 256 || act.To < balance.EveryPeer || act.To >= a.s.Balancers || act.To == a.s.Self {
+		if !a.settings.Peers || len(act.Data) > 256 || act.To < balance.EveryPeer || act.To >= a.settings.Balancers || act.To == a.settings.Self {
 			a.fault("%d bytes to peer %d", len(act.Data), act.To)
 		}
 	}
@@ -173,7 +173,7 @@
 		return nil
 	case r.ended && r.leftAt != a.now:
 		a.fault("%s answered twice", id)
-	case a.now > r.deadline+a.s.AnswerGrace && !r.stream:
+	case a.now > r.deadline+a.settings.AnswerGrace && !r.stream:
 		a.fault("%s answered late", id)
 	}
 	r.ended, r.leftAt = true, 0
@@ -194,16 +194,16 @@
 	if len(r.sends) >= r.maxAttempts {
 		a.fault("%s sent past the attempt limit", act.Request)
 	}
-	if b.removedAt > 0 && a.now > b.removedAt+a.s.DrainGrace {
-		a.fault("%s sent to %s, told %v ago to drain or be gone", act.Request, act.Backend, a.now-b.removedAt)
+	if b.unavailableSince > 0 && a.now > b.unavailableSince+a.settings.DrainGrace {
+		a.fault("%s sent to %s, told %v ago to drain or be gone", act.Request, act.Backend, a.now-b.unavailableSince)
 	}
 	var anchor *auditedSend
 	for i := range r.sends {
 		s := &r.sends[i]
-		if s.out && !r.secondCopies {
+		if s.open && !r.secondCopies {
 			a.fault("%s has two attempts out", act.Request)
 		}
-		if anchor == nil && (s.out || s.mayHaveRun) {
+		if anchor == nil && (s.open || s.mayHaveRun) {
 			anchor = s
 		}
 	}
@@ -219,7 +219,7 @@
 			a.fault("%s sent again outside its group", act.Request)
 		}
 	}
-	r.sends = append(r.sends, auditedSend{backend: act.Backend, at: a.now, out: true})
+	r.sends = append(r.sends, auditedSend{backend: act.Backend, at: a.now, open: true})
 	b.sends = append(b.sends, a.now)
 	a.checkCold(b)
 }
@@ -231,7 +231,7 @@
 	if b.started == 0 || a.now-b.started >= a.loosestCold.ramp || a.loosestCold.ramp == 0 {
 		return
 	}
-	span := max(a.s.FallWindow, 1)
+	span := max(a.settings.FallWindow, 1)
 	count := func(b *auditedBackend, span time.Duration) (n int) {
 		for _, at := range b.sends {
 			if a.now-at < span {
@@ -248,7 +248,7 @@
 		}
 	}
 	if !warm { // no warm backend to compare with: assume one core that needs a quarter of the aim for a request
-		most = max(most, int(4*span/a.s.Classes[0].Aim))
+		most = max(most, int(4*span/a.settings.Classes[0].Aim))
 	}
 	warmth := a.loosestCold.share + (1-a.loosestCold.share)*max(0, float64(a.now-b.started)/float64(a.loosestCold.ramp))
 	if got := count(b, span); float64(got) > a.loosestCold.multiple*warmth*float64(most)+2 {
@@ -260,7 +260,7 @@
 // checkAnswered checks that every request whose time has passed has its final answer.
 func (a *auditor) checkAnswered() {
 	for id, r := range a.requests {
-		if !r.ended && !r.stream && a.now > r.deadline+a.s.AnswerGrace {
+		if !r.ended && !r.stream && a.now > r.deadline+a.settings.AnswerGrace {
 			a.fault("%s got no answer in time", id)
 			r.ended = true
 		}
@@ -378,7 +378,7 @@
 				Data: binary.BigEndian.AppendUint64(nil, rng.Uint64())[:rng.IntN(9)]})
 		}
 		rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
-		events = append(further(a.s), events...)
+		events = append(further(a.settings), events...)
 		for _, e := range events {
 			a.event(e)
 		}
@@ -494,11 +494,11 @@
 		r := newRig(t, settings(), uint64(i), list)
 		id := fmt.Sprint("q", i)
 		r.step(balance.Request{ID: id, Class: safe, TimeLeft: 2000 * ms, OnlyBackend: "b"})
-		r.outcome(id, balance.Errored, 10*ms)
+		r.endAttempt(id, balance.Errored, 10*ms)
 		r.advance(1000 * ms)
 		if len(r.sent[id]) > 1 {
 			retried++
-			r.outcome(id, balance.OK, 20*ms)
+			r.endAttempt(id, balance.OK, 20*ms)
 		}
 		for _, to := range r.sent[id] {
 			if to != "b" {
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -43,13 +43,13 @@
 		nonNegative{"MaxAttempts", float64(s.MaxAttempts)}, nonNegative{"StreamsPerConn", float64(s.StreamsPerConn)},
 		nonNegative{"MaxOpen", float64(s.MaxOpen)}, nonNegative{"OverShare", s.OverShare},
 		nonNegative{"FallMultiple", s.FallMultiple},
-		nonNegativeSpan("Tick", s.Tick), nonNegativeSpan("MaxRetryAfter", s.MaxRetryAfter),
-		nonNegativeSpan("ConnectTimeout", s.ConnectTimeout),
-		nonNegativeSpan("IdleClose", s.IdleClose), nonNegativeSpan("CPUPerSecond", s.CPUPerSecond),
-		nonNegativeSpan("CPUPerRequest", s.CPUPerRequest), nonNegativeSpan("DrainGrace", s.DrainGrace),
-		nonNegativeSpan("AnswerGrace", s.AnswerGrace), nonNegativeSpan("AskWithin", s.AskWithin),
-		nonNegativeSpan("RampTime", s.RampTime),
-		nonNegativeSpan("FallWindow", s.FallWindow),
+		nonNegativeDuration("Tick", s.Tick), nonNegativeDuration("MaxRetryAfter", s.MaxRetryAfter),
+		nonNegativeDuration("ConnectTimeout", s.ConnectTimeout),
+		nonNegativeDuration("IdleClose", s.IdleClose), nonNegativeDuration("CPUPerSecond", s.CPUPerSecond),
+		nonNegativeDuration("CPUPerRequest", s.CPUPerRequest), nonNegativeDuration("DrainGrace", s.DrainGrace),
+		nonNegativeDuration("AnswerGrace", s.AnswerGrace), nonNegativeDuration("AskWithin", s.AskWithin),
+		nonNegativeDuration("RampTime", s.RampTime),
+		nonNegativeDuration("FallWindow", s.FallWindow),
 		nonNegative{"GoalWhole", s.GoalWhole}, nonNegative{"GoalWindow", s.GoalWindow},
 		nonNegative{"GoalClass", s.GoalClass}, nonNegative{"GoalTenant", s.GoalTenant},
 		nonNegative{"Prices.Connection", s.Prices.Connection}, nonNegative{"Prices.CrossZone", s.Prices.CrossZone},
@@ -73,7 +73,7 @@
 		return invalidSettingError(at+"Group", c.Group)
 	}
 	return checkNonNegative(nonNegative{at + "Worth", c.Worth}, nonNegative{at + "LateWorth", c.LateWorth},
-		nonNegativeSpan(at+"Window", c.Window), nonNegative{at + "Stretch", c.Stretch})
+		nonNegativeDuration(at+"Window", c.Window), nonNegative{at + "Stretch", c.Stretch})
 }
 
 // nonNegative is a setting that must be finite and not below 0.
@@ -82,8 +82,8 @@
 	value float64
 }
 
-// nonNegativeSpan returns a duration as a nonNegative, in seconds.
-func nonNegativeSpan(field string, d time.Duration) nonNegative {
+// nonNegativeDuration returns a duration as a nonNegative, in seconds.
+func nonNegativeDuration(field string, d time.Duration) nonNegative {
 	return nonNegative{field, d.Seconds()}
 }
 
--- a/balance/sites_test.go
+++ b/balance/sites_test.go
@@ -60,7 +60,7 @@
 	if trial == "" || trial[0] != 'b' {
 		t.Errorf("the trial went to %q", trial)
 	}
-	r.outcome("trial", balance.TimedOut, 200*time.Millisecond)
+	r.endAttempt("trial", balance.TimedOut, 200*time.Millisecond)
 	if by := r.zones(100, 0); by['b'] != 0 {
 		t.Errorf("sent %v after the trial", by)
 	}
@@ -153,7 +153,7 @@
 			t.Fatalf("%s was refused, though no other request waits", id)
 		}
 	}
-	if sends(r.outcome(out[0], balance.OK, 20*time.Millisecond)) != 1 {
+	if sends(r.endAttempt(out[0], balance.OK, 20*time.Millisecond)) != 1 {
 		t.Error("the room was not used")
 	}
 }
@@ -175,7 +175,7 @@
 }
 
 // The backends of a lost site don't count in the limit on attempts in flight.
-func TestLimitFollowsSites(t *testing.T) {
+func TestLostSiteLowersLimit(t *testing.T) {
 	fill := func(share []float64) (n int) {
 		r := newThreeSitesRig(t, 5)
 		r.step(balance.Sites{ZoneWeights: share})
--- a/balance/state.go
+++ b/balance/state.go
@@ -68,10 +68,10 @@
 
 // attempt is one attempt of a request, sent and perhaps ended.
 type attempt struct {
-	backend  *backend
-	sentAt   time.Duration
-	expected float64 // expected latency, ns
-	open     bool    // its outcome has not come yet
+	backend         *backend
+	sentAt          time.Duration
+	expectedLatency float64 // expected latency, ns
+	open            bool    // its outcome has not come yet
 
 	// Estimate, from this agent's attempts, of all agents' attempts in flight per backend when it was sent.
 	concurrency float64
--- a/cmd/lemonctl/clusterloss.go
+++ b/cmd/lemonctl/clusterloss.go
@@ -29,15 +29,15 @@
 
 // lossRow is the result of one run: the loss of a site under one strategy.
 type lossRow struct {
-	Way    string              `json:"way"` // name of the strategy, one of the values of --ways
-	Result *cluster.LossResult `json:"result"`
+	Strategy string              `json:"way"` // name of the strategy, one of the values of --ways
+	Result   *cluster.LossResult `json:"result"`
 }
 
 // Run carries out a run for each seed and strategy, up to --abreast at a time, and prints a table. It returns
 // errRuleViolated if a run violated a rule.
 func (c *clusterLoseCmd) Run(ctx context.Context, s streams) error {
 	type job struct {
-		loss cluster.Loss
+		loss cluster.SiteLoss
 		way  string
 	}
 	var jobs []job
@@ -68,7 +68,7 @@
 		workers.Go(func() {
 			for i := range jobIndexes {
 				fmt.Fprintf(s.err, "%d of %d: seed %d, %s\n", i+1, len(jobs), jobs[i].loss.Seed, jobs[i].way)
-				rows[i].Way = jobs[i].way
+				rows[i].Strategy = jobs[i].way
 				rows[i].Result, errs[i] = c.runLoss(ctx, jobs[i].loss, jobs[i].way)
 			}
 		})
@@ -97,7 +97,7 @@
 }
 
 // runLoss carries out one run: the loss of a site while the agents use the strategy named way.
-func (c *clusterLoseCmd) runLoss(ctx context.Context, loss cluster.Loss, way string) (out *cluster.LossResult, err error) {
+func (c *clusterLoseCmd) runLoss(ctx context.Context, loss cluster.SiteLoss, way string) (out *cluster.LossResult, err error) {
 	dir, err := os.MkdirTemp("", "lemonctl-lose-")
 	if err != nil {
 		return nil, err
@@ -130,14 +130,14 @@
 		pct := func(class string) string {
 			return fmt.Sprintf("%.1f %%", 100*float64(result.Refused[class])/float64(max(1, result.Asked[class])))
 		}
-		fmt.Fprintf(t, "%d\t%s\t%s\t%.2f\t%s\t%.3f\t%.3f\t%.1f s\t%.1f s\t%.2f\t%s\t%s\t%s\n", result.Loss.Seed, result.Loss.What, result.Loss.Also, result.Loss.Share, r.Way, result.Served,
-			result.Soon, result.After, result.Return, result.Wave, pct("read"), pct("sub"), verdict)
+		fmt.Fprintf(t, "%d\t%s\t%s\t%.2f\t%s\t%.3f\t%.3f\t%.1f s\t%.1f s\t%.2f\t%s\t%s\t%s\n", result.Loss.Seed, result.Loss.What, result.Loss.Also, result.Loss.Share, r.Strategy, result.Served,
+			result.Served3To5S, result.After, result.Return, result.MaxReturnOvershoot, pct("read"), pct("sub"), verdict)
 	}
 	if err := t.Flush(); err != nil || !c.Windows {
 		return err
 	}
 	for _, r := range rows {
-		fmt.Fprintf(s.out, "seed %d, %s, states %v:", r.Result.Loss.Seed, r.Way, r.Result.States)
+		fmt.Fprintf(s.out, "seed %d, %s, states %v:", r.Result.Loss.Seed, r.Strategy, r.Result.States)
 		for _, w := range r.Result.Windows {
 			fmt.Fprintf(s.out, " %.0f", 100*w.Served/max(w.Best, 1e-9))
 			if w.Got != nil {
--- a/cmd/lemonctl/sitesplan.go
+++ b/cmd/lemonctl/sitesplan.go
@@ -20,11 +20,11 @@
 
 // sitePlan holds the plans of all strategies for one case of lost capacity.
 type sitePlan struct {
-	Remain      []float64             `json:"remain"`      // share of its capacity that each site has left
-	Description string                `json:"what"`        // the loss, such as "lost: a; half of: b"
-	Ways        map[string]*site.Plan `json:"ways"`        // plans by the name of the strategy, see strategies
-	Load        []float64             `json:"load"`        // load of each site under the strategy "plan", in requests of mean work per second
-	Seconds     float64               `json:"solved_in_s"` // time that the solver took for the strategy "plan", in seconds
+	Remain          []float64             `json:"remain"`      // share of its capacity that each site has left
+	Description     string                `json:"what"`        // the loss, such as "lost: a; half of: b"
+	PlansByStrategy map[string]*site.Plan `json:"ways"`        // plans by the name of the strategy, see strategies
+	Load            []float64             `json:"load"`        // load of each site under the strategy "plan", in requests of mean work per second
+	SolveSeconds    float64               `json:"solved_in_s"` // time that the solver took for the strategy "plan", in seconds
 }
 
 // Run prints the plans for the given loss. Without one it prints those for the undisturbed state and for the loss of
@@ -80,15 +80,15 @@
 				description += "; half of: " + strings.Join(x[1], " ")
 			}
 		}
-		out := &sitePlan{Remain: q.Remain, Description: description, Ways: map[string]*site.Plan{}}
+		out := &sitePlan{Remain: q.Remain, Description: description, PlansByStrategy: map[string]*site.Plan{}}
 		start := time.Now()
 		for _, strategy := range strategies(&q) {
 			plan, err := strategy.solve()
 			if err != nil {
 				return fmt.Errorf("%s, %s: %w", description, strategy.name, err)
 			}
-			if out.Ways[strategy.name] = plan; strategy.name == "plan" {
-				out.Seconds = time.Since(start).Seconds()
+			if out.PlansByStrategy[strategy.name] = plan; strategy.name == "plan" {
+				out.SolveSeconds = time.Since(start).Seconds()
 				out.Load = q.Load(plan)
 			}
 		}
@@ -117,9 +117,9 @@
 	for _, p := range plans {
 		fmt.Fprintf(t, "%s\n", p.Description)
 		for _, strategy := range strategies(&site.Problem{}) {
-			fmt.Fprintf(t, "  worth a second, %s:\t%.1f\n", strategy.name, p.Ways[strategy.name].Worth)
+			fmt.Fprintf(t, "  worth a second, %s:\t%.1f\n", strategy.name, p.PlansByStrategy[strategy.name].Worth)
 		}
-		plan := p.Ways["plan"]
+		plan := p.PlansByStrategy["plan"]
 		for o, name := range names {
 			var to, admit []string
 			for i, share := range plan.To[o] {
--- a/cmd/lemonctl/sitesplan_test.go
+++ b/cmd/lemonctl/sitesplan_test.go
@@ -24,7 +24,7 @@
 		t.Fatalf("exit %d, %v: %s", code, err, errOut)
 	}
 	p := got.Plans[0]
-	if best := p.Ways["plan"].Worth; best < p.Ways["nearest first"].Worth-1e-6 || best < p.Ways["in proportion"].Worth-1e-6 || p.Load[0] != 0 {
+	if best := p.PlansByStrategy["plan"].Worth; best < p.PlansByStrategy["nearest first"].Worth-1e-6 || best < p.PlansByStrategy["in proportion"].Worth-1e-6 || p.Load[0] != 0 {
 		t.Errorf("%+v", p)
 	}
 	if code, _, errOut := call(t, "", "sites", "plan", "files/sites.toml", "--lost", "nowhere"); code != 1 || !strings.Contains(errOut, "anand, surat, bhuj") {
--- a/internal/admission/listener_test.go
+++ b/internal/admission/listener_test.go
@@ -206,11 +206,11 @@
 // completely. The seed decides how many bytes have been sent when the new connection arrives, and whether the
 // answer is being written.
 func TestRequestRacesEviction(t *testing.T) {
-	for _, granted := range []time.Duration{0, time.Hour} { // Config.MinIdle: with an hour no idle connection is evicted, so the request must be served
-		t.Run(fmt.Sprintf("granted %v", granted), func(t *testing.T) {
-			rng := rand.New(rand.NewPCG(*seed, uint64(granted)))
-			cfg := Config{MaxConnections: 1, MaxRefusals: 1, NewGrace: 0, StallTimeout: 0, MinIdle: granted, AdmitTimeout: testTimeout}
-			if granted > 0 {
+	for _, minIdle := range []time.Duration{0, time.Hour} { // Config.MinIdle: with an hour no idle connection is evicted, so the request must be served
+		t.Run(fmt.Sprintf("granted %v", minIdle), func(t *testing.T) {
+			rng := rand.New(rand.NewPCG(*seed, uint64(minIdle)))
+			cfg := Config{MaxConnections: 1, MaxRefusals: 1, NewGrace: 0, StallTimeout: 0, MinIdle: minIdle, AdmitTimeout: testTimeout}
+			if minIdle > 0 {
 				cfg.StallTimeout = time.Hour
 			}
 			s := newTestServer(t, cfg)
@@ -252,7 +252,7 @@
 					served++
 				case s.readCount(id) != 0:
 					t.Errorf("round %d, cut at %d of %d: read %d times and answered %d %q", i, cut, len(text), s.readCount(id), status, body)
-				case granted > 0:
+				case minIdle > 0:
 					t.Errorf("round %d, cut at %d of %d: got %d %q within the minimum idle time", i, cut, len(text), status, body)
 				case status == http.StatusServiceUnavailable || status == http.StatusRequestTimeout:
 					timedOut++
@@ -265,7 +265,7 @@
 				newcomer.Close()
 			}
 			t.Logf("%d served, %d closed between requests, %d refused within a request", served, closed, timedOut)
-			if served == 0 || granted == 0 && closed+timedOut == 0 {
+			if served == 0 || minIdle == 0 && closed+timedOut == 0 {
 				t.Error("the race did not occur with both outcomes")
 			}
 		})
@@ -504,16 +504,16 @@
 	}
 }
 
-// exhaustedListener fails its next accepts for lack of descriptors, as many as failures says. Each of them returns only
+// descriptorStarvedListener fails its next accepts for lack of descriptors, as many as failures says. Each of them returns only
 // once release is closed.
-type exhaustedListener struct {
+type descriptorStarvedListener struct {
 	net.Listener
 	failures atomic.Int64  // accepts that are still to fail
 	calls    atomic.Int64  // calls of Accept
 	release  chan struct{} // once closed, failing accepts return
 }
 
-func (s *exhaustedListener) Accept() (net.Conn, error) {
+func (s *descriptorStarvedListener) Accept() (net.Conn, error) {
 	out := s.failures.Add(-1) >= 0
 	s.calls.Add(1)
 	if out {
@@ -530,7 +530,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sc := &exhaustedListener{Listener: ln, release: make(chan struct{})}
+	sc := &descriptorStarvedListener{Listener: ln, release: make(chan struct{})}
 	s := newTestServerOn(t, sc, Config{MaxConnections: 10, MaxRefusals: 1, NewGrace: 0, StallTimeout: time.Hour, MinIdle: time.Hour})
 	kept, silent := s.dial(t), s.dial(t)
 	kept.exchange("before")
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -103,7 +103,7 @@
 	case <-ctx.Done():
 		log.Info("stopping")
 		answerBy := time.Now().Add(cfg.answerTimeout)
-		closeAt = answerBy.Add(killMargin / 2)
+		closeAt = answerBy.Add(answerMargin / 2)
 		all.beginStop(answerBy)
 		if failure = waitOrFailure(cfg.drainDelay, running.failed); failure == nil {
 			all.drain()
@@ -128,8 +128,8 @@
 	}
 	up := upstream.New(&cfg.Settings, sockets, log)
 	l.Backend = up
-	l.Figures = metrics.New(cfg.Names.Classes)
-	up.CountAttempts(&l.Figures.Attempts)
+	l.Metrics = metrics.New(cfg.Names.Classes)
+	up.CountAttempts(&l.Metrics.Attempts)
 
 	diameter, err := diameterPart(cfg, l, up, log)
 	if err != nil {
@@ -145,7 +145,7 @@
 	}
 	processes := newProcessGroup(cfg, l, up, sockets, listener, members, log)
 	listener.processes = processes
-	operators := &controlAPI{loop: l, figures: l.Figures, processes: processes}
+	operators := &controlAPI{loop: l, figures: l.Metrics, processes: processes}
 	sites, siteDriver, err := sitesPart(cfg, l, members, operators, log)
 	if err != nil {
 		return parts{diameter}, err
@@ -229,7 +229,7 @@
 // while it runs, and the listener, whose fields the caller has to set before the part starts.
 func clientsPart(cfg *Config, l *core.Loop, up *upstream.Upstream, sockets *upstream.Sockets, ln net.Listener,
 	log *slog.Logger) (*part, *front.Server, *clientListener, error) {
-	s := &front.Server{Loop: l, Settings: &cfg.Settings, Names: cfg.Names, Figures: l.Figures, Memory: cfg.MemoryMB << 20}
+	s := &front.Server{Loop: l, Settings: &cfg.Settings, Names: cfg.Names, Figures: l.Metrics, Memory: cfg.MemoryMB << 20}
 	admitted, err := admission.Listen(ln, admission.DefaultConfig(int(sockets.Limit), cfg.MemoryMB<<20), s.RetryAfter(),
 		admission.Hooks{
 			Opened: func() {
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -13,7 +13,7 @@
 	"lemonrail/balance"
 )
 
-const subHead = "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + goodHeaders
+const subHead = "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + validHeaders
 
 // receivedRequest is what a backend received of one request.
 type receivedRequest struct {
@@ -60,9 +60,9 @@
 		{"chunks streamed", subHead + "Transfer-Encoding: chunked\r\n\r\n" + chunked(long, 70000), "/sub", long},
 		{"a length buffered", subHead + "Content-Length: 300000\r\n\r\n" + long[:300000], "/sub", long[:300000]},
 		{"a length streamed", subHead + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(long)) + long, "/sub", long},
-		{"an absolute target", "GET HTTP://x:80/read?key=1 HTTP/1.1\r\nHost: x\r\n" + goodHeaders + "\r\n", "/read?key=1", ""},
-		{"a long header", "GET /read HTTP/1.1\r\nHost: x\r\nX-Trace: " + strings.Repeat("t", 12<<10) + "\r\n" + goodHeaders + "\r\n", "/read", ""},
-		{"a folded header", "GET /read HTTP/1.1\r\nHost: x\r\nX-Trace: a\r\n b\r\n" + goodHeaders + "\r\n", "/read", ""},
+		{"an absolute target", "GET HTTP://x:80/read?key=1 HTTP/1.1\r\nHost: x\r\n" + validHeaders + "\r\n", "/read?key=1", ""},
+		{"a long header", "GET /read HTTP/1.1\r\nHost: x\r\nX-Trace: " + strings.Repeat("t", 12<<10) + "\r\n" + validHeaders + "\r\n", "/read", ""},
+		{"a folded header", "GET /read HTTP/1.1\r\nHost: x\r\nX-Trace: a\r\n b\r\n" + validHeaders + "\r\n", "/read", ""},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			addr, seen := recordingBackend(t)
@@ -121,7 +121,7 @@
 func TestStreamedBodyAfterRefusedConnection(t *testing.T) {
 	addr, seen := recordingBackend(t)
 	sends := 0
-	bal := newScripted(func(e balance.Event) []balance.Action {
+	bal := newDecider(func(e balance.Event) []balance.Action {
 		switch e := e.(type) {
 		case balance.Request:
 			return []balance.Action{balance.Send{Request: e.ID, Backend: "h0"}}
@@ -159,7 +159,7 @@
 // A client that disconnects in the middle of a body leaves no request behind, and no backend gets a whole request.
 func TestStreamedBodyClientDisconnects(t *testing.T) {
 	addr, seen := recordingBackend(t)
-	bal := newScripted(func(e balance.Event) []balance.Action {
+	bal := newDecider(func(e balance.Event) []balance.Action {
 		if r, ok := e.(balance.Request); ok {
 			return []balance.Action{balance.Send{Request: r.ID, Backend: "h0"}}
 		}
@@ -180,7 +180,7 @@
 // The time that a client waits counts from the last byte of its body, so a body that comes slowly uses none of it.
 func TestTimeCountsFromLastByte(t *testing.T) {
 	addr, seen := recordingBackend(t)
-	bal := newScripted(sendAll)
+	bal := newDecider(sendAll)
 	base, _, _ := startAgent(t, testConfig(t, addr), bal)
 	c := dial(t, base)
 	first, last := "hel", "lo"
--- a/internal/agent/client_disconnect_test.go
+++ b/internal/agent/client_disconnect_test.go
@@ -123,10 +123,10 @@
 	return c
 }
 
-// check has the agent serve ten more requests. It fails the test if a request was sent after its client had left, or if the
+// checkAttempts has the agent serve ten more requests. It fails the test if a request was sent after its client had left, or if the
 // backend received a request more often than it was sent, or one "held..." at all. It returns how many "fail..." requests
 // were attempted only once.
-func (l *disconnectRig) check() (once int) {
+func (l *disconnectRig) checkAttempts() (once int) {
 	for n := range 10 {
 		if resp, _, err := sendRead(newClient(l.t), l.base, fmt.Sprint("last", n)); err != nil || resp.StatusCode != 200 {
 			l.t.Errorf("request after the disconnects: got %v, %v", resp, err)
@@ -174,7 +174,7 @@
 		}
 		c.Close()
 	}
-	l.check()
+	l.checkAttempts()
 }
 
 // 300 clients leave while their requests wait for a retry, which is not made. The retry budget of an agent covers some
@@ -193,7 +193,7 @@
 			}
 			all++
 		}
-		once += l.check()
+		once += l.checkAttempts()
 	}
 	if once < all/2 {
 		t.Errorf("only %d of %d left before another attempt", once, all)
--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -42,36 +42,36 @@
 	return string(got)
 }
 
-const goodHeaders = "X-Correlation-Id: d1\r\nX-Time-Left: 10000m\r\n"
+const validHeaders = "X-Correlation-Id: d1\r\nX-Time-Left: 10000m\r\n"
 
 // A request that could be a smuggling attempt gets an error and a close, and never reaches the balancer: a second request
 // may be hidden behind an ambiguous head.
 func TestAmbiguousRequestsAreRejected(t *testing.T) {
-	bal := newScripted(sendAll)
+	bal := newDecider(sendAll)
 	base, _, _ := startAgent(t, testConfig(t, backend(t, always(hello))), bal)
-	inner := "GET /read HTTP/1.1\r\nHost: x\r\n" + goodHeaders + "\r\n"
+	inner := "GET /read HTTP/1.1\r\nHost: x\r\n" + validHeaders + "\r\n"
 	for _, tt := range []struct{ name, request, status string }{
-		{"both Content-Length and Transfer-Encoding", "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + goodHeaders +
+		{"both Content-Length and Transfer-Encoding", "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + validHeaders +
 			fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 5+len(inner)) + inner, "411"},
-		{"a length behind the coding", "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + goodHeaders +
+		{"a length behind the coding", "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + validHeaders +
 			fmt.Sprintf("Transfer-Encoding: chunked\r\ncontent-LENGTH : %d\r\n\r\n0\r\n\r\n", 5+len(inner)) + inner, "400"},
-		{"a coding that is not chunked", "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + goodHeaders + "Transfer-Encoding: gzip\r\n\r\n" + inner, "501"},
-		{"chunks with GET", "GET /read HTTP/1.1\r\nHost: x\r\n" + goodHeaders + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + inner, "400"},
-		{"a target without a path", "GET http://x?/read HTTP/1.1\r\nHost: x\r\n" + goodHeaders + "\r\n" + inner, "400"},
-		{"two lengths", "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + goodHeaders + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab" + inner, "400"},
-		{"a negative length", "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + goodHeaders + "Content-Length: -1\r\n\r\n" + inner, "400"},
-		{"a body with GET", fmt.Sprintf("GET /read HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", goodHeaders, len(inner), inner), "400"},
-		{"60 MB", "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + goodHeaders + "Content-Length: 60000000\r\n\r\n", "413"},
-		{"no host", "GET /read HTTP/1.1\r\n" + goodHeaders + "\r\n" + inner, "400"},
-		{"an empty host", "GET /read HTTP/1.1\r\nHost:\r\n" + goodHeaders + "\r\n" + inner, "400"},
-		{"an old version", "POST /sub HTTP/1.0\r\nHost: x\r\nIdempotency-Key: k\r\n" + goodHeaders +
+		{"a coding that is not chunked", "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + validHeaders + "Transfer-Encoding: gzip\r\n\r\n" + inner, "501"},
+		{"chunks with GET", "GET /read HTTP/1.1\r\nHost: x\r\n" + validHeaders + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + inner, "400"},
+		{"a target without a path", "GET http://x?/read HTTP/1.1\r\nHost: x\r\n" + validHeaders + "\r\n" + inner, "400"},
+		{"two lengths", "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + validHeaders + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab" + inner, "400"},
+		{"a negative length", "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + validHeaders + "Content-Length: -1\r\n\r\n" + inner, "400"},
+		{"a body with GET", fmt.Sprintf("GET /read HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", validHeaders, len(inner), inner), "400"},
+		{"60 MB", "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + validHeaders + "Content-Length: 60000000\r\n\r\n", "413"},
+		{"no host", "GET /read HTTP/1.1\r\n" + validHeaders + "\r\n" + inner, "400"},
+		{"an empty host", "GET /read HTTP/1.1\r\nHost:\r\n" + validHeaders + "\r\n" + inner, "400"},
+		{"an old version", "POST /sub HTTP/1.0\r\nHost: x\r\nIdempotency-Key: k\r\n" + validHeaders +
 			fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 5+len(inner)) + inner, "505"},
 		{"behind a call of /up", fmt.Sprintf("GET /up HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 5+len(inner)) + inner, "411"},
-		{"two ids", "GET /read HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: d2\r\n" + goodHeaders + "\r\n" + inner, "400"},
+		{"two ids", "GET /read HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: d2\r\n" + validHeaders + "\r\n" + inner, "400"},
 		{"a time in hexadecimal", "GET /read HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: d1\r\nX-Time-Left: 0x1p9m\r\n\r\n" + inner, "400"},
 		{"a time with an exponent", "GET /read HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: d1\r\nX-Time-Left: 1e3m\r\n\r\n" + inner, "400"},
-		{"a hint that is infinite", "GET /read HTTP/1.1\r\nHost: x\r\nX-Weight-Hint: Inf\r\n" + goodHeaders + "\r\n" + inner, "400"},
-		{"a query that can't be read", "GET /read?key=%zz HTTP/1.1\r\nHost: x\r\n" + goodHeaders + "\r\n" + inner, "400"},
+		{"a hint that is infinite", "GET /read HTTP/1.1\r\nHost: x\r\nX-Weight-Hint: Inf\r\n" + validHeaders + "\r\n" + inner, "400"},
+		{"a query that can't be read", "GET /read?key=%zz HTTP/1.1\r\nHost: x\r\n" + validHeaders + "\r\n" + inner, "400"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			got := sendRaw(t, base, tt.request)
@@ -90,11 +90,11 @@
 
 // Clients that send nothing, don't finish their request or keep a connection idle hold a socket for at most 3 s.
 func TestSilentClients(t *testing.T) {
-	base, _, _ := startAgent(t, testConfig(t, backend(t, always(hello))), newScripted(sendAll))
+	base, _, _ := startAgent(t, testConfig(t, backend(t, always(hello))), newDecider(sendAll))
 	begun := time.Now()
 	var conns []net.Conn
-	for _, begin := range []string{"", "GET /re", "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + goodHeaders + "Content-Length: 9\r\n\r\nhalf",
-		"GET /read HTTP/1.1\r\nHost: x\r\n" + goodHeaders + "\r\n"} {
+	for _, begin := range []string{"", "GET /re", "POST /sub HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\n" + validHeaders + "Content-Length: 9\r\n\r\nhalf",
+		"GET /read HTTP/1.1\r\nHost: x\r\n" + validHeaders + "\r\n"} {
 		c := dial(t, base)
 		io.WriteString(c, begin)
 		conns = append(conns, c)
@@ -116,7 +116,7 @@
 		receive(r)
 		time.Sleep(front.HeadTimeout + 200*time.Millisecond)
 		io.WriteString(c, hello)
-	})), newScripted(sendAll))
+	})), newDecider(sendAll))
 	if resp, body, err := sendRead(newClient(t), base, "d1"); err != nil || resp.StatusCode != http.StatusOK || body != "hello" {
 		t.Errorf("got %v, %q, %v", resp, body, err)
 	}
@@ -132,10 +132,10 @@
 		io.WriteString(c, hello)
 	}))
 	cfg.Sockets = reservedSockets + 7 // four for clients while one request is in hand, and two for those that are turned away
-	bal := newScripted(sendAll)
+	bal := newDecider(sendAll)
 	base, _, _ := startAgent(t, cfg, bal)
 	busy := dial(t, base)
-	io.WriteString(busy, "GET /read HTTP/1.1\r\nHost: x\r\n"+goodHeaders+"\r\n")
+	io.WriteString(busy, "GET /read HTTP/1.1\r\nHost: x\r\n"+validHeaders+"\r\n")
 	nextEvent[balance.Request](t, bal)
 	begun := time.Now()
 	var silent []net.Conn
@@ -156,7 +156,7 @@
 
 // A request with an id that has just been answered must not reach a backend.
 func TestIDJustUsed(t *testing.T) {
-	base, _, _ := startAgent(t, testConfig(t, backend(t, always(hello))), newScripted(sendAll))
+	base, _, _ := startAgent(t, testConfig(t, backend(t, always(hello))), newDecider(sendAll))
 	client := newClient(t)
 	for i, want := range []int{http.StatusOK, http.StatusBadRequest} {
 		if resp, _, err := sendRead(client, base, "d1"); err != nil || resp.StatusCode != want {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -150,11 +150,11 @@
 }
 
 // The platform sends SIGKILL no sooner than this after SIGTERM: the longest deadline, counted as maxCountedDeadline at
-// most, plus killDelay. All requests must be answered killMargin before that.
+// most, plus killDelay. All requests must be answered answerMargin before that.
 const (
 	maxCountedDeadline = 3 * time.Second
 	killDelay          = 700 * time.Millisecond
-	killMargin         = 250 * time.Millisecond
+	answerMargin       = 250 * time.Millisecond
 	drainDelayShare    = 0.8 // share of the time for answers for which clients' connections are kept after a stop begins
 
 	// A request that races with the close of its idle connection is sent again on a new connection: the listener stays
@@ -163,7 +163,7 @@
 
 	// After a stop begins the listener stays open at least this long: new connections keep coming for up to 0.4 s, and a request
 	// that races with the close of its idle connection needs another one.
-	listenTime = 600 * time.Millisecond
+	defaultMinListenTime = 600 * time.Millisecond
 )
 
 // planStop divides the time of a planned stop, from SIGTERM on: clients' connections are kept and served for drainDelay, the
@@ -171,8 +171,8 @@
 // long because clients use those that they hold while these are open, and have no other agent: requests on a connection
 // that is closed early are not served.
 func planStop(s *balance.Settings) (drainDelay, minListenTime, answerTimeout time.Duration) {
-	answerTimeout = min(longestDeadline(s), maxCountedDeadline) + killDelay - killMargin
-	return time.Duration(drainDelayShare * float64(answerTimeout)), min(listenTime, answerTimeout), answerTimeout
+	answerTimeout = min(longestDeadline(s), maxCountedDeadline) + killDelay - answerMargin
+	return time.Duration(drainDelayShare * float64(answerTimeout)), min(defaultMinListenTime, answerTimeout), answerTimeout
 }
 
 // planReconnectWindow returns how long the listener stays open after idle connections have been closed.
--- a/internal/agent/configuration_test.go
+++ b/internal/agent/configuration_test.go
@@ -388,7 +388,7 @@
 
 	// order starts a new process, sends it a request, and lists what its balancer receives: changes of settings, then the request.
 	order := func() (kinds []string) {
-		bal := newScripted(sendAll)
+		bal := newDecider(sendAll)
 		a := startConfiguredAgent(t, config(deadAddr(t)), bal, quiet)
 		if resp, _, err := sendRead(newClient(t), a.clients, "first"); err != nil || resp.StatusCode != 200 {
 			t.Fatal(resp, err)
@@ -424,7 +424,7 @@
 // follows control has been started.
 func storedSettingsApplyFirst(t *testing.T, cfg *Config) bool {
 	t.Helper()
-	bal := newScripted(func(balance.Event) []balance.Action { return nil })
+	bal := newDecider(func(balance.Event) []balance.Action { return nil })
 	l := core.New(bal, &cfg.Settings, quiet)
 	p, err := configurationPart(cfg, l, &front.Server{Settings: &cfg.Settings}, nil, quiet)
 	if err != nil {
@@ -471,7 +471,7 @@
 
 // Without the file nothing changes: no event, no route, no metric.
 func TestConfigurationOffByDefault(t *testing.T) {
-	bal := newScripted(sendAll)
+	bal := newDecider(sendAll)
 	a := startConfiguredAgent(t, testConfig(t, backend(t, always(hello))), bal, quiet)
 	if resp, _, err := sendRead(newClient(t), a.clients, "first"); err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
@@ -553,7 +553,7 @@
 
 // A change that the loop is too busy to make in time is refused, and not made later.
 func TestChangeWhileLoopIsBusy(t *testing.T) {
-	bal := newScripted(func(balance.Event) []balance.Action { return nil })
+	bal := newDecider(func(balance.Event) []balance.Action { return nil })
 	cfg := testConfig(t, deadAddr(t))
 	cfg.Settings.RetryAfter = true
 	l := core.New(bal, &cfg.Settings, quiet)
--- a/internal/agent/controlapi.go
+++ b/internal/agent/controlapi.go
@@ -45,17 +45,17 @@
 	}}
 }
 
-// countTimeout bounds the wait of a request for metrics until the loop has updated them; a busy loop also updates them by
+// metricsUpdateTimeout bounds the wait of a request for metrics until the loop has updated them; a busy loop also updates them by
 // itself.
-const countTimeout = 100 * time.Millisecond
+const metricsUpdateTimeout = 100 * time.Millisecond
 
 // telemetry returns the metrics. It has the loop update them first: an idle loop does not, and its metrics of the list
 // would be stale.
 func (s *controlAPI) telemetry(ctx context.Context) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, countTimeout)
+	ctx, cancel := context.WithTimeout(ctx, metricsUpdateTimeout)
 	defer cancel()
 	s.runInLoop(ctx, func() error {
-		s.loop.UpdateFigures(0)
+		s.loop.UpdateMetrics(0)
 		return nil
 	})
 	return s.figures.Text(s.gauges...), nil
--- a/internal/agent/controlapi_test.go
+++ b/internal/agent/controlapi_test.go
@@ -14,8 +14,8 @@
 	"lemonrail/internal/scripted"
 )
 
-// withControl runs an agent with a control listener and returns the URLs for clients and for operators.
-func withControl(t *testing.T, bal *decider, backends ...string) (clients, controlURL string) {
+// startAgentWithControl runs an agent with a control listener and returns the URLs for clients and for operators.
+func startAgentWithControl(t *testing.T, bal *decider, backends ...string) (clients, controlURL string) {
 	t.Helper()
 	cfg := testConfig(t, backends...)
 	controlListener := listen(t)
@@ -71,8 +71,8 @@
 // The balancer receives an excluded backend as draining before the operator's call is answered. Only an include brings
 // the backend back; it then counts as started anew.
 func TestControlExcludesAndIncludes(t *testing.T) {
-	bal := newScripted(func(balance.Event) []balance.Action { return nil })
-	_, controlURL := withControl(t, bal, deadAddr(t))
+	bal := newDecider(func(balance.Event) []balance.Action { return nil })
+	_, controlURL := startAgentWithControl(t, bal, deadAddr(t))
 	if l := nextEvent[balance.List](t, bal); l.Kind != balance.ListCached {
 		t.Fatal(l)
 	}
@@ -112,7 +112,7 @@
 
 // Invalid calls get an error status.
 func TestControlRejectsInvalidCalls(t *testing.T) {
-	_, controlURL := withControl(t, nil, deadAddr(t))
+	_, controlURL := startAgentWithControl(t, nil, deadAddr(t))
 	waitUntilReady(t, controlURL)
 	for call, want := range map[string]string{
 		"PUT /api/exclude/h0 HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}": "400",
@@ -132,7 +132,7 @@
 
 // The metrics count the answers that clients got, and are served although 40 callers hold idle connections.
 func TestControlTelemetry(t *testing.T) {
-	clients, controlURL := withControl(t, nil, backend(t, scripted.AnswerAlways(scripted.HelloResponse)))
+	clients, controlURL := startAgentWithControl(t, nil, backend(t, scripted.AnswerAlways(scripted.HelloResponse)))
 	for range 40 {
 		nc, err := net.Dial("tcp", strings.TrimPrefix(controlURL, "http://"))
 		if err != nil {
--- a/internal/agent/descriptors_test.go
+++ b/internal/agent/descriptors_test.go
@@ -16,14 +16,14 @@
 	"time"
 )
 
-// discoveryOf is the handler of a discovery that answers each call with a full list, followed by a heartbeat every 2 s.
-func discoveryOf(seq int, backends ...string) func(net.Conn, *bufio.Reader) {
+// discoveryWithBackends is the handler of a discovery that answers each call with a full list, followed by a heartbeat every 2 s.
+func discoveryWithBackends(seq int, backends ...string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		text := listText(seq, backends...) + "\n"
+		text := fullListText(seq, backends...) + "\n"
 		for {
 			if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text); err != nil {
 				return
@@ -34,8 +34,8 @@
 	}
 }
 
-// listText is a full list in discovery's format.
-func listText(seq int, backends ...string) string {
+// fullListText is a full list in discovery's format.
+func fullListText(seq int, backends ...string) string {
 	var hosts []string
 	for i, address := range backends {
 		hosts = append(hosts, fmt.Sprintf(`{"host":"h%d","dial":%q,"site":"a","class":"m1","health":"ready","share":1}`, i, address))
@@ -101,8 +101,8 @@
 	}
 }
 
-// freeUDP returns a UDP address that is not in use.
-func freeUDP(t *testing.T) string {
+// freeUDPAddress returns a UDP address that is not in use.
+func freeUDPAddress(t *testing.T) string {
 	t.Helper()
 	c, address := udp(t)
 	c.Close()
@@ -128,14 +128,14 @@
 	for range 3 {
 		backends = append(backends, backend(t, got.serve(nil)))
 	}
-	first := newLateListener(t, discoveryOf(50, backends[:2]...))
-	second := backend(t, discoveryOf(60, backends...))
+	first := newLateListener(t, discoveryWithBackends(50, backends[:2]...))
+	second := backend(t, discoveryWithBackends(60, backends...))
 
 	members := filepath.Join(t.TempDir(), "members.toml")
 	if err := os.WriteFile(members, []byte("period_ms = 100\npause_ms = 3000\nrate = 100\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	peers := []string{freeUDP(t), freeUDP(t)}
+	peers := []string{freeUDPAddress(t), freeUDPAddress(t)}
 	config := func(me int, discovery string) string {
 		more := fmt.Sprintf(`"peer_listen":%q,"peers":[%q,%q],"limits":{"sockets":%d},`, peers[me], peers[0], peers[1], limit)
 		text := configJSON(discovery, more, backends[0])
@@ -227,7 +227,7 @@
 					served++
 				case err == nil && resp.StatusCode == http.StatusServiceUnavailable:
 					refused++
-				case shut(err) && got.countIDs(id) == 0:
+				case endedBeforeAnswer(err) && got.countIDs(id) == 0:
 					refused++
 				default:
 					t.Errorf("client %d, request %d: %v, %v", c, i, resp, err)
@@ -240,7 +240,7 @@
 	return served, refused
 }
 
-// shut reports whether err means that a connection ended before any byte of an answer had come.
-func shut(err error) bool {
+// endedBeforeAnswer reports whether err means that a connection ended before any byte of an answer had come.
+func endedBeforeAnswer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || err != nil && strings.Contains(err.Error(), "server closed idle connection")
 }
--- a/internal/agent/diameter_test.go
+++ b/internal/agent/diameter_test.go
@@ -36,7 +36,7 @@
 	if err := cfg.WithDiameter(rules); err != nil {
 		t.Fatal(err)
 	}
-	bal := newScripted(sendAll)
+	bal := newDecider(sendAll)
 	ln := listen(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	said := make(logLines, 100)
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -63,7 +63,7 @@
 		if d.fleet == nil {
 			d.fleet = &fleetView{link: members}
 		}
-		dutyTasks[quorum.NotesDuty] = &notesTask{fleet: d.fleet, log: log}
+		dutyTasks[quorum.NotesDuty] = &fleetNotesTask{fleet: d.fleet, log: log}
 	}
 	zone := ""
 	if z := cfg.Settings.Zone; z >= 0 && z < len(cfg.Names.Zones) {
@@ -189,9 +189,9 @@
 	p.sites.OverrideRamps(ramps, p.fallback)
 }
 
-// notesTask is the duty of keeping notes on the fleet: its holder publishes how many members are alive and which are
+// fleetNotesTask is the duty of keeping notes on the fleet: its holder publishes how many members are alive and which are
 // unhealthy, and logs changes.
-type notesTask struct {
+type fleetNotesTask struct {
 	fleet     *fleetView
 	log       *slog.Logger
 	published string // state that Step returned last
@@ -218,7 +218,7 @@
 const maxUnhealthyMembers = 32 // members listed in fleetNotes; further ones are only counted
 
 // Step publishes the notes whenever they have changed.
-func (k *notesTask) Step(_ time.Time, _ duty.Permit, _ []byte) ([]byte, bool) {
+func (k *fleetNotesTask) Step(_ time.Time, _ duty.Permit, _ []byte) ([]byte, bool) {
 	v := k.fleet.view()
 	if v == nil {
 		return nil, false
@@ -248,7 +248,7 @@
 }
 
 // Observe does nothing: the notes are read from the table of duties.
-func (k *notesTask) Observe(time.Time, duty.Duty) {}
+func (k *fleetNotesTask) Observe(time.Time, duty.Duty) {}
 
 // fleetView caches the membership's view of the fleet, which run renews every viewInterval.
 type fleetView struct {
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -130,7 +130,7 @@
 	step   func(balance.Event) []balance.Action // returns the decisions on one event
 }
 
-func newScripted(step func(balance.Event) []balance.Action) *decider {
+func newDecider(step func(balance.Event) []balance.Action) *decider {
 	return &decider{events: make(chan balance.Event, 100), step: step}
 }
 
--- a/internal/agent/hostile_clients_test.go
+++ b/internal/agent/hostile_clients_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// drip writes text byte by byte, over and over, until the connection is closed.
-func (c *clientMix) drip(nc net.Conn, text string) {
+// writeByteByByte writes text byte by byte, over and over, until the connection is closed.
+func (c *clientMix) writeByteByByte(nc net.Conn, text string) {
 	for i := 0; ; i++ {
 		if _, err := nc.Write([]byte{text[i%len(text)]}); err != nil {
 			return
@@ -125,10 +125,10 @@
 	c.startHostile("silent", 4*n, func(net.Conn, string) {})
 	c.startHostile("half a head", n, func(nc net.Conn, id string) { io.WriteString(nc, readRequestWithin10s(id)[:40]) })
 	c.startHostile("half a body", n, func(nc net.Conn, id string) { io.WriteString(nc, subRequest(id, 100)+"half") })
-	c.startHostile("dripped head", n, func(nc net.Conn, id string) { c.drip(nc, "GET /read HTTP/1.1\r\nHost: x\r\nX-More: ") })
+	c.startHostile("dripped head", n, func(nc net.Conn, id string) { c.writeByteByByte(nc, "GET /read HTTP/1.1\r\nHost: x\r\nX-More: ") })
 	c.startHostile("dripped body", n, func(nc net.Conn, id string) {
 		io.WriteString(nc, subRequest(id, 60000))
-		c.drip(nc, "b")
+		c.writeByteByByte(nc, "b")
 	})
 	c.startHostile("60 MB", n, func(nc net.Conn, id string) {
 		io.WriteString(nc, subRequest(id, 60<<20))
@@ -310,7 +310,7 @@
 // A client that half-closes its connection gets an error: it must not get an empty 200 that no backend sent.
 func TestHalfClosed(t *testing.T) {
 	release := make(chan struct{})
-	bal := newScripted(sendAll)
+	bal := newDecider(sendAll)
 	base, _, _ := startAgent(t, testConfig(t, backend(t, func(c net.Conn, r *bufio.Reader) {
 		receive(r)
 		<-release
--- a/internal/agent/members.go
+++ b/internal/agent/members.go
@@ -37,7 +37,7 @@
 	}
 	m, err := link.New(link.Options{Settings: cfg.members, Name: cfg.Name, Zone: zone, Self: self, Peers: cfg.Peers, Seed: cfg.Seed,
 		Send: p.send, Log: log,
-		OnCount: func(c member.Count) {
+		OnCount: func(c member.AgentCount) {
 			e := balance.Fleet{Alive: c.Living, MaxAlive: c.Possible}
 			for _, id := range c.Away {
 				e.Departed = append(e.Departed, int(id))
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -50,7 +50,7 @@
 			}
 		}
 	})
-	clients, controlURL := withControl(t, nil, rough, rough)
+	clients, controlURL := startAgentWithControl(t, nil, rough, rough)
 	waitUntilReady(t, controlURL)
 	var got [2][3]atomic.Int64 // by class: served, refused, failed
 	var all sync.WaitGroup
--- a/internal/agent/process_disconnect_test.go
+++ b/internal/agent/process_disconnect_test.go
@@ -17,9 +17,9 @@
 	"lemonrail/internal/standin"
 )
 
-// longAim changes a configuration such that retries wait for up to half a second, and a connection may take up to a minute
+// longAimReplacer changes a configuration such that retries wait for up to half a second, and a connection may take up to a minute
 // to be established.
-var longAim = strings.NewReplacer(`"AimMs":5000,"DeadlineMs":10000`, `"AimMs":16000,"DeadlineMs":600000`,
+var longAimReplacer = strings.NewReplacer(`"AimMs":5000,"DeadlineMs":10000`, `"AimMs":16000,"DeadlineMs":600000`,
 	`"ConnectTimeoutMs":2000`, `"ConnectTimeoutMs":60000`)
 
 // receivedAttempts records when a backend received which requests.
@@ -144,7 +144,7 @@
 	var all []*agentProcess
 	add := func(name, address string) *agentProcess {
 		p := newAgentProcess(t, name)
-		p.configure(longAim.Replace(configJSON(deadAddr(t), "", address)))
+		p.configure(longAimReplacer.Replace(configJSON(deadAddr(t), "", address)))
 		p.start()
 		all = append(all, p)
 		return p
@@ -238,7 +238,7 @@
 	const leavers, maxDelay, maxViolations = 400, 100 * time.Millisecond, 2
 	var got receivedAttempts
 	p := newAgentProcess(t, "n0")
-	p.configure(longAim.Replace(configJSON(deadAddr(t), "", backend(t, got.serve(nil)), backend(t, got.serve(nil)))))
+	p.configure(longAimReplacer.Replace(configJSON(deadAddr(t), "", backend(t, got.serve(nil)), backend(t, got.serve(nil)))))
 	p.start()
 	p.awaitReady()
 	stop := make(chan struct{})
@@ -260,7 +260,7 @@
 		})
 	}
 	if slow {
-		load.Go(func() { p.slow(stop) })
+		load.Go(func() { p.throttle(stop) })
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	var mu sync.Mutex
@@ -307,8 +307,8 @@
 	t.Logf("%d clients left, %d after a retry; %d attempts began over %v after the close; %d requests served besides", leavers, retried, violations, maxDelay, served)
 }
 
-// slow stops the process for 150 ms and resumes it for 50 ms, over and over, until stop is closed.
-func (p *agentProcess) slow(stop <-chan struct{}) {
+// throttle stops the process for 150 ms and resumes it for 50 ms, over and over, until stop is closed.
+func (p *agentProcess) throttle(stop <-chan struct{}) {
 	const stopped, running = 150 * time.Millisecond, 50 * time.Millisecond
 	for {
 		for _, step := range []struct {
--- a/internal/agent/processgroup.go
+++ b/internal/agent/processgroup.go
@@ -48,8 +48,8 @@
 	return ln, nil
 }
 
-// claimPlace registers this process among those of the agent; it returns nil where the processes share no folder.
-func claimPlace(cfg *Config, log *slog.Logger) (*takeover.Claim, takeover.State) {
+// registerProcess registers this process among those of the agent; it returns nil where the processes share no folder.
+func registerProcess(cfg *Config, log *slog.Logger) (*takeover.Claim, takeover.State) {
 	if cfg.SharedDir == "" {
 		return nil, takeover.State{}
 	}
@@ -83,11 +83,11 @@
 // newProcessGroup registers this process among those of the agent; it returns nil where the processes share no folder.
 func newProcessGroup(cfg *Config, l *core.Loop, up *upstream.Upstream, sockets *upstream.Sockets, listener *clientListener, members *link.Link,
 	log *slog.Logger) *processGroup {
-	claim, shared := claimPlace(cfg, log)
+	claim, shared := registerProcess(cfg, log)
 	if claim == nil {
 		return nil
 	}
-	return &processGroup{claim: claim, shared: shared, loop: l, peers: l.Peers, members: members, activeRequests: func() int { return int(l.Figures.Active.Load()) },
+	return &processGroup{claim: claim, shared: shared, loop: l, peers: l.Peers, members: members, activeRequests: func() int { return int(l.Metrics.Active.Load()) },
 		memory: cfg.MemoryMB << 20, log: log, maxConnections: int(sockets.Limit), openConnections: func() int { return int(sockets.Open.Load()) },
 		setLimits: func(connections int, memory int64) {
 			if err := listener.Resize(admission.DefaultConfig(connections, memory)); err != nil {
@@ -148,7 +148,7 @@
 			h.loop.Post(func() { h.adopt(s) })
 		}
 		if h.members != nil { // two processes are one member: the later one, which receives the datagrams of others
-			h.members.Mute(v.Later)
+			h.members.Mute(v.LaterAlive)
 		}
 		active := h.activeRequests()
 		if err := h.claim.PublishLoad(active, h.openConnections()); err != nil {
@@ -224,14 +224,16 @@
 func SoftMemoryLimit(memory int64) int64 { return memory * 3 / 4 }
 
 // successorServes reports whether a later process of this agent serves clients.
-func (h *processGroup) successorServes() bool { return h != nil && h.claim.View().Plan().Successor }
+func (h *processGroup) successorServes() bool {
+	return h != nil && h.claim.View().Plan().SuccessorServes
+}
 
 const readyPollInterval = 5 * time.Millisecond // between waitReady's checks
 
 // waitReady waits until this process is ready, if a process of an earlier generation still runs. Otherwise this process
 // could take clients and end before it has ever served.
 func (h *processGroup) waitReady(ctx context.Context, ready func() bool) {
-	if h == nil || !h.claim.View().Earlier {
+	if h == nil || !h.claim.View().EarlierAlive {
 		return
 	}
 	tick := time.NewTicker(readyPollInterval)
--- a/internal/agent/races_test.go
+++ b/internal/agent/races_test.go
@@ -19,7 +19,7 @@
 // A client leaves while the connection to the backend is being established: the attempt ends at once as never sent, long
 // before the connect timeout, and no byte of it can be written later.
 func TestClientLeavesDuringDial(t *testing.T) {
-	bal := newScripted(sendAll)
+	bal := newDecider(sendAll)
 	cfg := testConfig(t, scripted.UnresponsiveAddr(t))
 	cfg.Settings.ConnectTimeout = time.Hour
 	base, _, _ := startAgent(t, cfg, bal)
@@ -45,7 +45,7 @@
 	cfg := testConfig(t, scripted.UnresponsiveAddr(t), backend(t, always(hello)))
 	cfg.Settings.ConnectTimeout = time.Hour
 	dialled := make(chan struct{}, 1)
-	bal := newScripted(func(e balance.Event) []balance.Action {
+	bal := newDecider(func(e balance.Event) []balance.Action {
 		switch e := e.(type) {
 		case balance.Request:
 			dialled <- struct{}{}
@@ -83,7 +83,7 @@
 // waits for discovery's first list, which binds the agent from the start of the process.
 func TestFirstRequestWaitsForFirstList(t *testing.T) {
 	for range 10 {
-		service, bal := newPushingDiscovery(t), newScripted(sendAll)
+		service, bal := newPushingDiscovery(t), newDecider(sendAll)
 		cfg := testConfig(t, backend(t, always(hello)))
 		cfg.Discovery, cfg.firstListTimeout = addrPort(t, service.addr), time.Hour
 		base, _, _ := startAgent(t, cfg, bal)
@@ -144,7 +144,7 @@
 		"requests of 200 KB": strings.Repeat(strings.Replace(readRequest("behind"), "Host: x", "Host: x\r\nX-Pad: "+pad, 1), 13),
 	} {
 		for _, half := range []bool{false, true} {
-			bal := newScripted(func(balance.Event) []balance.Action { return nil }) // the request waits
+			bal := newDecider(func(balance.Event) []balance.Action { return nil }) // the request waits
 			base, _, _ := startAgent(t, testConfig(t), bal)
 			for n := range 20 {
 				c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
@@ -177,7 +177,7 @@
 // Clients that pipeline requests and stay get an answer to each, in order: bytes that were read ahead are not lost,
 // whatever their length.
 func TestPipelinedRequests(t *testing.T) {
-	bal := newScripted(func(e balance.Event) []balance.Action {
+	bal := newDecider(func(e balance.Event) []balance.Action {
 		if r, ok := e.(balance.Request); ok {
 			return []balance.Action{balance.Send{Request: r.ID, Backend: "h0"}}
 		}
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -45,7 +45,7 @@
 			http.StatusBadGateway, "Bad Gateway\n", ""},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			bal := newScripted(func(e balance.Event) []balance.Action {
+			bal := newDecider(func(e balance.Event) []balance.Action {
 				if r, ok := e.(balance.Request); ok {
 					return []balance.Action{tt.action(r.ID)}
 				}
@@ -69,7 +69,7 @@
 
 // Invalid requests are answered by the server: the balancer never receives them.
 func TestBadInput(t *testing.T) {
-	bal := newScripted(sendAll)
+	bal := newDecider(sendAll)
 	base, _, _ := startAgent(t, testConfig(t, backend(t, always(hello))), bal)
 	for _, tt := range []struct {
 		name, method, path, left, id, effect, body string
@@ -115,7 +115,7 @@
 // A client that leaves gets no answer; its attempt, already written, goes on and has exactly one outcome.
 func TestClientLeaves(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
-	bal := newScripted(sendAll)
+	bal := newDecider(sendAll)
 	base, _, _ := startAgent(t, testConfig(t, backend(t, func(c net.Conn, r *bufio.Reader) {
 		receive(r)
 		close(received)
@@ -146,7 +146,7 @@
 // The id of a request in hand is refused for a second request: the balancer identifies requests by their id.
 func TestIDInUse(t *testing.T) {
 	release := make(chan struct{})
-	bal := newScripted(sendAll)
+	bal := newDecider(sendAll)
 	base, _, _ := startAgent(t, testConfig(t, backend(t, func(c net.Conn, r *bufio.Reader) {
 		receive(r)
 		<-release
@@ -174,7 +174,7 @@
 
 // A balancer that never decides must not keep a client waiting beyond the deadline.
 func TestAnswerPastDeadline(t *testing.T) {
-	bal := newScripted(func(balance.Event) []balance.Action { return nil })
+	bal := newDecider(func(balance.Event) []balance.Action { return nil })
 	base, _, _ := startAgent(t, testConfig(t), bal)
 	req, err := http.NewRequest(http.MethodGet, base+"/read", nil)
 	if err != nil {
@@ -194,7 +194,7 @@
 }
 
 func TestTimersFireInOrder(t *testing.T) {
-	bal := newScripted(func(e balance.Event) []balance.Action {
+	bal := newDecider(func(e balance.Event) []balance.Action {
 		if _, ok := e.(balance.List); ok {
 			return []balance.Action{balance.SetTimer{After: 20 * time.Millisecond, Token: 2},
 				balance.SetTimer{After: time.Millisecond, Token: 1}, balance.Trace{Text: "set"}}
@@ -210,7 +210,7 @@
 }
 
 func TestProbeAction(t *testing.T) {
-	bal := newScripted(func(e balance.Event) []balance.Action {
+	bal := newDecider(func(e balance.Event) []balance.Action {
 		if _, ok := e.(balance.List); ok {
 			return []balance.Action{balance.Probe{Backend: "h0"}}
 		}
@@ -224,7 +224,7 @@
 
 // After a panic in the balancer the client of a request in hand gets an error, and the agent ends with the panic's text.
 func TestPanicIsVisible(t *testing.T) {
-	bal := newScripted(func(e balance.Event) []balance.Action {
+	bal := newDecider(func(e balance.Event) []balance.Action {
 		if _, ok := e.(balance.Request); ok {
 			panic("out of ideas")
 		}
@@ -250,7 +250,7 @@
 		io.WriteString(c, hello)
 	}))
 	cfg.minListenTime = 3 * time.Second // the result must not depend on the machine's speed
-	bal := newScripted(sendAll)
+	bal := newDecider(sendAll)
 	base, stop, done := startAgent(t, cfg, bal)
 	client := newClient(t)
 	closing := func() bool { // asks for /up, on the connection that the previous call left idle; reports whether the answer ends it
--- a/internal/agent/restart_test.go
+++ b/internal/agent/restart_test.go
@@ -113,7 +113,7 @@
 	const readyWithin, updatedWithin = 10 * time.Second, 6 * time.Second
 	n := fleetSize(t)
 	known := backend(t, always(hello))
-	list := listText(77, known, backend(t, always(hello)))
+	list := fullListText(77, known, backend(t, always(hello)))
 
 	type kind struct {
 		name      string
--- a/internal/agent/stop_test.go
+++ b/internal/agent/stop_test.go
@@ -22,7 +22,7 @@
 	} {
 		s := balance.Settings{Classes: []balance.Class{{Deadline: time.Millisecond}, {Deadline: c.deadline}}}
 		stay, linger, answerBy := planStop(&s)
-		if stay != c.stay || answerBy != c.answerBy || linger != min(listenTime, answerBy) {
+		if stay != c.stay || answerBy != c.answerBy || linger != min(defaultMinListenTime, answerBy) {
 			t.Errorf("longest deadline %v: drain delay %v, minimum listen time %v, answer timeout %v; want %v, %v", c.deadline, stay, linger, answerBy, c.stay, c.answerBy)
 		}
 	}
@@ -74,7 +74,7 @@
 		receive(r)
 	}))
 	cfg.answerTimeout = 300 * time.Millisecond
-	bal := newScripted(func(e balance.Event) []balance.Action {
+	bal := newDecider(func(e balance.Event) []balance.Action {
 		if r, ok := e.(balance.Request); ok && r.ID == "sent" {
 			return sendAll(e)
 		}
--- a/internal/backend/diameter/backend.go
+++ b/internal/backend/diameter/backend.go
@@ -71,13 +71,13 @@
 
 // server is the state of one server: its peer state machine, its connection and its pending attempts.
 type server struct {
-	b      *Backend
-	target core.Target // as listed; the rules may give another Diameter address
+	backend *Backend
+	target  core.Target // as listed; the rules may give another Diameter address
 
 	mu              sync.Mutex
 	peer            *diameter.Peer
 	conn            net.Conn            // nil: not connected
-	writes          chan *item          // queue of the connection's writer
+	writes          chan *queuedMessage // queue of the connection's writer
 	window          *relay.Window       // Hop-by-Hop identifiers of the pending attempts
 	pending         map[uint64]*attempt // by number of the attempt
 	lastAttempt     uint64              // number of the last attempt
@@ -96,12 +96,12 @@
 type attempt struct {
 	id   uint64             // number of the attempt
 	hop  uint32             // Hop-by-Hop identifier
-	item *item              // the encoded request in the write queue
+	item *queuedMessage     // the encoded request in the write queue
 	done chan core.Response // gets the one result
 }
 
-// item is a message in a connection's write queue.
-type item struct {
+// queuedMessage is a message in a connection's write queue.
+type queuedMessage struct {
 	raw   []byte // the encoded message
 	state itemState
 
@@ -128,7 +128,7 @@
 	s := b.servers[to]
 	if s == nil {
 		seed := rand.Uint64()
-		s = &server{b: b, target: to, window: relay.NewWindow(b.cfg.Window, rand.Uint32()), pending: map[uint64]*attempt{}, opened: make(chan struct{}),
+		s = &server{backend: b, target: to, window: relay.NewWindow(b.cfg.Window, rand.Uint32()), pending: map[uint64]*attempt{}, opened: make(chan struct{}),
 			lastID: rand.Uint32(), peer: diameter.NewPeer(b.cfg.Identity, b.cfg.Peer, rand.New(rand.NewPCG(seed, 0)))}
 		b.servers[to] = s
 		s.mu.Lock()
@@ -207,7 +207,7 @@
 	s.mu.Lock()
 	opened := s.opened
 	s.mu.Unlock()
-	limit := time.NewTimer(s.b.cfg.ConnectTimeout)
+	limit := time.NewTimer(s.backend.cfg.ConnectTimeout)
 	defer limit.Stop()
 	select {
 	case <-opened:
@@ -236,18 +236,18 @@
 	}
 	s.lastAttempt++
 	a := &attempt{id: s.lastAttempt, done: make(chan core.Response, 1)}
-	hop, ok := s.window.Send(a.id)
+	hop, ok := s.window.Assign(a.id)
 	if !ok {
 		return nil, balance.Full // nothing was written
 	}
 	a.hop = hop
 	again := r.attempts.Add(1) > 1
-	raw, err := s.b.cfg.Rules.Forward(r.Message, r.From, hop, again).Append(nil)
+	raw, err := s.backend.cfg.Rules.Forward(r.Message, r.From, hop, again).Append(nil)
 	if err != nil {
 		s.window.Release(hop)
 		return nil, balance.NotSent
 	}
-	a.item = &item{raw: raw, permit: p}
+	a.item = &queuedMessage{raw: raw, permit: p}
 	select {
 	case s.writes <- a.item:
 	default: // unreachable in practice, since the window bounds the queue; treated as a full window
@@ -294,7 +294,7 @@
 
 // step passes an event to the peer state machine and carries out its actions. The caller holds s.mu.
 func (s *server) step(e diameter.Event) {
-	for _, act := range s.peer.Step(s.b.now(), e) {
+	for _, act := range s.peer.Step(s.backend.now(), e) {
 		switch act.Kind {
 		case diameter.Connect:
 			s.connect()
@@ -344,7 +344,7 @@
 		s.timer = nil
 	}
 	if due := s.peer.Due(); due > 0 && !s.stopped {
-		s.timer = time.AfterFunc(max(0, due-s.b.now())+time.Millisecond, func() {
+		s.timer = time.AfterFunc(max(0, due-s.backend.now())+time.Millisecond, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if !s.stopped {
@@ -358,7 +358,7 @@
 func (s *server) baseRequest(command uint32) *diameter.Message {
 	s.lastID++
 	return &diameter.Message{Flags: diameter.FlagRequest, Command: command, HopByHop: s.lastID, EndToEnd: s.lastID,
-		AVPs: []diameter.AVP{diameter.Str(diameter.CodeOriginHost, s.b.cfg.Identity), diameter.Str(diameter.CodeOriginRealm, s.b.cfg.Realm)}}
+		AVPs: []diameter.AVP{diameter.Str(diameter.CodeOriginHost, s.backend.cfg.Identity), diameter.Str(diameter.CodeOriginRealm, s.backend.cfg.Realm)}}
 }
 
 // newCER returns the CER for the current connection. The caller holds s.mu.
@@ -368,7 +368,7 @@
 		m.AVPs = append(m.AVPs, diameter.IP(diameter.CodeHostIPAddress, a.AddrPort().Addr().Unmap()))
 	}
 	m.AVPs = append(m.AVPs, diameter.U32(diameter.CodeVendorID, 0), diameter.WithoutMandatory(diameter.Str(diameter.CodeProductName, "lemonrail")))
-	for _, app := range s.b.cfg.Rules.Applications() {
+	for _, app := range s.backend.cfg.Rules.Applications() {
 		m.AVPs = append(m.AVPs, diameter.U32(diameter.CodeAuthApplication, app))
 	}
 	return m
@@ -381,7 +381,7 @@
 		return
 	}
 	select {
-	case s.writes <- &item{raw: raw}:
+	case s.writes <- &queuedMessage{raw: raw}:
 	default:
 		s.conn.Close() // the server does not read
 	}
@@ -393,12 +393,12 @@
 	if s.stopped {
 		return
 	}
-	if s.b.now() < s.noConnectBefore { // fail, so that the state machine retries after a growing delay
+	if s.backend.now() < s.noConnectBefore { // fail, so that the state machine retries after a growing delay
 		s.step(diameter.Event{Input: diameter.ConnFailed})
 		return
 	}
-	s.b.wait.Go(func() {
-		conn, err := (&net.Dialer{Timeout: s.b.cfg.ConnectTimeout, KeepAlive: -1}).Dial("tcp4", s.b.cfg.Rules.Address(s.target.ID, s.target.Addr))
+	s.backend.wait.Go(func() {
+		conn, err := (&net.Dialer{Timeout: s.backend.cfg.ConnectTimeout, KeepAlive: -1}).Dial("tcp4", s.backend.cfg.Rules.Address(s.target.ID, s.target.Addr))
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		switch {
@@ -410,11 +410,11 @@
 			return
 		}
 		s.conn = conn
-		s.writes = make(chan *item, s.b.cfg.Window+baseQueue)
+		s.writes = make(chan *queuedMessage, s.backend.cfg.Window+baseQueue)
 		ended := make(chan struct{})
 		writes := s.writes
-		s.b.wait.Go(func() { s.write(conn, writes, ended) })
-		s.b.wait.Go(func() {
+		s.backend.wait.Go(func() { s.write(conn, writes, ended) })
+		s.backend.wait.Go(func() {
 			s.read(conn)
 			close(ended)
 			s.handleClosed(conn)
@@ -425,9 +425,9 @@
 
 // write writes queued messages until the connection ends, except those that were dropped or whose permit is
 // withdrawn.
-func (s *server) write(conn net.Conn, writes <-chan *item, ended <-chan struct{}) {
+func (s *server) write(conn net.Conn, writes <-chan *queuedMessage, ended <-chan struct{}) {
 	for {
-		var it *item
+		var it *queuedMessage
 		select {
 		case it = <-writes:
 		case <-ended:
@@ -470,7 +470,7 @@
 		}
 		m, err := diameter.Decode(raw, limits)
 		if err != nil {
-			s.b.cfg.Log.Warn("invalid message from diameter server", "server", s.target.ID, "err", err)
+			s.backend.cfg.Log.Warn("invalid message from diameter server", "server", s.target.ID, "err", err)
 			return // the start of the next message is uncertain
 		}
 		if !s.handle(m, raw) {
@@ -491,7 +491,7 @@
 		if in == diameter.GotDWR || in == diameter.GotDPR {
 			a := m.Answer()
 			a.AVPs = []diameter.AVP{diameter.U32(diameter.CodeResultCode, diameter.Success),
-				diameter.Str(diameter.CodeOriginHost, s.b.cfg.Identity), diameter.Str(diameter.CodeOriginRealm, s.b.cfg.Realm)}
+				diameter.Str(diameter.CodeOriginHost, s.backend.cfg.Identity), diameter.Str(diameter.CodeOriginRealm, s.backend.cfg.Realm)}
 			s.enqueueBase(a)
 		}
 		s.step(diameter.Event{Input: in, Side: diameter.Initiator, Result: m.Result()})
@@ -517,7 +517,7 @@
 					rest = busyPause
 				}
 			}
-			s.noConnectBefore = s.b.now() + rest
+			s.noConnectBefore = s.backend.now() + rest
 			s.setLeaving(true)
 		}
 		event(diameter.GotDPR, diameter.GotDPA)
@@ -525,14 +525,14 @@
 	}
 	s.step(diameter.Event{Input: diameter.GotOther, Side: diameter.Initiator})
 	if m.Request() { // requests from servers are not supported
-		a := s.b.cfg.Rules.LocalAnswer(m, diameter.UnableToDeliver, "requests of servers are not relayed")
+		a := s.backend.cfg.Rules.LocalAnswer(m, diameter.UnableToDeliver, "requests of servers are not relayed")
 		s.enqueueBase(a)
 		return true
 	}
 	no, ok := s.window.Release(m.HopByHop)
 	a := s.pending[no]
 	if !ok || a == nil {
-		s.b.cfg.Log.Debug("unexpected answer from diameter server", "server", s.target.ID, "hop-by-hop", m.HopByHop)
+		s.backend.cfg.Log.Debug("unexpected answer from diameter server", "server", s.target.ID, "hop-by-hop", m.HopByHop)
 		return true
 	}
 	delete(s.pending, no)
@@ -544,16 +544,16 @@
 // callback may block. Calls are made in the order of the events.
 func (s *server) setLeaving(leaves bool) {
 	s.leaving = leaves
-	if s.b.cfg.OnLeaving == nil {
+	if s.backend.cfg.OnLeaving == nil {
 		return
 	}
 	previous, notified := s.lastNotified, make(chan struct{})
 	s.lastNotified = notified
-	s.b.wait.Go(func() {
+	s.backend.wait.Go(func() {
 		if previous != nil {
 			<-previous
 		}
-		s.b.cfg.OnLeaving(s.target.ID, leaves)
+		s.backend.cfg.OnLeaving(s.target.ID, leaves)
 		close(notified)
 	})
 }
@@ -599,9 +599,9 @@
 func (s *server) handleClosed(conn net.Conn) {
 	conn.Close()
 	defer func() {
-		s.b.mu.Lock()
-		delete(s.b.closing, s)
-		s.b.mu.Unlock()
+		s.backend.mu.Lock()
+		delete(s.backend.closing, s)
+		s.backend.mu.Unlock()
 	}()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/backend/diameter/backend_test.go
+++ b/internal/backend/diameter/backend_test.go
@@ -22,7 +22,7 @@
 
 // CloseIdleExcept identifies servers by their listed addresses. A server with another Diameter address in the rules is
 // kept while it is listed, and disconnected when it no longer is.
-func TestKeepClosesUnlistedServers(t *testing.T) {
+func TestCloseIdleExceptClosesUnlistedServers(t *testing.T) {
 	node, err := standin.NewDiameterNode("s0", func(c *standin.DiameterConn, m *diameter.Message) { c.Answer(m, diameter.Success) })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/backend/http1/answers_test.go
+++ b/internal/backend/http1/answers_test.go
@@ -54,8 +54,8 @@
 			}
 			two.Wait()
 			r := exchangeRested(t, u, addr, readRequest)
-			if r.Result != balance.Reset || r.Standing == all {
-				t.Errorf("got %v, standing %v", r.Result, r.Standing)
+			if r.Result != balance.Reset || r.OtherConnectionsOpen == all {
+				t.Errorf("got %v, standing %v", r.Result, r.OtherConnectionsOpen)
 			}
 		})
 	}
--- a/internal/backend/http1/conn.go
+++ b/internal/backend/http1/conn.go
@@ -102,7 +102,7 @@
 		deadline, _ := ctx.Deadline()
 		a.Length, a.More = resp.ContentLength, &stream{conn: c, body: resp.Body, deadline: deadline, knownLong: resp.ContentLength >= 0, bytesRead: len(body)}
 	}
-	r = core.Response{Result: outcomeOf(resp), Payload: a}
+	r = core.Response{Result: resultOf(resp), Payload: a}
 	if report := resp.Header[http1.HeaderLoad]; len(report) == 1 {
 		if l, err := wire.ParseLoad([]byte(report[0])); err == nil {
 			r.Load = l
@@ -164,7 +164,7 @@
 			err = fmt.Errorf("%w: %w", errBrokenAnswer, err)
 		}
 	}()
-	c.limited.N = int64(maxInformational*maxHead) + maxBody
+	c.limited.N = int64(maxInformational*maxHeadBytes) + maxBodyBytes
 	for range maxInformational {
 		if _, err := c.r.Peek(1); err != nil {
 			return nil, nil, false, err
@@ -188,7 +188,7 @@
 	case resp.StatusCode != http.StatusOK && resp.ContentLength < 0:
 		resp.Close = true // only the status is needed, and without a length the connection can't be reused
 		return resp, nil, true, nil
-	case resp.ContentLength > maxBody:
+	case resp.ContentLength > maxBodyBytes:
 		return nil, nil, false, errors.New("answer body too long") // rejected before it is read
 	}
 	if len(resp.TransferEncoding) > 0 {
@@ -272,7 +272,7 @@
 			return nil
 		}
 		n = len(seen) + 1
-		if n > maxHead {
+		if n > maxHeadBytes {
 			return errors.New("response head too long")
 		}
 		c.setReadTimeout(ctx, stallTimeout)
@@ -282,8 +282,8 @@
 	}
 }
 
-// outcomeOf returns the result that an attempt has by the status of its answer.
-func outcomeOf(resp *http.Response) balance.Result {
+// resultOf returns the result that an attempt has by the status of its answer.
+func resultOf(resp *http.Response) balance.Result {
 	switch resp.StatusCode {
 	case http.StatusOK:
 		return balance.OK
--- a/internal/backend/http1/idle.go
+++ b/internal/backend/http1/idle.go
@@ -56,7 +56,7 @@
 		return nil, fmt.Errorf("dial backend: %w", err)
 	}
 	limit := &io.LimitedReader{R: nc}
-	return &conn{Conn: nc, limited: limit, r: bufio.NewReaderSize(limit, maxHead), attempts: u.attempts}, nil
+	return &conn{Conn: nc, limited: limit, r: bufio.NewReaderSize(limit, maxHeadBytes), attempts: u.attempts}, nil
 }
 
 // close closes a connection and subtracts it from the open sockets.
--- a/internal/backend/http1/permit_test.go
+++ b/internal/backend/http1/permit_test.go
@@ -15,11 +15,11 @@
 	"lemonrail/internal/core"
 )
 
-const crossingRounds = 300 // how often each test repeats a race between an attempt and the revocation of its permit
+const raceRounds = 300 // how often each test repeats a race between an attempt and the revocation of its permit
 
 // countingBackend returns a backend that reports the id of each request that it received whole.
 func countingBackend(t *testing.T) (addr string, got chan string) {
-	got = make(chan string, 2*crossingRounds)
+	got = make(chan string, 2*raceRounds)
 	return backend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			req, _, err := receive(r)
@@ -61,7 +61,7 @@
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
-			for range crossingRounds {
+			for range raceRounds {
 				p := &core.Permit{}
 				done := exchange(t, u, p, addr, readRequest)
 				await(t, dialling)
@@ -76,7 +76,7 @@
 				}
 			}
 			if n := len(got); n != 0 {
-				t.Errorf("%s, connects %v: %d of %d were sent", name, connects, n, crossingRounds)
+				t.Errorf("%s, connects %v: %d of %d were sent", name, connects, n, raceRounds)
 			}
 		}
 	}
@@ -88,7 +88,7 @@
 	for name, revoke := range map[string]func(*core.Permit){"dropped": func(p *core.Permit) { p.Abort() }, "withdrawn": (*core.Permit).Withdraw} {
 		addr, got := countingBackend(t)
 		u := newTestUpstream(t)
-		for range crossingRounds {
+		for range raceRounds {
 			p := &core.Permit{}
 			c, err := u.dial(context.Background(), addr)
 			if err != nil {
@@ -104,7 +104,7 @@
 			}
 		}
 		if n := len(got); n != 0 {
-			t.Errorf("%s: %d of %d were sent", name, n, crossingRounds)
+			t.Errorf("%s: %d of %d were sent", name, n, raceRounds)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 func TestPermitRevokedAfterLastByte(t *testing.T) {
 	addr, got := countingBackend(t)
 	u := newTestUpstream(t)
-	for range crossingRounds {
+	for range raceRounds {
 		p := &core.Permit{}
 		c, err := u.dial(context.Background(), addr)
 		if err != nil {
@@ -183,8 +183,8 @@
 		for u.EvictIdle() {
 		}
 	}
-	if n := len(got); n != crossingRounds {
-		t.Errorf("%d of %d arrived", n, crossingRounds)
+	if n := len(got); n != raceRounds {
+		t.Errorf("%d of %d arrived", n, raceRounds)
 	}
 }
 
--- a/internal/backend/http1/upstream.go
+++ b/internal/backend/http1/upstream.go
@@ -23,8 +23,8 @@
 
 const (
 	maxBufferedBody  = 64 << 10 // bytes of an answer's body read before it is passed on: if a shorter one breaks, the request can be retried
-	maxBody          = 64 << 20 // bytes of an answer's body; backends send up to 32 MB
-	maxHead          = 8 << 10  // bytes of an answer's head
+	maxBodyBytes     = 64 << 20 // bytes of an answer's body; backends send up to 32 MB
+	maxHeadBytes     = 8 << 10  // bytes of an answer's head
 	maxInformational = 8        // answers with status 1xx that are skipped before the final one
 
 	// An answer that has begun and stalls for this long is broken.
@@ -41,7 +41,7 @@
 	// an answer arrive by then, and could otherwise be taken for the next answer.
 	reuseDelay = 10 * time.Millisecond
 
-	idleShare          = 0.75        // idle connections are closed after this share of the time after which a backend closes them
+	idleTimeoutShare   = 0.75        // idle connections are closed after this share of the time after which a backend closes them
 	defaultIdleTimeout = time.Minute // after which idle connections are closed if the settings don't say when a backend closes them
 	probeTimeout       = time.Second // for a whole probe, from the dial to the answer
 )
@@ -64,7 +64,7 @@
 
 // New returns an Upstream without connections.
 func New(s *balance.Settings, socks *Sockets, log *slog.Logger) *Upstream {
-	idle := time.Duration(idleShare * float64(s.IdleClose))
+	idle := time.Duration(idleTimeoutShare * float64(s.IdleClose))
 	if idle == 0 {
 		idle = defaultIdleTimeout
 	}
@@ -82,7 +82,7 @@
 	out := request.(*http1.Request)
 	r, connected := u.attempt(ctx, p, to, out)
 	if connected && (r.Result == balance.Reset || r.Result == balance.ConnectFailed) {
-		r.Standing = u.otherConnectionsAlive(ctx, to)
+		r.OtherConnectionsOpen = u.otherConnectionsAlive(ctx, to)
 	}
 	return r
 }
@@ -113,7 +113,7 @@
 		if p.Revoked() {
 			return core.Response{Result: balance.DroppedUnsent, Load: balance.NoLoad()}, false
 		}
-		return core.Response{Result: dialResult(ctx, err), Load: balance.NoLoad(), Refused: errors.Is(err, syscall.ECONNREFUSED)}, false
+		return core.Response{Result: dialResult(ctx, err), Load: balance.NoLoad(), PortClosed: errors.Is(err, syscall.ECONNREFUSED)}, false
 	}
 	return u.attemptOn(ctx, p, c, to, out), true
 }
@@ -137,8 +137,8 @@
 	return u.busy[to] > 0 || slices.ContainsFunc(u.idle[to], (*conn).openAndEmpty)
 }
 
-// addBusy adds n to the number of connections to a backend with an attempt on them.
-func (u *Upstream) addBusy(to core.Target, n int) {
+// addBusyConnections adds n to the number of connections to a backend with an attempt on them.
+func (u *Upstream) addBusyConnections(to core.Target, n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.busy[to] += n; u.busy[to] == 0 {
@@ -149,14 +149,14 @@
 // attemptOn makes an attempt on the connection c, which it then keeps as idle or closes; of a long answer this happens
 // once its rest has been read or discarded.
 func (u *Upstream) attemptOn(ctx context.Context, p *core.Permit, c *conn, to core.Target, out *http1.Request) core.Response {
-	u.addBusy(to, 1)
+	u.addBusyConnections(to, 1)
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(pastDeadline) })
 	r, reusable := c.roundTrip(ctx, p, out)
 	if a, ok := r.Payload.(*http1.Answer); ok && a.More != nil {
 		// The rest of a long answer is read after the attempt has ended.
 		if s := a.More.(*stream); stop() && c.SetDeadline(time.Time{}) == nil {
 			s.release = func() {
-				u.addBusy(to, -1)
+				u.addBusyConnections(to, -1)
 				if s.complete && c.r.Buffered() == 0 && reusable && c.SetDeadline(time.Time{}) == nil {
 					u.putIdle(to, c)
 				} else {
@@ -173,7 +173,7 @@
 			r.Result = balance.Cancelled
 		}
 	}
-	u.addBusy(to, -1)
+	u.addBusyConnections(to, -1)
 	// If stop comes too late, the past deadline may be set at any time, so the connection is not kept.
 	if stop() && reusable && c.SetDeadline(time.Time{}) == nil {
 		u.putIdle(to, c)
--- a/internal/backend/http1/upstream_test.go
+++ b/internal/backend/http1/upstream_test.go
@@ -76,12 +76,12 @@
 		{"a short body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", balance.Errored},
 		{"a short chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel", balance.Errored},
 		{"noise", "hello, world\r\n\r\n", balance.Errored},
-		{"too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nhello", maxBody+1), balance.Errored},
+		{"too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nhello", maxBodyBytes+1), balance.Errored},
 		{"no length but the end of the connection", "HTTP/1.1 200 OK\r\n\r\nhello", balance.OK},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\ncontent-length: 5\r\n\r\nhello", balance.Errored},
 		{"a length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", balance.Errored},
 		{"a negative length", "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello", balance.Errored},
-		{"a head that is too long", "HTTP/1.1 200 OK\r\nX-Pad: " + strings.Repeat("x", maxHead), balance.Errored},
+		{"a head that is too long", "HTTP/1.1 200 OK\r\nX-Pad: " + strings.Repeat("x", maxHeadBytes), balance.Errored},
 		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", balance.OK},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/cluster/cases_test.go
+++ b/internal/cluster/cases_test.go
@@ -179,13 +179,13 @@
 			}
 		}},
 		{"one agent has 5 % of a core", 6, 1, quickMembers, func(t *testing.T, c *cluster.Cluster) {
-			c.Agents[4].Slow(0.05)
+			c.Agents[4].LimitCPU(0.05)
 			must(t, c.Agents[1].Kill())
 			for _, i := range []int{0, 2, 3, 5} {
 				waitForView(t, c, i, "n1 gone, and nobody else", func(r *link.Report) bool { return row(r, "n1").State == "dead" && r.Majority })
 			}
 			noSlowAccusation(t, c)
-			c.Agents[4].Slow(1)
+			c.Agents[4].LimitCPU(1)
 			must(t, c.Agents[1].Start())
 		}},
 		{"ten of fourteen agents are killed and restarted together", 14, 2, quickMembers, func(t *testing.T, c *cluster.Cluster) {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -354,9 +354,9 @@
 // slowCycle is the time in which a process that Slow limits runs once.
 const slowCycle = 100 * time.Millisecond
 
-// Slow limits the process to a share of a core by stopping it for the rest of each slowCycle. A share of 1 or
+// LimitCPU limits the process to a share of a core by stopping it for the rest of each slowCycle. A share of 1 or
 // more removes the limit.
-func (a *Agent) Slow(share float64) {
+func (a *Agent) LimitCPU(share float64) {
 	a.mu.Lock()
 	if a.stopSlow != nil {
 		close(a.stopSlow)
--- a/internal/cluster/duties_test.go
+++ b/internal/cluster/duties_test.go
@@ -406,9 +406,9 @@
 		}
 	}
 	holder, _ := waitForHolder(t, c, 0)
-	c.Agents[holder].Slow(0.02)
+	c.Agents[holder].LimitCPU(0.02)
 	watch(3 * time.Second)
-	c.Agents[holder].Slow(1)
+	c.Agents[holder].LimitCPU(1)
 	waitForHolder(t, c, 0)
 	for _, f := range []cluster.Fault{{Loss: 0.3}, {Delay: [2]time.Duration{0, time.Second}}, {Stall: true}} {
 		c.Link(all, []int{0, 1, 2}, func(x *cluster.Fault) { *x = f })
--- a/internal/cluster/siteloss.go
+++ b/internal/cluster/siteloss.go
@@ -19,9 +19,9 @@
 	"lemonrail/internal/trial"
 )
 
-// Loss is an experiment in which site b of the sites a to c, with four nodes each, is lost under load, with an
+// SiteLoss is an experiment in which site b of the sites a to c, with four nodes each, is lost under load, with an
 // optional further fault.
-type Loss struct {
+type SiteLoss struct {
 	Seed  uint64  `json:"seed"`
 	What  string  `json:"what"`  // key of LossKinds
 	Also  string  `json:"also"`  // key of SideFaults
@@ -54,7 +54,7 @@
 }
 
 // RandomLoss returns a Loss drawn from a seed.
-func RandomLoss(seed uint64) Loss {
+func RandomLoss(seed uint64) SiteLoss {
 	rng := rand.New(rand.NewPCG(seed, 21))
 	pick := func(m map[string]string) string {
 		var keys []string
@@ -64,7 +64,7 @@
 		slices.Sort(keys)
 		return keys[rng.IntN(len(keys))]
 	}
-	l := Loss{Seed: seed, What: pick(LossKinds), Share: []float64{0.55, 0.75, 0.9}[rng.IntN(3)], AtS: 3, ForS: 5 + 2*rng.Float64(), EndS: 18}
+	l := SiteLoss{Seed: seed, What: pick(LossKinds), Share: []float64{0.55, 0.75, 0.9}[rng.IntN(3)], AtS: 3, ForS: 5 + 2*rng.Float64(), EndS: 18}
 	if rng.IntN(2) == 0 {
 		l.Also = pick(SideFaults)
 	}
@@ -111,7 +111,7 @@
 }
 
 // outages returns when the nodes of site b are unusable. A cut, in which the nodes keep running, is none.
-func (l *Loss) outages() (all []outage) {
+func (l *SiteLoss) outages() (all []outage) {
 	for i := range lossNodes {
 		d := outage{i, l.AtS, l.AtS + l.ForS, false}
 		switch l.What {
@@ -139,7 +139,7 @@
 }
 
 // scenario returns the text (TOML) of the scenario with the sites, their nodes and the faults, for the given number of agents.
-func (l *Loss) scenario(agents int) string {
+func (l *SiteLoss) scenario(agents int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed = %d\nseconds = 600\nsites = [\"a\", \"b\", \"c\"]\nagents = %d\n", l.Seed, agents)
 	fmt.Fprintf(&b, "[rules]\nramp_ms = %g\ncold_share = %g\n[allow]\nattempts = 4\nretry_after = true\npeers = true\n", lossRampMs, lossCold)
@@ -198,7 +198,7 @@
 
 // problemAt returns the site-planning problem t seconds after the start of the run, as a planner with full knowledge of the faults
 // would pose it.
-func (l *Loss) problemAt(t float64) site.Problem {
+func (l *SiteLoss) problemAt(t float64) site.Problem {
 	p := site.Problem{}
 	for o, part := range siteShares {
 		p.Capacity, p.Remain = append(p.Capacity, lossCapacity), append(p.Remain, 1)
@@ -249,11 +249,11 @@
 }
 
 // rate returns the mean load in requests per second.
-func (l *Loss) rate() float64 { return l.Share * lossCapacity * float64(len(lossSites)) }
+func (l *SiteLoss) rate() float64 { return l.Share * lossCapacity * float64(len(lossSites)) }
 
 // LossRun runs a Loss with agents that are configured in one way.
 type LossRun struct {
-	Loss     Loss
+	Loss     SiteLoss
 	Program  string    // path of the agent's program
 	Dir      string    // directory for configurations, folders and logs; must exist
 	Agents   int       // number of agents
@@ -263,7 +263,7 @@
 }
 
 // SitesFile returns the text of the agents' sites file with the sites of the experiment. way is the agents' way of planning.
-func (l *Loss) SitesFile(way string) string {
+func (l *SiteLoss) SitesFile(way string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "way = %q\nheadroom = 0.05\ncross = 0.02\n[return]\ncold_share = %g\nramp_ms = %g\n", way, lossCold, lossRampMs)
 	for _, s := range lossSites {
@@ -289,19 +289,19 @@
 
 // LossResult is the result of a LossRun.
 type LossResult struct {
-	Loss    Loss           `json:"loss"`
-	Windows []LossWindow   `json:"windows"`
-	Served  float64        `json:"served"`        // worth of the served requests from the loss on, as a share of the sum of Best
-	Soon    float64        `json:"three_to_five"` // as Served, from 3 s to 5 s after the loss
-	After   float64        `json:"after_s"`       // time from the loss until 95 % of the best is served; the whole span if it never is
-	Return  float64        `json:"return_s"`      // time from the end of the loss until 95 % of the best is served
-	Wave    float64        `json:"wave"`          // maximum, over the windows of the ramp of site b, of its attempts divided by the usual number times its warmth
-	Refused map[string]int `json:"refused"`       // number of refused requests, by class
-	Asked   map[string]int `json:"asked"`         // number of requests, by class
-	InTime  map[string]int `json:"in_time"`       // number of requests served within the aim, by class
-	Held    bool           `json:"rules_held"`    // whether no rule of the ledger was broken
-	Verdict string         `json:"verdict"`
-	States  map[string]int `json:"states,omitempty"` // number of agents by their state of site b, 2 s after its loss
+	Loss               SiteLoss       `json:"loss"`
+	Windows            []LossWindow   `json:"windows"`
+	Served             float64        `json:"served"`        // worth of the served requests from the loss on, as a share of the sum of Best
+	Served3To5S        float64        `json:"three_to_five"` // as Served, from 3 s to 5 s after the loss
+	After              float64        `json:"after_s"`       // time from the loss until 95 % of the best is served; the whole span if it never is
+	Return             float64        `json:"return_s"`      // time from the end of the loss until 95 % of the best is served
+	MaxReturnOvershoot float64        `json:"wave"`          // maximum, over the windows of the ramp of site b, of its attempts divided by the usual number times its warmth
+	Refused            map[string]int `json:"refused"`       // number of refused requests, by class
+	Asked              map[string]int `json:"asked"`         // number of requests, by class
+	InTime             map[string]int `json:"in_time"`       // number of requests served within the aim, by class
+	Held               bool           `json:"rules_held"`    // whether no rule of the ledger was broken
+	Verdict            string         `json:"verdict"`
+	States             map[string]int `json:"states,omitempty"` // number of agents by their state of site b, 2 s after its loss
 }
 
 // countingLedger is a ledger that also counts attempts by site and time.
@@ -475,7 +475,7 @@
 	}
 	share := func(a, b float64) float64 { return a / max(b, 1e-9) }
 	r.Served = share(sum(l.AtS, l.EndS))
-	r.Soon = share(sum(l.AtS+3, l.AtS+5))
+	r.Served3To5S = share(sum(l.AtS+3, l.AtS+5))
 	until := func(from, till float64) float64 {
 		for t := from; t < till; t += lossWindow.Seconds() {
 			if s, b := sum(t, t+2*lossWindow.Seconds()); s >= 0.95*b {
@@ -496,7 +496,7 @@
 	for _, w := range r.Windows {
 		if w.AtS >= end && w.AtS < end+lossRampMs/1000 && w.Got != nil && attempts > 0 {
 			ramp := lossCold + (1-lossCold)*min(1, (w.AtS+lossWindow.Seconds()-end)*1000/lossRampMs)
-			r.Wave = max(r.Wave, float64(w.Got[1])/(attempts/n*ramp))
+			r.MaxReturnOvershoot = max(r.MaxReturnOvershoot, float64(w.Got[1])/(attempts/n*ramp))
 		}
 	}
 	return nil
--- a/internal/cluster/timetable.go
+++ b/internal/cluster/timetable.go
@@ -158,7 +158,7 @@
 type step struct {
 	at     time.Duration // since the start of the timetable
 	event  *Event
-	on     bool     // whether the event begins
+	begins bool     // whether the event begins
 	agents [3][]int // indexes of the agents in From, To and Who of the event
 }
 
@@ -168,7 +168,7 @@
 	rng := rand.New(rand.NewPCG(t.Seed, 11))
 	for i := range t.Events {
 		e := &t.Events[i]
-		s := step{at: time.Duration(e.AtS * float64(time.Second)), event: e, on: true}
+		s := step{at: time.Duration(e.AtS * float64(time.Second)), event: e, begins: true}
 		for k, names := range [][]string{e.From, e.To, e.Who} {
 			s.agents[k], _ = t.agentsNamed(names, rng) // checked by ParseTimetable
 		}
@@ -181,7 +181,7 @@
 			}
 			end = t.Seconds
 		}
-		s.at, s.on = time.Duration(min(end, t.Seconds)*float64(time.Second)), false
+		s.at, s.begins = time.Duration(min(end, t.Seconds)*float64(time.Second)), false
 		all = append(all, s)
 	}
 	slices.SortStableFunc(all, func(a, b step) int { return int(a.at - b.at) })
@@ -237,7 +237,7 @@
 		return strings.Join(n, " ")
 	}
 	what := s.event.What
-	if !s.on {
+	if !s.begins {
 		what += " ends"
 	}
 	if s.event.Size > 0 {
@@ -257,7 +257,7 @@
 func (c *Cluster) applyStep(s *step) error {
 	e := s.event
 	if set := linkFaults[e.What]; set != nil {
-		change := func(f *Fault) { set(f, s.on, e.Size) }
+		change := func(f *Fault) { set(f, s.begins, e.Size) }
 		c.Link(s.agents[0], s.agents[1], change)
 		if e.Both {
 			c.Link(s.agents[1], s.agents[0], change)
@@ -267,7 +267,7 @@
 	errs := make([]error, len(s.agents[2]))
 	var all sync.WaitGroup // ends of processes are waited for concurrently
 	for k, i := range s.agents[2] {
-		all.Go(func() { errs[k] = c.Agents[i].applyFault(e, s.on) })
+		all.Go(func() { errs[k] = c.Agents[i].applyFault(e, s.begins) })
 	}
 	all.Wait()
 	return errors.Join(errs...)
@@ -285,9 +285,9 @@
 	case e.What == "stop":
 		return a.Signal(syscall.SIGCONT)
 	case e.What == "slow" && on:
-		a.Slow(e.Size)
+		a.LimitCPU(e.Size)
 	case e.What == "slow":
-		a.Slow(1)
+		a.LimitCPU(1)
 	case e.What == "term" && on:
 		return a.Term()
 	case e.What == "vanish" && on: // links first, so that no peer learns of the exit from a refused datagram
--- a/internal/configuration/server/agents.go
+++ b/internal/configuration/server/agents.go
@@ -7,8 +7,8 @@
 	"lemonrail/internal/configuration"
 )
 
-// report handles an agent's report of the revisions that it has in force.
-func (s *Server) report(w http.ResponseWriter, r *http.Request) {
+// handleReport handles an agent's report of the revisions that it has in force.
+func (s *Server) handleReport(w http.ResponseWriter, r *http.Request) {
 	var report configuration.Report
 	err := decodeBody(w, r, maxReportBytes, &report)
 	if err == nil {
@@ -72,9 +72,9 @@
 	writeJSON(w, all)
 }
 
-// status answers whether a revision of a scope is in force at every agent that the scope applies to: the
+// handleStatus answers whether a revision of a scope is in force at every agent that the scope applies to: the
 // revision in the query, or the latest one.
-func (s *Server) status(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleStatus(w http.ResponseWriter, r *http.Request) {
 	scope, err := s.requestedScope(r)
 	if err != nil {
 		writeError(w, err)
--- a/internal/configuration/server/put.go
+++ b/internal/configuration/server/put.go
@@ -10,9 +10,9 @@
 	"lemonrail/internal/configuration"
 )
 
-// put handles a change: it proposes the change here if this machine leads the group that writes the scope,
+// handlePut handles a change: it proposes the change here if this machine leads the group that writes the scope,
 // and otherwise has the group's leader propose it.
-func (s *Server) put(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handlePut(w http.ResponseWriter, r *http.Request) {
 	accepted, err := s.acceptChange(w, r)
 	if err != nil {
 		writeError(w, err)
--- a/internal/configuration/server/route.go
+++ b/internal/configuration/server/route.go
@@ -96,7 +96,7 @@
 	for _, m := range s.settings.voters(c.group) {
 		pending = append(pending, m.Address)
 	}
-	tried := map[string]bool{s.own.Address: true}
+	tried := map[string]bool{s.ownMachine.Address: true}
 	err = newError(configuration.ErrorNoQuorum, "%s: no other machine to ask; nothing was written", c.group)
 	for len(pending) > 0 {
 		address := pending[0]
--- a/internal/configuration/server/server.go
+++ b/internal/configuration/server/server.go
@@ -50,7 +50,7 @@
 // Server is the control process of one machine.
 type Server struct {
 	settings   Settings
-	own        MachineConfig // this machine's entry in the settings
+	ownMachine MachineConfig // this machine's entry in the settings
 	log        *slog.Logger
 	groups     map[string]*group // by name; only those in which this machine votes
 	history    *history
@@ -96,7 +96,7 @@
 	own, _ := settings.machine(settings.Name)
 	return &Server{
 		settings:   settings,
-		own:        own,
+		ownMachine: own,
 		log:        log.With("machine", settings.Name),
 		groups:     map[string]*group{},
 		peers:      newPeerClient(),
@@ -109,7 +109,7 @@
 
 // startGroups starts a replica for each group in which this machine votes.
 func (s *Server) startGroups(ctx context.Context, running *sync.WaitGroup) error {
-	for name, address := range s.own.Groups {
+	for name, address := range s.ownMachine.Groups {
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
 			return fmt.Errorf("group %s: %w", name, err)
@@ -169,14 +169,14 @@
 // handler returns the process's HTTP routes.
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+configuration.WatchPath, s.watch)
-	mux.HandleFunc("POST "+configuration.ReportPath, withDeadlines(s.report))
-	mux.HandleFunc("POST "+configuration.PutPath, withDeadlines(s.put))
-	mux.HandleFunc("GET "+configuration.ShowPath, withDeadlines(s.show))
-	mux.HandleFunc("GET "+configuration.StatusPath, withDeadlines(s.status))
+	mux.HandleFunc("GET "+configuration.WatchPath, s.handleWatch)
+	mux.HandleFunc("POST "+configuration.ReportPath, withDeadlines(s.handleReport))
+	mux.HandleFunc("POST "+configuration.PutPath, withDeadlines(s.handlePut))
+	mux.HandleFunc("GET "+configuration.ShowPath, withDeadlines(s.handleShow))
+	mux.HandleFunc("GET "+configuration.StatusPath, withDeadlines(s.handleStatus))
 	mux.HandleFunc("GET "+configuration.LocalStatusPath, withDeadlines(s.localStatus))
 	mux.HandleFunc("GET "+configuration.HistoryPath, withDeadlines(s.showHistory))
-	mux.HandleFunc("GET "+configuration.MachinePath, withDeadlines(s.machine))
+	mux.HandleFunc("GET "+configuration.MachinePath, withDeadlines(s.handleMachine))
 	mux.HandleFunc("GET "+UpPath, withDeadlines(s.serveUp))
 	return mux
 }
--- a/internal/configuration/server/settings.go
+++ b/internal/configuration/server/settings.go
@@ -55,7 +55,7 @@
 		return Settings{}, err
 	}
 	check := settingsCheck{file: file, raw: raw, settings: &s}
-	for _, step := range []func() error{check.own, check.machines, check.groups} {
+	for _, step := range []func() error{check.checkOwnSettings, check.checkMachines, check.checkGroups} {
 		if err := step(); err != nil {
 			return Settings{}, err
 		}
@@ -84,8 +84,8 @@
 	return fmt.Errorf("%s: line %d: %s: %s", c.file, max(line, 1), key, fmt.Sprintf(format, args...))
 }
 
-// own checks the settings of this machine itself.
-func (c *settingsCheck) own() error {
+// checkOwnSettings checks the settings of this machine itself.
+func (c *settingsCheck) checkOwnSettings() error {
 	s := c.settings
 	if s.Folder == "" {
 		return c.atKey("folder", "is empty")
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// machines checks each [[machine]] table: valid names, and names and addresses that are used only once.
-func (c *settingsCheck) machines() error {
+// checkMachines checks each [[machine]] table: valid names, and names and addresses that are used only once.
+func (c *settingsCheck) checkMachines() error {
 	names := map[string]bool{}
 	addresses := map[string]bool{}
 	for n, m := range c.settings.Machines {
@@ -156,10 +156,10 @@
 	return m.Groups[key[len("groups."):]]
 }
 
-// groups checks the voters of each group: all machines vote in the fleet's group; the voters of a region's
+// checkGroups checks the voters of each group: all machines vote in the fleet's group; the voters of a region's
 // group are the region's machines and, if there are other regions, exactly one machine of another region as
 // the witness.
-func (c *settingsCheck) groups() error {
+func (c *settingsCheck) checkGroups() error {
 	regions := c.settings.regions()
 	known := map[string]bool{configuration.FleetGroup: true}
 	for _, region := range regions {
--- a/internal/configuration/server/show.go
+++ b/internal/configuration/server/show.go
@@ -10,9 +10,9 @@
 	"lemonrail/internal/configuration"
 )
 
-// show answers with the latest revision of a scope, confirmed by the leader of its group. With applied=true
+// handleShow answers with the latest revision of a scope, confirmed by the leader of its group. With applied=true
 // it answers with the latest revision that this machine has applied, which needs no majority.
-func (s *Server) show(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleShow(w http.ResponseWriter, r *http.Request) {
 	scope, err := s.requestedScope(r)
 	if err != nil {
 		writeError(w, err)
@@ -122,8 +122,8 @@
 	writeJSON(w, revisions)
 }
 
-// machine answers with this machine's status in each group that it votes in.
-func (s *Server) machine(w http.ResponseWriter, r *http.Request) {
+// handleMachine answers with this machine's status in each group that it votes in.
+func (s *Server) handleMachine(w http.ResponseWriter, r *http.Request) {
 	status := configuration.MachineStatus{Name: s.settings.Name, Region: s.settings.Region, Watches: len(s.watchSlots)}
 	for _, g := range s.groups {
 		status.Groups = append(status.Groups, g.status(r.Context()))
--- a/internal/configuration/server/watch.go
+++ b/internal/configuration/server/watch.go
@@ -77,9 +77,9 @@
 	return scope, at, nil
 }
 
-// watch sends an agent the updates that it lacks, and after that an update for each further change, until the
+// handleWatch sends an agent the updates that it lacks, and after that an update for each further change, until the
 // agent or this process ends the watch.
-func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleWatch(w http.ResponseWriter, r *http.Request) {
 	query, err := parseWatchQuery(r.URL.Query())
 	if err != nil {
 		writeError(w, err)
--- a/internal/configuration/timetable_test.go
+++ b/internal/configuration/timetable_test.go
@@ -43,7 +43,7 @@
 type simulation struct {
 	t             *testing.T
 	rng           *rand.Rand
-	missing       missingGuard
+	disabledGuard missingGuard
 	failure       string // the first violation found
 	now           time.Duration
 	epoch         uint64                      // raft term of the leaders of all groups
@@ -111,7 +111,7 @@
 // newSimulation returns a simulation of three machines of two groups and of six agents. Seeds that are odd
 // allow refusals.
 func newSimulation(t *testing.T, seed uint64, f missingGuard) *simulation {
-	w := &simulation{t: t, rng: newRand(seed), missing: f, epoch: 1, allowRefusals: seed%2 == 1,
+	w := &simulation{t: t, rng: newRand(seed), disabledGuard: f, epoch: 1, allowRefusals: seed%2 == 1,
 		logs: map[string][]logEntry{}, leaders: map[string]*Registry{},
 		history: map[Scope]map[uint64]string{}, answers: map[string]Accepted{}, counts: map[string]int{}}
 	for _, group := range []string{FleetGroup, RegionGroup("east")} {
@@ -176,12 +176,12 @@
 		w.endWatch(a, a.watches[0])
 	}
 	check := a.check
-	if w.missing == withoutCheck {
+	if w.disabledGuard == withoutCheck {
 		check = func(*Document) error { return nil }
 	}
 	a.follower = NewFollower(a.place, check)
-	a.follower.skip = skippedChecks{order: w.missing == withoutOrder, from: w.missing == withoutFrom,
-		digest: w.missing == withoutFrom || w.missing == withoutDigest}
+	a.follower.skip = skippedChecks{order: w.disabledGuard == withoutOrder, from: w.disabledGuard == withoutFrom,
+		digest: w.disabledGuard == withoutFrom || w.disabledGuard == withoutDigest}
 	a.document, a.positions, a.maxApplied = Merge(nil, nil), map[Scope]Position{}, map[Scope]uint64{}
 	a.reportDue, a.reportedEarly = false, nil
 	if kept != nil {
@@ -213,7 +213,7 @@
 		a.follower.Applied(effective)
 		a.reportDue = true
 		w.counts["in force"]++
-		if w.missing == withEarlyReports {
+		if w.disabledGuard == withEarlyReports {
 			a.reportedEarly = effective
 			return
 		}
@@ -383,7 +383,7 @@
 		}
 	}
 	m.tracker = NewTracker(m.tracker.machine, w.now)
-	m.tracker.keepReportsOnConnect = w.missing == withoutReportReset
+	m.tracker.keepReportsOnConnect = w.disabledGuard == withoutReportReset
 }
 
 // push lets a machine send the updates that the agents which watch it don't have yet.
--- a/internal/configuration/tracker.go
+++ b/internal/configuration/tracker.go
@@ -153,7 +153,7 @@
 	}
 	var oldest *agentKey
 	for key, agent := range t.agents {
-		if agent.watches == 0 && (oldest == nil || t.awayLonger(key, *oldest)) {
+		if agent.watches == 0 && (oldest == nil || t.lastContactBefore(key, *oldest)) {
 			oldest = &key
 		}
 	}
@@ -164,8 +164,8 @@
 	return nil
 }
 
-// awayLonger reports whether agent a made its last contact before agent b, with ties broken by key.
-func (t *Tracker) awayLonger(a, b agentKey) bool {
+// lastContactBefore reports whether agent a made its last contact before agent b, with ties broken by key.
+func (t *Tracker) lastContactBefore(a, b agentKey) bool {
 	order := cmp.Or(cmp.Compare(t.agents[a].lastContact, t.agents[b].lastContact), compareKeys(a, b))
 	return order < 0
 }
--- a/internal/configuration/watch/saved.go
+++ b/internal/configuration/watch/saved.go
@@ -47,8 +47,8 @@
 	return raw, nil
 }
 
-// save writes the documents in force to the disk, if Config.Folder is set. If that fails, it is only logged.
-func (w *Watcher) save() {
+// saveDocuments writes the documents in force to the disk, if Config.Folder is set. If that fails, it is only logged.
+func (w *Watcher) saveDocuments() {
 	path := w.savedPath()
 	if path == "" {
 		return
--- a/internal/configuration/watch/watch.go
+++ b/internal/configuration/watch/watch.go
@@ -385,7 +385,7 @@
 		w.updateStatus(func(st *Status) { st.Restored, st.AppliedAt, st.Changes = restored, time.Now(), st.Changes+1 })
 		w.log.Info("configuration: in force", "revisions", positionsText(effective.Positions), "digest", effective.Digest, "kept", restored)
 		if !restored {
-			w.save()
+			w.saveDocuments()
 		}
 	}
 	report := w.follower.Report()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -50,12 +50,12 @@
 
 // Response is the result of an attempt.
 type Response struct {
-	Result   balance.Result
-	Load     balance.Load // the backend's load report; not Valid if there was none
-	Standing bool         // with Reset and ConnectFailed: other connections to the backend are still open
-	Refused  bool         // with ConnectFailed: the backend's machine answered that nothing listens on the port
-	Payload  any          // with OK: the answer, for the front
-	SentAt   time.Time    // when the last byte was written, if writing took long; zero: right after the Send
+	Result               balance.Result
+	Load                 balance.Load // the backend's load report; not Valid if there was none
+	OtherConnectionsOpen bool         // with Reset and ConnectFailed: other connections to the backend are still open
+	PortClosed           bool         // with ConnectFailed: the backend's machine answered that nothing listens on the port
+	Payload              any          // with OK: the answer, for the front
+	SentAt               time.Time    // when the last byte was written, if writing took long; zero: right after the Send
 }
 
 // ErrEnded is returned for operations that need the loop after it has ended.
@@ -80,20 +80,20 @@
 // Peers sends data to the agent with number to, or to all other agents (balance.EveryPeer). Send never blocks.
 type Peers interface{ Send(to int, data []byte) }
 
-// Kind is the kind of an Answer.
-type Kind uint8
+// AnswerKind is the kind of an Answer.
+type AnswerKind uint8
 
 const (
-	Served    Kind = iota // answered by a backend; Payload is its answer
-	Refused               // nothing was executed, so that a retry is safe
-	Failed                // the request may or may not have been executed
-	Duplicate             // another call with this id is open or has just ended
-	Abandoned             // the client has left
+	Served    AnswerKind = iota // answered by a backend; Payload is its answer
+	Refused                     // nothing was executed, so that a retry is safe
+	Failed                      // the request may or may not have been executed
+	Duplicate                   // another call with this id is open or has just ended
+	Abandoned                   // the client has left
 )
 
 // Answer is a call's final answer.
 type Answer struct {
-	Kind       Kind
+	Kind       AnswerKind
 	RetryAfter time.Duration // with Refused; 0: no advice
 	Payload    any           // with Served: the backend's answer, as the Backend returned it
 }
@@ -151,18 +151,18 @@
 	Lists    ListSource
 	Peers    Peers             // nil where agents don't exchange messages
 	Observer Observer          // nil: no observer
-	Figures  *metrics.Metrics  // receives the numbers of listed and ejected backends; nil: none
+	Metrics  *metrics.Metrics  // receives the numbers of listed and ejected backends; nil: none
 	settings *balance.Settings // those that apply now; replaced by Reconfigure, never modified
 
-	events         []balance.Event   // events for the next step
-	calls          map[string]*Call  // by request id: open calls, and answered ones with pending attempts
-	recent         *recentIDs        // ids of the calls that ended last, so that their repeats are rejected
-	addrs          map[string]string // addresses of the listed backends, by ID
-	pool           *pool.Pool
-	timers         timers
-	figuresUpdated time.Time // when the metrics of the list were last updated
-	afterStep      []func()  // called once the decision module has processed all queued events
-	stopDeadline   time.Time // end of a planned stop, when every call must have its answer; zero: none
+	events           []balance.Event   // events for the next step
+	calls            map[string]*Call  // by request id: open calls, and answered ones with pending attempts
+	recent           *recentIDs        // ids of the calls that ended last, so that their repeats are rejected
+	addrs            map[string]string // addresses of the listed backends, by ID
+	pool             *pool.Pool
+	timers           timers
+	metricsUpdatedAt time.Time // when the metrics of the list were last updated
+	afterStep        []func()  // called once the decision module has processed all queued events
+	stopDeadline     time.Time // end of a planned stop, when every call must have its answer; zero: none
 }
 
 // recentIDs holds the ids of the calls that ended last, at most maxRecentIDs of them.
@@ -240,7 +240,7 @@
 			f()
 		}
 		l.afterStep = l.afterStep[:0]
-		l.UpdateFigures(figuresInterval)
+		l.UpdateMetrics(metricsInterval)
 		if len(l.timers) > 0 {
 			alarm.Reset(time.Until(l.timers[0].at))
 		}
@@ -399,7 +399,7 @@
 		l.Observer.Ended(backend, r, time.Since(sent))
 	}
 	l.Event(balance.Outcome{Request: c.Event.ID, Attempt: n, Backend: backend, Result: r.Result,
-		Latency: time.Since(sent), Done: c.answered, Load: r.load(), OtherConnectionsOpen: r.Standing})
+		Latency: time.Since(sent), Done: c.answered, Load: r.load(), OtherConnectionsOpen: r.OtherConnectionsOpen})
 	l.forget(c)
 }
 
@@ -507,16 +507,16 @@
 // must not block.
 func (l *Loop) AfterStep(f func()) { l.afterStep = append(l.afterStep, f) }
 
-// figuresInterval is the maximum age of the metrics that the loop updates.
-const figuresInterval = 100 * time.Millisecond
+// metricsInterval is the maximum age of the metrics that the loop updates.
+const metricsInterval = 100 * time.Millisecond
 
-// UpdateFigures updates the metrics of the list, the listed and the ejected backends, if they are older than maxAge.
-func (l *Loop) UpdateFigures(maxAge time.Duration) {
+// UpdateMetrics updates the metrics of the list, the listed and the ejected backends, if they are older than maxAge.
+func (l *Loop) UpdateMetrics(maxAge time.Duration) {
 	now := time.Now()
-	if l.Figures == nil || now.Sub(l.figuresUpdated) < maxAge {
+	if l.Metrics == nil || now.Sub(l.metricsUpdatedAt) < maxAge {
 		return
 	}
-	l.figuresUpdated = now
+	l.metricsUpdatedAt = now
 	ejected := len(l.pool.ListedExcluded())
 	if b, ok := l.bal.(interface{ Ejected(time.Duration) []string }); ok {
 		for _, id := range b.Ejected(l.clock.at(now)) {
@@ -525,8 +525,8 @@
 			}
 		}
 	}
-	l.Figures.PoolSize.Store(int64(l.pool.Size()))
-	l.Figures.PoolEjected.Store(int64(ejected))
+	l.Metrics.PoolSize.Store(int64(l.pool.Size()))
+	l.Metrics.PoolEjected.Store(int64(ejected))
 }
 
 // fireTimers turns the timers that have expired into events.
--- a/internal/diameter/dictionary.go
+++ b/internal/diameter/dictionary.go
@@ -102,13 +102,13 @@
 
 // AVPDef defines an AVP.
 type AVPDef struct {
-	Name   string            `toml:"name"`
-	Code   uint32            `toml:"code"`
-	Vendor uint32            `toml:"vendor"` // 0: no vendor
-	Type   Type              `toml:"type"`
-	Must   bool              `toml:"mandatory"` // the M bit must be set
-	Values map[string]uint32 `toml:"values"`    // the named values of an Enumerated AVP
-	Group  []AVPRule         `toml:"group"`     // the members of a Grouped AVP; empty: any
+	Name      string            `toml:"name"`
+	Code      uint32            `toml:"code"`
+	Vendor    uint32            `toml:"vendor"` // 0: no vendor
+	Type      Type              `toml:"type"`
+	Mandatory bool              `toml:"mandatory"` // the M bit must be set
+	Values    map[string]uint32 `toml:"values"`    // the named values of an Enumerated AVP
+	Group     []AVPRule         `toml:"group"`     // the members of a Grouped AVP; empty: any
 }
 
 // CommandDef defines a command of an application, with the rules for its request and its answer.
@@ -121,13 +121,13 @@
 	Answer      []AVPRule `toml:"answer"`
 }
 
-// Dictionary holds the known AVPs and commands. It must not be changed after NewDictionary has returned it.
+// Dictionary holds the known MaxAVPs and commands. It must not be changed after NewDictionary has returned it.
 type Dictionary struct {
 	Commands []CommandDef `toml:"command"`
 	AVPs     []AVPDef     `toml:"avp"`
 
-	byKey     map[key]*AVPDef           // AVPs by code and vendor
-	byName    map[string]*AVPDef        // AVPs by name
+	byKey     map[key]*AVPDef           // MaxAVPs by code and vendor
+	byName    map[string]*AVPDef        // MaxAVPs by name
 	byCommand map[[2]uint32]*CommandDef // by application and command code
 }
 
@@ -198,8 +198,8 @@
 // AVP returns the definition of the AVP with a code and vendor, or nil if the dictionary has none.
 func (d *Dictionary) AVP(code, vendor uint32) *AVPDef { return d.byKey[key{code, vendor}] }
 
-// Check validates a message against the dictionary: the flags and the data of each AVP, unknown AVPs that
-// have the M bit set, missing AVPs and AVPs that occur too often. It returns the first violation as an
+// Check validates a message against the dictionary: the flags and the data of each AVP, unknown MaxAVPs that
+// have the M bit set, missing MaxAVPs and MaxAVPs that occur too often. It returns the first violation as an
 // *Error.
 func (d *Dictionary) Check(m *Message, limits Limits) error {
 	c := d.Command(m.Application, m.Command)
@@ -218,7 +218,7 @@
 	return d.checkList(m.AVPs, rules, true, limits, 0)
 }
 
-// checkList validates the AVPs of a message or a group. AVPs that no rule names are allowed, whatever open is: it
+// checkList validates the MaxAVPs of a message or a group. MaxAVPs that no rule names are allowed, whatever open is: it
 // has no effect.
 func (d *Dictionary) checkList(list []AVP, rules []AVPRule, open bool, limits Limits, depth int) error {
 	for i := range list {
@@ -230,7 +230,7 @@
 			}
 			continue
 		}
-		if a.Flags&avpReserved != 0 || def.Must && a.Flags&AVPMandatory == 0 {
+		if a.Flags&avpReserved != 0 || def.Mandatory && a.Flags&AVPMandatory == 0 {
 			return newError(InvalidAVPBits, a, "flags %#x of %s", a.Flags, def.Name)
 		}
 		if err := a.check(def.Type, limits, depth); err != nil {
@@ -272,7 +272,7 @@
 // AVP in place of a missing one: RFC 6733 section 7.5.
 func (def *AVPDef) empty() *AVP {
 	a := &AVP{Code: def.Code, Vendor: def.Vendor}
-	if def.Must {
+	if def.Mandatory {
 		a.Flags |= AVPMandatory
 	}
 	if def.Vendor != 0 {
@@ -330,7 +330,7 @@
 	return t
 }
 
-// nodes converts a list of AVPs at a nesting depth into its readable form.
+// nodes converts a list of MaxAVPs at a nesting depth into its readable form.
 func (d *Dictionary) nodes(list []AVP, limits Limits, depth int) []Node {
 	out := []Node{}
 	for i := range list {
@@ -369,7 +369,7 @@
 	return b.String()
 }
 
-// writeNodes appends the AVPs to b, one per line, members of groups with a further indent.
+// writeNodes appends the MaxAVPs to b, one per line, members of groups with a further indent.
 func writeNodes(b *strings.Builder, list []Node, indent string) {
 	for _, n := range list {
 		fmt.Fprintf(b, "%s%s (%d", indent, n.Name, n.Code)
--- a/internal/diameter/message.go
+++ b/internal/diameter/message.go
@@ -1,13 +1,13 @@
-// Package diameter implements the Diameter base protocol of RFC 6733: the encoding of messages and AVPs, a
+// Package diameter implements the Diameter base protocol of RFC 6733: the encoding of messages and MaxAVPs, a
 // dictionary, and the peer state machine. It does not depend on the agent.
 //
-//	Reader ─▶ Message (header, AVPs that refer to the bytes read) ─▶ Dictionary.Check ─▶ Peer
+//	Reader ─▶ Message (header, MaxAVPs that refer to the bytes read) ─▶ Dictionary.Check ─▶ Peer
 //
 // Decoding copies no data: an AVP's Data is a slice of the message's bytes and must not be changed. Grouped
-// AVPs are decoded only when AVP.Group is called. A protocol violation is returned as an *Error that holds
+// MaxAVPs are decoded only when AVP.Group is called. A protocol violation is returned as an *Error that holds
 // the Result-Code of the RFC and the AVP for Failed-AVP.
 //
-// Limits bounds the size of a message, the number of its AVPs and the nesting depth of groups.
+// Limits bounds the size of a message, the number of its MaxAVPs and the nesting depth of groups.
 package diameter
 
 import (
@@ -80,13 +80,13 @@
 
 // Limits bounds the messages that are decoded.
 type Limits struct {
-	Message int // bytes of a message
-	AVPs    int // AVPs in a message or a group
-	Depth   int // nesting depth of groups
+	MaxMessageBytes int // bytes of a message
+	MaxAVPs         int // MaxAVPs in a message or a group
+	MaxDepth        int // nesting depth of groups
 }
 
 // DefaultLimits returns limits that are sufficient for the base protocol, credit control and Sh.
-func DefaultLimits() Limits { return Limits{Message: 64 << 10, AVPs: 512, Depth: 8} }
+func DefaultLimits() Limits { return Limits{MaxMessageBytes: 64 << 10, MaxAVPs: 512, MaxDepth: 8} }
 
 // Error is a violation of the protocol by a received message.
 type Error struct {
@@ -130,8 +130,8 @@
 		return nil, &Error{Result: UnsupportedVersion, Fatal: true, Text: fmt.Sprintf("version %d", head[0])}
 	case length < headerSize || length%4 != 0:
 		return nil, &Error{Result: InvalidMessageLength, Fatal: true, Text: fmt.Sprintf("message of %d bytes", length)}
-	case length > r.limits.Message:
-		return nil, &Error{Result: InvalidMessageLength, Fatal: true, Text: fmt.Sprintf("message of %d bytes, %d are taken", length, r.limits.Message)}
+	case length > r.limits.MaxMessageBytes:
+		return nil, &Error{Result: InvalidMessageLength, Fatal: true, Text: fmt.Sprintf("message of %d bytes, %d are taken", length, r.limits.MaxMessageBytes)}
 	}
 	raw := make([]byte, length)
 	if _, err := io.ReadFull(r.r, raw); err != nil {
@@ -155,7 +155,7 @@
 	switch {
 	case raw[0] != version:
 		return m, &Error{Result: UnsupportedVersion, Fatal: true, Text: fmt.Sprintf("version %d", raw[0])}
-	case length != len(raw) || length%4 != 0 || length > limits.Message:
+	case length != len(raw) || length%4 != 0 || length > limits.MaxMessageBytes:
 		return m, &Error{Result: InvalidMessageLength, Fatal: true, Text: fmt.Sprintf("message of %d bytes says %d", len(raw), length)}
 	case m.Flags&flagsReserved != 0:
 		return m, newError(InvalidHeaderBits, nil, "reserved bits of the command flags are set: %#x", m.Flags)
@@ -169,12 +169,12 @@
 	return m, err
 }
 
-// decodeAVPs decodes a sequence of AVPs. With an error it also returns the AVPs before the invalid one.
+// decodeAVPs decodes a sequence of MaxAVPs. With an error it also returns the MaxAVPs before the invalid one.
 func decodeAVPs(raw []byte, limits Limits) ([]AVP, error) {
 	var list []AVP
 	for len(raw) > 0 {
-		if len(list) >= limits.AVPs {
-			return list, newError(InvalidMessageLength, nil, "more than %d AVPs", limits.AVPs)
+		if len(list) >= limits.MaxAVPs {
+			return list, newError(InvalidMessageLength, nil, "more than %d AVPs", limits.MaxAVPs)
 		}
 		if len(raw) < 8 {
 			// RFC 6733 section 7.1.5: a truncated AVP header is padded with zeros.
@@ -203,8 +203,8 @@
 
 // Group decodes the members of a Grouped AVP. depth is the AVP's nesting depth, 0 directly in a message.
 func (a *AVP) Group(limits Limits, depth int) ([]AVP, error) {
-	if depth >= limits.Depth {
-		return nil, newError(InvalidAVPValue, a, "groups deeper than %d", limits.Depth)
+	if depth >= limits.MaxDepth {
+		return nil, newError(InvalidAVPValue, a, "groups deeper than %d", limits.MaxDepth)
 	}
 	return decodeAVPs(a.Data, limits)
 }
@@ -235,7 +235,7 @@
 	return AppendAVPs(buf, m.AVPs), nil
 }
 
-// AppendAVPs appends the encoded AVPs to buf. The result is also the Data of a Grouped AVP.
+// AppendAVPs appends the encoded MaxAVPs to buf. The result is also the Data of a Grouped AVP.
 func AppendAVPs(buf []byte, list []AVP) []byte {
 	for i := range list {
 		a := &list[i]
@@ -277,7 +277,7 @@
 }
 
 // Answer returns an answer to a request with its header set according to RFC 6733 section 6.2 and without
-// AVPs.
+// MaxAVPs.
 func (m *Message) Answer() *Message {
 	return &Message{Flags: m.Flags & FlagProxiable, Command: m.Command, Application: m.Application, HopByHop: m.HopByHop, EndToEnd: m.EndToEnd}
 }
--- a/internal/diameter/message_test.go
+++ b/internal/diameter/message_test.go
@@ -134,7 +134,7 @@
 
 // Each protocol violation is reported with the Result-Code of RFC 6733 section 7.1 and the offending AVP.
 func TestProtocolErrors(t *testing.T) {
-	d, limits := dictionary(t), Limits{Message: 2000, AVPs: 20, Depth: 3}
+	d, limits := dictionary(t), Limits{MaxMessageBytes: 2000, MaxAVPs: 20, MaxDepth: 3}
 	set := func(m *Message, code uint32, a ...AVP) *Message { // replaces an AVP
 		var list []AVP
 		for _, x := range m.AVPs {
@@ -296,7 +296,7 @@
 		f.Fatal(err)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		limits := Limits{Message: 4096, AVPs: 64, Depth: 4}
+		limits := Limits{MaxMessageBytes: 4096, MaxAVPs: 64, MaxDepth: 4}
 		m, err := Decode(raw, limits)
 		if m == nil {
 			if err == nil {
@@ -314,7 +314,7 @@
 		}
 		if again, err := m.Append(nil); err != nil || len(again) < headerSize {
 			t.Fatalf("can't be written again: %v", err)
-		} else if back, err := Decode(again, limits); err != nil && len(again) <= limits.Message || err == nil && len(back.AVPs) != len(m.AVPs) {
+		} else if back, err := Decode(again, limits); err != nil && len(again) <= limits.MaxMessageBytes || err == nil && len(back.AVPs) != len(m.AVPs) {
 			t.Fatalf("decoding the encoded message again gives another result: %v", err)
 		}
 	})
--- a/internal/diameter/relay/overload.go
+++ b/internal/diameter/relay/overload.go
@@ -31,9 +31,9 @@
 	return err == nil && bits&lossAlgorithm != 0
 }
 
-// optional clears the M bit of the AVPs and returns them. A receiver that doesn't know them then ignores them
+// withoutMandatoryBits clears the M bit of the AVPs and returns them. A receiver that doesn't know them then ignores them
 // (RFC 7683, 7.8).
-func optional(list ...diameter.AVP) []diameter.AVP {
+func withoutMandatoryBits(list ...diameter.AVP) []diameter.AVP {
 	for i := range list {
 		list[i] = diameter.WithoutMandatory(list[i])
 	}
@@ -48,11 +48,11 @@
 	if err != nil || diameter.Find(m.AVPs, diameter.CodeOCSupportedFeatures, 0) != nil {
 		return answer
 	}
-	more := diameter.AppendAVPs(nil, optional(
-		diameter.Group(diameter.CodeOCSupportedFeatures, optional(diameter.U64(diameter.CodeOCFeatureVector, lossAlgorithm))...),
-		diameter.Group(diameter.CodeOCOLR, optional(diameter.U64(diameter.CodeOCSequenceNumber, r.Sequence), diameter.U32(diameter.CodeOCReportType, realmReport),
+	more := diameter.AppendAVPs(nil, withoutMandatoryBits(
+		diameter.Group(diameter.CodeOCSupportedFeatures, withoutMandatoryBits(diameter.U64(diameter.CodeOCFeatureVector, lossAlgorithm))...),
+		diameter.Group(diameter.CodeOCOLR, withoutMandatoryBits(diameter.U64(diameter.CodeOCSequenceNumber, r.Sequence), diameter.U32(diameter.CodeOCReportType, realmReport),
 			diameter.U32(diameter.CodeOCReduction, r.Reduction), diameter.U32(diameter.CodeOCValidityDuration, r.Validity))...)))
-	if len(answer)+len(more) > limits.Message {
+	if len(answer)+len(more) > limits.MaxMessageBytes {
 		return answer // the client would reject it as too long
 	}
 	out := append(append(make([]byte, 0, len(answer)+len(more)), answer...), more...)
--- a/internal/diameter/relay/relay_test.go
+++ b/internal/diameter/relay/relay_test.go
@@ -158,8 +158,8 @@
 // is new.
 func TestTableResends(t *testing.T) {
 	table := NewTable(Limits{MaxPending: 2, MaxKept: 2, MaxKeptBytes: 100, KeepFor: time.Minute})
-	o := Origin{"c", 1}
-	arrive := func(o Origin, w Waiter, now time.Duration, want Verdict) []byte {
+	o := RequestKey{"c", 1}
+	arrive := func(o RequestKey, w Waiter, now time.Duration, want Verdict) []byte {
 		t.Helper()
 		v, raw := table.Arrive(o, w, now)
 		if v != want {
@@ -170,8 +170,8 @@
 	arrive(o, Waiter{1, 10}, 0, New)
 	arrive(o, Waiter{1, 11}, 0, Joined) // resent on the same connection: the later id is answered
 	arrive(o, Waiter{2, 10}, 0, Joined) // resent on another connection
-	arrive(Origin{"d", 1}, Waiter{3, 10}, 0, New)
-	arrive(Origin{"d", 2}, Waiter{3, 11}, 0, Busy)
+	arrive(RequestKey{"d", 1}, Waiter{3, 10}, 0, New)
+	arrive(RequestKey{"d", 2}, Waiter{3, 11}, 0, Busy)
 	if got := table.Complete(o, []byte("answer"), true, 0); fmt.Sprint(got) != "[{1 11} {2 10}]" {
 		t.Errorf("waiters %v", got)
 	}
@@ -183,10 +183,10 @@
 	}
 	arrive(o, Waiter{4, 2}, 61*time.Second, New) // the kept answer has expired: the client may have reused the id
 	table.RemoveConn(3)
-	if got := table.Complete(Origin{"d", 1}, []byte("x"), false, 0); len(got) != 0 {
+	if got := table.Complete(RequestKey{"d", 1}, []byte("x"), false, 0); len(got) != 0 {
 		t.Errorf("waiters on a closed connection: %v", got)
 	}
-	arrive(Origin{"d", 1}, Waiter{5, 1}, 61*time.Second, New) // the refusal was not kept: a new request
+	arrive(RequestKey{"d", 1}, Waiter{5, 1}, 61*time.Second, New) // the refusal was not kept: a new request
 }
 
 // For any sequence of calls: each waiter gets at most one final answer, all bounds are kept, and a request is
@@ -195,10 +195,10 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		l := Limits{MaxPending: rapid.IntRange(1, 5).Draw(rt, "in hand"), MaxKept: rapid.IntRange(0, 3).Draw(rt, "kept"), MaxKeptBytes: 40, KeepFor: 10}
 		table, now := NewTable(l), time.Duration(0)
-		pending := map[Origin]bool{}
+		pending := map[RequestKey]bool{}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			now += time.Duration(rapid.IntRange(0, 4).Draw(rt, "gap"))
-			o := Origin{"c", uint32(rapid.IntRange(0, 6).Draw(rt, "request"))}
+			o := RequestKey{"c", uint32(rapid.IntRange(0, 6).Draw(rt, "request"))}
 			switch rapid.IntRange(0, 3).Draw(rt, "what") {
 			case 0, 1:
 				v, raw := table.Arrive(o, Waiter{uint64(rapid.IntRange(0, 8).Draw(rt, "connection")), 1}, now)
@@ -228,12 +228,12 @@
 // Hop-by-Hop identifiers wrap around, are unique among the pending attempts, and belong to one attempt each.
 func TestWindow(t *testing.T) {
 	w := NewWindow(2, 1<<32-1)
-	a, _ := w.Send(100)
-	b, _ := w.Send(101)
+	a, _ := w.Assign(100)
+	b, _ := w.Assign(101)
 	if a != 1<<32-1 || b != 0 {
 		t.Errorf("ids %d, %d: they don't wrap", a, b)
 	}
-	if _, ok := w.Send(102); ok {
+	if _, ok := w.Assign(102); ok {
 		t.Error("a full window accepted one more attempt")
 	}
 	if got, ok := w.Release(b); !ok || got != 101 {
@@ -245,7 +245,7 @@
 		}
 	}
 	w.next = a // ids wrap around while one is still in use
-	if hop, ok := w.Send(103); !ok || hop == a {
+	if hop, ok := w.Assign(103); !ok || hop == a {
 		t.Errorf("id %d was assigned twice", hop)
 	}
 	if unanswered := w.Close(); fmt.Sprint(unanswered) != "[100 103]" || w.InUse() != 0 {
--- a/internal/diameter/relay/table.go
+++ b/internal/diameter/relay/table.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Origin identifies a request for several minutes, whichever client connection it is resent on (RFC 6733, 3
+// RequestKey identifies a request for several minutes, whichever client connection it is resent on (RFC 6733, 3
 // and 5.5.4). Hop-by-Hop identifiers are not suitable: two clients may use the same one.
-type Origin struct {
+type RequestKey struct {
 	Host     string // Origin-Host
 	EndToEnd uint32
 }
@@ -50,15 +50,15 @@
 // attempt that its class does not allow, and a second final answer.
 type Table struct {
 	limits    Limits
-	pending   map[Origin]*entry // by identity of the request
-	kept      map[Origin]*entry // answered requests with their answers, by identity of the request
-	keptOrder []*entry          // the entries of kept, oldest first
-	keptBytes int               // total size of the kept answers in bytes
+	pending   map[RequestKey]*entry // by identity of the request
+	kept      map[RequestKey]*entry // answered requests with their answers, by identity of the request
+	keptOrder []*entry              // the entries of kept, oldest first
+	keptBytes int                   // total size of the kept answers in bytes
 }
 
 // entry is a pending request with its waiters, or an answered one with its answer.
 type entry struct {
-	origin     Origin
+	origin     RequestKey
 	waiters    []Waiter      // where the answer is to be sent
 	answer     []byte        // encoded; nil while the request is pending
 	answeredAt time.Duration // on the caller's clock
@@ -66,12 +66,12 @@
 
 // NewTable returns a table without pending or answered requests.
 func NewTable(l Limits) *Table {
-	return &Table{limits: l, pending: map[Origin]*entry{}, kept: map[Origin]*entry{}}
+	return &Table{limits: l, pending: map[RequestKey]*entry{}, kept: map[RequestKey]*entry{}}
 }
 
 // Arrive records a request that arrived from w, and returns how it is to be treated. For Answered it also
 // returns the kept answer, in which the caller sets w's Hop-by-Hop identifier.
-func (t *Table) Arrive(o Origin, w Waiter, now time.Duration) (Verdict, []byte) {
+func (t *Table) Arrive(o RequestKey, w Waiter, now time.Duration) (Verdict, []byte) {
 	t.expire(now)
 	if e := t.kept[o]; e != nil {
 		return Answered, e.answer
@@ -95,7 +95,7 @@
 // Complete ends a pending request and returns its waiters: none if their connections have closed or the
 // request is not pending, as for a second answer. keep: the request may have run, so the answer is kept for
 // resends. After an answer that reports that nothing ran, a resend is a new request.
-func (t *Table) Complete(o Origin, raw []byte, keep bool, now time.Duration) []Waiter {
+func (t *Table) Complete(o RequestKey, raw []byte, keep bool, now time.Duration) []Waiter {
 	e := t.pending[o]
 	if e == nil {
 		return nil
@@ -156,9 +156,9 @@
 	return &Window{size: size, next: first, attempts: map[uint32]uint64{}}
 }
 
-// Send assigns a Hop-by-Hop identifier to an attempt; !ok: the window is full and the attempt must not be
+// Assign assigns a Hop-by-Hop identifier to an attempt; !ok: the window is full and the attempt must not be
 // sent.
-func (w *Window) Send(attempt uint64) (hop uint32, ok bool) {
+func (w *Window) Assign(attempt uint64) (hop uint32, ok bool) {
 	if len(w.attempts) >= w.size {
 		return 0, false
 	}
--- a/internal/diameter/values.go
+++ b/internal/diameter/values.go
@@ -101,7 +101,7 @@
 	return time.Unix(s, 0).UTC(), nil
 }
 
-// Constructors of AVPs.
+// Constructors of MaxAVPs.
 
 // avp returns an AVP without a vendor.
 func avp(code uint32, flags uint8, data []byte) AVP { return AVP{Code: code, Flags: flags, Data: data} }
--- a/internal/duty/quorum/client.go
+++ b/internal/duty/quorum/client.go
@@ -132,13 +132,13 @@
 		for queued := len(c.inbox); queued > 0; queued-- {
 			(<-c.inbox)()
 		}
-		c.iterate()
+		c.doDueWork()
 	}
 }
 
-// iterate sends the commands that are due, calls Task.Step for the duties that the agent holds, and asks a
+// doDueWork sends the commands that are due, calls Task.Step for the duties that the agent holds, and asks a
 // voter for the table.
-func (c *Client) iterate() {
+func (c *Client) doDueWork() {
 	now := c.now()
 	for _, name := range c.dutyNames() {
 		h := c.holders[name]
--- a/internal/duty/quorum/client_control.go
+++ b/internal/duty/quorum/client_control.go
@@ -44,7 +44,7 @@
 			held = true
 			h.Release(c.now())
 			c.recordChanges(name, h)
-			c.iterate()
+			c.doDueWork()
 		}
 	})
 	return held, err
@@ -69,7 +69,7 @@
 					left++
 				}
 			}
-			c.iterate()
+			c.doDueWork()
 		}) != nil || left == 0 {
 			return
 		}
--- a/internal/duty/quorum/member.go
+++ b/internal/duty/quorum/member.go
@@ -157,13 +157,13 @@
 		for queued := len(s.inbox); queued > 0; queued-- {
 			(<-s.inbox)()
 		}
-		s.iterate(ticked)
+		s.doDueWork(ticked)
 	}
 }
 
-// iterate advances raft and, at the leader, expires leases and compares the settings. ticked: a raft tick has
+// doDueWork advances raft and, at the leader, expires leases and compares the settings. ticked: a raft tick has
 // passed. A panic in the voter ends its part in the quorum, and not the agent.
-func (s *Member) iterate(ticked bool) {
+func (s *Member) doDueWork(ticked bool) {
 	s.voter.Guard(func() {
 		now := s.now()
 		if gap := now - s.lastIteration; s.lastIteration > 0 && gap > voter.ElectionTicks*s.options.Settings.tickInterval() && s.voter.Leads() {
--- a/internal/duty/quorum/simulation_test.go
+++ b/internal/duty/quorum/simulation_test.go
@@ -51,7 +51,7 @@
 	procs        []*proc
 	blocked      [simAgents][simAgents]bool // blocked links, by sender and receiver
 	wires        []*wire
-	acts         []*simAct             // actions that have not arrived at the target yet
+	pendingActs  []*simAct             // actions that have not arrived at the target yet
 	fence        *duty.Fence           // of the target of the actions
 	operations   []porcupine.Operation // actions that have arrived, and whether the fence accepted them
 	holders      map[duty.Epoch]string // the agent that acted in each epoch
@@ -63,28 +63,28 @@
 
 // proc is a process: an agent with its client and, if it has a disk, a voter.
 type proc struct {
-	sim       *sim
-	index     int
-	name      string
-	clockRate float64 // speed of the process's clock relative to simulated time
-	up        bool
-	stopped   bool              // paused
-	disk      *store.FaultyDisk // of the voter's store; nil: no voter
-	seat      *Member           // its voter; nil: none, or the process is down
-	client    *Client           // nil: the process is down
-	life      int               // number of starts
-	acts      uint64            // lower bound of the count that Step continues; never set, since the duty's state carries the count
+	sim        *sim
+	index      int
+	name       string
+	clockRate  float64 // speed of the process's clock relative to simulated time
+	up         bool
+	stopped    bool              // paused
+	disk       *store.FaultyDisk // of the voter's store; nil: no voter
+	seat       *Member           // its voter; nil: none, or the process is down
+	client     *Client           // nil: the process is down
+	startCount int               // number of starts
+	acts       uint64            // lower bound of the count that Step continues; never set, since the duty's state carries the count
 }
 
 // wire is the two ends of a connection between two processes; frames queued at one end are delivered to the
 // other.
 type wire struct {
-	from, to int                                           // indices of the processes: from has dialled to
-	a, b     *transport.Conn                               // the end at from, and the end at to, which is made once both processes are up
-	lives    [2]int                                        // how often from and to had been started when the ends were made; -1: the end at to is missing
-	receiveA func(*transport.Conn, transport.Kind, []byte) // called at from with each frame that arrives there
-	receiveB func(*transport.Conn, transport.Kind, []byte) // called at to with each frame that arrives there
-	inFlight []delayedFrame                                // frames taken from either end and not delivered yet
+	from, to                int                                           // indices of the processes: from has dialled to
+	dialledEnd, acceptedEnd *transport.Conn                               // the end at from, and the end at to, which is made once both processes are up
+	lives                   [2]int                                        // how often from and to had been started when the ends were made; -1: the end at to is missing
+	receiveA                func(*transport.Conn, transport.Kind, []byte) // called at from with each frame that arrives there
+	receiveB                func(*transport.Conn, transport.Kind, []byte) // called at to with each frame that arrives there
+	inFlight                []delayedFrame                                // frames taken from either end and not delivered yet
 }
 
 // delayedFrame is a frame on its way between the ends of a wire.
@@ -139,7 +139,7 @@
 // start starts the process with a new client and voter, on the disk as it is.
 func (p *proc) start() {
 	p.up, p.stopped = true, false
-	p.life++
+	p.startCount++
 	p.client = NewClient(ClientOptions{Settings: p.sim.settings, Name: p.name, Tasks: map[string]Task{"work": p}, Log: silentLog, Now: p.clock, Rand: p.sim.rng})
 	p.client.startedAt = time.Now()
 	if p.disk != nil {
@@ -159,9 +159,9 @@
 
 // connect attaches one end of a new connection to a dialer; deliver creates the voter's end once both processes are up.
 func (x *sim) connect(p *proc, _ netip.AddrPort, to int, d *transport.Dialer, heard func(*transport.Conn, transport.Kind, []byte)) {
-	w := &wire{from: p.index, to: to, a: transport.Detached(fmt.Sprint("p", to)), receiveA: heard}
-	w.lives = [2]int{p.life, -1}
-	d.Attach(w.a)
+	w := &wire{from: p.index, to: to, dialledEnd: transport.Detached(fmt.Sprint("p", to)), receiveA: heard}
+	w.lives = [2]int{p.startCount, -1}
+	d.Attach(w.dialledEnd)
 	x.wires = append(x.wires, w)
 }
 
@@ -176,7 +176,7 @@
 	for _, w := range p.sim.wires {
 		if w.from != p.index {
 			if w.to == p.index { // the other side reconnects
-				w.lives[1], w.b, w.inFlight = -1, nil, nil
+				w.lives[1], w.acceptedEnd, w.inFlight = -1, nil, nil
 			}
 			kept = append(kept, w)
 		}
@@ -195,7 +195,7 @@
 	if x.rng.IntN(4) == 0 { // late: the agent is paused between check and write, or the action is delayed on the way
 		delay = time.Duration(x.rng.Float64() * float64(simMaxDelay))
 	}
-	x.acts = append(x.acts, &simAct{permit.Epoch, p.index, x.now, x.now + delay})
+	x.pendingActs = append(x.pendingActs, &simAct{permit.Epoch, p.index, x.now, x.now + delay})
 	n, _ := strconv.ParseUint(string(state), 10, 64)
 	if n < p.acts {
 		n = p.acts
@@ -213,15 +213,15 @@
 		if !to.up || !from.up || to.seat == nil {
 			continue
 		}
-		if w.b == nil || w.lives[1] != to.life {
-			w.lives[1] = to.life
-			w.b = transport.Detached(from.name)
+		if w.acceptedEnd == nil || w.lives[1] != to.startCount {
+			w.lives[1] = to.startCount
+			w.acceptedEnd = transport.Detached(from.name)
 			w.receiveB, w.inFlight = to.seat.receive, nil
 		}
-		for raw, ok := w.a.Next(); ok; raw, ok = w.a.Next() {
+		for raw, ok := w.dialledEnd.Next(); ok; raw, ok = w.dialledEnd.Next() {
 			w.inFlight = append(w.inFlight, delayedFrame{x.now + time.Duration(1+x.rng.IntN(8))*time.Millisecond, true, raw})
 		}
-		for raw, ok := w.b.Next(); ok; raw, ok = w.b.Next() {
+		for raw, ok := w.acceptedEnd.Next(); ok; raw, ok = w.acceptedEnd.Next() {
 			w.inFlight = append(w.inFlight, delayedFrame{x.now + time.Duration(1+x.rng.IntN(8))*time.Millisecond, false, raw})
 		}
 		rest := w.inFlight[:0]
@@ -241,9 +241,9 @@
 				x.t.Fatal(err)
 			}
 			if f.toB {
-				w.receiveB(w.b, k, content)
+				w.receiveB(w.acceptedEnd, k, content)
 			} else {
-				w.receiveA(w.a, k, content)
+				w.receiveA(w.dialledEnd, k, content)
 			}
 		}
 		w.inFlight = rest
@@ -272,10 +272,10 @@
 				p.trustDisk()
 			}
 			drain(p.seat.inbox)
-			p.seat.iterate(x.now%(2*simStep) == 0)
+			p.seat.doDueWork(x.now%(2*simStep) == 0)
 		}
 		drain(p.client.inbox)
-		p.client.iterate()
+		p.client.doDueWork()
 		for _, e := range p.client.history[before:] {
 			if e.What == "began" {
 				x.holdings++
@@ -287,8 +287,8 @@
 		}
 	}
 	x.checkInvariants()
-	kept := x.acts[:0]
-	for _, a := range x.acts {
+	kept := x.pendingActs[:0]
+	for _, a := range x.pendingActs {
 		if a.arrives > x.now {
 			kept = append(kept, a)
 			continue
@@ -296,7 +296,7 @@
 		ok := x.disabled.fence || x.fence.Admit("work", a.epoch) == nil
 		x.operations = append(x.operations, porcupine.Operation{ClientId: len(x.operations), Input: a.epoch, Call: int64(a.arrives - 1), Output: ok, Return: int64(x.now)})
 	}
-	x.acts = kept
+	x.pendingActs = kept
 }
 
 // trustDisk makes a starting voter rely on its disk: it passes in forged check-in replies of all voters, by which
--- a/internal/duty/startup.go
+++ b/internal/duty/startup.go
@@ -11,9 +11,9 @@
 // valid locally; only the other voters know what they were promised. So a voter asks them first, and takes no
 // part in the quorum before they have answered.
 type StartupCheck struct {
-	cfg     StartupConfig
-	replies map[string]CheckInReply // the latest reply of each other voter, by its name
-	since   time.Duration           // when the check began, on the caller's clock
+	cfg       StartupConfig
+	replies   map[string]CheckInReply // the latest reply of each other voter, by its name
+	startedAt time.Duration           // when the check began, on the caller's clock
 }
 
 // StartupConfig is what a voter knows about itself when it starts.
@@ -79,7 +79,7 @@
 
 // NewStartupCheck returns a StartupCheck that has received no replies.
 func NewStartupCheck(c StartupConfig, now time.Duration) *StartupCheck {
-	return &StartupCheck{cfg: c, replies: map[string]CheckInReply{}, since: now}
+	return &StartupCheck{cfg: c, replies: map[string]CheckInReply{}, startedAt: now}
 }
 
 // AddReply records the reply of another voter in place of its earlier one. A reply under a name that is no
@@ -140,7 +140,7 @@
 	if 2*replies <= size {
 		return Decision{Start: Wait, Why: fmt.Sprintf("%d of %d seats were heard, itself among them", replies, size)}
 	}
-	if replies < size && now-s.since < waitForAll {
+	if replies < size && now-s.startedAt < waitForAll {
 		return Decision{Start: Wait, Why: fmt.Sprintf("%d of %d seats were heard; for the rest it waits %v", replies, size, waitForAll)}
 	}
 	return Decision{Start: Resume, Why: fmt.Sprintf("%d of %d seats know of nothing that is missing", replies, size)}
--- a/internal/duty/store/store.go
+++ b/internal/duty/store/store.go
@@ -42,14 +42,14 @@
 	segmentBytes   = 1 << 20       // size from which a snapshot and a new segment are due
 	maxRecordBytes = 4 << 20       // bound of a record's content
 	headerBytes    = 4 + 4 + 8 + 1 // length, checksum, sequence number, kind
-	suffix         = ".log"        // of the names of segment files
+	segmentSuffix  = ".log"        // of the names of segment files
 )
 
-// kind is what a record contains.
-type kind byte
+// recordKind is what a record contains.
+type recordKind byte
 
 const (
-	kindIdentity kind = 1 + iota
+	kindIdentity recordKind = 1 + iota
 	kindHardState
 	kindEntry
 	kindSnapshot
@@ -84,7 +84,7 @@
 	*raft.MemoryStorage // the stored state, for raft to read
 	fs                  FS
 	id                  uint64        // the voter's identity, drawn at random when the folder was created
-	hard                *pb.HardState // the latest term, vote and commit index
+	hardState           *pb.HardState // the latest term, vote and commit index
 	segmentName         string        // file name of the segment that is written to
 	file                File          // the open file of that segment
 	nextSequence        uint64        // sequence number of the next record
@@ -97,14 +97,14 @@
 
 // Open reads the stored state. A folder without segments gets the identity newID, and empty is true then.
 func Open(fs FS, newID uint64) (s *Store, empty bool, err error) {
-	s = &Store{MemoryStorage: raft.NewMemoryStorage(), fs: fs, hard: &pb.HardState{}}
+	s = &Store{MemoryStorage: raft.NewMemoryStorage(), fs: fs, hardState: &pb.HardState{}}
 	names, err := fs.List()
 	if err != nil {
 		return nil, false, fmt.Errorf("store: %w", err)
 	}
 	var segments []string
 	for _, n := range names {
-		if number, ok := strings.CutSuffix(n, suffix); ok {
+		if number, ok := strings.CutSuffix(n, segmentSuffix); ok {
 			if _, err := strconv.ParseUint(number, 16, 64); err == nil && len(number) == 16 {
 				segments = append(segments, n)
 			}
@@ -123,7 +123,7 @@
 			if err := fs.Remove(segments[i]); err != nil {
 				return nil, false, fmt.Errorf("store: %w", err)
 			}
-			*s = Store{MemoryStorage: raft.NewMemoryStorage(), fs: fs, hard: &pb.HardState{}}
+			*s = Store{MemoryStorage: raft.NewMemoryStorage(), fs: fs, hardState: &pb.HardState{}}
 			segments = segments[:i]
 			continue
 		}
@@ -154,7 +154,7 @@
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	number, _ := strconv.ParseUint(strings.TrimSuffix(name, suffix), 16, 64)
+	number, _ := strconv.ParseUint(strings.TrimSuffix(name, segmentSuffix), 16, 64)
 	s.segmentNumber, s.segmentName = number, name
 	offset, headRecords := int64(0), 0 // headRecords: how many of the three records that begin a segment were read
 	corrupt := func(what string, v ...any) error { return &CorruptError{name, offset, fmt.Sprintf(what, v...)} }
@@ -180,7 +180,7 @@
 		}
 		s.nextSequence = sequence + 1
 		content := rest[headerBytes : headerBytes+n]
-		switch k := kind(rest[16]); k {
+		switch k := recordKind(rest[16]); k {
 		case kindIdentity:
 			if len(content) != 8 || headRecords != 0 {
 				return corrupt("an identity that makes no sense")
@@ -203,10 +203,10 @@
 			if err := proto.Unmarshal(content, h); err != nil || headRecords < 2 {
 				return corrupt("a hard state that can't be read: %v", err)
 			}
-			if h.GetTerm() < s.hard.GetTerm() {
-				return corrupt("term %d after %d", h.GetTerm(), s.hard.GetTerm())
+			if h.GetTerm() < s.hardState.GetTerm() {
+				return corrupt("term %d after %d", h.GetTerm(), s.hardState.GetTerm())
 			}
-			s.hard = h
+			s.hardState = h
 			headRecords = 3
 		case kindEntry:
 			e := &pb.Entry{}
@@ -230,10 +230,10 @@
 		}
 		return &CorruptError{name, offset, "its head is not whole, and it is the only one"}
 	}
-	if end, _ := s.LastIndex(); s.hard.GetCommit() > end {
-		return &CorruptError{name, offset, fmt.Sprintf("entries up to %d were agreed on, and there are %d", s.hard.GetCommit(), end)}
+	if end, _ := s.LastIndex(); s.hardState.GetCommit() > end {
+		return &CorruptError{name, offset, fmt.Sprintf("entries up to %d were agreed on, and there are %d", s.hardState.GetCommit(), end)}
 	}
-	if err := s.SetHardState(s.hard); err != nil {
+	if err := s.SetHardState(s.hardState); err != nil {
 		return err
 	}
 	f, err := s.fs.Append(name)
@@ -253,7 +253,7 @@
 }
 
 // appendRecord appends a record to b and returns it.
-func (s *Store) appendRecord(b []byte, k kind, content []byte) []byte {
+func (s *Store) appendRecord(b []byte, k recordKind, content []byte) []byte {
 	start := len(b)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(content)))
 	b = binary.BigEndian.AppendUint32(b, 0)
@@ -276,14 +276,14 @@
 		snap = &pb.Snapshot{}
 	}
 	s.segmentNumber++
-	name := fmt.Sprintf("%016x%s", s.segmentNumber, suffix)
+	name := fmt.Sprintf("%016x%s", s.segmentNumber, segmentSuffix)
 	b := s.appendRecord(nil, kindIdentity, binary.BigEndian.AppendUint64(nil, s.id))
 	raw, err := proto.Marshal(snap)
 	if err != nil {
 		return err
 	}
 	b = s.appendRecord(b, kindSnapshot, raw)
-	if raw, err = proto.Marshal(s.hard); err != nil {
+	if raw, err = proto.Marshal(s.hardState); err != nil {
 		return err
 	}
 	b = s.appendRecord(b, kindHardState, raw)
@@ -353,11 +353,11 @@
 // Empty reports whether the store has promised nothing: it has no log entries and no term.
 func (s *Store) Empty() bool {
 	last, _ := s.LastIndex()
-	return last == 0 && s.hard.GetTerm() == 0
+	return last == 0 && s.hardState.GetTerm() == 0
 }
 
 // HardState returns the stored hard state.
-func (s *Store) HardState() *pb.HardState { return s.hard }
+func (s *Store) HardState() *pb.HardState { return s.hardState }
 
 // State is a term and the index of the last log entry: what a voter has stored, or has confirmed to other
 // voters as stored.
@@ -366,7 +366,7 @@
 // State returns the current term and the index of the last entry.
 func (s *Store) State() State {
 	last, _ := s.LastIndex()
-	return State{s.hard.GetTerm(), last}
+	return State{s.hardState.GetTerm(), last}
 }
 
 // Behind reports whether the store holds less than the voter has promised to others, so that data was lost.
@@ -387,7 +387,7 @@
 		}
 	}()
 	if hard != nil && !raft.IsEmptyHardState(hard) {
-		s.hard = hard
+		s.hardState = hard
 	}
 	if snap != nil && !raft.IsEmptySnap(snap) {
 		if err := s.ApplySnapshot(snap); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
@@ -396,7 +396,7 @@
 		if err := s.MemoryStorage.Append(entries); err != nil {
 			return err
 		}
-		if err := s.SetHardState(s.hard); err != nil {
+		if err := s.SetHardState(s.hardState); err != nil {
 			return err
 		}
 		return s.startSegment(snap)
@@ -431,7 +431,7 @@
 	if err := s.MemoryStorage.Append(entries); err != nil {
 		return err
 	}
-	return s.SetHardState(s.hard)
+	return s.SetHardState(s.hardState)
 }
 
 // SnapshotDue reports whether a snapshot is due, so that the segment can be replaced.
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -55,7 +55,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		w.Write(balance.Note{At: time.Duration(i) * time.Millisecond, Kind: balance.NoteRefused, Reason: balance.TooLate, Request: fmt.Sprint(i),
-			Waited: 3 * time.Millisecond, Limit: 4.5, Backends: []balance.BackendNote{{ID: "a", Warmth: 1}}})
+			Waited: 3 * time.Millisecond, Limit: 4.5, Backends: []balance.BackendSnapshot{{ID: "a", Warmth: 1}}})
 	}
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/explain/fleet.go
+++ b/internal/explain/fleet.go
@@ -94,7 +94,7 @@
 	lines.Buffer(make([]byte, 64<<10), 1<<20)
 	for lines.Scan() {
 		line := lines.Bytes()
-		if at, ok := listFailed(line); ok {
+		if at, ok := parseDiscoveryFailure(line); ok {
 			if w := f.windowAt(at); w != nil {
 				w.ListFails++
 			}
@@ -110,8 +110,8 @@
 	return lines.Err()
 }
 
-// listFailed parses an agent's log line about a failed call to discovery and returns its time (Unix, ms).
-func listFailed(line []byte) (at float64, ok bool) {
+// parseDiscoveryFailure parses an agent's log line about a failed call to discovery and returns its time (Unix, ms).
+func parseDiscoveryFailure(line []byte) (at float64, ok bool) {
 	if !bytes.Contains(line, []byte("msg=discovery ")) {
 		return 0, false
 	}
--- a/internal/front/diameter/finish_test.go
+++ b/internal/front/diameter/finish_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	here, there := tcpPair(t)
-	c := &conn{Conn: here, f: front, writes: make(chan []byte, writeQueue), ended: make(chan struct{})}
+	c := &conn{Conn: here, front: front, writes: make(chan []byte, writeQueue), ended: make(chan struct{})}
 	front.conns[c.id] = c
 	c.enqueue([]byte("one answer, "))
 	c.enqueue([]byte("another"))
--- a/internal/front/diameter/front.go
+++ b/internal/front/diameter/front.go
@@ -56,14 +56,14 @@
 	startedAt time.Time
 	wait      sync.WaitGroup
 
-	mu       sync.Mutex
-	reporter *overload.Reporter // counts answers and refusals of all clients
-	table    *relay.Table       // pending and recently answered requests
-	conns    map[uint64]*conn   // open connections, by number
-	lastConn uint64             // number of the last connection
-	calls    uint64             // number of requests passed to the core
-	stopping bool               // a planned stop has begun: a DPR was sent to the clients, pending requests are still answered
-	closed   bool               // no connections or requests are accepted any longer
+	mu        sync.Mutex
+	reporter  *overload.Reporter // counts answers and refusals of all clients
+	table     *relay.Table       // pending and recently answered requests
+	conns     map[uint64]*conn   // open connections, by number
+	lastConn  uint64             // number of the last connection
+	callCount uint64             // number of requests passed to the core
+	stopping  bool               // a planned stop has begun: a DPR was sent to the clients, pending requests are still answered
+	closed    bool               // no connections or requests are accepted any longer
 }
 
 // New returns a front that passes requests to loop.
@@ -81,7 +81,7 @@
 // conn is a connection of a client.
 type conn struct {
 	net.Conn
-	f      *Front
+	front  *Front
 	id     uint64        // number of the connection, as in relay.Waiter
 	writes chan []byte   // encoded messages for the client
 	ended  chan struct{} // closed when the reader has ended
@@ -196,7 +196,7 @@
 	f.lastConn++
 	cfg := f.cfg.Peer
 	cfg.Persistent = false
-	c := &conn{Conn: nc, f: f, id: f.lastConn, writes: make(chan []byte, writeQueue), ended: make(chan struct{}), lastID: rand.Uint32(),
+	c := &conn{Conn: nc, front: f, id: f.lastConn, writes: make(chan []byte, writeQueue), ended: make(chan struct{}), lastID: rand.Uint32(),
 		peer: diameter.NewPeer(f.cfg.Identity, cfg, rand.New(rand.NewPCG(rand.Uint64(), 0)))}
 	f.conns[c.id] = c
 	f.wait.Go(c.write)
@@ -246,13 +246,13 @@
 	defer c.handleClosed()
 	limits := diameter.DefaultLimits()
 	messages := diameter.NewReader(c, limits)
-	c.SetReadDeadline(time.Now().Add(c.f.cfg.CERTimeout))
+	c.SetReadDeadline(time.Now().Add(c.front.cfg.CERTimeout))
 	for {
 		raw, err := messages.Next()
 		var breach *diameter.Error
 		if err != nil {
 			if errors.As(err, &breach) {
-				c.f.cfg.Log.Debug("invalid message from diameter client", "err", err)
+				c.front.cfg.Log.Debug("invalid message from diameter client", "err", err)
 			}
 			return
 		}
@@ -278,17 +278,17 @@
 		c.timer.Stop()
 	}
 	c.mu.Unlock()
-	c.f.mu.Lock()
-	delete(c.f.conns, c.id)
-	c.f.table.RemoveConn(c.id)
-	c.f.mu.Unlock()
+	c.front.mu.Lock()
+	delete(c.front.conns, c.id)
+	c.front.table.RemoveConn(c.id)
+	c.front.mu.Unlock()
 	close(c.ended)
 }
 
 // answer sends the relay's own answer to a request that isn't relayed: an error, or success for requests of
 // the base protocol.
 func (c *conn) answer(m *diameter.Message, e *diameter.Error) {
-	a := c.f.cfg.Rules.LocalAnswer(m, e.Result, e.Text)
+	a := c.front.cfg.Rules.LocalAnswer(m, e.Result, e.Text)
 	if e.Failed != nil {
 		a.AVPs = append(a.AVPs, diameter.Group(diameter.CodeFailedAVP, *e.Failed))
 	}
@@ -327,7 +327,7 @@
 	if !m.Request() {
 		return true // no requests are sent to clients, so this answer is unexpected
 	}
-	if err := c.f.cfg.Rules.CheckRequest(m); err != nil {
+	if err := c.front.cfg.Rules.CheckRequest(m); err != nil {
 		c.answer(m, err)
 		return true
 	}
@@ -349,20 +349,20 @@
 	case name == "":
 		c.answer(m, &diameter.Error{Result: diameter.MissingAVP, Text: "Origin-Host is missing"})
 		return false
-	case !c.f.cfg.Rules.AllowsPeer(name, machine):
+	case !c.front.cfg.Rules.AllowsPeer(name, machine):
 		c.answer(m, &diameter.Error{Result: diameter.UnknownPeer, Text: "not known here"})
 		return false
-	case !hasCommonApplication(m, c.f.cfg.Rules.Applications()):
+	case !hasCommonApplication(m, c.front.cfg.Rules.Applications()):
 		c.answer(m, &diameter.Error{Result: diameter.NoCommonApplication, Text: "no application in common"})
 		return false
 	}
 	c.name = name
-	a := c.f.cfg.Rules.LocalAnswer(m, diameter.Success, "")
+	a := c.front.cfg.Rules.LocalAnswer(m, diameter.Success, "")
 	if t, ok := c.LocalAddr().(*net.TCPAddr); ok {
 		a.AVPs = append(a.AVPs, diameter.IP(diameter.CodeHostIPAddress, t.AddrPort().Addr().Unmap()))
 	}
 	a.AVPs = append(a.AVPs, diameter.U32(diameter.CodeVendorID, 0), diameter.WithoutMandatory(diameter.Str(diameter.CodeProductName, "lemonrail")))
-	for _, app := range c.f.cfg.Rules.Applications() {
+	for _, app := range c.front.cfg.Rules.Applications() {
 		a.AVPs = append(a.AVPs, diameter.U32(diameter.CodeAuthApplication, app))
 	}
 	raw, err := a.Append(nil)
@@ -404,7 +404,7 @@
 func (c *conn) sendRequest(command uint32, more ...diameter.AVP) {
 	c.lastID++
 	m := diameter.Message{Flags: diameter.FlagRequest, Command: command, HopByHop: c.lastID, EndToEnd: c.lastID,
-		AVPs: append([]diameter.AVP{diameter.Str(diameter.CodeOriginHost, c.f.cfg.Identity), diameter.Str(diameter.CodeOriginRealm, c.f.cfg.Realm)}, more...)}
+		AVPs: append([]diameter.AVP{diameter.Str(diameter.CodeOriginHost, c.front.cfg.Identity), diameter.Str(diameter.CodeOriginRealm, c.front.cfg.Realm)}, more...)}
 	if raw, err := m.Append(nil); err == nil {
 		c.enqueue(raw)
 	}
@@ -413,7 +413,7 @@
 // step passes an event to the peer state machine and carries out its actions. Answers of the base protocol
 // have already been queued by handle. The caller holds c.mu.
 func (c *conn) step(e diameter.Event) {
-	for _, act := range c.peer.Step(c.f.now(), e) {
+	for _, act := range c.peer.Step(c.front.now(), e) {
 		switch act.Kind {
 		case diameter.SendDWR:
 			c.sendRequest(diameter.DeviceWatchdog)
@@ -422,7 +422,7 @@
 		case diameter.Disconnect, diameter.Reject:
 			c.dpaReceived = true
 			// During a planned stop the connection stays open until the pending requests have been answered.
-			if act.Kind == diameter.Reject || !c.f.draining() {
+			if act.Kind == diameter.Reject || !c.front.draining() {
 				c.Close()
 			}
 		}
@@ -432,7 +432,7 @@
 		c.timer = nil
 	}
 	if due := c.peer.Due(); due > 0 && !c.closed {
-		c.timer = time.AfterFunc(max(0, due-c.f.now())+time.Millisecond, func() {
+		c.timer = time.AfterFunc(max(0, due-c.front.now())+time.Millisecond, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if !c.closed {
@@ -444,7 +444,7 @@
 
 // relayRequest passes a request to the core, unless it is a resend or is refused here.
 func (c *conn) relayRequest(m *diameter.Message) {
-	f := c.f
+	f := c.front
 	host := ""
 	if a := diameter.Find(m.AVPs, diameter.CodeOriginHost, 0); a != nil {
 		host, _ = a.Identity()
@@ -457,7 +457,7 @@
 			return
 		}
 	}
-	origin := relay.Origin{Host: strings.ToLower(host), EndToEnd: m.EndToEnd}
+	origin := relay.RequestKey{Host: strings.ToLower(host), EndToEnd: m.EndToEnd}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed { // Serve closes this connection, so an answer could not be sent
@@ -477,11 +477,11 @@
 		}
 		return
 	}
-	f.calls++
+	f.callCount++
 	class := f.cfg.Rules.Classify(m)
 	call := &core.Call{
 		// A new ID for each call: a client may resend a refused request with the same identifiers.
-		Event:    balance.Request{ID: fmt.Sprintf("diameter-%d", f.calls), Class: f.cfg.ClassOffset + class, OnlyBackend: only},
+		Event:    balance.Request{ID: fmt.Sprintf("diameter-%d", f.callCount), Class: f.cfg.ClassOffset + class, OnlyBackend: only},
 		Request:  &backend.Request{Message: m, From: c.name},
 		Deadline: time.Now().Add(f.cfg.Rules.Classes[class].Deadline),
 		Reply:    make(chan core.Answer, 1),
@@ -503,7 +503,7 @@
 }
 
 // complete sends the final answer of a request to all its waiters.
-func (f *Front) complete(origin relay.Origin, m *diameter.Message, a core.Answer) {
+func (f *Front) complete(origin relay.RequestKey, m *diameter.Message, a core.Answer) {
 	var raw []byte
 	switch a.Kind {
 	case core.Served:
--- a/internal/front/http1/server.go
+++ b/internal/front/http1/server.go
@@ -125,7 +125,7 @@
 		w.Header().Set("Connection", "close") // the rest of the body is not read
 	}
 	beginAnswer(conn, w)
-	outcome := results[a.Kind]
+	outcome := metricResults[a.Kind]
 	if err := writeAnswer(conn, w, a); err != nil && a.Kind == core.Served {
 		outcome = metrics.Errors
 	}
@@ -151,8 +151,8 @@
 	reject(conn, w, http.StatusBadGateway, errors.New("the client has gone away"))
 }
 
-// results maps the kind of an answer to the result under which metrics count the answer.
-var results = map[core.Kind]metrics.Result{core.Served: metrics.OK, core.Refused: metrics.Shed,
+// metricResults maps the kind of an answer to the result under which metrics count the answer.
+var metricResults = map[core.AnswerKind]metrics.Result{core.Served: metrics.OK, core.Refused: metrics.Shed,
 	core.Failed: metrics.Errors, core.Duplicate: metrics.Errors}
 
 // beginAnswer records that an answer is about to be written, and adds "Connection: close" if it is the last on
@@ -453,7 +453,7 @@
 func (s *Server) SetMaxRetryAfter(longest time.Duration) { s.maxRetryAfter.Store(int64(longest) + 1) }
 
 // failureStatuses maps the kind of an answer that was not served to its HTTP status.
-var failureStatuses = map[core.Kind]int{
+var failureStatuses = map[core.AnswerKind]int{
 	core.Refused:   http.StatusServiceUnavailable,
 	core.Failed:    http.StatusBadGateway,
 	core.Duplicate: http.StatusBadRequest,
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -254,7 +254,7 @@
 	}
 	r.class, r.agent, r.sent, r.timeLeft = class, agent, at, left
 	l.deadlines = append(l.deadlines, deadline{id, at.Add(left)})
-	l.settle(at)
+	l.checkSettled(at)
 }
 
 // AnswerReceived records an answer that a client received.
@@ -399,11 +399,11 @@
 	return true
 }
 
-// settle checks and forgets the requests whose deadlines were more than Rules.Settle before now.
-func (l *Ledger) settle(now time.Time) {
+// checkSettled checks and forgets the requests whose deadlines were more than Rules.Settle before now.
+func (l *Ledger) checkSettled(now time.Time) {
 	n := 0
 	for n < len(l.deadlines) && now.Sub(l.deadlines[n].at) > l.rules.Settle {
-		l.judge(l.deadlines[n].id)
+		l.checkRequest(l.deadlines[n].id)
 		n++
 	}
 	if n > 0 {
@@ -421,7 +421,7 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		l.judge(id)
+		l.checkRequest(id)
 	}
 	l.deadlines = nil
 	v := l.verdict
@@ -433,8 +433,8 @@
 	return v
 }
 
-// judge checks one request against the rules on answers and on effects, counts it and forgets it.
-func (l *Ledger) judge(id string) {
+// checkRequest checks one request against the rules on answers and on effects, counts it and forgets it.
+func (l *Ledger) checkRequest(id string) {
 	r := l.requests[id]
 	if r == nil {
 		return
--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -17,7 +17,7 @@
 
 // fleet is a simulated fleet of n members that know each other and have started; member i is in zone i modulo zones.
 type fleet struct {
-	*membersim.Arena
+	*membersim.Simulation
 	t       testing.TB
 	changes map[int][]string // key: a member; value: the state changes of others that it has seen since newFleet returned
 }
@@ -29,7 +29,7 @@
 		net.Latency = [2]time.Duration{lanLatency / 4, lanLatency}
 	}
 	net.Refuses = true
-	f := &fleet{Arena: membersim.New(n, 7, net, membersim.Membership(zones, change)), t: t, changes: map[int][]string{}}
+	f := &fleet{Simulation: membersim.New(n, 7, net, membersim.Membership(zones, change)), t: t, changes: map[int][]string{}}
 	f.StartAll(100 * time.Millisecond)
 	f.RunUntil(8*time.Second + time.Duration(n)*10*time.Millisecond)
 	for i := range n {
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -94,19 +94,19 @@
 	next.list, next.doubt, next.note = nil, m.doubt, m.note
 	for _, s := range m.slotList {
 		if s.mark != 0 {
-			next.list = append(next.list, entry{s.p.id, s.mark, s.p.rec.lifeTag()})
+			next.list = append(next.list, listEntry{s.p.id, s.mark, s.p.rec.lifeTag()})
 		}
 	}
 	// If the list has to be cut, entries that are published already stay, so that the state of one agent
 	// doesn't depend on how many others fail. Unreachable agents come next, since the list decides on their
 	// death.
-	alreadyListed := func(e entry) int {
-		if slices.ContainsFunc(m.self.rec.list, func(o entry) bool { return o.id == e.id }) {
+	alreadyListed := func(e listEntry) int {
+		if slices.ContainsFunc(m.self.rec.list, func(o listEntry) bool { return o.id == e.id }) {
 			return 1
 		}
 		return 0
 	}
-	slices.SortFunc(next.list, func(a, b entry) int {
+	slices.SortFunc(next.list, func(a, b listEntry) int {
 		return cmp.Or(cmp.Compare(alreadyListed(b), alreadyListed(a)), cmp.Compare(b.mark&(markUnreachable|markConfirmable), a.mark&(markUnreachable|markConfirmable)), cmp.Compare(a.id, b.id))
 	})
 	fits := (MaxDatagram - headerBytes - 2*buckets - next.size() + 6*len(next.list)) / 6
--- a/internal/member/link/link.go
+++ b/internal/member/link/link.go
@@ -36,7 +36,7 @@
 	Peers    []netip.AddrPort                     // addresses of the fleet's agents, indexed by ID, this agent included; empty: use the settings' list
 	Seed     uint64                               // of all random choices
 	Send     func(to netip.AddrPort, data []byte) // must not block; may drop the datagram
-	OnCount  func(member.Count)                   // called when the count of agents changes; must not block for long
+	OnCount  func(member.AgentCount)              // called when the count of agents changes; must not block for long
 	Log      *slog.Logger
 }
 
@@ -51,12 +51,12 @@
 	inbox     chan func()   // functions for Run's goroutine
 	ended     chan struct{} // closed when Run returns
 
-	muted     atomic.Bool  // another process of this agent takes part in the membership instead
-	dropped   atomic.Int64 // datagrams dropped because the inbox was full
-	alive     atomic.Int64 // metric: members in state Alive
-	majority  atomic.Int64 // metric: 1 if this agent sees more than half of the fleet, else 0
-	changes   atomic.Int64 // metric: changes of the view so far
-	lastCount member.Count // the latest count that was passed to OnCount
+	muted     atomic.Bool       // another process of this agent takes part in the membership instead
+	dropped   atomic.Int64      // datagrams dropped because the inbox was full
+	alive     atomic.Int64      // metric: members in state Alive
+	majority  atomic.Int64      // metric: 1 if this agent sees more than half of the fleet, else 0
+	changes   atomic.Int64      // metric: changes of the view so far
+	lastCount member.AgentCount // the latest count that was passed to OnCount
 }
 
 // New creates a membership; Run starts it.
@@ -271,8 +271,8 @@
 	Majority    bool            `json:"majority"`
 	Expected    int             `json:"expected"` // number of agents in the complete fleet
 	Alive       int             `json:"alive"`    // members in state alive, this agent included
-	Living      int             `json:"living"`   // see member.Count
-	Possible    int             `json:"possible"` // see member.Count
+	Living      int             `json:"living"`   // see member.AgentCount
+	Possible    int             `json:"possible"` // see member.AgentCount
 	Muted       bool            `json:"muted,omitempty"`
 	At          time.Time       `json:"at"`
 	Members     []Row           `json:"members"`
