--- a/internal/member/link/link_test.go
+++ b/internal/member/link/link_test.go
@@ -72,7 +72,7 @@
 func TestJoinAndLeave(t *testing.T) {
 	at := []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")}
 	var links [2]*Link
-	counted := make(chan member.Count, 100)
+	counted := make(chan member.AgentCount, 100)
 	for i := range links {
 		s, err := ParseSettings("m.toml", []byte("period_ms = 20\npause_ms = 500\nrate = 1000.0"))
 		if err != nil {
@@ -86,7 +86,7 @@
 					}
 				}
 			},
-			OnCount: func(c member.Count) {
+			OnCount: func(c member.AgentCount) {
 				if i == 0 {
 					counted <- c
 				}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -214,8 +214,8 @@
 	lastReceived time.Duration   // when the last datagram from any agent, or refusal by a host, came
 	nextGossip   time.Duration
 	probes       int                    // regular probe periods so far; every randomEvery-th probes outside the observed agents
-	slots        map[ID]*slot           // probe state by agent
-	slotList     []*slot                // the same slots in a deterministic order
+	slots        map[ID]*probeState     // probe state by agent
+	slotList     []*probeState          // the same slots in a deterministic order
 	probeOrder   []ID                   // agents that are still to be probed in the present random round, last one first
 	localHealth  float64                // extension of the probe timeout in periods, since this agent seems slow; 0: it doesn't
 	wasAlarmed   bool                   // the self-check ran in the last probe period
@@ -248,7 +248,7 @@
 		return nil, fmt.Errorf("membership: %w", err)
 	}
 	m := &Member{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self))), now: now, startedAt: now, lastTick: now, tokens: burst(cfg.Rate),
-		tokensAt: now, peers: map[ID]*peer{}, slots: map[ID]*slot{}, dirty: true}
+		tokensAt: now, peers: map[ID]*peer{}, slots: map[ID]*probeState{}, dirty: true}
 	all := make([]*peer, 0, len(cfg.Peers)+1)
 	for _, p := range cfg.Peers {
 		if p.ID != cfg.Self {
--- a/internal/member/membersim/compare.go
+++ b/internal/member/membersim/compare.go
@@ -58,34 +58,34 @@
 	return time.Duration(float64(startSpan) * max(1, float64(c.Members)/startSize))
 }
 
-// Row is the result of a case with a protocol, over all runs of the case.
-type Row struct {
-	Protocol     string  `json:"protocol"`
-	Case         string  `json:"case"`
-	Members      int     `json:"members"`
-	MemberHours  float64 `json:"member_hours"` // running time of all members together
-	FalseDeaths  int     `json:"false_deaths"`
-	PerHour      float64 `json:"false_deaths_a_member_hour"` // false deaths per member-hour
-	Suspicions   int     `json:"false_suspicions"`           // times that a running member was suspected
-	Changes      float64 `json:"changes_a_member_minute"`    // status changes that a member sees in a minute
-	Noticed      Spread  `json:"noticed"`                    // time from a death until another member suspected or knew it
-	Known        Spread  `json:"known"`                      // time from a death until another member knew it
-	Untold       int     `json:"untold"`                     // pairs of a killed and a running member that doesn't see it as dead at the end
-	Datagrams    float64 `json:"datagrams_a_member_second"`
-	Bytes        float64 `json:"bytes_a_member_second"`
-	RealSeconds  float64 `json:"real_seconds"` // time that the simulation itself took
-	SimulatedHrs float64 `json:"simulated_hours"`
+// CaseResult is the result of a case with a protocol, over all runs of the case.
+type CaseResult struct {
+	Protocol     string         `json:"protocol"`
+	Case         string         `json:"case"`
+	Members      int            `json:"members"`
+	MemberHours  float64        `json:"member_hours"` // running time of all members together
+	FalseDeaths  int            `json:"false_deaths"`
+	PerHour      float64        `json:"false_deaths_a_member_hour"` // false deaths per member-hour
+	Suspicions   int            `json:"false_suspicions"`           // times that a running member was suspected
+	Changes      float64        `json:"changes_a_member_minute"`    // status changes that a member sees in a minute
+	Noticed      DurationSpread `json:"noticed"`                    // time from a death until another member suspected or knew it
+	Known        DurationSpread `json:"known"`                      // time from a death until another member knew it
+	Untold       int            `json:"untold"`                     // pairs of a killed and a running member that doesn't see it as dead at the end
+	Datagrams    float64        `json:"datagrams_a_member_second"`
+	Bytes        float64        `json:"bytes_a_member_second"`
+	RealSeconds  float64        `json:"real_seconds"` // time that the simulation itself took
+	SimulatedHrs float64        `json:"simulated_hours"`
 }
 
-// Spread is the distribution of a duration, in seconds.
-type Spread struct {
+// DurationSpread is the distribution of a duration, in seconds.
+type DurationSpread struct {
 	P50  float64 `json:"p50_s"`
 	P99  float64 `json:"p99_s"`
 	Last float64 `json:"last_s"` // the longest
 }
 
-func newSpread(d []time.Duration) Spread {
-	return Spread{Percentile(d, 0.5).Seconds(), Percentile(d, 0.99).Seconds(), Percentile(d, 1).Seconds()}
+func newSpread(d []time.Duration) DurationSpread {
+	return DurationSpread{Percentile(d, 0.5).Seconds(), Percentile(d, 0.99).Seconds(), Percentile(d, 1).Seconds()}
 }
 
 // Cases returns the cases of docs/measurements/membership.md. hours is the simulated
@@ -144,7 +144,7 @@
 
 // Compare runs each case with each protocol, as many at a time as there are processors, and returns a row for each
 // pair in that order. The runs of a case have the seeds from seed upwards. If ctx ends, the rows are incomplete.
-func Compare(ctx context.Context, cases []Case, protocols []Protocol, seed uint64, progress io.Writer) ([]Row, error) {
+func Compare(ctx context.Context, cases []Case, protocols []Protocol, seed uint64, progress io.Writer) ([]CaseResult, error) {
 	type job struct {
 		row  int
 		p    Protocol
@@ -152,7 +152,7 @@
 		seed uint64
 	}
 	var jobs []job
-	var rows []Row
+	var rows []CaseResult
 	for _, c := range cases {
 		for _, p := range protocols {
 			if p.MaxMembers > 0 && c.Members > p.MaxMembers {
@@ -164,7 +164,7 @@
 			for run := range max(1, c.Runs) {
 				jobs = append(jobs, job{len(rows), p, c, seed + uint64(run)})
 			}
-			rows = append(rows, Row{Protocol: p.Name, Case: c.Name, Members: c.Members})
+			rows = append(rows, CaseResult{Protocol: p.Name, Case: c.Name, Members: c.Members})
 		}
 	}
 	// Longest first, so that no long run is left alone at the end.
@@ -235,7 +235,7 @@
 
 // run simulates a case once; unaware counts the pairs of a killed member and a running one that doesn't see it as dead
 // at the end.
-func (c Case) run(p Protocol, seed uint64) (a *Arena, unaware int) {
+func (c Case) run(p Protocol, seed uint64) (a *Simulation, unaware int) {
 	a = New(c.Members, seed, Net{Latency: [2]time.Duration{time.Millisecond / 4, 2 * time.Millisecond}, Refuses: true}, p.Make)
 	rng := rand.New(rand.NewPCG(seed, 5))
 	a.StartAll(time.Second)
@@ -286,12 +286,12 @@
 }
 
 // Table writes rows as an aligned text table.
-func Table(w io.Writer, rows []Row) error {
+func Table(w io.Writer, rows []CaseResult) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "members\tcase\tprotocol\tmember-hours\tfalse deaths\ta member-hour\tchanges a member-minute\tnoticed p50/p99/last s\tknown p50/p99/last s\tnot known\tdatagrams/s\tbytes/s")
 	for _, r := range rows {
-		span := func(s Spread) string {
-			if s == (Spread{}) {
+		span := func(s DurationSpread) string {
+			if s == (DurationSpread{}) {
 				return "-"
 			}
 			return fmt.Sprintf("%.2f/%.2f/%.2f", s.P50, s.P99, s.Last)
--- a/internal/member/membersim/simulation.go
+++ b/internal/member/membersim/simulation.go
@@ -83,8 +83,8 @@
 	data any
 }
 
-// Arena is one simulation run: the members' processes, the network between them, and the score.
-type Arena struct {
+// Simulation is one simulation run: the members' processes, the network between them, and the score.
+type Simulation struct {
 	Net Net           // may be changed during the run
 	Now time.Duration // the simulated time
 
@@ -184,8 +184,8 @@
 }
 
 // New returns an arena of n members, none of which has started.
-func New(n int, seed uint64, net Net, maker NodeFactory) *Arena {
-	a := &Arena{Net: net, newNode: maker, rng: rand.New(rand.NewPCG(seed, 77)), seed: seed, refusalBuckets: map[[2]int]*tokenBucket{},
+func New(n int, seed uint64, net Net, maker NodeFactory) *Simulation {
+	a := &Simulation{Net: net, newNode: maker, rng: rand.New(rand.NewPCG(seed, 77)), seed: seed, refusalBuckets: map[[2]int]*tokenBucket{},
 		downAt: map[int]time.Duration{}, knownDead: map[[2]int]bool{}, noticed: map[[2]int]bool{}, Score: newScore()}
 	for range n {
 		a.members = append(a.members, &process{refuses: net.Refuses})
@@ -194,10 +194,10 @@
 }
 
 // Size returns the number of members.
-func (a *Arena) Size() int { return len(a.members) }
+func (a *Simulation) Size() int { return len(a.members) }
 
 // Node returns the Node of member i's present life; nil if the member is not running.
-func (a *Arena) Node(i int) Node {
+func (a *Simulation) Node(i int) Node {
 	if m := a.members[i]; m.up {
 		return m.node
 	}
@@ -205,17 +205,17 @@
 }
 
 // push queues an event behind those of the same time.
-func (a *Arena) push(e event) {
+func (a *Simulation) push(e event) {
 	a.sequence++
 	e.sequence = a.sequence
 	a.queue.push(e)
 }
 
 // At calls do at the simulated time t, or now if t has passed.
-func (a *Arena) At(t time.Duration, do func()) { a.push(event{at: max(t, a.Now), do: do}) }
+func (a *Simulation) At(t time.Duration, do func()) { a.push(event{at: max(t, a.Now), do: do}) }
 
 // Start starts or restarts member i; it does nothing if the member is running.
-func (a *Arena) Start(i int) {
+func (a *Simulation) Start(i int) {
 	m := a.members[i]
 	if m.up {
 		return
@@ -229,14 +229,14 @@
 }
 
 // StartAll starts each member at a random time between now and now plus within.
-func (a *Arena) StartAll(within time.Duration) {
+func (a *Simulation) StartAll(within time.Duration) {
 	for i := range a.members {
 		a.At(a.Now+time.Duration(a.rng.Float64()*float64(within)), func() { a.Start(i) })
 	}
 }
 
 // Kill ends the process of member i. With machine its host ends too and sends no refusals.
-func (a *Arena) Kill(i int, machine bool) {
+func (a *Simulation) Kill(i int, machine bool) {
 	m := a.members[i]
 	if !m.up {
 		return
@@ -247,14 +247,14 @@
 }
 
 // Stop suspends the process of member i, as SIGSTOP does, until Resume; it buffers datagrams meanwhile.
-func (a *Arena) Stop(i int) {
+func (a *Simulation) Stop(i int) {
 	if a.members[i].up {
 		a.members[i].stopped = true
 	}
 }
 
 // Resume continues a stopped member, which first receives the buffered datagrams.
-func (a *Arena) Resume(i int) {
+func (a *Simulation) Resume(i int) {
 	m := a.members[i]
 	if !m.up || !m.stopped {
 		return
@@ -271,7 +271,7 @@
 }
 
 // Pause stops member i and resumes it after d, unless it has been restarted in between.
-func (a *Arena) Pause(i int, d time.Duration) {
+func (a *Simulation) Pause(i int, d time.Duration) {
 	a.Stop(i)
 	life := a.members[i].life
 	a.At(a.Now+d, func() {
@@ -282,7 +282,7 @@
 }
 
 // RunUntil handles all events up to the simulated time end.
-func (a *Arena) RunUntil(end time.Duration) {
+func (a *Simulation) RunUntil(end time.Duration) {
 	for len(a.queue) > 0 && a.queue[0].at <= end {
 		e := a.queue.pop()
 		a.advance(e.at)
@@ -326,13 +326,13 @@
 
 // advance moves the simulated time forward and counts the running time of the members.
 
-func (a *Arena) advance(to time.Duration) {
+func (a *Simulation) advance(to time.Duration) {
 	a.Score.MemberSeconds += (to - a.Now).Seconds() * float64(a.runningCount)
 	a.Now = to
 }
 
 // flush sends the queued datagrams of member i, records its state changes and queues its next wake-up.
-func (a *Arena) flush(i int) {
+func (a *Simulation) flush(i int) {
 	m := a.members[i]
 	for _, p := range m.node.Out() {
 		a.Sent++
@@ -349,7 +349,7 @@
 }
 
 // recordChange enters a change that member by saw into the score.
-func (a *Arena) recordChange(by int, j StatusChange) {
+func (a *Simulation) recordChange(by int, j StatusChange) {
 	a.Score.Changes++
 	if a.OnStatusChange != nil {
 		a.OnStatusChange(by, j)
@@ -377,7 +377,7 @@
 }
 
 // transit draws the transit time of a datagram.
-func (a *Arena) transit(from, to int) time.Duration {
+func (a *Simulation) transit(from, to int) time.Duration {
 	d := a.Net.Latency[0] + time.Duration(a.rng.Float64()*float64(a.Net.Latency[1]-a.Net.Latency[0]))
 	if a.Net.Delay != nil {
 		d += a.Net.Delay(from, to, a.rng)
@@ -386,12 +386,12 @@
 }
 
 // drops decides whether the network loses a datagram.
-func (a *Arena) drops(from, to int) bool {
+func (a *Simulation) drops(from, to int) bool {
 	return a.Net.Cut != nil && a.Net.Cut(from, to) || a.Net.Loss != nil && a.rng.Float64() < a.Net.Loss(from, to)
 }
 
 // transmit queues the delivery of a datagram, or two if the network duplicates it, unless the network loses it.
-func (a *Arena) transmit(from int, p Packet) {
+func (a *Simulation) transmit(from int, p Packet) {
 	if a.drops(from, p.To) {
 		return
 	}
@@ -406,7 +406,7 @@
 
 // refuse sends a refusal to member to from the host of member at, whose process is not running, if that host refuses
 // at all and its limit allows one more.
-func (a *Arena) refuse(at, to int) {
+func (a *Simulation) refuse(at, to int) {
 	m := a.members[at]
 	if !m.refuses || a.drops(at, to) {
 		return
--- a/internal/member/packet.go
+++ b/internal/member/packet.go
@@ -248,7 +248,7 @@
 		return rec
 	}
 	for range n {
-		rec.list = append(rec.list, entry{id: ID(r.u32()), mark: mark(r.u8()), lifeTag: r.u8()})
+		rec.list = append(rec.list, listEntry{id: ID(r.u32()), mark: mark(r.u8()), lifeTag: r.u8()})
 	}
 	return rec
 }
--- a/internal/member/packet_test.go
+++ b/internal/member/packet_test.go
@@ -11,7 +11,7 @@
 // samples returns datagrams of all kinds but kindSync.
 func samples() []*packet {
 	full := record{id: 7, kind: kindFull, start: 12, incarnation: 3, version: 9, doubt: true, note: "\x01\x02", zone: "a", name: "n7",
-		addr: netip.MustParseAddrPort("127.0.0.9:7946"), list: []entry{{4, markUnreachable | markConfirmable, 8}, {5, markNoInbound, 1}}}
+		addr: netip.MustParseAddrPort("127.0.0.9:7946"), list: []listEntry{{4, markUnreachable | markConfirmable, 8}, {5, markNoInbound, 1}}}
 	return []*packet{
 		{kind: kindGossip, from: 1, records: []record{full, {id: 4, kind: kindDead, start: 2}}},
 		{kind: kindPing, from: 1, seq: 5, digests: [buckets]uint16{1, 2, 3}, records: []record{full}},
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// slot holds the probe state of an agent that this agent observes, or to which one of its probes is pending or has
+// probeState holds the probe state of an agent that this agent observes, or to which one of its probes is pending or has
 // failed.
-type slot struct {
+type probeState struct {
 	p        *peer
 	subject  bool // this agent observes it; otherwise the slot is dropped after an answer
 	probeNow bool // another observer lists the agent: probe at the next tick
@@ -32,19 +32,19 @@
 }
 
 // reset discards all probe results.
-func (s *slot) reset() {
-	*s = slot{p: s.p, subject: s.subject, evidenceAt: -1}
+func (s *probeState) reset() {
+	*s = probeState{p: s.p, subject: s.subject, evidenceAt: -1}
 }
 
 // slotFor returns the slot of p, a new one if needed; nil if 2*maxListEntries agents have slots already.
-func (m *Member) slotFor(p *peer) *slot {
+func (m *Member) slotFor(p *peer) *probeState {
 	if p.slot != nil {
 		return p.slot
 	}
 	if len(m.slotList) >= 2*maxListEntries {
 		return nil
 	}
-	s := &slot{p: p, evidenceAt: -1}
+	s := &probeState{p: p, evidenceAt: -1}
 	p.slot, m.slots[p.id] = s, s
 	m.slotList = append(m.slotList, s)
 	return s
@@ -58,7 +58,7 @@
 	}
 	s.p.slot = nil
 	delete(m.slots, id)
-	m.slotList = slices.DeleteFunc(m.slotList, func(o *slot) bool { return o == s })
+	m.slotList = slices.DeleteFunc(m.slotList, func(o *probeState) bool { return o == s })
 	m.listChanged = m.listChanged || s.mark != 0
 }
 
@@ -114,7 +114,7 @@
 // nextSampleSlot returns the slot of the next agent in round-robin order, whether failing or not. The
 // results of these probes are the sample of the self-check. If too many agents fail already it adds no
 // slot, so that the entries on the list don't change with each probe.
-func (m *Member) nextSampleSlot() *slot {
+func (m *Member) nextSampleSlot() *probeState {
 	p := m.nextInOrder()
 	if p == nil || p.slot == nil && m.failingCount() >= maxListEntries {
 		return nil
@@ -138,7 +138,7 @@
 }
 
 // recordOutcome adds the result of a probe to Member.sample, if it was a sample probe (slot.sample).
-func (m *Member) recordOutcome(s *slot, ok bool) {
+func (m *Member) recordOutcome(s *probeState, ok bool) {
 	if s.sample {
 		s.sample = false
 		m.sample[m.sampleCount%len(m.sample)] = outcome{s.p.id, ok, m.now}
@@ -169,10 +169,12 @@
 
 // mayProbeEarly reports whether the agent of s may be probed before its regular time: if no probe is pending and the
 // last one was sent two periods ago or longer.
-func (m *Member) mayProbeEarly(s *slot) bool { return !s.waiting && m.now-s.sentAt >= 2*m.cfg.Period }
+func (m *Member) mayProbeEarly(s *probeState) bool {
+	return !s.waiting && m.now-s.sentAt >= 2*m.cfg.Period
+}
 
 // leastRecentSubject returns the slot of the observed agent whose last probe is the oldest, without failing agents.
-func (m *Member) leastRecentSubject() (best *slot) {
+func (m *Member) leastRecentSubject() (best *probeState) {
 	for _, s := range m.slotList {
 		if s.subject && !s.waiting && !s.failing && (best == nil || s.sentAt < best.sentAt) {
 			best = s
@@ -203,7 +205,7 @@
 }
 
 // sendPing sends a direct probe, unless Config.Rate forbids it.
-func (m *Member) sendPing(s *slot) {
+func (m *Member) sendPing(s *probeState) {
 	m.seq++
 	s.seq, s.sentAt, s.waiting = m.seq, m.now, true
 	s.due = m.now + time.Duration((1+m.localHealth)*float64(m.cfg.Period))
@@ -217,7 +219,7 @@
 }
 
 // handleTimeout records that a probe was not answered in time and starts indirect probes.
-func (m *Member) handleTimeout(s *slot) {
+func (m *Member) handleTimeout(s *probeState) {
 	s.waiting = false
 	s.p.lastFailAt = m.now
 	m.recordOutcome(s, false)
@@ -251,7 +253,7 @@
 }
 
 // recordFailure counts one more consecutive failed probe of an agent and sets the time of the next probe.
-func (m *Member) recordFailure(s *slot) {
+func (m *Member) recordFailure(s *probeState) {
 	if !s.failing {
 		s.failing, s.failSince, s.firstSeq, s.evidenceAt, s.failures = true, s.sentAt, s.seq, -1, 0
 	}
@@ -331,7 +333,7 @@
 }
 
 // matchesProbe reports whether seq is the number of the pending probe or of one in the current series of failed ones.
-func (s *slot) matchesProbe(seq uint32) bool {
+func (s *probeState) matchesProbe(seq uint32) bool {
 	if s.failing {
 		return int32(seq-s.firstSeq) >= 0 && int32(s.seq-seq) >= 0
 	}
@@ -339,7 +341,7 @@
 }
 
 // handleRefusal records that the agent's host reported that no process listens on the port.
-func (m *Member) handleRefusal(s *slot) {
+func (m *Member) handleRefusal(s *probeState) {
 	if s.refusals > 0 && m.now-s.refusedAt < refusalSpacing*m.cfg.Period {
 		return
 	}
@@ -361,7 +363,7 @@
 }
 
 // updateMark recomputes the mark of s: how this agent's list says that the agent is unreachable, 0 if it isn't listed.
-func (m *Member) updateMark(s *slot) {
+func (m *Member) updateMark(s *probeState) {
 	now, period := m.now, m.cfg.Period
 	ttl := time.Duration(evidenceTTL) * period
 	if s.mark&(markNoInbound|markNoOutbound) != 0 && s.mark&markUnreachable == 0 {
--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -24,8 +24,8 @@
 	markConfirmable                  // unreachable for Config.Pause, or refused at least twice: the entry counts for a declaration of death
 )
 
-// entry is one agent on the list in another agent's record.
-type entry struct {
+// listEntry is one agent on the list in another agent's record.
+type listEntry struct {
 	id      ID
 	mark    mark
 	lifeTag uint8 // hash of the life that is meant (record.lifeTag), so that the entry doesn't apply to a later life
@@ -45,7 +45,7 @@
 	name    string
 	addr    netip.AddrPort // IPv4; set if the agent is not in Config.Peers
 	note    string         // bytes that only users of the view interpret; see SetNote
-	list    []entry        // agents that this one cannot hear or reach
+	list    []listEntry    // agents that this one cannot hear or reach
 }
 
 // rank orders the lives of one agent and their ends.
@@ -99,7 +99,7 @@
 	lastFailAt    time.Duration // when it last failed to answer one in time; -1: never
 	sendLimit     int           // number of sends after which its record is no longer gossiped
 	sendCount     int           // number of times that this agent has sent its record since it changed
-	slot          *slot         // probe state; nil: none
+	slot          *probeState   // probe state; nil: none
 
 	// As of the last evaluate, the number of observers that list it as unreachable; of these, the number whose entries
 	// are confirmable; of those, the number whose entries say refused.
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -178,8 +178,8 @@
 	m.recordChange(Change{Member: p.id, From: from, To: s, Proved: p.rec.kind == kindRefused})
 }
 
-// Count is the number of agents that users of a view have to assume to be serving.
-type Count struct {
+// AgentCount is the number of agents that users of a view have to assume to be serving.
+type AgentCount struct {
 	Living   int  // agents to be counted as serving
 	Possible int  // agents that serve in the worst case, those behind a network cut included; at least Living
 	Away     []ID // the agents in Config.Peers, or this one, that Living leaves out
@@ -189,7 +189,7 @@
 // that no process listens, don't count. An agent declared dead after silence may still serve behind a
 // network cut: it counts in Living until it has been dead for another Config.Pause and this agent is in the
 // majority, and always counts in Possible. Agents never heard of count as living.
-func (m *Member) Count() (c Count) {
+func (m *Member) Count() (c AgentCount) {
 	c.Living, c.Possible = m.cfg.Expected, m.cfg.Expected
 	for _, p := range m.order {
 		switch {
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -462,10 +462,10 @@
 	r := w.waitForLeader().replica
 	early, due := newRequest(nil, true), newRequest(nil, true)
 	early.index, due.index = r.voter.Applied()+1, r.voter.Applied()
-	r.requests.reads = []*request{early, due}
+	r.requests.confirmedReads = []*request{early, due}
 	r.finishReads()
-	if len(early.done) > 0 || len(due.done) != 1 || len(r.requests.reads) != 1 {
-		t.Errorf("early %d, due %d, kept %d", len(early.done), len(due.done), len(r.requests.reads))
+	if len(early.done) > 0 || len(due.done) != 1 || len(r.requests.confirmedReads) != 1 {
+		t.Errorf("early %d, due %d, kept %d", len(early.done), len(due.done), len(r.requests.confirmedReads))
 	}
 }
 
--- a/internal/replica/requests.go
+++ b/internal/replica/requests.go
@@ -91,13 +91,13 @@
 // requests are the pending requests of this member. Each waits for a confirmation: a read index, by which a
 // majority shows that it still follows this leader. Requests that wait at the same time share one.
 type requests struct {
-	waiting       []*request          // for the confirmation after the current one
-	confirming    []*request          // for the current confirmation
-	confirmID     uint64              // number of the current confirmation; 0: none is under way
-	lastConfirmID uint64              // number of the last confirmation so far
-	reads         []*request          // confirmed reads whose index isn't applied yet
-	proposed      map[uint64]*request // commands without a result, by sequence number of their log entry
-	lastSequence  uint64              // of the last entry that this process proposed
+	waiting        []*request          // for the confirmation after the current one
+	confirming     []*request          // for the current confirmation
+	confirmID      uint64              // number of the current confirmation; 0: none is under way
+	lastConfirmID  uint64              // number of the last confirmation so far
+	confirmedReads []*request          // confirmed reads whose index isn't applied yet
+	proposed       map[uint64]*request // commands without a result, by sequence number of their log entry
+	lastSequence   uint64              // of the last entry that this process proposed
 }
 
 func newRequests() requests { return requests{proposed: map[uint64]*request{}} }
@@ -160,7 +160,7 @@
 	switch {
 	case !r.voter.Leads():
 		q.finish(nil, r.notLeader())
-	case len(r.requests.waiting) >= maxWaiting || len(r.requests.reads) >= maxWaiting:
+	case len(r.requests.waiting) >= maxWaiting || len(r.requests.confirmedReads) >= maxWaiting:
 		q.finish(nil, ErrBusy)
 	default:
 		q.deadline = r.now() + confirmElectionTimeouts*r.electionTimeout()
@@ -202,7 +202,7 @@
 			q.refuse()
 		case q.read:
 			q.index = read.Index
-			r.requests.reads = append(r.requests.reads, q)
+			r.requests.confirmedReads = append(r.requests.confirmedReads, q)
 		default:
 			r.propose(q)
 		}
@@ -249,16 +249,16 @@
 
 // finishReads finishes the reads whose index is applied.
 func (r *Replica) finishReads() {
-	unfinished := r.requests.reads[:0]
-	for _, q := range r.requests.reads {
+	unfinished := r.requests.confirmedReads[:0]
+	for _, q := range r.requests.confirmedReads {
 		if q.index > r.voter.Applied() {
 			unfinished = append(unfinished, q)
 			continue
 		}
 		q.finish(nil, nil)
 	}
-	clear(r.requests.reads[len(unfinished):])
-	r.requests.reads = unfinished
+	clear(r.requests.confirmedReads[len(unfinished):])
+	r.requests.confirmedReads = unfinished
 }
 
 // expireRequests refuses the requests whose confirmation is overdue.
@@ -290,7 +290,7 @@
 	for _, q := range r.requests.proposed {
 		q.finish(nil, ErrOutcomeUnknown)
 	}
-	for _, all := range [][]*request{r.requests.waiting, r.requests.confirming, r.requests.reads} {
+	for _, all := range [][]*request{r.requests.waiting, r.requests.confirming, r.requests.confirmedReads} {
 		for _, q := range all {
 			if q.read || q.withdraw() {
 				q.finish(nil, err)
--- a/internal/replica/transport/transport_test.go
+++ b/internal/replica/transport/transport_test.go
@@ -59,12 +59,12 @@
 
 // pair is a connected server and dialer, with the frames that each has received.
 type pair struct {
-	server           *Server
-	dialer           *Dialer
-	atServer, atDial chan string // "name of the sender, content" of each frame that arrived
-	invalid          chan error  // errors of OnInvalid, of both ends
-	cancel           context.CancelFunc
-	ended            sync.WaitGroup // done once server and dialer have returned
+	server             *Server
+	dialer             *Dialer
+	atServer, atDialer chan string // "name of the sender, content" of each frame that arrived
+	invalid            chan error  // errors of OnInvalid, of both ends
+	cancel             context.CancelFunc
+	ended              sync.WaitGroup // done once server and dialer have returned
 }
 
 // newPair starts a server that answers each frame with its content after "back ", and a dialer to it.
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &pair{atServer: make(chan string, 16), atDial: make(chan string, 16), invalid: make(chan error, 16)}
+	p := &pair{atServer: make(chan string, 16), atDialer: make(chan string, 16), invalid: make(chan error, 16)}
 	note := func(err error) {
 		select {
 		case p.invalid <- err:
@@ -85,7 +85,7 @@
 		p.atServer <- c.Peer() + " " + string(content)
 		c.Send(1, append([]byte("back "), content...))
 	}}
-	p.dialer = &Dialer{Address: listener.Addr().String(), Protocol: dialled, OnInvalid: note, Handle: func(c *Conn, _ Kind, content []byte) { p.atDial <- c.Peer() + " " + string(content) }}
+	p.dialer = &Dialer{Address: listener.Addr().String(), Protocol: dialled, OnInvalid: note, Handle: func(c *Conn, _ Kind, content []byte) { p.atDialer <- c.Peer() + " " + string(content) }}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	p.ended.Go(func() { p.server.Run(ctx) })
@@ -116,7 +116,7 @@
 	if got := <-p.atServer; got != "client hello" {
 		t.Error(got)
 	}
-	if got := <-p.atDial; got != "server back hello" {
+	if got := <-p.atDialer; got != "server back hello" {
 		t.Error(got)
 	}
 }
@@ -184,7 +184,7 @@
 		p := newPair(t, served, dialled)
 		p.send("x")
 		<-p.atServer
-		<-p.atDial
+		<-p.atDialer
 		p.dialer.mu.Lock()
 		first := p.dialer.conn
 		p.dialer.mu.Unlock()
@@ -200,7 +200,7 @@
 		}
 		p.cancel()
 		p.ended.Wait()
-		if len(p.atServer) > 0 || len(p.atDial) > 0 {
+		if len(p.atServer) > 0 || len(p.atDialer) > 0 {
 			t.Error("a ping was passed to the handler")
 		}
 	}
--- a/internal/replica/voter/membership.go
+++ b/internal/replica/voter/membership.go
@@ -51,11 +51,11 @@
 	v.log.Info("store opened", "identity", IdentityText(opened.ID()), "new", empty, "term", state.Term, "entry", state.Index)
 }
 
-// checkInAndStart sends the check-in to the other members at every requestInterval, and acts by
+// startAfterCheckIn sends the check-in to the other members at every requestInterval, and acts by
 // duty.StartupCheck on their replies: it starts raft once they show that the store has lost no promise, or
 // that this member starts new or under a new identity; it quarantines a store that has lost a promise or
 // whose identity was replaced.
-func (v *Voter) checkInAndStart(now time.Duration) {
+func (v *Voter) startAfterCheckIn(now time.Duration) {
 	if now-v.lastRequest >= requestInterval || v.lastRequest == 0 {
 		v.lastRequest = now
 		v.broadcastIdentity(KindCheckIn)
--- a/internal/replica/voter/voter.go
+++ b/internal/replica/voter/voter.go
@@ -114,7 +114,7 @@
 		return
 	}
 	if v.node == nil {
-		v.checkInAndStart(now)
+		v.startAfterCheckIn(now)
 		return
 	}
 	if ticked {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -113,13 +113,13 @@
 	openTimeout    time.Duration                        // a call that has no response for this long has failed
 	after          func(time.Duration) <-chan time.Time // time.After, replaced by tests
 
-	mu            sync.Mutex         // held while a list is delivered, so the loop must never wait for it
-	url           string             // of the list
-	seq           int64              // version of the last list
-	moves         int                // number of times that SetService replaced the discovery service
-	needWholeList bool               // the service has delivered no list yet, or an outdated delta
-	cancelWatch   context.CancelFunc // ends the open watch; nil: there has been none
-	wake          chan struct{}      // ends the pause before the next watch
+	mu                  sync.Mutex         // held while a list is delivered, so the loop must never wait for it
+	url                 string             // of the list
+	seq                 int64              // version of the last list
+	serviceReplacements int                // number of times that SetService replaced the discovery service
+	needWholeList       bool               // the service has delivered no list yet, or an outdated delta
+	cancelWatch         context.CancelFunc // ends the open watch; nil: there has been none
+	wake                chan struct{}      // ends the pause before the next watch
 
 	fellSilent   atomic.Bool   // a watch fell silent, and no list has arrived since
 	lastCallHung atomic.Bool   // the last call had no response in time, and the one before it did not hang
@@ -168,7 +168,7 @@
 		return
 	}
 	d.url, d.needWholeList = url, true
-	d.moves++
+	d.serviceReplacements++
 	if d.cancelWatch != nil {
 		d.cancelWatch()
 	}
@@ -339,7 +339,7 @@
 func (d *Client) accept(l List, from source, fromWatch bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock() // held while delivering, so that lists reach the decision module in the order of their versions
-	if from.moves != d.moves && fromWatch {
+	if from.moves != d.serviceReplacements && fromWatch {
 		return errors.New("the watched service was replaced")
 	}
 	// A delta that is older than the known version does not apply to it and would bring drained backends
@@ -351,7 +351,7 @@
 	}
 	// A fetched list that is older than one from a watch or another service would bring drained backends
 	// back. The decision module still needs a response to its call, so it gets a list without changes.
-	if from.moves != d.moves || !fromWatch && !d.needWholeList && l.Seq < d.seq {
+	if from.moves != d.serviceReplacements || !fromWatch && !d.needWholeList && l.Seq < d.seq {
 		l = List{Seq: d.seq}
 	} else {
 		d.seq, d.needWholeList = l.Seq, false
@@ -367,7 +367,7 @@
 }
 
 // source returns the source for a new call. The caller holds the lock.
-func (d *Client) source() source { return source{d.url, d.seq, d.needWholeList, d.moves} }
+func (d *Client) source() source { return source{d.url, d.seq, d.needWholeList, d.serviceReplacements} }
 
 // get starts a GET request and returns the body of the response, which the caller closes.
 func (d *Client) get(ctx context.Context, url string) (io.ReadCloser, error) {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -71,12 +71,12 @@
 
 // newClient returns a client of the service r that knows version 41 of the list, and the lists that the client
 // delivers; ask: lists are requested on demand.
-func newClient(t *testing.T, r *service, ask bool) (*Client, <-chan delivery) {
+func newClient(t *testing.T, r *service, onDemand bool) (*Client, <-chan delivery) {
 	t.Helper()
 	at := netip.MustParseAddrPort(r.srv.Listener.Addr().String())
 	ctx, cancel := context.WithCancel(context.Background())
 	lists := make(chan delivery, 10)
-	d := New(ctx, Config{at, ask, wire.Names{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}, 41}, func(l balance.List, addrs map[string]string) { lists <- delivery{l, addrs} }, slog.New(slog.DiscardHandler))
+	d := New(ctx, Config{at, onDemand, wire.Names{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}, 41}, func(l balance.List, addrs map[string]string) { lists <- delivery{l, addrs} }, slog.New(slog.DiscardHandler))
 	t.Cleanup(cancel)
 	return d, lists
 }
--- a/internal/scale/calltree/backend.go
+++ b/internal/scale/calltree/backend.go
@@ -26,7 +26,7 @@
 	n := a.call.node
 	run.repeated = n.executions > 0
 	n.executions++
-	s.statistics.executed(run)
+	s.statistics.countExecution(run)
 	if s.leafFails(n) {
 		s.answer(run, outcome{result: balance.Errored})
 		return
@@ -67,7 +67,7 @@
 func (s *simulation) finishWork(run *execution) {
 	t := run.server
 	t.busy--
-	s.statistics.worked(run, s.now)
+	s.statistics.countCoreTime(run, s.now)
 	s.startNext(t)
 	if run.cancelled || run.answered {
 		return
@@ -158,8 +158,8 @@
 	s.schedule(s.config.Network, event{kind: eventOutcome, attempt: a, outcome: o})
 }
 
-// cancel stops an execution whose caller no longer waits for it.
-func (s *simulation) cancel(run *execution) {
+// cancelExecution stops an execution whose caller no longer waits for it.
+func (s *simulation) cancelExecution(run *execution) {
 	if run.answered || run.cancelled {
 		return
 	}
@@ -175,8 +175,8 @@
 			continue
 		}
 		s.step(c.agent, balance.Abandoned{Request: c.id})
-		s.end(c, endedAbandoned)
-		s.withdraw(c, balance.Cancelled)
+		s.endCall(c, endedAbandoned)
+		s.endOpenAttempts(c, balance.Cancelled)
 		s.forget(c)
 	}
 }
--- a/internal/scale/calltree/count.go
+++ b/internal/scale/calltree/count.go
@@ -48,9 +48,9 @@
 	n.timeLeftSum[layer] += left
 }
 
-// sent counts an attempt. waited is the time that the call waited for it: before the first one for a free slot, before
+// countAttempt counts an attempt. waited is the time that the call waited for it: before the first one for a free slot, before
 // others for the backoff.
-func (n *statistics) sent(a *attempt, waited time.Duration) {
+func (n *statistics) countAttempt(a *attempt, waited time.Duration) {
 	n.open++
 	if a.number > 0 {
 		n.result.Checks.Retries++
@@ -83,16 +83,16 @@
 	}
 }
 
-// outcome counts the outcome of an attempt.
-func (n *statistics) outcome(o outcome) {
+// countOutcome counts the outcome of an attempt.
+func (n *statistics) countOutcome(o outcome) {
 	n.open--
 	if o.result == balance.OK {
 		n.result.Checks.Served++
 	}
 }
 
-// executed counts an attempt that a backend accepted, and detects repeated executions of unsafe calls.
-func (n *statistics) executed(run *execution) {
+// countExecution counts an attempt that a backend accepted, and detects repeated executions of unsafe calls.
+func (n *statistics) countExecution(run *execution) {
 	c := run.attempt.call
 	if c.node.unsafe && run.repeated {
 		n.result.Checks.UnsafeTwice++
@@ -102,8 +102,8 @@
 	}
 }
 
-// worked counts the core time of an execution that ends now.
-func (n *statistics) worked(run *execution, now time.Duration) {
+// countCoreTime counts the core time of an execution that ends now.
+func (n *statistics) countCoreTime(run *execution, now time.Duration) {
 	if from := epoch + n.config.Warm; now >= from && now < from+n.config.Measure {
 		run.server.worked += run.work
 	}
--- a/internal/scale/calltree/run.go
+++ b/internal/scale/calltree/run.go
@@ -191,7 +191,7 @@
 	case eventCallEnded:
 		s.notifyCaller(e.call)
 	case eventCancel:
-		s.cancel(e.run)
+		s.cancelExecution(e.run)
 	case eventPeerMessage:
 		s.broadcast(e.agent, e.data)
 	case eventClientRetry:
@@ -291,9 +291,9 @@
 		case balance.Refuse:
 			c := a.calls[action.Request]
 			c.retryAfter = action.RetryAfter
-			s.end(c, endedRefused)
+			s.endCall(c, endedRefused)
 		case balance.Fail:
-			s.end(a.calls[action.Request], endedFailed)
+			s.endCall(a.calls[action.Request], endedFailed)
 		case balance.SetTimer:
 			s.schedule(action.After, event{kind: eventTimer, agent: a, token: action.Token})
 		case balance.TellPeer:
@@ -316,7 +316,7 @@
 	t := s.findBackend(c.agent.service, backend)
 	a := &attempt{call: c, number: len(c.attempts), server: t, sent: s.now}
 	c.attempts = append(c.attempts, a)
-	s.statistics.sent(a, s.now-c.waitingSince)
+	s.statistics.countAttempt(a, s.now-c.waitingSince)
 	switch {
 	case s.faultActiveAt(t) && s.config.Fault == FaultRefused:
 		s.schedule(2*s.config.Network, event{kind: eventOutcome, attempt: a,
@@ -343,14 +343,14 @@
 		return
 	}
 	a.closed = true
-	s.statistics.outcome(o)
+	s.statistics.countOutcome(o)
 	c := a.call
 	c.waitingSince = s.now
 	served := o.result == balance.OK && !c.ended
 	if served {
-		s.end(c, endedServed)
+		s.endCall(c, endedServed)
 	} else if o.marked && !c.ended {
-		s.end(c, endedFailed)
+		s.endCall(c, endedFailed)
 	}
 	c.try.root.steps++
 	s.step(c.agent, balance.Outcome{Request: c.id, Attempt: a.number, Backend: a.server.id, Result: o.result,
@@ -363,16 +363,16 @@
 	if c.ended {
 		return
 	}
-	s.withdraw(c, balance.TimedOut)
+	s.endOpenAttempts(c, balance.TimedOut)
 	if !c.ended {
 		s.step(c.agent, balance.Abandoned{Request: c.id})
-		s.end(c, endedFailed)
+		s.endCall(c, endedFailed)
 		s.forget(c)
 	}
 }
 
-// withdraw ends the open attempts of a call with a result.
-func (s *simulation) withdraw(c *call, result balance.Result) {
+// endOpenAttempts ends the open attempts of a call with a result.
+func (s *simulation) endOpenAttempts(c *call, result balance.Result) {
 	for _, a := range c.attempts {
 		if a.closed {
 			continue
@@ -384,8 +384,8 @@
 	}
 }
 
-// end records the ending of a call and schedules the notification of its caller. A second ending is counted as an error.
-func (s *simulation) end(c *call, how ending) {
+// endCall records the ending of a call and schedules the notification of its caller. A second ending is counted as an error.
+func (s *simulation) endCall(c *call, how ending) {
 	if c.ended {
 		s.statistics.result.Checks.EndedTwice++
 		return
--- a/internal/scale/coldstart/budget.go
+++ b/internal/scale/coldstart/budget.go
@@ -34,13 +34,13 @@
 	ShareOfN          float64 // highest load relative to N at the age at the window's first request
 	ShareOfBound      float64 // highest load relative to Bound(N), N at the age at the window's first request: the strictest interpretation
 	ShareOfFinalBound float64 // highest load relative to Bound(N), N at the age at the window's last request
-	Violated          bool    // in some window the load exceeded Bound(N), N at its last request, and over two thirds came from notified agents
+	ExceedsFinalBound bool    // in some window the load exceeded Bound(N), N at its last request, and over two thirds came from notified agents
 }
 
 // merge takes each field's maximum of p and o; Violated is set if it is set in either.
 func (p *Peak) merge(o Peak) {
 	p.ShareOfN, p.ShareOfBound = max(p.ShareOfN, o.ShareOfN), max(p.ShareOfBound, o.ShareOfBound)
-	p.ShareOfFinalBound, p.Violated = max(p.ShareOfFinalBound, o.ShareOfFinalBound), p.Violated || o.Violated
+	p.ShareOfFinalBound, p.ExceedsFinalBound = max(p.ShareOfFinalBound, o.ShareOfFinalBound), p.ExceedsFinalBound || o.ExceedsFinalBound
 }
 
 // peakLoad returns the peak over all fall windows that end with one of a backend's arrivals during its ramp. Arrivals must
@@ -63,7 +63,7 @@
 		}
 		n := allowed(perSecond, arrivals[first].Age)
 		then := sum / Bound(allowed(perSecond, a.Age))
-		p.merge(Peak{ShareOfN: sum / n, ShareOfBound: sum / Bound(n), ShareOfFinalBound: then, Violated: then > 1 && told > sum*2/3})
+		p.merge(Peak{ShareOfN: sum / n, ShareOfBound: sum / Bound(n), ShareOfFinalBound: then, ExceedsFinalBound: then > 1 && told > sum*2/3})
 	}
 	return p
 }
--- a/internal/scale/coldstart/budget_test.go
+++ b/internal/scale/coldstart/budget_test.go
@@ -33,7 +33,7 @@
 				n, then := allowed(perSecond, a.Age), Bound(allowed(perSecond, last.Age))
 				want.merge(Peak{ShareOfN: sum / n, ShareOfBound: sum / Bound(n), ShareOfFinalBound: sum / then})
 			}
-			want.Violated = want.Violated || sum > Bound(allowed(perSecond, last.Age)) && told > sum*2/3
+			want.ExceedsFinalBound = want.ExceedsFinalBound || sum > Bound(allowed(perSecond, last.Age)) && told > sum*2/3
 		}
 		if got := peakLoad(arrivals, perSecond, one); got != want {
 			t.Errorf("seed %d: %+v, every window gives %+v", seed, got, want)
@@ -52,10 +52,10 @@
 		return arrivals
 	}
 	one := func(Arrival) float64 { return 1 }
-	if p := peakLoad(stream(.98), perSecond, one); p.ShareOfN > 1 || p.Violated {
+	if p := peakLoad(stream(.98), perSecond, one); p.ShareOfN > 1 || p.ExceedsFinalBound {
 		t.Errorf("just under the allowance: %+v", p)
 	}
-	if p := peakLoad(stream(2), perSecond, one); p.ShareOfBound < 1 || !p.Violated {
+	if p := peakLoad(stream(2), perSecond, one); p.ShareOfBound < 1 || !p.ExceedsFinalBound {
 		t.Errorf("twice the allowance: %+v", p)
 	}
 }
--- a/internal/scale/coldstart/coldstart.go
+++ b/internal/scale/coldstart/coldstart.go
@@ -50,7 +50,7 @@
 	Runs                       int
 	OverN                      int     // runs in which some window had more than N requests (see allowed), N at its first request
 	OverBound                  int     // runs in which some window had more than Bound(N) requests, N at its first request
-	Violated                   int     // runs with Peak.Violated: some window had more than Bound(N) requests, N at its last request, mostly from notified agents
+	OverFinalBound             int     // runs with Peak.Violated: some window had more than Bound(N) requests, N at its last request, mostly from notified agents
 	OverBoundByWork            int     // runs in which the requests of some window, counted by their work, exceeded Bound(N), N at its first request
 	MaxShareOfN                float64 // maximum over the runs of Result.Count.ShareOfN: a window's requests relative to N
 	MaxShareOfBound            float64 // maximum over the runs of Result.Count.ShareOfBound: a window's requests relative to Bound(N) = N + 2 sqrt(N) + 2
@@ -66,7 +66,7 @@
 	s.Runs++
 	s.OverN += boolToInt(r.Count.ShareOfN > 1)
 	s.OverBound += boolToInt(r.Count.ShareOfBound > 1)
-	s.Violated += boolToInt(r.Count.Violated)
+	s.OverFinalBound += boolToInt(r.Count.ExceedsFinalBound)
 	s.OverBoundByWork += boolToInt(r.Work.ShareOfBound > 1)
 	s.MaxShareOfN = max(s.MaxShareOfN, r.Count.ShareOfN)
 	s.MaxShareOfBoundByWork = max(s.MaxShareOfBoundByWork, r.Work.ShareOfBound)
@@ -108,5 +108,5 @@
 func (s Summary) String() string {
 	part := func(n int) string { return fmt.Sprintf("%.1f %%", 100*float64(n)/float64(max(s.Runs, 1))) }
 	return fmt.Sprintf("| %s | %d, %d, %d | %d | %s | %s | %s | %s | %.2f | %.2f (%.2f) | %.2f | %.2f | %.2f |", s.Case.Name, s.Case.Agents, s.Case.Warm, s.Case.Cold, s.Runs, part(s.OverN),
-		part(s.OverBound), part(s.Violated), part(s.OverBoundByWork), s.MaxShareOfN, s.MaxShareOfBound, s.MaxShareOfBoundByWork, s.ColdLoad, s.WarmLoad, s.Served)
+		part(s.OverBound), part(s.OverFinalBound), part(s.OverBoundByWork), s.MaxShareOfN, s.MaxShareOfBound, s.MaxShareOfBoundByWork, s.ColdLoad, s.WarmLoad, s.Served)
 }
--- a/internal/scale/hollowmembers.go
+++ b/internal/scale/hollowmembers.go
@@ -144,7 +144,7 @@
 		n.link, err = link.New(link.Options{Settings: settings, Name: fmt.Sprintf("n%d", i), Zone: siteNames[i%len(siteNames)], Self: member.ID(i), Peers: peers,
 			Seed: seed<<20 + uint64(i), Log: slog.New(slog.DiscardHandler),
 			Send:    func(to netip.AddrPort, data []byte) { f.send(n, to, data) },
-			OnCount: func(c member.Count) { f.recordCount(n, c) }})
+			OnCount: func(c member.AgentCount) { f.recordCount(n, c) }})
 		if err != nil {
 			return err
 		}
@@ -161,7 +161,7 @@
 
 // recordCount stores how many members an agent considers living, and records the agent in f.arrived if that is the number
 // waited for.
-func (f *memberFleet) recordCount(n *memberNode, c member.Count) {
+func (f *memberFleet) recordCount(n *memberNode, c member.AgentCount) {
 	n.living.Store(int64(c.Living))
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/scale/processes.go
+++ b/internal/scale/processes.go
@@ -134,7 +134,7 @@
 
 // measureDuring returns the fleet's usage over o.RestTime, in which do is called every o.ChangePause.
 func (o ProcessFleets) measureDuring(ctx context.Context, c *cluster.Cluster, server *listServer, do func() error) (processUsage, error) {
-	before, sentBefore, err := sample(c, server)
+	before, sentBefore, err := sampleUsage(c, server)
 	if err != nil {
 		return processUsage{}, err
 	}
@@ -147,7 +147,7 @@
 			return processUsage{}, err
 		}
 	}
-	after, sentAfter, err := sample(c, server)
+	after, sentAfter, err := sampleUsage(c, server)
 	seconds := time.Since(began).Seconds()
 	agents := float64(len(c.Agents))
 	return processUsage{share: (after.share - before.share) / seconds, residentKB: after.residentKB, descriptors: after.descriptors,
@@ -155,9 +155,9 @@
 		datagrams: (after.datagrams - before.datagrams) / seconds}, err
 }
 
-// sample returns the means over the agents of their counters since the start of their processes, and the bytes that
+// sampleUsage returns the means over the agents of their counters since the start of their processes, and the bytes that
 // discovery has sent to all of them. The field share holds the processor time in seconds.
-func sample(c *cluster.Cluster, server *listServer) (sum processUsage, sent int64, err error) {
+func sampleUsage(c *cluster.Cluster, server *listServer) (sum processUsage, sent int64, err error) {
 	sent = server.traffic.sent.Load()
 	for _, a := range c.Agents {
 		u, err := a.Usage()
--- a/internal/scale/simulated.go
+++ b/internal/scale/simulated.go
@@ -54,7 +54,7 @@
 }
 
 // row appends the false deaths, changes of views, traffic and processor time of one case to the series named after the case.
-func (o SimulatedMembers) row(set *seriesSet, name string, r *membersim.Row) {
+func (o SimulatedMembers) row(set *seriesSet, name string, r *membersim.CaseResult) {
 	x := float64(r.Members)
 	set.add(name+", false deaths", "", x, float64(r.FalseDeaths))
 	set.add(name+", changes a member-minute", "/min", x, r.Changes)
--- a/internal/site/controller.go
+++ b/internal/site/controller.go
@@ -69,22 +69,22 @@
 	return nil
 }
 
-// Basis is what the shares of an order are based on.
-type Basis uint8
+// OrderBasis is what the shares of an order are based on.
+type OrderBasis uint8
 
 const (
-	Ordinary  Basis = iota // all sites are well: there is no order
-	Leaning                // a site is doubted and none is lost or returning: the doubted one gets less load
-	Planned                // a plan for exactly the present remaining shares
-	StandIn                // a plan for other remaining shares, since the right one is not computed yet; sites without capacity are left out
-	Unplanned              // there is no plan: each site gets load by its remaining share; or no site would be left: all get their usual load
+	Ordinary       OrderBasis = iota // all sites are well: there is no order
+	DoubtedOnly                      // a site is doubted and none is lost or returning: the doubted one gets less load
+	Planned                          // a plan for exactly the present remaining shares
+	SubstitutePlan                   // a plan for other remaining shares, since the right one is not computed yet; sites without capacity are left out
+	Unplanned                        // there is no plan: each site gets load by its remaining share; or no site would be left: all get their usual load
 )
 
-var basisNames = [...]string{"ordinary", "leaning", "planned", "stand-in", "unplanned"}
+var orderBasisNames = [...]string{"ordinary", "leaning", "planned", "stand-in", "unplanned"}
 
-func (b Basis) String() string {
-	if int(b) < len(basisNames) {
-		return basisNames[b]
+func (b OrderBasis) String() string {
+	if int(b) < len(orderBasisNames) {
+		return orderBasisNames[b]
 	}
 	return fmt.Sprintf("basis %d", uint8(b))
 }
@@ -92,13 +92,13 @@
 // Order holds the instructions for the decision module (package balance). The zero value means that all sites are well.
 type Order struct {
 	Number         uint64 // number of orders that this agent's Controller has made, this one included
-	Basis          Basis
+	Basis          OrderBasis
 	Remain         []float64 // by site: share of its capacity that plans may use
-	Share          []float64 // by site: weight of its backends when a backend is picked, see balance.Sites; nil: all have the same
-	Admit          []float64 // by class: share of its requests that is admitted; nil: all
+	BackendWeights []float64 // by site: weight of its backends when a backend is picked, see balance.Sites; nil: all have the same
+	AdmitShares    []float64 // by class: share of its requests that is admitted; nil: all
 	Trial          []bool    // by site: a lost or cut site that one request is to try now; nil: none
 	RepeatableOnly []bool    // by site: it has just begun to return and gets only requests that can safely be repeated; nil: none
-	Cold           []int     // indices of sites that have begun to return with this order: their backends count as just started
+	NewlyCold      []int     // indices of sites that have begun to return with this order: their backends count as just started
 }
 
 // controlledSite is what a Controller stores for a site besides the state in its Watch.
@@ -247,7 +247,7 @@
 		x := &s.sites[i]
 		if state := s.watch.State(i); state != x.lastState {
 			if state == Returning {
-				next.Cold = append(next.Cold, i)
+				next.NewlyCold = append(next.NewlyCold, i)
 			}
 			x.lastState = state
 		}
@@ -257,7 +257,7 @@
 	if reduced {
 		s.fillShares(&next)
 	}
-	if sameOrder(&next, &s.order) && next.Trial == nil && next.Cold == nil {
+	if sameOrder(&next, &s.order) && next.Trial == nil && next.NewlyCold == nil {
 		return s.order, false
 	}
 	s.orders++
@@ -268,7 +268,7 @@
 
 // sameOrder reports whether a and b agree in all but their numbers, trials and newly returning sites.
 func sameOrder(a, b *Order) bool {
-	return a.Basis == b.Basis && slices.Equal(a.Remain, b.Remain) && slices.Equal(a.Share, b.Share) && slices.Equal(a.Admit, b.Admit) && slices.Equal(a.RepeatableOnly, b.RepeatableOnly)
+	return a.Basis == b.Basis && slices.Equal(a.Remain, b.Remain) && slices.Equal(a.BackendWeights, b.BackendWeights) && slices.Equal(a.AdmitShares, b.AdmitShares) && slices.Equal(a.RepeatableOnly, b.RepeatableOnly)
 }
 
 // OverrideRamp makes a returning site follow a share of its usual load that one agent sets for all agents, until a
@@ -344,13 +344,13 @@
 	for i := range n {
 		lost = lost || s.watch.State(i) != Doubted && o.Remain[i] < 1
 	}
-	o.Share = make([]float64, n)
+	o.BackendWeights = make([]float64, n)
 	if !lost { // a doubt alone is no reason for a plan
-		o.Basis = Leaning
+		o.Basis = DoubtedOnly
 		for i := range n {
-			o.Share[i] = 1
+			o.BackendWeights[i] = 1
 			if o.Remain[i] < 1 {
-				o.Share[i] = s.cfg.DoubtedShare
+				o.BackendWeights[i] = s.cfg.DoubtedShare
 			}
 		}
 		return
@@ -364,31 +364,31 @@
 	case plan == nil:
 		o.Basis = Unplanned
 		for i := range n {
-			o.Share[i] = o.Remain[i]
+			o.BackendWeights[i] = o.Remain[i]
 		}
 		return
 	case known:
 		o.Basis = Planned
 	default:
-		o.Basis = StandIn
+		o.Basis = SubstitutePlan
 	}
 	to, admit := s.planRow(plan)
 	top := 0.0 // greatest weight of a backend
 	for i := range n {
 		if up := s.watch.sites[i].listed.Up; up > 0 {
-			o.Share[i] = to[i] / float64(up)
-			top = max(top, o.Share[i])
+			o.BackendWeights[i] = to[i] / float64(up)
+			top = max(top, o.BackendWeights[i])
 		}
 	}
 	for i := range n {
 		switch {
 		case o.Remain[i] == 0:
-			o.Share[i] = 0
+			o.BackendWeights[i] = 0
 		case top == 0:
-			o.Share[i] = o.Remain[i]
+			o.BackendWeights[i] = o.Remain[i]
 		default:
 			// A well site to which the plan sends nothing still gets a minimum.
-			o.Share[i] = max(o.Share[i]/top, s.cfg.MinShare*o.Remain[i])
+			o.BackendWeights[i] = max(o.BackendWeights[i]/top, s.cfg.MinShare*o.Remain[i])
 		}
 	}
 	for i := range n {
@@ -400,7 +400,7 @@
 		}
 	}
 	if slices.ContainsFunc(admit, func(a float64) bool { return a < 1-1e-3 }) {
-		o.Admit = admit
+		o.AdmitShares = admit
 	}
 }
 
@@ -474,7 +474,7 @@
 		switch {
 		case (x.state == Lost || x.state == Cut) && (x.served == 0 || x.failedSinceServed > 0), x.state == Doubted && x.failuresInRow > 0:
 			report = unreachable
-		case x.answeredAt >= 0 && s.now-x.answeredAt < noteMemory*s.cfg.Watch.DoubtWindow && x.recent.failuresInRow < s.cfg.Watch.MinFailing:
+		case x.answeredAt >= 0 && s.now-x.answeredAt < noteMemory*s.cfg.Watch.DoubtWindow && x.recentSummary.failuresInRow < s.cfg.Watch.MinFailing:
 			report = reachable
 		}
 		note[i/4] |= byte(report) << (2 * (i % 4))
@@ -504,8 +504,8 @@
 	return false
 }
 
-// Member is another member of the fleet and what it reports.
-type Member struct {
+// MemberReport is another member of the fleet and what it reports.
+type MemberReport struct {
 	Site  int // index of the site that the member is in; -1: none of the known ones
 	Alive bool
 	Note  []byte // as that member's Controller.Note returned it
@@ -513,9 +513,9 @@
 
 // SetMembers replaces what the other members of the fleet report; majority is whether this agent sees more than half of
 // the fleet.
-func (s *Controller) SetMembers(now time.Duration, majority bool, all []Member) {
+func (s *Controller) SetMembers(now time.Duration, majority bool, all []MemberReport) {
 	n := len(s.sites)
-	f := Fleet{Known: true, Majority: majority, Alive: make([]int, n), Expected: make([]int, n), Reaching: make([]int, n), Reporting: make([]int, n)}
+	f := FleetReport{Known: true, Majority: majority, Alive: make([]int, n), Expected: make([]int, n), Reaching: make([]int, n), Reporting: make([]int, n)}
 	for _, m := range all {
 		if m.Site >= 0 && m.Site < n {
 			f.Expected[m.Site]++
@@ -571,4 +571,4 @@
 
 // Planned reports whether Share follows a plan. A plan takes the price of crossing between sites into account, so the
 // decision module must not do so again.
-func (o *Order) Planned() bool { return o.Basis == Planned || o.Basis == StandIn }
+func (o *Order) Planned() bool { return o.Basis == Planned || o.Basis == SubstitutePlan }
--- a/internal/site/controller_test.go
+++ b/internal/site/controller_test.go
@@ -18,10 +18,10 @@
 	t          *testing.T
 	s          *Controller
 	now        time.Duration
-	outcomes   map[int]Kind // by site; absent: OK
-	order      Order        // the latest order
-	orders     []Order      // the changed orders, oldest first
-	trialsSent map[int]int  // number of trials sent, by site
+	outcomes   map[int]Outcome // by site; absent: OK
+	order      Order           // the latest order
+	orders     []Order         // the changed orders, oldest first
+	trialsSent map[int]int     // number of trials sent, by site
 }
 
 // newControllerSim returns a simulation of an agent in site own whose plans are computed, after 2 s with all sites well.
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &controllerSim{t: t, s: s, outcomes: map[int]Kind{}, trialsSent: map[int]int{}}
+	x := &controllerSim{t: t, s: s, outcomes: map[int]Outcome{}, trialsSent: map[int]int{}}
 	x.list(4, 4, 4)
 	x.solvePlans()
 	x.play(2 * time.Second)
@@ -80,7 +80,7 @@
 	for end := x.now + d; x.now < end; x.now += step {
 		for i := range 3 {
 			n := 2
-			if x.order.Share != nil && x.order.Share[i] == 0 {
+			if x.order.BackendWeights != nil && x.order.BackendWeights[i] == 0 {
 				if n = 0; x.order.Trial != nil && x.order.Trial[i] {
 					n, x.order.Trial[i] = 1, false
 					x.trialsSent[i]++
@@ -105,20 +105,20 @@
 	x.outcomes[1] = Refused
 	x.play(2 * time.Second)
 	o := x.order
-	if o.Basis != Planned || o.Share[1] != 0 || o.Share[0] == 0 || o.Share[2] == 0 {
+	if o.Basis != Planned || o.BackendWeights[1] != 0 || o.BackendWeights[0] == 0 || o.BackendWeights[2] == 0 {
 		t.Fatalf("agent of the lost site: %+v", o)
 	}
 	// Clients demand 240 requests a second, and the sites left can serve 180: all subs (72) and 108 of the 168 reads.
-	if len(o.Admit) != 2 || o.Admit[1] != 1 || o.Admit[0] > 0.9 {
-		t.Errorf("admitted %v", o.Admit)
+	if len(o.AdmitShares) != 2 || o.AdmitShares[1] != 1 || o.AdmitShares[0] > 0.9 {
+		t.Errorf("admitted %v", o.AdmitShares)
 	}
 	mean := 0.0
 	for own := range 3 {
 		y := newControllerSim(t, own, nil)
 		y.outcomes[1] = Refused
 		y.play(2 * time.Second)
-		if y.order.Admit != nil {
-			mean += y.order.Admit[0] / 3
+		if y.order.AdmitShares != nil {
+			mean += y.order.AdmitShares[0] / 3
 		} else {
 			mean += 1.0 / 3
 		}
@@ -135,12 +135,12 @@
 	for x.order.Basis == Ordinary && x.now < 10*time.Second {
 		x.play(step)
 	}
-	if x.order.Basis != Leaning || x.order.Share[1] != 0.1 || x.order.Share[0] != 1 || x.order.Planned() {
+	if x.order.Basis != DoubtedOnly || x.order.BackendWeights[1] != 0.1 || x.order.BackendWeights[0] != 1 || x.order.Planned() {
 		t.Fatalf("%+v", x.order)
 	}
 	delete(x.outcomes, 1)
 	x.play(4 * time.Second)
-	if x.order.Basis != Ordinary || x.order.Share != nil {
+	if x.order.Basis != Ordinary || x.order.BackendWeights != nil {
 		t.Errorf("%+v", x.order)
 	}
 }
@@ -192,7 +192,7 @@
 	}
 	cold := 0
 	for _, o := range x.orders {
-		if slices.Contains(o.Cold, 1) {
+		if slices.Contains(o.NewlyCold, 1) {
 			cold++
 		}
 	}
@@ -241,7 +241,7 @@
 	x.play(time.Second)
 	x.outcomes[1] = Reset
 	x.play(time.Second)
-	if x.s.Watch().State(1) != Lost || x.order.Share[1] != 0 {
+	if x.s.Watch().State(1) != Lost || x.order.BackendWeights[1] != 0 {
 		t.Errorf("state %v: a site that fails during its return must be lost at once", x.s.Watch().State(1))
 	}
 }
@@ -279,7 +279,7 @@
 func TestCutSiteIsNotLost(t *testing.T) {
 	x := newControllerSim(t, 0, nil)
 	reportFromOthers := func(says reachability) {
-		var all []Member
+		var all []MemberReport
 		for site := range 3 {
 			for range 3 {
 				note := make([]byte, 1)
@@ -290,7 +290,7 @@
 					}
 					note[0] |= byte(s) << (2 * i)
 				}
-				all = append(all, Member{Site: site, Alive: true, Note: note})
+				all = append(all, MemberReport{Site: site, Alive: true, Note: note})
 			}
 		}
 		x.s.SetMembers(x.now, true, all)
@@ -298,7 +298,7 @@
 	reportFromOthers(reachable)
 	x.outcomes[1] = Silent
 	x.play(4 * time.Second)
-	if x.s.Watch().State(1) != Cut || x.order.Share[1] != 0 {
+	if x.s.Watch().State(1) != Cut || x.order.BackendWeights[1] != 0 {
 		t.Fatalf("%v, %+v", x.s.Watch().State(1), x.order)
 	}
 	delete(x.outcomes, 1)
@@ -308,7 +308,7 @@
 		t.Fatalf("%v", x.s.Watch().State(1))
 	}
 	for _, o := range x.orders {
-		if len(o.Cold) > 0 {
+		if len(o.NewlyCold) > 0 {
 			t.Error("a site that other agents kept warm is treated as cold")
 		}
 	}
@@ -331,10 +331,10 @@
 	// If all other members report that they don't reach the site, one failure of this agent makes it lost; without any
 	// failure the site stays well.
 	y := newControllerSim(t, 0, nil)
-	var all []Member
+	var all []MemberReport
 	for site := range 3 {
 		for range 3 {
-			all = append(all, Member{Site: site, Alive: true, Note: []byte{byte(unreachable) << 2}})
+			all = append(all, MemberReport{Site: site, Alive: true, Note: []byte{byte(unreachable) << 2}})
 		}
 	}
 	y.s.SetMembers(y.now, true, all)
@@ -366,7 +366,7 @@
 		})
 		for range rapid.IntRange(1, 6).Draw(r, "phases") {
 			for i := range 3 {
-				x.outcomes[i] = rapid.SampledFrom([]Kind{OK, OK, Silent, Refused, Reset, Errored}).Draw(r, "kind")
+				x.outcomes[i] = rapid.SampledFrom([]Outcome{OK, OK, Silent, Refused, Reset, Errored}).Draw(r, "kind")
 			}
 			if rapid.Bool().Draw(r, "listed anew") {
 				x.list(rapid.IntRange(0, 4).Draw(r, "a"), rapid.IntRange(0, 4).Draw(r, "b"), 4)
@@ -375,12 +375,12 @@
 			if rapid.Bool().Draw(r, "solved") {
 				x.solvePlans()
 			}
-			if o := x.order; o.Share != nil && slices.Max(o.Share) <= 0 {
+			if o := x.order; o.BackendWeights != nil && slices.Max(o.BackendWeights) <= 0 {
 				r.Fatalf("no site is in use: %+v", o)
 			}
-			for _, a := range x.order.Admit {
+			for _, a := range x.order.AdmitShares {
 				if !(a >= 0 && a <= 1) {
-					r.Fatalf("admitted %v", x.order.Admit)
+					r.Fatalf("admitted %v", x.order.AdmitShares)
 				}
 			}
 		}
--- a/internal/site/driver/driver.go
+++ b/internal/site/driver/driver.go
@@ -144,7 +144,7 @@
 	case balance.TimedOut:
 		kind = site.Silent
 	case balance.ConnectFailed:
-		if kind = site.Silent; r.Refused {
+		if kind = site.Silent; r.PortClosed {
 			kind = site.Refused
 		}
 	default: // withdrawn, or never sent: says nothing about the backend
@@ -207,10 +207,10 @@
 
 // applyOrder passes an order on to the decision module (package balance).
 func (d *Driver) applyOrder(o *site.Order) {
-	for _, zone := range o.Cold { // before the order, so that the order already applies to cold backends
+	for _, zone := range o.NewlyCold { // before the order, so that the order already applies to cold backends
 		d.loop.MarkZoneRestarted(zone)
 	}
-	sites := balance.Sites{ZoneWeights: o.Share, WeightsPlanned: o.Planned(), AdmitShares: o.Admit, TrialZones: o.Trial, SafeOnlyZones: o.RepeatableOnly}
+	sites := balance.Sites{ZoneWeights: o.BackendWeights, WeightsPlanned: o.Planned(), AdmitShares: o.AdmitShares, TrialZones: o.Trial, SafeOnlyZones: o.RepeatableOnly}
 	if o.Planned() {
 		sites.RetryAfter = func(class int) time.Duration { return d.controller.ReturnAfter(d.loop.Now(), class) }
 	}
@@ -311,13 +311,13 @@
 
 // applyView passes a view of the membership, without this agent itself, on to the Controller.
 func (d *Driver) applyView(v *member.View) {
-	all := make([]site.Member, 0, len(v.Members))
+	all := make([]site.MemberReport, 0, len(v.Members))
 	for i := range v.Members {
 		m := &v.Members[i]
 		if m.ID == v.Self {
 			continue
 		}
-		all = append(all, site.Member{Site: slices.Index(d.options.Controller.Watch.Sites, m.Zone), Alive: m.State == member.Alive, Note: []byte(m.Note)})
+		all = append(all, site.MemberReport{Site: slices.Index(d.options.Controller.Watch.Sites, m.Zone), Alive: m.State == member.Alive, Note: []byte(m.Note)})
 	}
 	d.controller.SetMembers(d.loop.Now(), v.Majority(), all)
 }
--- a/internal/site/driver/routes.go
+++ b/internal/site/driver/routes.go
@@ -50,7 +50,7 @@
 	FailShare     float64        `json:"fail_share"`        // share of the attempts that failed
 	Elsewhere     float64        `json:"elsewhere_share"`   // the same share at all other sites that are neither lost nor cut
 	FailuresInRow int            `json:"row"`               // consecutive failures since the last answer
-	Kinds         map[string]int `json:"kinds,omitempty"`   // number of recent attempts, by name of their outcome (site.Kind)
+	Kinds         map[string]int `json:"kinds,omitempty"`   // number of recent attempts, by name of their outcome (site.Outcome)
 	Reaching      int            `json:"reach,omitempty"`   // members in other sites that report that they reach the site ...
 	Reporting     int            `json:"asked,omitempty"`   // ... of this many that report on it
 }
@@ -82,20 +82,20 @@
 	if d.options.OwnSite >= 0 {
 		r.Own = d.options.Controller.Watch.Sites[d.options.OwnSite]
 	}
-	for i, a := range s.Order.Admit {
+	for i, a := range s.Order.AdmitShares {
 		r.Admit = append(r.Admit, AdmittedShare{d.options.Controller.Classes[i].Name, a})
 	}
 	for i := range s.Evidence {
 		e := &s.Evidence[i]
 		row := SiteReport{Site: e.Site, State: e.State.String(), Since: now.Add(e.Since - d.loop.At(now)), Cause: e.Cause.String(), Manual: e.Manual,
-			Remain: s.Remain[i], Share: 1, FullInSeconds: s.FullIn[i].Seconds(), Losses: e.Losses, Backends: e.Listed, Attempts: d.endedAttempts[i], Tried: e.Tried, Failing: e.Failing,
-			FailShare: e.FailShare, Elsewhere: e.Elsewhere, FailuresInRow: e.FailuresInRow, Reaching: e.Reaching, Reporting: e.Reporting, Kinds: map[string]int{}}
-		if i < len(s.Order.Share) {
-			row.Share = s.Order.Share[i]
+			Remain: s.Remain[i], Share: 1, FullInSeconds: s.FullIn[i].Seconds(), Losses: e.Losses, Backends: e.Listed, Attempts: d.endedAttempts[i], Tried: e.TriedBackends, Failing: e.FailingBackends,
+			FailShare: e.FailShare, Elsewhere: e.FailShareElsewhere, FailuresInRow: e.FailuresInRow, Reaching: e.Reaching, Reporting: e.Reporting, Kinds: map[string]int{}}
+		if i < len(s.Order.BackendWeights) {
+			row.Share = s.Order.BackendWeights[i]
 		}
 		for k, n := range e.Counts {
 			if n > 0 {
-				row.Kinds[site.Kind(k).String()] = n
+				row.Kinds[site.Outcome(k).String()] = n
 			}
 		}
 		r.Sites = append(r.Sites, row)
--- a/internal/site/evidence.go
+++ b/internal/site/evidence.go
@@ -4,9 +4,9 @@
 
 // RecordOutcome counts an attempt at a backend of a site that has ended: how it ended and how long it took. Unknown
 // sites are ignored.
-func (w *Watch) RecordOutcome(now time.Duration, site int, backend string, k Kind, latency time.Duration) {
+func (w *Watch) RecordOutcome(now time.Duration, site int, backend string, k Outcome, latency time.Duration) {
 	w.now = max(w.now, now)
-	if site < 0 || site >= len(w.sites) || k >= numKinds {
+	if site < 0 || site >= len(w.sites) || k >= numOutcomes {
 		return
 	}
 	s := &w.sites[site]
@@ -79,9 +79,9 @@
 
 // windowSummary sums up the attempts of one site within Config.DoubtWindow.
 type windowSummary struct {
-	counts         [numKinds]int // attempts by outcome, late attempts included as Silent
-	tried, failing int           // backends that were tried; number of those that served nothing since their last failure
-	failuresInRow  int           // consecutive failures since the last answer, late attempts included
+	counts         [numOutcomes]int // attempts by outcome, late attempts included as Silent
+	tried, failing int              // backends that were tried; number of those that served nothing since their last failure
+	failuresInRow  int              // consecutive failures since the last answer, late attempts included
 }
 
 // summarize computes the summary of a site's last doubt window.
@@ -144,7 +144,7 @@
 		if i == site || w.sites[i].state == Lost || w.sites[i].state == Cut {
 			continue
 		}
-		for k, n := range w.sites[i].recent.counts {
+		for k, n := range w.sites[i].recentSummary.counts {
 			all.counts[k] += n
 		}
 	}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -30,23 +30,23 @@
 	"time"
 )
 
-// Kind is the outcome of an attempt (one request sent to one backend), as far as the state of a site depends on it.
-type Kind uint8
+// Outcome is the outcome of an attempt (one request sent to one backend), as far as the state of a site depends on it.
+type Outcome uint8
 
 const (
-	OK       Kind = iota // served, or refused by a live process that is full
-	Errored              // a live process returned an error
-	Reset                // the connection broke
-	Refused              // the connection was refused: the machine is alive, the process is not
-	Silent               // the connection didn't come up, or no answer came in time
-	numKinds             // number of outcomes, not an outcome itself
+	OK          Outcome = iota // served, or refused by a live process that is full
+	Errored                    // a live process returned an error
+	Reset                      // the connection broke
+	Refused                    // the connection was refused: the machine is alive, the process is not
+	Silent                     // the connection didn't come up, or no answer came in time
+	numOutcomes                // number of outcomes, not an outcome itself
 )
 
-var kindNames = [numKinds]string{"ok", "errored", "reset", "refused", "silent"}
+var outcomeNames = [numOutcomes]string{"ok", "errored", "reset", "refused", "silent"}
 
-func (k Kind) String() string {
-	if k < numKinds {
-		return kindNames[k]
+func (k Outcome) String() string {
+	if k < numOutcomes {
+		return outcomeNames[k]
 	}
 	return fmt.Sprintf("kind %d", uint8(k))
 }
@@ -154,8 +154,8 @@
 	maxTried = 256 // backends tracked per site
 )
 
-// Fleet is what the members of the fleet (the agents in the membership, package member) report.
-type Fleet struct {
+// FleetReport is what the members of the fleet (the agents in the membership, package member) report.
+type FleetReport struct {
 	Known    bool  // there is a membership and the other fields are set
 	Majority bool  // this agent sees more than half of the fleet
 	Alive    []int // by site: live members there, as this agent sees them
@@ -174,21 +174,21 @@
 
 // Evidence is what the state of a site is based on, for operators.
 type Evidence struct {
-	Site          string
-	State         State
-	Since         time.Duration // the time at which the site entered State
-	Tried         int           // distinct backends that were tried within Config.DoubtWindow
-	Failing       int           // number of the tried backends that served nothing since their last failure
-	Counts        [numKinds]int // attempts within Config.DoubtWindow, by Kind
-	FailuresInRow int           // consecutive failed attempts since the last answer; attempts that are late now count as failed
-	FailShare     float64       // share of the attempts within Config.DoubtWindow that failed; an error response is no failure
-	Elsewhere     float64       // the same share for the attempts at all other sites that are neither lost nor cut
-	Cause         Cause         // why the failures aren't taken for a loss of the site
-	Manual        bool          // an operator holds the site for lost
-	Losses        int           // times that the site became lost within the last 5 minutes (lossMemory)
-	Listed        int           // backends of the site in the backend list
-	Reaching      int           // members in other sites that report that they reach the site ...
-	Reporting     int           // ... of this many that report on it
+	Site               string
+	State              State
+	Since              time.Duration    // the time at which the site entered State
+	TriedBackends      int              // distinct backends that were tried within Config.DoubtWindow
+	FailingBackends    int              // number of the tried backends that served nothing since their last failure
+	Counts             [numOutcomes]int // attempts within Config.DoubtWindow, by Kind
+	FailuresInRow      int              // consecutive failed attempts since the last answer; attempts that are late now count as failed
+	FailShare          float64          // share of the attempts within Config.DoubtWindow that failed; an error response is no failure
+	FailShareElsewhere float64          // the same share for the attempts at all other sites that are neither lost nor cut
+	Cause              Cause            // why the failures aren't taken for a loss of the site
+	Manual             bool             // an operator holds the site for lost
+	Losses             int              // times that the site became lost within the last 5 minutes (lossMemory)
+	Listed             int              // backends of the site in the backend list
+	Reaching           int              // members in other sites that report that they reach the site ...
+	Reporting          int              // ... of this many that report on it
 }
 
 // Change is a transition of a site from one state to another.
@@ -202,7 +202,7 @@
 // slot counts the attempts that ended within one Config.Slot.
 type slot struct {
 	start  time.Duration // start of the slot; -1: unused
-	counts [numKinds]int
+	counts [numOutcomes]int
 }
 
 // backendTimes holds when an attempt at a backend was last answered and when one last failed.
@@ -228,7 +228,7 @@
 	answeredAt        time.Duration   // time of the last answer, an error response included; -1: never
 	wasLost           bool            // the site was Lost before it became Cut: its load then returns on a ramp, not at once
 	late              []LateAttempt   // attempts that are without an answer now and count as Silent (IsLate)
-	recent            windowSummary   // summary of the attempts within Config.DoubtWindow, made by the last Tick
+	recentSummary     windowSummary   // summary of the attempts within Config.DoubtWindow, made by the last Tick
 }
 
 // Watch tracks the state of each site of one agent.
@@ -237,7 +237,7 @@
 	now         time.Duration // latest time that a caller passed in
 	ownSite     int           // index of this agent's site; -1: none
 	sites       []siteState   // in the order of Config.Sites
-	fleet       Fleet
+	fleet       FleetReport
 	meanLatency float64       // running mean of the latency of served attempts, in ns
 	listedAt    time.Duration // when the backend list was last updated
 	changes     []Change      // changes of state that Changes has not returned yet
@@ -278,7 +278,7 @@
 }
 
 // SetFleet replaces what the members of the fleet report.
-func (w *Watch) SetFleet(now time.Duration, f Fleet) {
+func (w *Watch) SetFleet(now time.Duration, f FleetReport) {
 	w.now, w.fleet = max(w.now, now), f
 }
 
@@ -356,9 +356,9 @@
 // Evidence returns what the state of a site is based on, as of the last Tick.
 func (w *Watch) Evidence(site int) Evidence {
 	s := &w.sites[site]
-	seen := &s.recent
-	e := Evidence{Site: w.cfg.Sites[site], State: s.state, Since: s.since, Tried: seen.tried, Failing: seen.failing, Counts: seen.counts, FailuresInRow: s.failuresInRow + len(s.late),
-		FailShare: seen.failShare(), Elsewhere: w.failShareElsewhere(site), Cause: s.cause, Manual: s.manual, Losses: w.recentLosses(site), Listed: s.listed.Backends}
+	seen := &s.recentSummary
+	e := Evidence{Site: w.cfg.Sites[site], State: s.state, Since: s.since, TriedBackends: seen.tried, FailingBackends: seen.failing, Counts: seen.counts, FailuresInRow: s.failuresInRow + len(s.late),
+		FailShare: seen.failShare(), FailShareElsewhere: w.failShareElsewhere(site), Cause: s.cause, Manual: s.manual, Losses: w.recentLosses(site), Listed: s.listed.Backends}
 	if f := &w.fleet; f.Known && site < len(f.Reporting) && site < len(f.Reaching) {
 		e.Reaching, e.Reporting = f.Reaching[site], f.Reporting[site]
 	}
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -13,9 +13,9 @@
 	t        *testing.T
 	w        *Watch
 	now      time.Duration
-	outcomes map[int]func(backend int) Kind // by site: the outcome of an attempt at each backend; absent: OK
-	changes  []string                       // changes of state in order, each as the index of the site and its new state
-	list     []ListCounts                   // by site
+	outcomes map[int]func(backend int) Outcome // by site: the outcome of an attempt at each backend; absent: OK
+	changes  []string                          // changes of state in order, each as the index of the site and its new state
+	list     []ListCounts                      // by site
 }
 
 // newWatchSim returns a simulation of an agent in site own, after 2 s with all sites well.
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &watchSim{t: t, w: w, outcomes: map[int]func(int) Kind{}}
+	x := &watchSim{t: t, w: w, outcomes: map[int]func(int) Outcome{}}
 	for range sites {
 		x.list = append(x.list, ListCounts{Backends: 4, Up: 4})
 	}
@@ -65,11 +65,11 @@
 }
 
 // always returns outcomes that are k at all backends.
-func always(k Kind) func(int) Kind { return func(int) Kind { return k } }
+func always(k Outcome) func(int) Outcome { return func(int) Outcome { return k } }
 
 // some returns outcomes that are k at the first n backends of a site and OK at the others.
-func some(n int, k Kind) func(int) Kind {
-	return func(b int) Kind {
+func some(n int, k Outcome) func(int) Outcome {
+	return func(b int) Outcome {
 		if b < n {
 			return k
 		}
@@ -80,25 +80,25 @@
 func TestStateByFailurePattern(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
-		do    map[int]func(int) Kind
-		fleet Fleet
+		do    map[int]func(int) Outcome
+		fleet FleetReport
 		state State
 		cause Cause
 	}{
-		{"all backends of a site are silent", map[int]func(int) Kind{1: always(Silent)}, Fleet{}, Lost, NoCause},
-		{"all backends of a site reset connections", map[int]func(int) Kind{1: always(Reset)}, Fleet{}, Lost, NoCause},
-		{"a site refuses connections", map[int]func(int) Kind{1: always(Refused)}, Fleet{}, Lost, NoCause},
-		{"a site answers with errors", map[int]func(int) Kind{1: always(Errored)}, Fleet{}, Well, NoCause},
-		{"half of a site is silent", map[int]func(int) Kind{1: some(2, Silent)}, Fleet{}, Well, NoCause},
-		{"three of four backends of a site are silent", map[int]func(int) Kind{1: some(3, Silent)}, Fleet{}, Doubted, NoCause},
-		{"a third of all backends resets", map[int]func(int) Kind{0: some(1, Reset), 1: some(2, Reset), 2: some(1, Reset)}, Fleet{}, Well, NoCause},
-		{"every site is silent", map[int]func(int) Kind{0: always(Silent), 1: always(Silent), 2: always(Silent)}, Fleet{}, Well, CauseAllSites},
-		{"other members reach the site", map[int]func(int) Kind{1: always(Silent)},
-			Fleet{Known: true, Majority: true, Alive: []int{3, 3, 3}, Expected: []int{3, 3, 3}, Reaching: []int{6, 5, 6}, Reporting: []int{6, 6, 6}}, Cut, CauseThisAgent},
-		{"this agent is in a minority", map[int]func(int) Kind{1: always(Silent)},
-			Fleet{Known: true, Alive: []int{3, 0, 3}, Expected: []int{3, 3, 3}}, Cut, CauseThisAgent},
-		{"a majority doesn't see the site's members", map[int]func(int) Kind{1: always(Silent)},
-			Fleet{Known: true, Majority: true, Alive: []int{3, 0, 3}, Expected: []int{3, 3, 3}}, Lost, NoCause},
+		{"all backends of a site are silent", map[int]func(int) Outcome{1: always(Silent)}, FleetReport{}, Lost, NoCause},
+		{"all backends of a site reset connections", map[int]func(int) Outcome{1: always(Reset)}, FleetReport{}, Lost, NoCause},
+		{"a site refuses connections", map[int]func(int) Outcome{1: always(Refused)}, FleetReport{}, Lost, NoCause},
+		{"a site answers with errors", map[int]func(int) Outcome{1: always(Errored)}, FleetReport{}, Well, NoCause},
+		{"half of a site is silent", map[int]func(int) Outcome{1: some(2, Silent)}, FleetReport{}, Well, NoCause},
+		{"three of four backends of a site are silent", map[int]func(int) Outcome{1: some(3, Silent)}, FleetReport{}, Doubted, NoCause},
+		{"a third of all backends resets", map[int]func(int) Outcome{0: some(1, Reset), 1: some(2, Reset), 2: some(1, Reset)}, FleetReport{}, Well, NoCause},
+		{"every site is silent", map[int]func(int) Outcome{0: always(Silent), 1: always(Silent), 2: always(Silent)}, FleetReport{}, Well, CauseAllSites},
+		{"other members reach the site", map[int]func(int) Outcome{1: always(Silent)},
+			FleetReport{Known: true, Majority: true, Alive: []int{3, 3, 3}, Expected: []int{3, 3, 3}, Reaching: []int{6, 5, 6}, Reporting: []int{6, 6, 6}}, Cut, CauseThisAgent},
+		{"this agent is in a minority", map[int]func(int) Outcome{1: always(Silent)},
+			FleetReport{Known: true, Alive: []int{3, 0, 3}, Expected: []int{3, 3, 3}}, Cut, CauseThisAgent},
+		{"a majority doesn't see the site's members", map[int]func(int) Outcome{1: always(Silent)},
+			FleetReport{Known: true, Majority: true, Alive: []int{3, 0, 3}, Expected: []int{3, 3, 3}}, Lost, NoCause},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			x := newWatchSim(t, 3, 0)
@@ -172,12 +172,12 @@
 // Over every sequence of five of the listed kinds of evidence, a site is well again in the end, and it isn't lost twice
 // within 0.6 s.
 func TestEverySequenceOfEvidenceRecovers(t *testing.T) {
-	reached := Fleet{Known: true, Majority: true, Alive: []int{3, 3}, Expected: []int{3, 3}, Reaching: []int{3, 3}, Reporting: []int{3, 3}}
-	unreached := Fleet{Known: true, Majority: true, Alive: []int{3, 3}, Expected: []int{3, 3}, Reaching: []int{3, 0}, Reporting: []int{3, 3}}
+	reached := FleetReport{Known: true, Majority: true, Alive: []int{3, 3}, Expected: []int{3, 3}, Reaching: []int{3, 3}, Reporting: []int{3, 3}}
+	unreached := FleetReport{Known: true, Majority: true, Alive: []int{3, 3}, Expected: []int{3, 3}, Reaching: []int{3, 0}, Reporting: []int{3, 3}}
 	evidence := []struct {
-		do    func(int) Kind
-		fleet Fleet
-	}{{}, {always(Silent), Fleet{}}, {always(Refused), unreached}, {some(2, Reset), Fleet{}}, {always(Errored), Fleet{}}, {always(Silent), reached}}
+		do    func(int) Outcome
+		fleet FleetReport
+	}{{}, {always(Silent), FleetReport{}}, {always(Refused), unreached}, {some(2, Reset), FleetReport{}}, {always(Errored), FleetReport{}}, {always(Silent), reached}}
 	const depth = 5
 	total := 1
 	for range depth {
@@ -203,7 +203,7 @@
 			}
 		}
 		x.outcomes[1] = nil
-		x.w.SetFleet(x.now, Fleet{})
+		x.w.SetFleet(x.now, FleetReport{})
 		x.play(8 * time.Second)
 		if x.w.State(1) == Returning {
 			x.w.RampDone(x.now, 1)
--- a/internal/site/transitions.go
+++ b/internal/site/transitions.go
@@ -16,7 +16,7 @@
 func (w *Watch) Tick(now time.Duration) {
 	w.now = max(w.now, now)
 	for i := range w.sites {
-		w.sites[i].recent = w.summarize(i)
+		w.sites[i].recentSummary = w.summarize(i)
 	}
 	for i := range w.sites {
 		w.updateState(i)
@@ -31,7 +31,7 @@
 
 // failureLevel derives the failure level of a site from its latest summary and its backend list.
 func (w *Watch) failureLevel(s *siteState) (f failureLevel) {
-	v := &s.recent
+	v := &s.recentSummary
 	// Enough backends fail: MinFailing, or all listed ones if the site has fewer.
 	enough := v.failing >= w.cfg.MinFailing || v.failing > 0 && v.failing >= s.listed.Backends && s.listed.Backends > 0
 	// The site was removed from the backend list while nearly all of its attempts fail.
@@ -67,7 +67,7 @@
 // updateState moves site i to its next state, if its evidence calls for a change.
 func (w *Watch) updateState(i int) {
 	s := &w.sites[i]
-	if len(s.late) == 0 && s.failuresInRow > 0 && w.now-s.since > rowMemory*w.cfg.DoubtWindow && s.recent.total() == 0 {
+	if len(s.late) == 0 && s.failuresInRow > 0 && w.now-s.since > rowMemory*w.cfg.DoubtWindow && s.recentSummary.total() == 0 {
 		s.failuresInRow = 0 // the failures are too old to count
 	}
 	f := w.failureLevel(s)
@@ -157,7 +157,7 @@
 
 // failureCause returns why the failures of site i don't mean its loss, or NoCause if they do.
 func (w *Watch) failureCause(i int) Cause {
-	v := &w.sites[i].recent
+	v := &w.sites[i].recentSummary
 	if !w.otherSiteInUse(i) {
 		return CauseAllSites // no other site would be left in use
 	}
@@ -191,7 +191,7 @@
 func (w *Watch) otherSiteAnswers(i int) bool {
 	for k := range w.sites {
 		s := &w.sites[k]
-		if k != i && s.state == Well && s.answeredAt >= 0 && w.now-s.answeredAt < w.cfg.DoubtWindow/2 && s.recent.failuresInRow < w.cfg.MinFailing {
+		if k != i && s.state == Well && s.answeredAt >= 0 && w.now-s.answeredAt < w.cfg.DoubtWindow/2 && s.recentSummary.failuresInRow < w.cfg.MinFailing {
 			return true
 		}
 	}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -68,7 +68,7 @@
 	r.mu.Unlock()
 	r.serving.Go(func() {
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			r.site.fail(fmt.Errorf("discovery: %w", err))
+			r.site.recordError(fmt.Errorf("discovery: %w", err))
 		}
 	})
 	return nil
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -389,7 +389,7 @@
 		if err != nil || int64(len(body)) != max(req.ContentLength, 0) {
 			return
 		}
-		if !m.exchange(nc, req, agent, n, began, first) {
+		if !m.handleRequest(nc, req, agent, n, began, first) {
 			return
 		}
 		first = false
@@ -407,9 +407,9 @@
 	}
 }
 
-// exchange handles one request: attempt n of the machine, of which the first byte arrived at began. first is set for the first
+// handleRequest handles one request: attempt n of the machine, of which the first byte arrived at began. first is set for the first
 // request on its connection. It reports whether the connection stays open.
-func (m *machine) exchange(nc net.Conn, req *http.Request, agent string, n uint64, began time.Time, first bool) bool {
+func (m *machine) handleRequest(nc net.Conn, req *http.Request, agent string, n uint64, began time.Time, first bool) bool {
 	now := time.Now()
 	id := req.Header.Get("X-Correlation-Id")
 	name, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -124,7 +124,7 @@
 	return s.err
 }
 
-func (s *Site) fail(err error) {
+func (s *Site) recordError(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.err = errors.Join(s.err, err)
@@ -299,8 +299,8 @@
 	}, nil
 }
 
-// whenOver arranges that end is called when the fault ends: by the function from BeginFault or after ForS. It may have no end.
-func (s *Site) whenOver(f *FaultSpec, end func()) {
+// onFaultEnd arranges that end is called when the fault ends: by the function from BeginFault or after ForS. It may have no end.
+func (s *Site) onFaultEnd(f *FaultSpec, end func()) {
 	if f.manualEnd != nil {
 		f.manualEnd.mu.Lock()
 		defer f.manualEnd.mu.Unlock()
@@ -315,13 +315,13 @@
 // applyFault begins a fault of discovery or of machines.
 func (s *Site) applyFault(f *FaultSpec) {
 	s.logEvent("%s %v (size %v)", f.What, f.Nodes, f.Size)
-	s.whenOver(f, func() { s.logEvent("%s ends", f.What) })
+	s.onFaultEnd(f, func() { s.logEvent("%s ends", f.What) })
 	switch f.What {
 	case "discovery_stale":
 		s.mu.Lock()
 		s.staleness += f.Size
 		s.mu.Unlock()
-		s.whenOver(f, func() {
+		s.onFaultEnd(f, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.staleness -= f.Size
@@ -331,7 +331,7 @@
 		for _, r := range s.discoveries {
 			r.setDown(true)
 		}
-		s.whenOver(f, func() {
+		s.onFaultEnd(f, func() {
 			for _, r := range s.discoveries {
 				r.setDown(false)
 			}
@@ -340,7 +340,7 @@
 	case "discovery_moves":
 		for _, r := range s.discoveries {
 			if _, err := r.move(); err != nil {
-				s.fail(err)
+				s.recordError(err)
 				return
 			}
 			select {
@@ -365,7 +365,7 @@
 	switch f.What {
 	case "silent":
 		set(func() { m.silent = true })
-		s.whenOver(f, func() {
+		s.onFaultEnd(f, func() {
 			set(func() {
 				m.silent = false
 				for nc := range m.conns { // the machine resets old connections once it is reachable again
@@ -390,7 +390,7 @@
 				m.cutAgents[agent]++
 			}
 		})
-		s.whenOver(f, func() {
+		s.onFaultEnd(f, func() {
 			set(func() {
 				for agent := range agents {
 					m.cutAgents[agent]--
@@ -407,14 +407,14 @@
 		lag := ms(s.scenario.Discovery.DelayMs[1]+s.scenario.Rules.DrainGraceMs) + sec(s.staleness)
 		set(func() { m.draining = time.Now().Add(lag) })
 		s.announce(m, "draining")
-		s.whenOver(f, func() {
+		s.onFaultEnd(f, func() {
 			set(func() { m.draining = time.Time{} })
 			s.announce(m, "ready")
 		})
 	case "gone":
 		m.stop()
 		s.announce(m, "gone")
-		s.whenOver(f, func() { s.goTask(func() { s.restart(m, m.id) }) })
+		s.onFaultEnd(f, func() { s.goTask(func() { s.restart(m, m.id) }) })
 	case "restart":
 		m.stop()
 		s.timers.after(sec(f.Size), func() { s.goTask(func() { s.restart(m, m.id) }) })
@@ -437,7 +437,7 @@
 			})
 		}
 		change(func() { m.faults[f.What] = f.Size })
-		s.whenOver(f, func() { change(func() { delete(m.faults, f.What) }) })
+		s.onFaultEnd(f, func() { change(func() { delete(m.faults, f.What) }) })
 	}
 }
 
@@ -447,7 +447,7 @@
 		return
 	}
 	if err := m.start(id, time.Now()); err != nil {
-		s.fail(err)
+		s.recordError(err)
 		return
 	}
 	s.logEvent("%s starts cold", id)
--- a/internal/storm/calendar_test.go
+++ b/internal/storm/calendar_test.go
@@ -13,8 +13,8 @@
 const ms = time.Millisecond
 
 // constantCapacity returns a capacity, as New takes it, of perS returning clients a second at all times.
-func constantCapacity(perS float64) func(from, to time.Duration) float64 {
-	return func(from, to time.Duration) float64 { return perS * (to - from).Seconds() }
+func constantCapacity(returnsPerSecond float64) func(from, to time.Duration) float64 {
+	return func(from, to time.Duration) float64 { return returnsPerSecond * (to - from).Seconds() }
 }
 
 // newCalendar returns a calendar with seed 1.
@@ -128,8 +128,8 @@
 func TestCalendarInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{Slot: 50 * ms, Slots: rapid.IntRange(2, 20).Draw(t, "slots"), Tenants: rapid.IntRange(1, 3).Draw(t, "tenants"), Reserve: 0.25}
-		perS := rapid.Float64Range(0, 2000).Draw(t, "room")
-		c, err := New(cfg, 1, constantCapacity(perS))
+		returnsPerSecond := rapid.Float64Range(0, 2000).Draw(t, "room")
+		c, err := New(cfg, 1, constantCapacity(returnsPerSecond))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/storm/detector_test.go
+++ b/internal/storm/detector_test.go
@@ -21,14 +21,14 @@
 
 // traffic generates the signals of simulated clients for a detector, in spans of 0.2 s.
 type traffic struct {
-	d   *Detector
-	rng *rand.Rand
+	detector *Detector
+	rng      *rand.Rand
 }
 
 // calm sends spans of ordinary traffic and returns the greatest grade among them.
 func (tr *traffic) calm(spans int) (most float64) {
 	for range spans {
-		most = max(most, tr.d.Step(Signals{Arrivals: 50 + tr.rng.IntN(20), Repeats: tr.rng.IntN(3), NewConnections: tr.rng.IntN(6), Failed: tr.rng.IntN(2)}))
+		most = max(most, tr.detector.Step(Signals{Arrivals: 50 + tr.rng.IntN(20), Repeats: tr.rng.IntN(3), NewConnections: tr.rng.IntN(6), Failed: tr.rng.IntN(2)}))
 	}
 	return most
 }
@@ -37,7 +37,7 @@
 func (tr *traffic) outage(spans int) {
 	for range spans {
 		n := 20 + tr.rng.IntN(20)
-		tr.d.Step(Signals{Arrivals: n, Failed: n, NewConnections: n / 3})
+		tr.detector.Step(Signals{Arrivals: n, Failed: n, NewConnections: n / 3})
 	}
 }
 
@@ -60,17 +60,17 @@
 			tr := &traffic{newDetector(t), rand.New(rand.NewPCG(seed, 0))}
 			tr.calm(100)
 			tr.outage(25)
-			if got := tr.d.Step(marks(tr.storm())); got < 0.25 {
+			if got := tr.detector.Step(marks(tr.storm())); got < 0.25 {
 				t.Errorf("%s, seed %d: grade %v in the first span of the storm", name, seed, got)
 			}
 			for range 10 {
-				tr.d.Step(marks(tr.storm()))
+				tr.detector.Step(marks(tr.storm()))
 			}
-			if got := tr.d.Grade(); got < 0.25 {
+			if got := tr.detector.Grade(); got < 0.25 {
 				t.Errorf("%s, seed %d: grade %v after two seconds", name, seed, got)
 			}
 			tr.calm(10)
-			if got := tr.d.Grade(); got != 0 {
+			if got := tr.detector.Grade(); got != 0 {
 				t.Errorf("%s, seed %d: grade %v two seconds after its end", name, seed, got)
 			}
 		}
@@ -85,12 +85,12 @@
 		for range 20 {
 			for range 1 + tr.rng.IntN(10) {
 				n := 50 * (2 + tr.rng.IntN(8))
-				most = max(most, tr.d.Step(Signals{Arrivals: n, Repeats: n / 30, NewConnections: n * 7 / 10, Refused: n / 20}))
+				most = max(most, tr.detector.Step(Signals{Arrivals: n, Repeats: n / 30, NewConnections: n * 7 / 10, Refused: n / 20}))
 			}
 			most = max(most, tr.calm(20))
 		}
 		for n := 50; n < 500; n += 5 {
-			most = max(most, tr.d.Step(Signals{Arrivals: n, Repeats: n / 40, NewConnections: n / 15}))
+			most = max(most, tr.detector.Step(Signals{Arrivals: n, Repeats: n / 40, NewConnections: n / 15}))
 		}
 		if most > 0 {
 			t.Errorf("seed %d: grade %v", seed, most)
@@ -101,13 +101,13 @@
 // A detector that starts in the middle of a storm has no baseline yet and detects the storm by its repeats alone.
 func TestDetectorStartedDuringStorm(t *testing.T) {
 	tr := &traffic{newDetector(t), rand.New(rand.NewPCG(1, 2))}
-	if got := tr.d.Step(tr.storm()); got < 0.25 {
+	if got := tr.detector.Step(tr.storm()); got < 0.25 {
 		t.Errorf("grade %v", got)
 	}
 	for range 50 { // the storm must not become the baseline
-		tr.d.Step(tr.storm())
+		tr.detector.Step(tr.storm())
 	}
-	if got := tr.d.Grade(); got < 0.25 {
+	if got := tr.detector.Grade(); got < 0.25 {
 		t.Errorf("grade %v after ten seconds", got)
 	}
 }
--- a/internal/takeover/claim.go
+++ b/internal/takeover/claim.go
@@ -187,11 +187,11 @@
 				os.Remove(name)
 			}
 		} else if gen < c.generation {
-			v.Earlier = true
+			v.EarlierAlive = true
 			earlierInFlight, earlierOpen := readLoad(f)
 			v.EarlierRequests, v.EarlierConnections = v.EarlierRequests+earlierInFlight, v.EarlierConnections+earlierOpen
 		} else {
-			v.Later = true
+			v.LaterAlive = true
 			inHand, _ := readLoad(f)
 			v.LaterRequests += inHand
 		}
--- a/internal/takeover/state.go
+++ b/internal/takeover/state.go
@@ -139,8 +139,8 @@
 // View is what one process knows about the other processes of its agent.
 type View struct {
 	Generation         int  // of the process that has this view
-	Earlier            bool // a process of an earlier generation is alive
-	Later              bool // a process of a later generation is alive
+	EarlierAlive       bool // a process of an earlier generation is alive
+	LaterAlive         bool // a process of a later generation is alive
 	LatestReady        int  // the latest generation that has begun to serve
 	EarlierRequests    int  // requests in flight at processes of earlier generations
 	LaterRequests      int  // requests in flight at processes of later generations
@@ -149,24 +149,24 @@
 
 // Plan says how a process is to act beside the other processes of its agent.
 type Plan struct {
-	Alone     bool // no other process is alive, so all of the agent's memory is free for this one
-	Successor bool // a successor serves, so a stopping process leaves new connections to it
-	Mute      bool // an earlier process still sends the agent's messages to peers, so this one sends none
+	Alone           bool // no other process is alive, so all of the agent's memory is free for this one
+	SuccessorServes bool // a successor serves, so a stopping process leaves new connections to it
+	Mute            bool // an earlier process still sends the agent's messages to peers, so this one sends none
 }
 
 // Plan returns how the process is to act, given what it knows of the others.
 func (v View) Plan() Plan {
-	return Plan{Alone: !v.Earlier && !v.Later, Successor: v.Later && v.LatestReady > v.Generation,
-		Mute: v.Earlier}
+	return Plan{Alone: !v.EarlierAlive && !v.LaterAlive, SuccessorServes: v.LaterAlive && v.LatestReady > v.Generation,
+		Mute: v.EarlierAlive}
 }
 
 // Share returns the share of the agent's budget that this process may use, from 0 to 1; inFlight is the
 // number of its requests in flight. The shares of two processes that see the same numbers add up to 1.
 func (v View) Share(inFlight int) float64 {
 	switch {
-	case v.Later:
+	case v.LaterAlive:
 		return 1 - successorShare(v.LatestReady > v.Generation, inFlight+v.EarlierRequests, v.LaterRequests)
-	case v.Earlier:
+	case v.EarlierAlive:
 		return successorShare(v.LatestReady >= v.Generation, v.EarlierRequests, inFlight)
 	}
 	return 1
@@ -187,10 +187,10 @@
 func (v View) ConnectionLimit(total int) int {
 	minRoom := total / 4
 	room := total
-	if v.Later {
+	if v.LaterAlive {
 		room -= minRoom
 	}
-	if v.Earlier {
+	if v.EarlierAlive {
 		room = max(minRoom, room-v.EarlierConnections)
 	}
 	return room
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -24,13 +24,13 @@
 	}{
 		{View{Generation: 1}, Plan{Alone: true}},
 		{View{Generation: 1, LatestReady: 1}, Plan{Alone: true}},
-		{View{Generation: 1, Later: true, LatestReady: 1}, Plan{}},                                           // the successor has started, but doesn't serve yet
-		{View{Generation: 1, Later: true, LatestReady: 2}, Plan{Successor: true}},                            // the successor serves
-		{View{Generation: 1, LatestReady: 2}, Plan{Alone: true}},                                             // the successor served and has ended
-		{View{Generation: 2, Earlier: true, LatestReady: 2}, Plan{Mute: true}},                               // both serve, the earlier process is still alive
-		{View{Generation: 2, Earlier: true, LatestReady: 1}, Plan{Mute: true}},                               // only the earlier process serves
-		{View{Generation: 3, Later: true, LatestReady: 2}, Plan{}},                                           // neither this process nor its successor serves yet
-		{View{Generation: 2, Earlier: true, Later: true, LatestReady: 3}, Plan{Successor: true, Mute: true}}, // two upgrades at the same time
+		{View{Generation: 1, LaterAlive: true, LatestReady: 1}, Plan{}},                                                      // the successor has started, but doesn't serve yet
+		{View{Generation: 1, LaterAlive: true, LatestReady: 2}, Plan{SuccessorServes: true}},                                 // the successor serves
+		{View{Generation: 1, LatestReady: 2}, Plan{Alone: true}},                                                             // the successor served and has ended
+		{View{Generation: 2, EarlierAlive: true, LatestReady: 2}, Plan{Mute: true}},                                          // both serve, the earlier process is still alive
+		{View{Generation: 2, EarlierAlive: true, LatestReady: 1}, Plan{Mute: true}},                                          // only the earlier process serves
+		{View{Generation: 3, LaterAlive: true, LatestReady: 2}, Plan{}},                                                      // neither this process nor its successor serves yet
+		{View{Generation: 2, EarlierAlive: true, LaterAlive: true, LatestReady: 3}, Plan{SuccessorServes: true, Mute: true}}, // two upgrades at the same time
 	} {
 		if got := c.v.Plan(); got != c.want {
 			t.Errorf("%+v: %+v", c.v, got)
@@ -45,8 +45,8 @@
 		counts := rapid.IntRange(0, 1000)
 		old, fresh := counts.Draw(t, "old"), counts.Draw(t, "fresh")
 		ready := rapid.IntRange(1, 2).Draw(t, "ready")
-		a := View{Generation: 1, Later: true, LatestReady: ready, LaterRequests: fresh}.Share(old)
-		b := View{Generation: 2, Earlier: true, LatestReady: ready, EarlierRequests: old}.Share(fresh)
+		a := View{Generation: 1, LaterAlive: true, LatestReady: ready, LaterRequests: fresh}.Share(old)
+		b := View{Generation: 2, EarlierAlive: true, LatestReady: ready, EarlierRequests: old}.Share(fresh)
 		if a+b > 1+1e-9 || a+b < 1-1e-9 || a < 0 || b < 0 {
 			t.Fatalf("%v and %v", a, b)
 		}
@@ -64,16 +64,16 @@
 func TestRoomOfTwoProcesses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.IntRange(4, 2000).Draw(t, "all")
-		first := View{Generation: 1, Later: true}.ConnectionLimit(all)
+		first := View{Generation: 1, LaterAlive: true}.ConnectionLimit(all)
 		held := rapid.IntRange(0, first).Draw(t, "held")
-		second := View{Generation: 2, Earlier: true, EarlierConnections: held}.ConnectionLimit(all)
+		second := View{Generation: 2, EarlierAlive: true, EarlierConnections: held}.ConnectionLimit(all)
 		if held+second > all || first < all/2 || second < all/4 {
 			t.Fatalf("of %d: %d, of which %d are held, and %d", all, first, held, second)
 		}
 		if alone := (View{Generation: 2}).ConnectionLimit(all); alone != all {
 			t.Fatalf("alone: %d of %d", alone, all)
 		}
-		between := View{Generation: 2, Earlier: true, Later: true, EarlierConnections: held}.ConnectionLimit(all)
+		between := View{Generation: 2, EarlierAlive: true, LaterAlive: true, EarlierConnections: held}.ConnectionLimit(all)
 		if between < all/4 || between > all-all/4 {
 			t.Fatalf("between two: %d of %d", between, all)
 		}
@@ -193,7 +193,7 @@
 	check(first, Plan{})
 	check(second, Plan{Mute: true})
 	second.MarkReady()
-	check(first, Plan{Successor: true})
+	check(first, Plan{SuccessorServes: true})
 	first.PublishLoad(30, 70)
 	second.PublishLoad(9, 20)
 	if a, b := first.View().Share(30), second.View().Share(9); a != 0.5 || b != 0.5 {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,9 +7,9 @@
 	"lemonrail/balance"
 )
 
-// facts mirrors the settings object of an OpenInstance message, with the field names of the wire. Fields that
+// settingsObject mirrors the settings object of an OpenInstance message, with the field names of the wire. Fields that
 // end in Ms are in milliseconds.
-type facts struct {
+type settingsObject struct {
 	Balancers int
 	Me        int
 	Zone      int
@@ -65,7 +65,7 @@
 	groups = map[string]balance.Group{
 		"": balance.GroupAll, "all": balance.GroupAll,
 		"zone": balance.GroupZone, "cell": balance.GroupCell}
-	weights = map[string]balance.WeightMeaning{
+	weightMeanings = map[string]balance.WeightMeaning{
 		"": balance.WeightsOff, "off": balance.WeightsOff, "nominal": balance.WeightsNominal,
 		"rough": balance.WeightsRough, "live": balance.WeightsLive}
 	reportSources = map[string]balance.ReportSource{
@@ -82,7 +82,7 @@
 // ParseSettings decodes the settings object of an OpenInstance message and the names in it. Unknown keys are
 // ignored.
 func ParseSettings(raw []byte) (balance.Settings, Names, error) {
-	var f facts
+	var f settingsObject
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return balance.Settings{}, Names{}, fmt.Errorf("settings: %w", err)
 	}
@@ -98,7 +98,7 @@
 }
 
 // settings converts the object to the settings of package balance.
-func (f *facts) settings() (balance.Settings, error) {
+func (f *settingsObject) settings() (balance.Settings, error) {
 	s := balance.Settings{
 		Balancers:      f.Balancers,
 		Self:           f.Me,
@@ -142,7 +142,7 @@
 			Probe: f.Prices.Probe, Waste: f.Prices.Waste},
 	}
 	var ok bool
-	if s.Weights, ok = weights[f.Weights]; !ok {
+	if s.Weights, ok = weightMeanings[f.Weights]; !ok {
 		//lint:ignore ST1005 the error begins with the name of the field
 		return s, fmt.Errorf("Weights: unknown meaning %q", f.Weights)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -52,8 +52,8 @@
 	return &Reader{in: bufio.NewReaderSize(r, 1<<16), lists: map[int][]balance.Backend{}}
 }
 
-// entry is one backend in a DefineList message.
-type entry struct {
+// listedBackend is one backend in a DefineList message.
+type listedBackend struct {
 	Backend      string  // id of the backend, such as 10.0.0.1:80
 	Availability string  // state on the wire: on, fading or off
 	Rating       float64 // weight of the backend; Weights in the settings says what it means
@@ -66,36 +66,36 @@
 // message is one JSON line from the bench; Kind decides which of the other fields it has. A field is a
 // pointer where some kind of message requires it.
 type message struct {
-	Kind       string          `json:"msg"`
-	ClockMs    *float64        // Frame: time of the batch, in milliseconds on the bench's clock
-	Agent      *int            // number of the agent that the message is for
-	RandomSeed *uint64         // OpenInstance: seed of the Balancer's random numbers
-	Facts      json.RawMessage // OpenInstance: the settings object, see ParseSettings
-	Sheet      *int            // DefineList: number given to the list; View: number of the list that is sent
-	Index      int64           // View: version of the list
-	Items      *[]entry        // DefineList: the backends
-	How        *string         // View: kind of the list on the wire: diff, snapshot, disk or error
-	Job        *string         // id of the request
-	TierClass  *int            // Submit: index of the request's class
-	Project    int             // Submit: index of the request's tenant
-	Item       string          // Submit: key of the data that the request reads or writes
-	GraceMs    *float64        // Submit: time that the client still waits, in milliseconds
-	WorkHintMs float64         // Submit: expected work of the request in milliseconds, if bitHintValid is set
-	StateBits  int             // Submit: bitHintValid, bitRepeat and bitWrite
-	Outcome    *string         // Ended, ProbeDone: result of the attempt or probe on the wire, such as pass or fault
-	WaitTimeMs *float64        // Ended, ProbeDone, Streaming: time since the attempt or probe was sent, in milliseconds
-	Backend    *string         // Ended, ProbeDone: id of the backend that was used
-	SendNo     *int            // Ended, Streaming: number of the attempt within its request
-	Ended      bool            // Ended: the request has its final answer (balance.Outcome.Done)
-	Usage      *usage          // Ended, ProbeDone: the backend's load report; nil: none
-	Cookie     *int64          // Reminder: token of the timer that has fired
-	From       *int            // Peer: number of the agent that sent the message
-	Text       *string         `json:"Msg"` // Peer: the message in hex
+	Kind       string           `json:"msg"`
+	ClockMs    *float64         // Frame: time of the batch, in milliseconds on the bench's clock
+	Agent      *int             // number of the agent that the message is for
+	RandomSeed *uint64          // OpenInstance: seed of the Balancer's random numbers
+	Facts      json.RawMessage  // OpenInstance: the settings object, see ParseSettings
+	Sheet      *int             // DefineList: number given to the list; View: number of the list that is sent
+	Index      int64            // View: version of the list
+	Items      *[]listedBackend // DefineList: the backends
+	How        *string          // View: kind of the list on the wire: diff, snapshot, disk or error
+	Job        *string          // id of the request
+	TierClass  *int             // Submit: index of the request's class
+	Project    int              // Submit: index of the request's tenant
+	Item       string           // Submit: key of the data that the request reads or writes
+	GraceMs    *float64         // Submit: time that the client still waits, in milliseconds
+	WorkHintMs float64          // Submit: expected work of the request in milliseconds, if bitHintValid is set
+	StateBits  int              // Submit: bitHintValid, bitRepeat and bitWrite
+	Outcome    *string          // Ended, ProbeDone: result of the attempt or probe on the wire, such as pass or fault
+	WaitTimeMs *float64         // Ended, ProbeDone, Streaming: time since the attempt or probe was sent, in milliseconds
+	Backend    *string          // Ended, ProbeDone: id of the backend that was used
+	SendNo     *int             // Ended, Streaming: number of the attempt within its request
+	Ended      bool             // Ended: the request has its final answer (balance.Outcome.Done)
+	Usage      *loadReport      // Ended, ProbeDone: the backend's load report; nil: none
+	Cookie     *int64           // Reminder: token of the timer that has fired
+	From       *int             // Peer: number of the agent that sent the message
+	Text       *string          `json:"Msg"` // Peer: the message in hex
 }
 
-// usage is a load report of a backend on the wire, with the meaning of the fields in balance.Load. A field
+// loadReport is a load report of a backend on the wire, with the meaning of the fields in balance.Load. A field
 // that is absent is nil; further fields are ignored.
-type usage struct {
+type loadReport struct {
 	Outstanding  *float64
 	Backlog      *float64
 	Utilization  *float64
@@ -111,8 +111,8 @@
 	bitWrite     = 4 // the request writes
 )
 
-// results maps the Outcome of a message to the result of an attempt or probe.
-var results = map[string]balance.Result{
+// resultsByOutcome maps the Outcome of a message to the result of an attempt or probe.
+var resultsByOutcome = map[string]balance.Result{
 	"pass": balance.OK, "fault": balance.Errored, "no_room": balance.Full,
 	"too_slow": balance.TimedOut, "no_route": balance.ConnectFailed, "cut": balance.Reset,
 	"undone": balance.Cancelled, "stale_send": balance.NotSent,
@@ -124,8 +124,8 @@
 	"disk": balance.ListCached, "error": balance.ListFailed,
 }
 
-// states maps the Availability of an entry to the state of the backend.
-var states = map[string]balance.BackendState{
+// statesByAvailability maps the Availability of an entry to the state of the backend.
+var statesByAvailability = map[string]balance.BackendState{
 	"on": balance.Up, "fading": balance.Draining, "off": balance.Gone,
 }
 
@@ -213,7 +213,7 @@
 		if m.Job == nil || m.Outcome == nil || m.SendNo == nil || m.Backend == nil || m.WaitTimeMs == nil {
 			return errors.New("missing Job, Outcome, SendNo, Backend or WaitTimeMs")
 		}
-		res, ok := results[*m.Outcome]
+		res, ok := resultsByOutcome[*m.Outcome]
 		if !ok {
 			return fmt.Errorf("unknown Outcome %q", *m.Outcome)
 		}
@@ -223,7 +223,7 @@
 		if m.Backend == nil || m.Outcome == nil || m.WaitTimeMs == nil {
 			return errors.New("missing Backend, Outcome or WaitTimeMs")
 		}
-		res, ok := results[*m.Outcome]
+		res, ok := resultsByOutcome[*m.Outcome]
 		if !ok {
 			return fmt.Errorf("unknown Outcome %q", *m.Outcome)
 		}
@@ -275,7 +275,7 @@
 	}
 	list := make([]balance.Backend, 0, len(*m.Items))
 	for _, it := range *m.Items {
-		state, ok := states[it.Availability]
+		state, ok := statesByAvailability[it.Availability]
 		if !ok {
 			return fmt.Errorf("unknown Availability %q", it.Availability)
 		}
@@ -314,7 +314,7 @@
 
 // ParseLoad decodes the JSON load report of a backend. Values that the report lacks are negative.
 func ParseLoad(raw []byte) (balance.Load, error) {
-	var u usage
+	var u loadReport
 	if err := json.Unmarshal(raw, &u); err != nil {
 		return balance.NoLoad(), fmt.Errorf("load report: %w", err)
 	}
@@ -324,7 +324,7 @@
 const maxLoadValue = 1e6 // larger than any real load value: above ten minutes in ms, a million requests
 
 // toLoad converts a load report, which may be nil, to the form of package balance.
-func toLoad(u *usage) balance.Load {
+func toLoad(u *loadReport) balance.Load {
 	l := balance.NoLoad()
 	if u == nil {
 		return l
