--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -36,8 +36,8 @@
 	b.actions = append(b.actions, send)
 }
 
-// refuseOrFail gives a request its final answer; it alone does. The answer is a refusal if no attempt may have
-// run, so that any client may try again, and a failure otherwise.
+// refuseOrFail gives a request its final answer; it alone does. The answer is a refusal if no attempt may
+// have run, so that any client may try again, and a failure otherwise.
 func (b *Balancer) refuseOrFail(r *request, reason Reason) {
 	if r.ended {
 		return
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -28,9 +28,9 @@
 	return cmp.Or(t.slowRatio, b.slownessOfKind(t).slowRatio)
 }
 
-// slownessOfKind returns the slowness of t's kind, which stands in for a backend without answers. Only a quiet agent
-// learns it, since it meets few backends twice. A busy agent soon knows each backend, and there the answers
-// of a dead zone would count against the other backends of the kind.
+// slownessOfKind returns the slowness of t's kind, which is used for a backend without answers. Only a quiet
+// agent learns it, since it meets few backends twice. A busy agent soon knows each backend, and there the
+// answers of a dead zone would count against the other backends of the kind.
 func (b *Balancer) slownessOfKind(t *backend) *slowness {
 	if b.kindSlowness[t.Kind] == nil {
 		b.kindSlowness[t.Kind] = &slowness{slowRatio: 1}
